--- a/crates/cell/src/target_orders.rs
+++ b/crates/cell/src/target_orders.rs
@@ -3,7 +3,9 @@
 use decide::{call_budget::CallClass, work::DeskOrder};
 use model::{
     HostId, event as log_event,
-    work::{LookOrder, OrderAnswer, PaceOrder, StartAnswer, StartOrder, StopOrder, TaskKey},
+    work::{
+        OrderResponse, PollRequest, StartOrder, StartResponse, StopOrder, TaskKey, ThrottleOrder,
+    },
 };
 use tokio::{sync::SemaphorePermit, time::Instant};
 
@@ -62,7 +64,7 @@
     let answer = term.ports.targets.start(&address, order).await;
     lane.hurry.notify_one();
     metric::time(metric::ORDER_SECONDS, begun.elapsed());
-    let done = matches!(answer, StartAnswer::Started { .. });
+    let done = matches!(answer, StartResponse::Started { .. });
     settle(&term, "start", &id, done, &(&task, &answer));
     let now = term.now();
     let mut desk = term.desk.borrow_mut();
@@ -92,7 +94,7 @@
     };
     let answer = term.ports.targets.stop(&address, order).await;
     lane.hurry.notify_one();
-    let done = answer == OrderAnswer::Done;
+    let done = answer == OrderResponse::Done;
     settle(&term, "stop", &id, done, &(&task, &answer));
     let now = term.now();
     let mut desk = term.desk.borrow_mut();
@@ -102,7 +104,7 @@
 
 /// Sets a task's share of time. The next look shows whether that helped, so the desk does not
 /// wait for the answer.
-async fn pace(term: Rc<Term>, id: HostId, order: PaceOrder) {
+async fn pace(term: Rc<Term>, id: HostId, order: ThrottleOrder) {
     let Some((lane, address)) = way_to(&term, &id) else {
         return;
     };
@@ -110,7 +112,7 @@
         return;
     };
     let answer = term.ports.targets.pace(&address, order).await;
-    settle(&term, "pace", &id, answer == OrderAnswer::Done, &answer);
+    settle(&term, "pace", &id, answer == OrderResponse::Done, &answer);
 }
 
 async fn look(term: Rc<Term>, id: HostId) {
@@ -118,7 +120,7 @@
     let (Some((order, pass)), Some(address)) = (look, address_of(&term, &id)) else {
         return;
     };
-    let order = LookOrder {
+    let order = PollRequest {
         wait: Duration::ZERO,
         ..order
     };
--- a/crates/cell/tests/common/memory_ports.rs
+++ b/crates/cell/tests/common/memory_ports.rs
@@ -10,10 +10,10 @@
 use model::{
     HostId, PoolId,
     work::{
-        EndKind, EndSight, FleetHost, FleetTerms, HostOrderAnswer, HostRoom, LookAnswer, LookOrder,
-        MaintenanceWave, OrderAnswer, OrderSender, PaceOrder, PoolTerms, QueueTerms, RunSight,
-        StartAnswer, StartOrder, StopOrder, TargetAddress, TargetEntry, TargetSight, WaveId,
-        WorkspaceTerms,
+        EndKind, EndReport, FleetConfig, FleetHost, HostOrderResponse, MaintenanceWave,
+        OrderResponse, OrderSender, PollRequest, PollResponse, PoolConfig, QueueConfig, Resources,
+        RunReport, StartOrder, StartResponse, StopOrder, TargetAddress, TargetEntry, TargetReport,
+        ThrottleOrder, WaveId, WorkspaceConfig,
     },
 };
 use ports::{AdvicePort, AdviceTicket, FleetCodec, HostControl, PortFuture, TargetPort};
@@ -37,7 +37,7 @@
     granted: Rc<RefCell<BTreeMap<HostId, Instant>>>,
     /// How long an order to start a task is under way.
     start_delay: Rc<Cell<Duration>>,
-    ended: Rc<RefCell<BTreeMap<HostId, Vec<EndSight>>>>,
+    ended: Rc<RefCell<BTreeMap<HostId, Vec<EndReport>>>>,
     /// How often each task was started.
     pub starts: Rc<RefCell<BTreeMap<String, usize>>>,
 }
@@ -86,7 +86,7 @@
 }
 
 impl TargetPort for MemoryTargets {
-    fn start(&self, target: &TargetAddress, order: StartOrder) -> PortFuture<StartAnswer> {
+    fn start(&self, target: &TargetAddress, order: StartOrder) -> PortFuture<StartResponse> {
         let (targets, target) = (self.clone(), target.target.clone());
         Box::pin(async move {
             *targets
@@ -99,28 +99,28 @@
             sleep(targets.start_delay.get()).await;
             let mut ended = targets.ended.borrow_mut();
             let ends = ended.entry(target).or_default();
-            ends.push(EndSight {
+            ends.push(EndReport {
                 number: ends.len() as u64 + 1,
                 task: order.task,
                 attempt: order.attempt,
                 kind: EndKind::Done,
                 checkpoint: Default::default(),
             });
-            StartAnswer::Started {
+            StartResponse::Started {
                 clock: BootClock.boot_now(),
             }
         })
     }
 
-    fn stop(&self, _: &TargetAddress, _: StopOrder) -> PortFuture<OrderAnswer> {
-        Box::pin(async { OrderAnswer::Done })
+    fn stop(&self, _: &TargetAddress, _: StopOrder) -> PortFuture<OrderResponse> {
+        Box::pin(async { OrderResponse::Done })
     }
 
-    fn pace(&self, _: &TargetAddress, _: PaceOrder) -> PortFuture<OrderAnswer> {
-        Box::pin(async { OrderAnswer::Done })
+    fn pace(&self, _: &TargetAddress, _: ThrottleOrder) -> PortFuture<OrderResponse> {
+        Box::pin(async { OrderResponse::Done })
     }
 
-    fn look(&self, target: &TargetAddress, order: LookOrder) -> PortFuture<LookAnswer> {
+    fn look(&self, target: &TargetAddress, order: PollRequest) -> PortFuture<PollResponse> {
         let (targets, target) = (self.clone(), target.target.clone());
         self.looks.set(self.looks.get() + 1);
         if order.until.is_some() {
@@ -140,10 +140,10 @@
                 .cloned()
                 .unwrap_or_default();
             let listed = ended.into_iter().filter(|end| end.number > order.observed);
-            let mut ended: Vec<EndSight> = listed.collect();
+            let mut ended: Vec<EndReport> = listed.collect();
             let held = ended.split_off(ended.len().saturating_sub(targets.held.get()));
             let running = held.into_iter().map(running_sight).collect();
-            LookAnswer::Seen(TargetSight {
+            PollResponse::Seen(TargetReport {
                 clock: BootClock.boot_now(),
                 born: Duration::from_secs(1),
                 running,
@@ -154,11 +154,11 @@
 }
 
 /// A task that will end later, while it is at work.
-fn running_sight(end: EndSight) -> RunSight {
-    RunSight {
+fn running_sight(end: EndReport) -> RunReport {
+    RunReport {
         task: end.task,
         attempt: end.attempt,
-        ..RunSight::default()
+        ..RunReport::default()
     }
 }
 
@@ -187,32 +187,32 @@
     }
 
     /// The revision, then the keys of the one workspace, separated by spaces.
-    fn read_terms(&self, value: &[u8]) -> Result<FleetTerms, String> {
+    fn read_terms(&self, value: &[u8]) -> Result<FleetConfig, String> {
         let text = std::str::from_utf8(value).map_err(|error| error.to_string())?;
         let mut words = text.split(' ');
         let revision = words
             .next()
             .and_then(|word| word.parse().ok())
             .ok_or("no revision")?;
-        Ok(FleetTerms {
+        Ok(FleetConfig {
             revision,
-            queues: vec![QueueTerms {
+            queues: vec![QueueConfig {
                 name: "queue".into(),
                 host: "jobs.example".into(),
                 prefix: "/queue/".into(),
                 pool: "pool".into(),
                 max_attempts: 2,
                 slack_factor: 2.0,
-                ..QueueTerms::default()
+                ..QueueConfig::default()
             }],
-            pools: vec![PoolTerms {
+            pools: vec![PoolConfig {
                 name: "pool".into(),
-                ..PoolTerms::default()
+                ..PoolConfig::default()
             }],
-            workspaces: vec![WorkspaceTerms {
+            workspaces: vec![WorkspaceConfig {
                 name: "space".into(),
                 keys: words.map(Into::into).collect(),
-                ..WorkspaceTerms::default()
+                ..WorkspaceConfig::default()
             }],
             max_body: 1 << 16,
         })
@@ -230,7 +230,7 @@
             target: target.into(),
             address: format!("{target}:80").into(),
             pool: "pool".into(),
-            capacity: HostRoom {
+            capacity: Resources {
                 cpu: 4000,
                 memory_mb: 4000,
                 gpu: 0,
@@ -265,12 +265,12 @@
         })
     }
 
-    fn move_host(&self, _: &OrderSender, _: &HostId, _: &PoolId) -> PortFuture<HostOrderAnswer> {
-        Box::pin(async { HostOrderAnswer::Impossible })
+    fn move_host(&self, _: &OrderSender, _: &HostId, _: &PoolId) -> PortFuture<HostOrderResponse> {
+        Box::pin(async { HostOrderResponse::Impossible })
     }
 
-    fn maintain(&self, _: &OrderSender, _: &HostId, _: WaveId) -> PortFuture<HostOrderAnswer> {
-        Box::pin(async { HostOrderAnswer::Impossible })
+    fn maintain(&self, _: &OrderSender, _: &HostId, _: WaveId) -> PortFuture<HostOrderResponse> {
+        Box::pin(async { HostOrderResponse::Impossible })
     }
 }
 
--- a/crates/decide/src/work/desk_end.rs
+++ b/crates/decide/src/work/desk_end.rs
@@ -1,6 +1,6 @@
 use model::{
     HostId,
-    work::{EndKind, EndSight, TaskKey},
+    work::{EndKind, EndReport, TaskKey},
 };
 use wire::work::{TaskEnd, log_entry::Event};
 
@@ -11,7 +11,7 @@
 
 impl WorkDesk {
     /// Handles an end that a target lists for the first time.
-    pub(super) fn apply_end(&mut self, id: &HostId, end: &EndSight, now: DeskTime) {
+    pub(super) fn apply_end(&mut self, id: &HostId, end: &EndReport, now: DeskTime) {
         let run: RunKey = (end.task.clone(), end.attempt);
         self.unclaim(id, &run);
         let job = &end.task.job;
@@ -114,7 +114,7 @@
         }
     }
 
-    fn end_done(&mut self, end: &EndSight, origin: EndOrigin, now: DeskTime) {
+    fn end_done(&mut self, end: &EndReport, origin: EndOrigin, now: DeskTime) {
         let open = self
             .board
             .jobs
@@ -145,7 +145,7 @@
         }
     }
 
-    fn end_failed(&mut self, end: &EndSight, origin: EndOrigin, now: DeskTime) {
+    fn end_failed(&mut self, end: &EndReport, origin: EndOrigin, now: DeskTime) {
         let tuning = self.tuning;
         let Some(job) = self.board.jobs.get_mut(&end.task.job) else {
             return;
@@ -208,14 +208,14 @@
     /// Another end may stand for this one: of a gang that of another member, and of a target
     /// that was given up and came back the same end. While that entry is not stored, observing
     /// this end would leave a successor with neither, and it would run the task again.
-    fn record_again(&mut self, end: &EndSight, done: bool, origin: EndOrigin) {
+    fn record_again(&mut self, end: &EndReport, done: bool, origin: EndOrigin) {
         let job = self.board.jobs.get(&end.task.job);
         if job.is_some_and(|job| job.unstored > 0) {
             self.record_end(end, done, origin);
         }
     }
 
-    fn record_end(&mut self, end: &EndSight, done: bool, origin: EndOrigin) {
+    fn record_end(&mut self, end: &EndReport, done: bool, origin: EndOrigin) {
         if let Some(target) = self.targets.get_unindexed(&origin.target) {
             target.life.unstored.insert(origin.number);
         }
@@ -268,7 +268,7 @@
         }
     }
 
-    fn keep_checkpoint(&mut self, end: &EndSight) {
+    fn keep_checkpoint(&mut self, end: &EndReport) {
         if end.checkpoint.is_empty() {
             return;
         }
--- a/crates/decide/src/work/desk_order.rs
+++ b/crates/decide/src/work/desk_order.rs
@@ -2,7 +2,7 @@
 
 use model::{
     HostId, JobId,
-    work::{AttemptNumber, PaceOrder, StartOrder, StopOrder, TaskKey},
+    work::{AttemptNumber, StartOrder, StopOrder, TaskKey, ThrottleOrder},
 };
 use wire::work::LogEntry;
 
@@ -16,7 +16,7 @@
     /// Stop a run on a target.
     Stop(HostId, StopOrder),
     /// Set a run's share of time.
-    Pace(HostId, PaceOrder),
+    Pace(HostId, ThrottleOrder),
     /// Look at a target now, beside the look that may be waiting there.
     Look(HostId),
     /// Write to the job log.
--- a/crates/decide/src/work/desk_plan.rs
+++ b/crates/decide/src/work/desk_plan.rs
@@ -1,6 +1,6 @@
 use std::collections::{BTreeMap, BTreeSet};
 
-use model::{PoolId, WorkspaceId, work::HostRoom};
+use model::{PoolId, WorkspaceId, work::Resources};
 
 use super::{
     DeskEffort, DeskTime, WorkDesk,
@@ -16,7 +16,7 @@
 /// Rooms that are remembered of a pool while starts are planned, since no target has them.
 const MOST_REFUSED: usize = 8;
 /// What a workspace without a limit may take.
-const NO_LIMIT: HostRoom = HostRoom {
+const NO_LIMIT: Resources = Resources {
     cpu: u64::MAX,
     memory_mb: u64::MAX,
     gpu: u64::MAX,
@@ -29,11 +29,11 @@
     /// Pools whose inherited jobs have to wait.
     blocked: BTreeSet<PoolId>,
     /// What workspaces may have running on targets that have not been reached.
-    doubt: BTreeMap<WorkspaceId, HostRoom>,
+    doubt: BTreeMap<WorkspaceId, Resources>,
     /// The most that a target of each pool has, of each resource by itself.
-    rooms: BTreeMap<PoolId, HostRoom>,
+    rooms: BTreeMap<PoolId, Resources>,
     /// Rooms that no target of the pool has.
-    refused: BTreeMap<PoolId, Vec<HostRoom>>,
+    refused: BTreeMap<PoolId, Vec<Resources>>,
     /// The last step of each group that was tried.
     tried: BTreeMap<PoolId, BTreeMap<WaitingGroup, StepRank>>,
 }
@@ -175,8 +175,8 @@
     pub(super) fn left_of_limit(
         &self,
         workspace: &WorkspaceId,
-        doubt: &BTreeMap<WorkspaceId, HostRoom>,
-    ) -> HostRoom {
+        doubt: &BTreeMap<WorkspaceId, Resources>,
+    ) -> Resources {
         let Some(limit) = self.index.limits.get(workspace) else {
             return NO_LIMIT;
         };
--- a/crates/decide/src/work/desk_sight.rs
+++ b/crates/decide/src/work/desk_sight.rs
@@ -2,7 +2,7 @@
 
 use model::{
     BootTime, HostId,
-    work::{LookAnswer, LookOrder, RunSight, TargetSight},
+    work::{PollRequest, PollResponse, RunReport, TargetReport},
 };
 
 use crate::call_budget::CallClass;
@@ -46,7 +46,7 @@
     }
 
     /// The look that a target needs now; `None` if it needs none.
-    pub fn look_order(&mut self, id: &HostId, now: DeskTime) -> Option<LookOrder> {
+    pub fn look_order(&mut self, id: &HostId, now: DeskTime) -> Option<PollRequest> {
         self.look_class(id, now)?;
         let tuning = self.tuning;
         let both = self.serves_and_fills(id);
@@ -67,7 +67,7 @@
             (true, false) => tuning.look_wait,
             (true, true) => tuning.watch_wait,
         };
-        Some(LookOrder {
+        Some(PollRequest {
             token: self.token,
             observed,
             until,
@@ -81,15 +81,15 @@
         id: &HostId,
         sent: BootTime,
         observed: u64,
-        answer: &LookAnswer,
+        answer: &PollResponse,
         now: DeskTime,
     ) {
         match answer {
-            LookAnswer::Seen(sight) => self.take_sight(id, sent, observed, sight, now),
-            LookAnswer::Fenced => self.orders.push(DeskOrder::Resign(id.clone())),
-            LookAnswer::OtherLife if self.is_outlived(id, sent) => {}
-            LookAnswer::OtherLife => self.lose_target(id, "replaced", now),
-            LookAnswer::Refused(_) | LookAnswer::Unanswered(_) => self.note_silence(id, now),
+            PollResponse::Seen(sight) => self.take_sight(id, sent, observed, sight, now),
+            PollResponse::Fenced => self.orders.push(DeskOrder::Resign(id.clone())),
+            PollResponse::OtherLife if self.is_outlived(id, sent) => {}
+            PollResponse::OtherLife => self.lose_target(id, "replaced", now),
+            PollResponse::Refused(_) | PollResponse::Unanswered(_) => self.note_silence(id, now),
         }
     }
 
@@ -98,7 +98,7 @@
         id: &HostId,
         sent: BootTime,
         observed: u64,
-        sight: &TargetSight,
+        sight: &TargetReport,
         now: DeskTime,
     ) {
         let Some(target) = self.targets.get(id) else {
@@ -142,7 +142,7 @@
         id: &HostId,
         sent: BootTime,
         observed: u64,
-        sight: &TargetSight,
+        sight: &TargetReport,
         now: DeskTime,
     ) {
         let Some(target) = self.targets.get_mut(id) else {
@@ -174,7 +174,7 @@
         }
     }
 
-    fn see_run(&mut self, id: &HostId, run: &RunSight, now: DeskTime) {
+    fn see_run(&mut self, id: &HostId, run: &RunReport, now: DeskTime) {
         let key: RunKey = (run.task.clone(), run.attempt);
         if !run.checkpoint.is_empty() {
             self.set_checkpoint(&run.task, &run.checkpoint);
@@ -220,7 +220,7 @@
     }
 
     /// Notes a run that may have stood still for too long, for the next tick.
-    fn note_still(&mut self, id: &HostId, run: &RunSight) {
+    fn note_still(&mut self, id: &HostId, run: &RunReport) {
         let key: RunKey = (run.task.clone(), run.attempt);
         if self.is_stalled(id, &key) {
             self.still.insert((id.clone(), key));
@@ -228,7 +228,7 @@
     }
 
     /// Takes a run over that a predecessor started, or that was carried out late.
-    fn adopt(&mut self, id: &HostId, run: &RunKey, sight: &RunSight, now: DeskTime) {
+    fn adopt(&mut self, id: &HostId, run: &RunKey, sight: &RunReport, now: DeskTime) {
         let (key, attempt) = run;
         self.claim(id, run.clone());
         let stopped = self.stops.remove(&(id.clone(), run.clone()));
@@ -261,7 +261,7 @@
     }
 
     /// Settles what a look sent at `sent` did not show though it was taken to be there.
-    fn miss_runs(&mut self, id: &HostId, sent: BootTime, sight: &TargetSight, now: DeskTime) {
+    fn miss_runs(&mut self, id: &HostId, sent: BootTime, sight: &TargetReport, now: DeskTime) {
         let shown = sight.running.iter().map(|run| (&run.task, run.attempt));
         let shown: BTreeSet<_> = shown.collect();
         let Some(target) = self.targets.get(id) else {
--- a/crates/decide/src/work/desk_start.rs
+++ b/crates/decide/src/work/desk_start.rs
@@ -1,6 +1,6 @@
 use model::{
     HostId, WorkspaceId,
-    work::{HostRoom, StartOrder, TaskKey},
+    work::{Resources, StartOrder, TaskKey},
 };
 use std::{collections::BTreeMap, time::Duration};
 
@@ -42,7 +42,7 @@
     pub(super) fn start_step(
         &mut self,
         (rank, step): &StepRank,
-        doubt: &BTreeMap<WorkspaceId, HostRoom>,
+        doubt: &BTreeMap<WorkspaceId, Resources>,
         now: DeskTime,
     ) -> StepOutcome {
         let nothing = StepOutcome::default();
@@ -120,7 +120,7 @@
         step: &StepKey,
         plan: &model::work::StepPlan,
         indices: &[u32],
-        doubt: &BTreeMap<WorkspaceId, HostRoom>,
+        doubt: &BTreeMap<WorkspaceId, Resources>,
         now: DeskTime,
     ) -> PlacedTasks {
         let mut placed = PlacedTasks::default();
--- a/crates/decide/src/work/host_planner.rs
+++ b/crates/decide/src/work/host_planner.rs
@@ -5,7 +5,7 @@
 
 use model::{
     BootTime, HostId, PoolId,
-    work::{FleetHost, HostCondition, HostOrderAnswer, MaintenanceWave, WaveId},
+    work::{FleetHost, HostCondition, HostOrderResponse, MaintenanceWave, WaveId},
 };
 
 use super::{DemandMeter, DeskTime, HostVacancy, JobBoard, WorkDesk};
@@ -201,7 +201,12 @@
     }
 
     /// Takes the answer to an order; true if the host began to do what was ordered.
-    pub fn answered(&mut self, order: &HostOrder, answer: &HostOrderAnswer, now: BootTime) -> bool {
+    pub fn answered(
+        &mut self,
+        order: &HostOrder,
+        answer: &HostOrderResponse,
+        now: BootTime,
+    ) -> bool {
         let Some(view) = self.hosts.get_mut(order.host()) else {
             return false;
         };
@@ -209,7 +214,7 @@
             return false;
         };
         match answer {
-            HostOrderAnswer::Done => {
+            HostOrderResponse::Done => {
                 errand.state = ErrandState::Done(now);
                 if let HostOrder::Maintain(host, wave) = order
                     && let Some(view) = self.waves.get_mut(wave)
@@ -220,14 +225,14 @@
             }
             // The order may still be carried out, so the host stays free of tasks, and the
             // same order is repeated until it is known: it is idempotent.
-            HostOrderAnswer::Unanswered(_) | HostOrderAnswer::Refused(_) => {
+            HostOrderResponse::Unanswered(_) | HostOrderResponse::Refused(_) => {
                 view.not_before = now + RETRY_PAUSE;
             }
-            HostOrderAnswer::Busy | HostOrderAnswer::Fenced => {
+            HostOrderResponse::Busy | HostOrderResponse::Fenced => {
                 view.not_before = now + BUSY_PAUSE;
                 view.errand = None;
             }
-            HostOrderAnswer::NotOfWave => {
+            HostOrderResponse::NotOfWave => {
                 if let HostOrder::Maintain(host, wave) = order
                     && let Some(view) = self.waves.get_mut(wave)
                 {
@@ -235,7 +240,7 @@
                 }
                 view.errand = None;
             }
-            HostOrderAnswer::Impossible => {
+            HostOrderResponse::Impossible => {
                 if let HostOrder::Move(host, pool) = order {
                     self.refused_moves.insert((host.clone(), pool.clone()));
                 }
--- a/crates/decide/src/work/pace.rs
+++ b/crates/decide/src/work/pace.rs
@@ -1,6 +1,6 @@
 use model::{
     HostId,
-    work::{PaceOrder, StepPlan},
+    work::{StepPlan, ThrottleOrder},
 };
 
 use super::{DeskOrder, WorkDesk, target_state::RunKey};
@@ -54,7 +54,7 @@
     }
 
     fn send_pace(&mut self, id: &HostId, run: RunKey, percent: u8) {
-        let order = PaceOrder {
+        let order = ThrottleOrder {
             task: run.0,
             attempt: run.1,
             percent,
--- a/crates/decide/tests/desk/fleet.rs
+++ b/crates/decide/tests/desk/fleet.rs
@@ -8,8 +8,9 @@
 use model::{
     BootTime, HostId,
     work::{
-        EndKind, EndSight, FleetHost, FleetTerms, HostCondition, HostOrderAnswer, HostRoom,
-        MaintenanceWave, PoolTerms, RunSight, StartAnswer, StartOrder, TargetEntry, TaskKey,
+        EndKind, EndReport, FleetConfig, FleetHost, HostCondition, HostOrderResponse,
+        MaintenanceWave, PoolConfig, Resources, RunReport, StartOrder, StartResponse, TargetEntry,
+        TaskKey,
     },
 };
 
@@ -51,15 +52,15 @@
     lives: u32,
     back: BootTime,
     runs: Vec<(StartOrder, BootTime)>,
-    ends: Vec<EndSight>,
+    ends: Vec<EndReport>,
 }
 
 impl FleetScene {
     /// A fleet of so many hosts in service and so many that are switched off.
     pub fn new(serving: usize, off: usize, cpu: u64) -> Self {
         let mut scene = DeskScene::new(1);
-        let mut terms: FleetTerms = terms_with_limit(1_000_000);
-        terms.pools.push(PoolTerms {
+        let mut terms: FleetConfig = terms_with_limit(1_000_000);
+        terms.pools.push(PoolConfig {
             name: STANDBY.into(),
             standby: true,
         });
@@ -84,7 +85,7 @@
                     pool: pool.into(),
                     condition: HostCondition::Up,
                     labels: vec!["kind".into(), "rack".into()],
-                    capacity: HostRoom {
+                    capacity: Resources {
                         cpu,
                         memory_mb: 10_000,
                         gpu: 0,
@@ -208,7 +209,7 @@
                 continue;
             };
             host.runs.push((start.clone(), now.boot));
-            let answer = StartAnswer::Started { clock: now.boot };
+            let answer = StartResponse::Started { clock: now.boot };
             let desk = &mut self.scene.desk;
             desk.started(&id, &start.task, start.attempt, &answer, now);
         }
@@ -235,7 +236,7 @@
             if host.fleet.target.is_empty() {
                 continue;
             }
-            let sight = |(start, begun): &(StartOrder, BootTime)| RunSight {
+            let sight = |(start, begun): &(StartOrder, BootTime)| RunReport {
                 percent: if now >= *begun + STARTUP { 100 } else { 0 },
                 ..running(start)
             };
@@ -269,7 +270,7 @@
         let life = self.planner.target_of(order.host());
         assert!(
             self.planner
-                .answered(order, &HostOrderAnswer::Done, now.boot)
+                .answered(order, &HostOrderResponse::Done, now.boot)
         );
         let named = |host: &&mut SceneHost| host.fleet.host == *order.host();
         let Some(host) = self.hosts.iter_mut().find(named) else {
--- a/crates/decide/tests/desk/scene.rs
+++ b/crates/decide/tests/desk/scene.rs
@@ -4,9 +4,9 @@
 use model::{
     BootTime, HostId,
     work::{
-        EndKind, EndSight, FleetTerms, HostRoom, JobPlan, LookAnswer, OrderAnswer, PoolTerms,
-        QueueTerms, RunSight, StartAnswer, StartOrder, StepPlan, TargetEntry, TargetSight, TaskKey,
-        WorkspaceTerms,
+        EndKind, EndReport, FleetConfig, JobPlan, OrderResponse, PollResponse, PoolConfig,
+        QueueConfig, Resources, RunReport, StartOrder, StartResponse, StepPlan, TargetEntry,
+        TargetReport, TaskKey, WorkspaceConfig,
     },
 };
 use wire::work::{JobRecord, LogEntry, log_entry::Event};
@@ -131,38 +131,38 @@
         self.see(id, Vec::new(), Vec::new());
     }
 
-    pub fn see(&mut self, id: &str, running: Vec<RunSight>, ended: Vec<EndSight>) {
+    pub fn see(&mut self, id: &str, running: Vec<RunReport>, ended: Vec<EndReport>) {
         self.now.boot += Duration::from_millis(1);
         let sent = self.now.boot;
         self.now.boot += Duration::from_millis(1);
-        let sight = TargetSight {
+        let sight = TargetReport {
             clock: self.now.boot,
             born: Duration::from_secs(1),
             running,
             ended,
         };
         self.desk
-            .saw(&id.into(), sent, 0, &LookAnswer::Seen(sight), self.now);
+            .saw(&id.into(), sent, 0, &PollResponse::Seen(sight), self.now);
         self.run();
     }
 
     /// A look at a target that is not answered.
     pub fn miss(&mut self, id: &str) {
-        let silent = LookAnswer::Unanswered("timed out".to_owned());
+        let silent = PollResponse::Unanswered("timed out".to_owned());
         let sent = self.now.boot;
         self.desk.saw(&id.into(), sent, 0, &silent, self.now);
     }
 
     /// A start that is not answered.
     pub fn leave_unanswered(&mut self, id: &HostId, start: &StartOrder) {
-        let unanswered = StartAnswer::Unanswered("timed out".to_owned());
+        let unanswered = StartResponse::Unanswered("timed out".to_owned());
         self.desk
             .started(id, &start.task, start.attempt, &unanswered, self.now);
     }
 
     /// A target has done the stop that was sent at a time.
     pub fn answer_stop(&mut self, id: &HostId, start: &StartOrder, sent: BootTime) {
-        let done = OrderAnswer::Done;
+        let done = OrderResponse::Done;
         self.desk
             .stopped(id, &start.task, start.attempt, sent, &done, self.now);
     }
@@ -207,7 +207,7 @@
 
     /// Gives the workspace a weight.
     pub fn weigh(&mut self, weight: u32) {
-        let mut terms = FleetTerms::clone(&self.desk.terms);
+        let mut terms = FleetConfig::clone(&self.desk.terms);
         terms
             .workspaces
             .iter_mut()
@@ -219,7 +219,7 @@
     pub fn start_all(&mut self) -> Vec<(HostId, StartOrder)> {
         let starts = std::mem::take(&mut self.starts);
         for (id, start) in &starts {
-            let answer = StartAnswer::Started {
+            let answer = StartResponse::Started {
                 clock: self.now.boot,
             };
             self.desk
@@ -242,7 +242,7 @@
         pool: POOL.into(),
         rack: "rack".into(),
         labels: vec!["kind".into(), "rack".into()],
-        capacity: HostRoom {
+        capacity: Resources {
             cpu,
             memory_mb: 10_000,
             gpu: 0,
@@ -266,7 +266,7 @@
 pub fn step(count: u32, cpu: u64) -> StepPlan {
     StepPlan {
         count,
-        need: HostRoom {
+        need: Resources {
             cpu,
             memory_mb: 100,
             gpu: 0,
@@ -294,17 +294,17 @@
     }
 }
 
-pub fn running(start: &StartOrder) -> RunSight {
-    RunSight {
+pub fn running(start: &StartOrder) -> RunReport {
+    RunReport {
         task: start.task.clone(),
         attempt: start.attempt,
         percent: 10,
-        ..RunSight::default()
+        ..RunReport::default()
     }
 }
 
-pub fn ended(number: u64, task: &TaskKey, attempt: u64, kind: EndKind) -> EndSight {
-    EndSight {
+pub fn ended(number: u64, task: &TaskKey, attempt: u64, kind: EndKind) -> EndReport {
+    EndReport {
         number,
         task: task.clone(),
         attempt,
@@ -313,32 +313,32 @@
     }
 }
 
-fn terms() -> FleetTerms {
+fn terms() -> FleetConfig {
     terms_with_limit(8000)
 }
 
 /// Terms of one pool, one queue and one workspace of which so much may run.
-pub fn terms_with_limit(cpu: u64) -> FleetTerms {
-    FleetTerms {
+pub fn terms_with_limit(cpu: u64) -> FleetConfig {
+    FleetConfig {
         revision: 1,
-        queues: vec![QueueTerms {
+        queues: vec![QueueConfig {
             name: QUEUE.into(),
             pool: POOL.into(),
             max_attempts: 2,
             slack_factor: 2.0,
-            ..QueueTerms::default()
+            ..QueueConfig::default()
         }],
-        pools: vec![PoolTerms {
+        pools: vec![PoolConfig {
             name: POOL.into(),
-            ..PoolTerms::default()
+            ..PoolConfig::default()
         }],
-        workspaces: vec![WorkspaceTerms {
+        workspaces: vec![WorkspaceConfig {
             name: SPACE.into(),
-            limit: HostRoom {
+            limit: Resources {
                 cpu,
-                ..HostRoom::default()
+                ..Resources::default()
             },
-            ..WorkspaceTerms::default()
+            ..WorkspaceConfig::default()
         }],
         max_body: 1 << 20,
     }
--- a/crates/decide/tests/desk/turn.rs
+++ b/crates/decide/tests/desk/turn.rs
@@ -6,8 +6,8 @@
 use model::{
     BootTime, HostId,
     work::{
-        EndKind, EndSight, FleetTerms, HostRoom, JobPlan, LookAnswer, PoolTerms, QueueTerms,
-        RunSight, StartAnswer, StartOrder, StepPlan, TargetEntry, TargetSight, WorkspaceTerms,
+        EndKind, EndReport, FleetConfig, JobPlan, PollResponse, PoolConfig, QueueConfig, Resources,
+        RunReport, StartOrder, StartResponse, StepPlan, TargetEntry, TargetReport, WorkspaceConfig,
     },
 };
 use wire::work::JobRecord;
@@ -21,7 +21,7 @@
 /// Ends between two ticks of the desk.
 const ENDS_A_TICK: u64 = 83;
 /// Room of a target: seven tasks, and a rest.
-const ROOM: HostRoom = HostRoom {
+const ROOM: Resources = Resources {
     cpu: 16_000,
     memory_mb: 32_768,
     gpu: 0,
@@ -102,17 +102,17 @@
         let runs = self.busy.entry(id.clone()).or_default();
         let ended = (!runs.is_empty()).then(|| runs.remove(0));
         let percent = u8::try_from(self.ended % 90).unwrap_or_default();
-        let running = runs.iter().map(|run| RunSight {
+        let running = runs.iter().map(|run| RunReport {
             task: run.task.clone(),
             attempt: run.attempt,
             percent,
-            ..RunSight::default()
+            ..RunReport::default()
         });
         let running = running.collect();
         let number = self.ends.entry(id.clone()).or_default();
         let ends = ended.into_iter().map(|run| {
             *number += 1;
-            EndSight {
+            EndReport {
                 number: *number,
                 task: run.task,
                 attempt: run.attempt,
@@ -142,7 +142,7 @@
             payload: "text".into(),
             steps: vec![StepPlan {
                 count: TASKS,
-                need: HostRoom {
+                need: Resources {
                     cpu: 2050 + (self.jobs as u64 * 7) % 200,
                     memory_mb: 2000,
                     gpu: 0,
@@ -184,7 +184,7 @@
             DeskOrder::Record(record) => self.desk.recorded(&record, self.now),
             DeskOrder::Start(id, start) => {
                 self.started += 1;
-                let answer = StartAnswer::Started {
+                let answer = StartResponse::Started {
                     clock: self.now.boot,
                 };
                 let (task, attempt) = (start.task.clone(), start.attempt);
@@ -211,41 +211,41 @@
         self.names.push(id);
     }
 
-    fn see(&mut self, id: &HostId, running: Vec<RunSight>, ended: Vec<EndSight>) {
+    fn see(&mut self, id: &HostId, running: Vec<RunReport>, ended: Vec<EndReport>) {
         let sent: BootTime = self.now.boot;
-        let sight = TargetSight {
+        let sight = TargetReport {
             clock: self.now.boot,
             born: Duration::from_secs(1),
             running,
             ended,
         };
-        let answer = LookAnswer::Seen(sight);
+        let answer = PollResponse::Seen(sight);
         self.desk.saw(id, sent, 0, &answer, self.now);
     }
 }
 
-fn terms(size: TurnSize, first_limit: u64) -> FleetTerms {
-    let queue = |number: usize| QueueTerms {
+fn terms(size: TurnSize, first_limit: u64) -> FleetConfig {
+    let queue = |number: usize| QueueConfig {
         name: format!("queue-{number}").into(),
         pool: format!("pool-{number}").into(),
         max_attempts: 3,
         slack_factor: 1.6,
         slack_time: Duration::from_millis(600),
-        ..QueueTerms::default()
+        ..QueueConfig::default()
     };
-    let pool = |number: usize| PoolTerms {
+    let pool = |number: usize| PoolConfig {
         name: format!("pool-{number}").into(),
-        ..PoolTerms::default()
+        ..PoolConfig::default()
     };
-    let space = |number: usize| WorkspaceTerms {
+    let space = |number: usize| WorkspaceConfig {
         name: format!("workspace-{number:03}").into(),
-        limit: HostRoom {
+        limit: Resources {
             cpu: if number == 0 { first_limit } else { 0 },
-            ..HostRoom::default()
+            ..Resources::default()
         },
-        ..WorkspaceTerms::default()
+        ..WorkspaceConfig::default()
     };
-    FleetTerms {
+    FleetConfig {
         revision: 1,
         queues: (0..POOLS).map(queue).collect(),
         pools: (0..POOLS).map(pool).collect(),
--- a/crates/decide/tests/desk/world_call.rs
+++ b/crates/decide/tests/desk/world_call.rs
@@ -4,8 +4,8 @@
 use model::{
     BootTime, HostId,
     work::{
-        LookAnswer, LookOrder, OrderAnswer, StartAnswer, StartOrder, StartRefusal, StopOrder,
-        TaskKey,
+        OrderResponse, PollRequest, PollResponse, StartOrder, StartRefusal, StartResponse,
+        StopOrder, TaskKey,
     },
 };
 use rand::Rng;
@@ -24,9 +24,9 @@
 pub(super) enum WorldOrder {
     Start(StartOrder),
     Stop(StopOrder),
-    Look(LookOrder),
+    Look(PollRequest),
     /// A look beside the one that waits.
-    LookNow(LookOrder),
+    LookNow(PollRequest),
 }
 
 pub(super) struct WorldCall {
@@ -45,9 +45,9 @@
 }
 
 enum WorldAnswer {
-    Start(StartAnswer),
-    Stop(OrderAnswer),
-    Look(LookAnswer),
+    Start(StartResponse),
+    Stop(OrderResponse),
+    Look(PollResponse),
 }
 
 impl DeskWorld {
@@ -76,7 +76,7 @@
                 if let WorldOrder::Start(start) = &order
                     && (alone || !is_wanted(owner, &name, start))
                 {
-                    let answer = StartAnswer::NotSent("not wanted any more".to_owned());
+                    let answer = StartResponse::NotSent("not wanted any more".to_owned());
                     let (task, attempt) = (start.task.clone(), start.attempt);
                     owner.desk.started(&name, &task, attempt, &answer, self.now);
                     continue;
@@ -221,7 +221,7 @@
                     let long = self.long.contains(order.task.job.as_str());
                     let length = if long { length * 8 } else { length };
                     let answer = state.start(order, now, now + length);
-                    let started = matches!(answer, StartAnswer::Started { .. });
+                    let started = matches!(answer, StartResponse::Started { .. });
                     state.started_at.insert(order.task.clone(), now);
                     let task = order.task.clone();
                     let told = self.history.entry(task.clone()).or_default();
@@ -272,7 +272,7 @@
                 (WorldOrder::Start(order), answer) => {
                     let answer = match answer {
                         Some(WorldAnswer::Start(answer)) => answer,
-                        _ => StartAnswer::Unanswered(lost()),
+                        _ => StartResponse::Unanswered(lost()),
                     };
                     owner
                         .desk
@@ -281,7 +281,7 @@
                 (WorldOrder::Stop(order), answer) => {
                     let answer = match answer {
                         Some(WorldAnswer::Stop(answer)) => answer,
-                        _ => OrderAnswer::Unanswered(lost()),
+                        _ => OrderResponse::Unanswered(lost()),
                     };
                     let (task, attempt) = (&order.task, order.attempt);
                     owner
@@ -298,7 +298,7 @@
                     }
                     let answer = match answer {
                         Some(WorldAnswer::Look(answer)) => answer,
-                        _ => LookAnswer::Unanswered(lost()),
+                        _ => PollResponse::Unanswered(lost()),
                     };
                     owner
                         .desk
@@ -321,9 +321,9 @@
 impl WorldOrder {
     fn answer_of_other_life(&self) -> WorldAnswer {
         match self {
-            Self::Start(_) => WorldAnswer::Start(StartAnswer::Refused(StartRefusal::OtherLife)),
-            Self::Stop(_) => WorldAnswer::Stop(OrderAnswer::OtherLife),
-            Self::Look(_) | Self::LookNow(_) => WorldAnswer::Look(LookAnswer::OtherLife),
+            Self::Start(_) => WorldAnswer::Start(StartResponse::Refused(StartRefusal::OtherLife)),
+            Self::Stop(_) => WorldAnswer::Stop(OrderResponse::OtherLife),
+            Self::Look(_) | Self::LookNow(_) => WorldAnswer::Look(PollResponse::OtherLife),
         }
     }
 }
--- a/crates/decide/tests/desk/world_target.rs
+++ b/crates/decide/tests/desk/world_target.rs
@@ -4,8 +4,8 @@
 use model::{
     BootTime, HostId,
     work::{
-        EndKind, EndSight, LookAnswer, LookOrder, OrderAnswer, RunSight, StartAnswer, StartOrder,
-        StartRefusal, StopOrder, TargetSight, TaskKey,
+        EndKind, EndReport, OrderResponse, PollRequest, PollResponse, RunReport, StartOrder,
+        StartRefusal, StartResponse, StopOrder, TargetReport, TaskKey,
     },
 };
 
@@ -38,7 +38,7 @@
     pub until: BootTime,
     pub runs: BTreeMap<(TaskKey, u64), BootTime>,
     pub closed: BTreeMap<TaskKey, u64>,
-    pub ended: Vec<EndSight>,
+    pub ended: Vec<EndReport>,
     pub ends: u64,
 }
 
@@ -83,7 +83,7 @@
         self.ends += 1;
         let (task, attempt) = run;
         self.close(&task, attempt);
-        self.ended.push(EndSight {
+        self.ended.push(EndReport {
             number: self.ends,
             task,
             attempt,
@@ -112,17 +112,17 @@
         now.saturating_sub(self.zero)
     }
 
-    pub fn start(&mut self, order: &StartOrder, now: BootTime, end: BootTime) -> StartAnswer {
+    pub fn start(&mut self, order: &StartOrder, now: BootTime, end: BootTime) -> StartResponse {
         if self.fenced(order.token) {
-            return StartAnswer::Refused(StartRefusal::Fenced);
+            return StartResponse::Refused(StartRefusal::Fenced);
         }
         if self.zero + order.until < now {
-            return StartAnswer::Refused(StartRefusal::Late);
+            return StartResponse::Refused(StartRefusal::Late);
         }
         self.extend(order.until, now);
         let run = (order.task.clone(), order.attempt);
         if self.runs.contains_key(&run) {
-            return StartAnswer::Started {
+            return StartResponse::Started {
                 clock: self.clock(now),
             };
         }
@@ -131,17 +131,17 @@
             .get(&order.task)
             .is_some_and(|closed| order.attempt <= *closed)
         {
-            return StartAnswer::Refused(StartRefusal::OldAttempt);
+            return StartResponse::Refused(StartRefusal::OldAttempt);
         }
         self.runs.insert(run, end);
-        StartAnswer::Started {
+        StartResponse::Started {
             clock: self.clock(now),
         }
     }
 
-    pub fn stop(&mut self, order: &StopOrder, now: BootTime) -> OrderAnswer {
+    pub fn stop(&mut self, order: &StopOrder, now: BootTime) -> OrderResponse {
         if self.fenced(order.token) {
-            return OrderAnswer::Fenced;
+            return OrderResponse::Fenced;
         }
         let run = (order.task.clone(), order.attempt);
         if self.runs.contains_key(&run) {
@@ -149,13 +149,13 @@
         }
         self.close(&order.task, order.attempt);
         self.finish(now);
-        OrderAnswer::Done
+        OrderResponse::Done
     }
 
     /// Answers a look; also tells which done tasks it lets the target forget.
-    pub fn look(&mut self, order: &LookOrder, now: BootTime) -> (LookAnswer, Vec<TaskKey>) {
+    pub fn look(&mut self, order: &PollRequest, now: BootTime) -> (PollResponse, Vec<TaskKey>) {
         if self.fenced(order.token) {
-            return (LookAnswer::Fenced, Vec::new());
+            return (PollResponse::Fenced, Vec::new());
         }
         if let Some(until) = order.until {
             self.extend(until, now);
@@ -166,19 +166,19 @@
             .map(|end| end.task.clone());
         let noted = noted.collect();
         self.ended.retain(|end| end.number > order.observed);
-        let running = self.runs.iter().map(|((task, attempt), end)| RunSight {
+        let running = self.runs.iter().map(|((task, attempt), end)| RunReport {
             task: task.clone(),
             attempt: *attempt,
             // A task that lasts says that it is at work.
             percent: if *end == BootTime::MAX { 100 } else { 50 },
-            ..RunSight::default()
+            ..RunReport::default()
         });
-        let sight = TargetSight {
+        let sight = TargetReport {
             clock: self.clock(now),
             born: self.born,
             running: running.collect(),
             ended: self.ended.clone(),
         };
-        (LookAnswer::Seen(sight), noted)
+        (PollResponse::Seen(sight), noted)
     }
 }
--- a/crates/decide/tests/work_lives.rs
+++ b/crates/decide/tests/work_lives.rs
@@ -7,21 +7,21 @@
 use desk::{DeskScene, LATER, plan, reborn, running, step, target};
 use model::{
     HostId,
-    work::{EndKind, EndSight, LookAnswer, RunSight, TargetEntry, TargetMode, TargetSight},
+    work::{EndKind, EndReport, PollResponse, RunReport, TargetEntry, TargetMode, TargetReport},
 };
 
 /// Looks at the later life of `t1`.
-fn see_reborn(scene: &mut DeskScene, running: Vec<RunSight>, ended: Vec<EndSight>) {
+fn see_reborn(scene: &mut DeskScene, running: Vec<RunReport>, ended: Vec<EndReport>) {
     scene.now.boot += Duration::from_millis(1);
     let sent = scene.now.boot;
     scene.now.boot += Duration::from_millis(1);
-    let sight = TargetSight {
+    let sight = TargetReport {
         clock: Duration::from_secs(1),
         born: LATER,
         running,
         ended,
     };
-    let seen = LookAnswer::Seen(sight);
+    let seen = PollResponse::Seen(sight);
     scene.desk.saw(&"t1".into(), sent, 0, &seen, scene.now);
     scene.run();
 }
@@ -86,10 +86,10 @@
     scene.end("t1", &starts[0].1, EndKind::Done);
     let order = scene.desk.look_order(&"t1".into(), scene.now);
     assert_eq!(order.map(|order| order.observed), Some(1));
-    let seen = LookAnswer::Seen(TargetSight {
+    let seen = PollResponse::Seen(TargetReport {
         clock: scene.now.boot,
         born: Duration::from_secs(1),
-        ..TargetSight::default()
+        ..TargetReport::default()
     });
     let sent = scene.now.boot;
     scene.desk.saw(&"t1".into(), sent, 1, &seen, scene.now);
@@ -218,7 +218,7 @@
     let sent = scene.now.boot;
     scene.pass(Duration::from_millis(100));
     scene.desk.list_target(reborn(2000), scene.now);
-    let other = LookAnswer::OtherLife;
+    let other = PollResponse::OtherLife;
     scene.desk.saw(&"t1".into(), sent, 0, &other, scene.now);
     assert_eq!(scene.desk.listed(), [HostId::from("t1")]);
     scene
--- a/crates/decide/tests/work_targets.rs
+++ b/crates/decide/tests/work_targets.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use desk::{DeskScene, LATER, ended, plan, reborn, running, step, target};
-use model::work::{EndKind, LookAnswer, StepPlan, TargetEntry, TargetMode, TargetSight};
+use model::work::{EndKind, PollResponse, StepPlan, TargetEntry, TargetMode, TargetReport};
 use rstest::rstest;
 
 fn lasting(count: u32) -> StepPlan {
@@ -96,14 +96,14 @@
         ..target("t2", 2000)
     };
     scene.desk.list_target(older.clone(), scene.now);
-    let sight = model::work::TargetSight {
+    let sight = model::work::TargetReport {
         clock: scene.now.boot,
         born: newer.born,
-        ..model::work::TargetSight::default()
+        ..model::work::TargetReport::default()
     };
     scene.desk.list_target(newer, scene.now);
     scene.run();
-    let seen = LookAnswer::Seen(sight);
+    let seen = PollResponse::Seen(sight);
     let sent = scene.now.boot;
     scene.desk.saw(&"t2".into(), sent, 0, &seen, scene.now);
     scene.submit("a", &plan(vec![step(1, 2000)]));
@@ -150,11 +150,11 @@
     );
     let order = scene.desk.look_order(&"t1".into(), scene.now);
     assert!(order.is_some());
-    let sight = TargetSight {
+    let sight = TargetReport {
         born: LATER,
-        ..TargetSight::default()
+        ..TargetReport::default()
     };
-    let seen = LookAnswer::Seen(sight);
+    let seen = PollResponse::Seen(sight);
     scene
         .desk
         .saw(&"t1".into(), scene.now.boot, 0, &seen, scene.now);
@@ -307,12 +307,12 @@
     let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 1000)]);
     scene.see("t1", vec![running(&starts[0].1)], Vec::new());
     scene.desk.set_alone(true);
-    let sight = TargetSight {
+    let sight = TargetReport {
         born: LATER,
-        ..TargetSight::default()
+        ..TargetReport::default()
     };
     scene.now.boot += Duration::from_millis(100);
-    let seen = LookAnswer::Seen(sight);
+    let seen = PollResponse::Seen(sight);
     scene
         .desk
         .saw(&"t1".into(), scene.now.boot, 0, &seen, scene.now);
@@ -329,7 +329,7 @@
     scene.add("t2", 2000);
     let (stuck, slow) = (&starts[0].1, &starts[1].1);
     for percent in 0..4 {
-        let slow = model::work::RunSight {
+        let slow = model::work::RunReport {
             percent: 10 + percent,
             ..running(slow)
         };
@@ -386,7 +386,7 @@
 fn refused_start_leaves_job_pending() {
     let mut scene = DeskScene::submitted(2000, vec![step(1, 1000)]);
     let (id, start) = scene.starts.remove(0);
-    let refused = model::work::StartAnswer::Refused(model::work::StartRefusal::NoRoom);
+    let refused = model::work::StartResponse::Refused(model::work::StartRefusal::NoRoom);
     scene
         .desk
         .started(&id, &start.task, start.attempt, &refused, scene.now);
--- a/crates/model/src/work/fleet_terms.rs
+++ b/crates/model/src/work/fleet_config.rs
@@ -4,26 +4,26 @@
 
 use crate::{PoolId, Revision, WorkspaceId};
 
-use super::HostRoom;
+use super::Resources;
 
 /// Everything that operators ask for at one revision.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct FleetTerms {
+pub struct FleetConfig {
     /// Grows with each change.
     pub revision: Revision,
     /// Queues that callers hand jobs in to.
-    pub queues: Vec<QueueTerms>,
+    pub queues: Vec<QueueConfig>,
     /// Pools of hosts.
-    pub pools: Vec<PoolTerms>,
+    pub pools: Vec<PoolConfig>,
     /// Workspaces, with their keys and limits.
-    pub workspaces: Vec<WorkspaceTerms>,
+    pub workspaces: Vec<WorkspaceConfig>,
     /// Largest body of a caller's request, in bytes.
     pub max_body: usize,
 }
 
 /// One queue.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct QueueTerms {
+pub struct QueueConfig {
     /// Its name.
     pub name: CompactString,
     /// Host name that callers address.
@@ -43,12 +43,12 @@
     /// Whether callers need no key.
     pub public: bool,
     /// Whose advice says which targets may run a step; `None` if all may.
-    pub advice: Option<AdviceTerms>,
+    pub advice: Option<AdviceConfig>,
 }
 
 /// How a queue's advice service answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct AdviceTerms {
+pub struct AdviceConfig {
     /// Fixed part of an answer's time.
     pub fixed: Duration,
     /// Part for each target that is asked about.
@@ -59,7 +59,7 @@
 
 /// One pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PoolTerms {
+pub struct PoolConfig {
     /// Its name.
     pub name: PoolId,
     /// Whether its hosts are switched off.
@@ -68,7 +68,7 @@
 
 /// One workspace.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct WorkspaceTerms {
+pub struct WorkspaceConfig {
     /// Its name.
     pub name: WorkspaceId,
     /// Keys that its callers present.
@@ -76,12 +76,12 @@
     /// Its share when all is full.
     pub weight: u32,
     /// Most that it may have running; zero parts mean no limit.
-    pub limit: HostRoom,
+    pub limit: Resources,
 }
 
-impl FleetTerms {
+impl FleetConfig {
     /// The queue that answers `host` and `path`: the one with the longest prefix.
-    pub fn queue_at(&self, host: &str, path: &str) -> Option<&QueueTerms> {
+    pub fn queue_at(&self, host: &str, path: &str) -> Option<&QueueConfig> {
         let matching = self
             .queues
             .iter()
@@ -90,23 +90,23 @@
     }
 
     /// The queue of a name.
-    pub fn queue(&self, name: &str) -> Option<&QueueTerms> {
+    pub fn queue(&self, name: &str) -> Option<&QueueConfig> {
         self.queues.iter().find(|queue| queue.name == name)
     }
 
     /// The pool of a name.
-    pub fn pool(&self, name: &str) -> Option<&PoolTerms> {
+    pub fn pool(&self, name: &str) -> Option<&PoolConfig> {
         self.pools.iter().find(|pool| pool.name == name)
     }
 
     /// The workspace of a name.
-    pub fn workspace(&self, name: &str) -> Option<&WorkspaceTerms> {
+    pub fn workspace(&self, name: &str) -> Option<&WorkspaceConfig> {
         self.workspaces.iter().find(|space| space.name == name)
     }
 
     /// The workspace that a key belongs to.
-    pub fn workspace_of_key(&self, key: &str) -> Option<&WorkspaceTerms> {
-        let holds = |space: &&WorkspaceTerms| space.keys.iter().any(|own| own == key);
+    pub fn workspace_of_key(&self, key: &str) -> Option<&WorkspaceConfig> {
+        let holds = |space: &&WorkspaceConfig| space.keys.iter().any(|own| own == key);
         self.workspaces.iter().find(holds)
     }
 }
--- a/crates/model/src/work/fleet_host.rs
+++ b/crates/model/src/work/fleet_host.rs
@@ -2,7 +2,7 @@
 
 use crate::{HostId, PoolId};
 
-use super::{FencingToken, HostRoom};
+use super::{FencingToken, Resources};
 
 /// What a host of the fleet is doing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -30,14 +30,14 @@
     /// All its labels.
     pub labels: Vec<CompactString>,
     /// Room in all.
-    pub capacity: HostRoom,
+    pub capacity: Resources,
     /// Its present life as a target; empty for none.
     pub target: HostId,
 }
 
 /// What became of an order to a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum HostOrderAnswer {
+pub enum HostOrderResponse {
     /// Done, or done before: everything on the host has ended.
     Done,
     /// A newer owner has given orders to the host.
--- a/crates/model/src/work/job_plan.rs
+++ b/crates/model/src/work/job_plan.rs
@@ -4,7 +4,7 @@
 
 use crate::RackId;
 
-use super::HostRoom;
+use super::Resources;
 
 /// Longest payload of a job, in bytes, as the callers' interface promises.
 const MAX_PAYLOAD: usize = 4_000;
@@ -41,7 +41,7 @@
     /// Number of tasks.
     pub count: u32,
     /// What each task asks of a target.
-    pub need: HostRoom,
+    pub need: Resources,
     /// Rough estimate of a task's run time.
     pub estimate: Duration,
     /// Earlier steps, all of whose tasks must be done first.
@@ -74,7 +74,7 @@
 
 /// Why a plan can't be taken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum PlanFault {
+pub enum PlanError {
     /// The payload is longer than allowed.
     #[error("the payload has {0} bytes, {MAX_PAYLOAD} are allowed")]
     LongPayload(usize),
@@ -91,8 +91,8 @@
 
 impl StepPlan {
     /// What a task takes from its target's room: tasks that fill take no processors.
-    pub fn footprint(&self) -> HostRoom {
-        HostRoom {
+    pub fn footprint(&self) -> Resources {
+        Resources {
             cpu: if self.fills { 0 } else { self.need.cpu },
             ..self.need
         }
@@ -109,21 +109,21 @@
     ///
     /// # Errors
     /// The first fault that is found.
-    pub fn check(&self) -> Result<(), PlanFault> {
+    pub fn check(&self) -> Result<(), PlanError> {
         if self.payload.len() > MAX_PAYLOAD {
-            return Err(PlanFault::LongPayload(self.payload.len()));
+            return Err(PlanError::LongPayload(self.payload.len()));
         }
         if self.steps.is_empty() || self.steps.len() > MAX_STEPS {
-            return Err(PlanFault::StepCount(self.steps.len()));
+            return Err(PlanError::StepCount(self.steps.len()));
         }
         let mut tasks = 0;
         for (number, step) in self.steps.iter().enumerate() {
             tasks += u64::from(step.count);
             if step.count == 0 || tasks > MAX_TASKS {
-                return Err(PlanFault::TaskCount(number));
+                return Err(PlanError::TaskCount(number));
             }
             if step.after.iter().any(|&before| before as usize >= number) {
-                return Err(PlanFault::StepOrder(number));
+                return Err(PlanError::StepOrder(number));
             }
         }
         Ok(())
--- a/crates/model/src/work/target_order.rs
+++ b/crates/model/src/work/target_order.rs
@@ -41,7 +41,7 @@
 
 /// What a target said to a start.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StartAnswer {
+pub enum StartResponse {
     /// It runs, or ran already.
     Started {
         /// The target's clock.
@@ -89,7 +89,7 @@
 
 /// Sets the share of time at which a task may work.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PaceOrder {
+pub struct ThrottleOrder {
     /// The task.
     pub task: TaskKey,
     /// Number of its start.
@@ -102,7 +102,7 @@
 
 /// What a target said to an order other than a start.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OrderAnswer {
+pub enum OrderResponse {
     /// Carried out.
     Done,
     /// Refused because a newer owner has given orders.
@@ -119,7 +119,7 @@
 
 /// Renews the time that everything on a target may run, and asks what runs and what ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct LookOrder {
+pub struct PollRequest {
     /// Token of the owner.
     pub token: FencingToken,
     /// Ends up to this number are known and recorded; the target forgets them.
--- a/crates/model/src/work/target_sight.rs
+++ b/crates/model/src/work/target_report.rs
@@ -6,9 +6,9 @@
 
 /// What a target said to a look.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum LookAnswer {
+pub enum PollResponse {
     /// What runs and what ended there.
-    Seen(TargetSight),
+    Seen(TargetReport),
     /// A newer owner has given orders.
     Fenced,
     /// Another refusal.
@@ -21,20 +21,20 @@
 
 /// What runs and what ended on a target.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct TargetSight {
+pub struct TargetReport {
     /// The target's clock.
     pub clock: Duration,
     /// When the target's life began, since the Unix epoch; zero if it does not say.
     pub born: Duration,
     /// What runs.
-    pub running: Vec<RunSight>,
+    pub running: Vec<RunReport>,
     /// Ends that have not been observed, oldest first; a part if there are many.
-    pub ended: Vec<EndSight>,
+    pub ended: Vec<EndReport>,
 }
 
 /// One run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct RunSight {
+pub struct RunReport {
     /// The task.
     pub task: TaskKey,
     /// Number of its start.
@@ -50,7 +50,7 @@
 
 /// One end.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EndSight {
+pub struct EndReport {
     /// Counts the ends of one life of the target from 1.
     pub number: u64,
     /// The task.
--- a/crates/ports/src/host_control.rs
+++ b/crates/ports/src/host_control.rs
@@ -1,6 +1,6 @@
 use model::{
     HostId, PoolId,
-    work::{FleetHost, HostOrderAnswer, OrderSender, WaveId},
+    work::{FleetHost, HostOrderResponse, OrderSender, WaveId},
 };
 
 use crate::PortFuture;
@@ -15,12 +15,12 @@
         sender: &OrderSender,
         host: &HostId,
         pool: &PoolId,
-    ) -> PortFuture<HostOrderAnswer>;
+    ) -> PortFuture<HostOrderResponse>;
     /// Takes a host down for its maintenance.
     fn maintain(
         &self,
         sender: &OrderSender,
         host: &HostId,
         wave: WaveId,
-    ) -> PortFuture<HostOrderAnswer>;
+    ) -> PortFuture<HostOrderResponse>;
 }
