--- a/crates/cell/src/caller_front.rs
+++ b/crates/cell/src/caller_front.rs
@@ -5,7 +5,7 @@
 use link::{CallClient, CallFault};
 use model::{
     event as log_event,
-    work::{FencingToken, FleetConfig, JobPlan},
+    work::{FencingToken, FleetPolicy, JobPlan},
 };
 use ports::{CallerAnswer, CallerCall, CallerDesk, CallerWish, JobProgress, PortFuture};
 use store::{BootClock, Clock};
@@ -124,7 +124,7 @@
         &self,
         job: &str,
         plan: &JobPlan,
-        queue: &model::work::QueueConfig,
+        queue: &model::work::QueuePolicy,
         workspace: &str,
     ) -> JobRecord {
         let accepted = BootClock.unix_now().as_millis();
@@ -289,7 +289,7 @@
         let revision = self
             .view
             .terms()
-            .map_or(0, |terms: std::sync::Arc<FleetConfig>| terms.revision);
+            .map_or(0, |terms: std::sync::Arc<FleetPolicy>| terms.revision);
         let details = format_args!(
             "wish={wish} job={job} path={} answer={name} owner={owner} terms={revision} took_ms={}",
             call.path,
--- a/crates/cell/src/fleet_view.rs
+++ b/crates/cell/src/fleet_view.rs
@@ -7,7 +7,7 @@
 
 use model::{
     event as log_event,
-    work::{FleetConfig, MaintenanceWave, WaveId},
+    work::{FleetPolicy, MaintenanceWave, WaveId},
 };
 use ports::{FleetCodec, StoreEvent, StoreItem, StoreRevision};
 use tokio::sync::Notify;
@@ -17,7 +17,7 @@
 /// What operators ask for, as far as this process has heard.
 pub(crate) struct FleetView {
     codec: Rc<dyn FleetCodec>,
-    terms: RefCell<Option<Arc<FleetConfig>>>,
+    terms: RefCell<Option<Arc<FleetPolicy>>>,
     waves: RefCell<BTreeMap<WaveId, MaintenanceWave>>,
     /// Counts the changes.
     pub(crate) version: Cell<u64>,
@@ -37,7 +37,7 @@
     }
 
     /// The terms in force; `None` before the first were read.
-    pub(crate) fn terms(&self) -> Option<Arc<FleetConfig>> {
+    pub(crate) fn terms(&self) -> Option<Arc<FleetPolicy>> {
         self.terms.borrow().clone()
     }
 
@@ -62,7 +62,7 @@
 
     /// Puts terms in force, unless they are older than those that are: a lagging answer of the
     /// store must not bring back a key or a queue that operators have taken away.
-    fn put_in_force(&self, terms: FleetConfig) {
+    fn put_in_force(&self, terms: FleetPolicy) {
         let held = self
             .terms
             .borrow()
--- a/crates/cell/src/host_duty.rs
+++ b/crates/cell/src/host_duty.rs
@@ -3,7 +3,7 @@
 use decide::{call_budget::ListPace, work::HostOrder};
 use model::{
     BootTime, event as log_event,
-    work::{HostOrderResponse, OrderSender, WaveId},
+    work::{HostOrderAnswer, OrderSender, WaveId},
 };
 use ports::{StoreChange, StoreOutcome, StoreWrite};
 use tokio::time::{MissedTickBehavior, interval};
@@ -109,7 +109,7 @@
     let answer = if recorded && term.is_certain() {
         give_order(&term, &sender, &order).await
     } else {
-        HostOrderResponse::Refused("not recorded, or the lease may have lapsed".to_owned())
+        HostOrderAnswer::Refused("not recorded, or the lease may have lapsed".to_owned())
     };
     log_event::info(
         &event::HOST_ORDERED,
@@ -118,7 +118,7 @@
             term.token
         ),
     );
-    if answer == HostOrderResponse::Fenced {
+    if answer == HostOrderAnswer::Fenced {
         term.end("fenced by the control of hosts");
         return;
     }
@@ -137,7 +137,7 @@
     }
 }
 
-async fn give_order(term: &Term, sender: &OrderSender, order: &HostOrder) -> HostOrderResponse {
+async fn give_order(term: &Term, sender: &OrderSender, order: &HostOrder) -> HostOrderAnswer {
     match order {
         HostOrder::Move(host, pool) => term.ports.hosts.move_host(sender, host, pool).await,
         HostOrder::Maintain(host, wave) => term.ports.hosts.maintain(sender, host, *wave).await,
--- a/crates/cell/src/target_look.rs
+++ b/crates/cell/src/target_look.rs
@@ -5,7 +5,7 @@
 
 use model::{
     HostId, event as log_event,
-    work::{PollRequest, PollResponse, TargetAddress},
+    work::{PollAnswer, PollOrder, TargetAddress},
 };
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
@@ -66,7 +66,7 @@
 }
 
 /// The look that a target needs, once it may be sent; `None` if it needs none.
-pub(crate) async fn next_look(term: &Term, id: &HostId) -> Option<(PollRequest, CallPass)> {
+pub(crate) async fn next_look(term: &Term, id: &HostId) -> Option<(PollOrder, CallPass)> {
     loop {
         let now = term.now();
         let class = term.desk.borrow().look_class(id, now)?;
@@ -116,7 +116,7 @@
     term: &Rc<Term>,
     id: &HostId,
     address: &TargetAddress,
-    order: PollRequest,
+    order: PollOrder,
     mut pass: CallPass,
 ) -> LookOutcome {
     let sent = term.now().boot;
@@ -127,16 +127,16 @@
     let answer = term.ports.targets.look(address, order).await;
     drop(pass);
     let outcome = match &answer {
-        PollResponse::Seen(sight) if sight.ended.is_empty() => LookOutcome::Nothing,
-        PollResponse::Seen(_) => LookOutcome::Ends,
+        PollAnswer::Seen(sight) if sight.ended.is_empty() => LookOutcome::Nothing,
+        PollAnswer::Seen(_) => LookOutcome::Ends,
         _ => LookOutcome::Failed,
     };
     let name = match &answer {
-        PollResponse::Seen(_) => "seen",
-        PollResponse::Fenced => "fenced",
-        PollResponse::Refused(_) => "refused",
-        PollResponse::OtherLife => "other-life",
-        PollResponse::Unanswered(_) => "unanswered",
+        PollAnswer::Seen(_) => "seen",
+        PollAnswer::Fenced => "fenced",
+        PollAnswer::Refused(_) => "refused",
+        PollAnswer::OtherLife => "other-life",
+        PollAnswer::Unanswered(_) => "unanswered",
     };
     metrics::counter!(metric::ORDERS, "kind" => "look", "outcome" => name).increment(1);
     if outcome == LookOutcome::Failed {
--- a/crates/cell/src/target_orders.rs
+++ b/crates/cell/src/target_orders.rs
@@ -3,9 +3,7 @@
 use decide::{call_budget::CallClass, work::DeskOrder};
 use model::{
     HostId, event as log_event,
-    work::{
-        OrderResponse, PollRequest, StartOrder, StartResponse, StopOrder, TaskKey, ThrottleOrder,
-    },
+    work::{OrderAnswer, PollOrder, StartAnswer, StartOrder, StopOrder, TaskKey, ThrottleOrder},
 };
 use tokio::{sync::SemaphorePermit, time::Instant};
 
@@ -64,7 +62,7 @@
     let answer = term.ports.targets.start(&address, order).await;
     lane.hurry.notify_one();
     metric::time(metric::ORDER_SECONDS, begun.elapsed());
-    let done = matches!(answer, StartResponse::Started { .. });
+    let done = matches!(answer, StartAnswer::Started { .. });
     settle(&term, "start", &id, done, &(&task, &answer));
     let now = term.now();
     let mut desk = term.desk.borrow_mut();
@@ -94,7 +92,7 @@
     };
     let answer = term.ports.targets.stop(&address, order).await;
     lane.hurry.notify_one();
-    let done = answer == OrderResponse::Done;
+    let done = answer == OrderAnswer::Done;
     settle(&term, "stop", &id, done, &(&task, &answer));
     let now = term.now();
     let mut desk = term.desk.borrow_mut();
@@ -112,7 +110,7 @@
         return;
     };
     let answer = term.ports.targets.pace(&address, order).await;
-    settle(&term, "pace", &id, answer == OrderResponse::Done, &answer);
+    settle(&term, "pace", &id, answer == OrderAnswer::Done, &answer);
 }
 
 async fn look(term: Rc<Term>, id: HostId) {
@@ -120,7 +118,7 @@
     let (Some((order, pass)), Some(address)) = (look, address_of(&term, &id)) else {
         return;
     };
-    let order = PollRequest {
+    let order = PollOrder {
         wait: Duration::ZERO,
         ..order
     };
--- a/crates/cell/tests/common/caller_calls.rs
+++ b/crates/cell/tests/common/caller_calls.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use model::work::{JobPlan, Resources, StepPlan};
+use model::work::{JobPlan, ResourceVector, StepPlan};
 use ports::{CallerCall, CallerWish};
 
 /// The key of the only workspace.
@@ -19,7 +19,7 @@
 pub fn plan() -> JobPlan {
     let step = |after: Vec<u32>| StepPlan {
         count: 3,
-        need: Resources {
+        need: ResourceVector {
             cpu: 500,
             memory_mb: 10,
             gpu: 0,
--- a/crates/cell/tests/common/memory_ports.rs
+++ b/crates/cell/tests/common/memory_ports.rs
@@ -10,10 +10,10 @@
 use model::{
     HostId, PoolId,
     work::{
-        EndKind, EndReport, FleetConfig, FleetHost, HostOrderResponse, MaintenanceWave,
-        OrderResponse, OrderSender, PollRequest, PollResponse, PoolConfig, QueueConfig, Resources,
-        RunReport, StartOrder, StartResponse, StopOrder, TargetAddress, TargetEntry, TargetReport,
-        ThrottleOrder, WaveId, WorkspaceConfig,
+        EndKind, EndReport, FleetHost, FleetPolicy, HostOrderAnswer, MaintenanceWave, OrderAnswer,
+        OrderSender, PollAnswer, PollOrder, PoolPolicy, QueuePolicy, ResourceVector, RunReport,
+        StartAnswer, StartOrder, StopOrder, TargetAddress, TargetEntry, TargetReport,
+        ThrottleOrder, WaveId, WorkspacePolicy,
     },
 };
 use ports::{AdvicePort, AdviceTicket, FleetCodec, HostControl, PortFuture, TargetPort};
@@ -86,7 +86,7 @@
 }
 
 impl TargetPort for MemoryTargets {
-    fn start(&self, target: &TargetAddress, order: StartOrder) -> PortFuture<StartResponse> {
+    fn start(&self, target: &TargetAddress, order: StartOrder) -> PortFuture<StartAnswer> {
         let (targets, target) = (self.clone(), target.target.clone());
         Box::pin(async move {
             *targets
@@ -106,21 +106,21 @@
                 kind: EndKind::Done,
                 checkpoint: Default::default(),
             });
-            StartResponse::Started {
+            StartAnswer::Started {
                 clock: BootClock.boot_now(),
             }
         })
     }
 
-    fn stop(&self, _: &TargetAddress, _: StopOrder) -> PortFuture<OrderResponse> {
-        Box::pin(async { OrderResponse::Done })
+    fn stop(&self, _: &TargetAddress, _: StopOrder) -> PortFuture<OrderAnswer> {
+        Box::pin(async { OrderAnswer::Done })
     }
 
-    fn pace(&self, _: &TargetAddress, _: ThrottleOrder) -> PortFuture<OrderResponse> {
-        Box::pin(async { OrderResponse::Done })
+    fn pace(&self, _: &TargetAddress, _: ThrottleOrder) -> PortFuture<OrderAnswer> {
+        Box::pin(async { OrderAnswer::Done })
     }
 
-    fn look(&self, target: &TargetAddress, order: PollRequest) -> PortFuture<PollResponse> {
+    fn look(&self, target: &TargetAddress, order: PollOrder) -> PortFuture<PollAnswer> {
         let (targets, target) = (self.clone(), target.target.clone());
         self.looks.set(self.looks.get() + 1);
         if order.until.is_some() {
@@ -143,7 +143,7 @@
             let mut ended: Vec<EndReport> = listed.collect();
             let held = ended.split_off(ended.len().saturating_sub(targets.held.get()));
             let running = held.into_iter().map(running_sight).collect();
-            PollResponse::Seen(TargetReport {
+            PollAnswer::Seen(TargetReport {
                 clock: BootClock.boot_now(),
                 born: Duration::from_secs(1),
                 running,
@@ -187,32 +187,32 @@
     }
 
     /// The revision, then the keys of the one workspace, separated by spaces.
-    fn read_terms(&self, value: &[u8]) -> Result<FleetConfig, String> {
+    fn read_terms(&self, value: &[u8]) -> Result<FleetPolicy, String> {
         let text = std::str::from_utf8(value).map_err(|error| error.to_string())?;
         let mut words = text.split(' ');
         let revision = words
             .next()
             .and_then(|word| word.parse().ok())
             .ok_or("no revision")?;
-        Ok(FleetConfig {
+        Ok(FleetPolicy {
             revision,
-            queues: vec![QueueConfig {
+            queues: vec![QueuePolicy {
                 name: "queue".into(),
                 host: "jobs.example".into(),
                 prefix: "/queue/".into(),
                 pool: "pool".into(),
                 max_attempts: 2,
                 slack_factor: 2.0,
-                ..QueueConfig::default()
+                ..QueuePolicy::default()
             }],
-            pools: vec![PoolConfig {
+            pools: vec![PoolPolicy {
                 name: "pool".into(),
-                ..PoolConfig::default()
+                ..PoolPolicy::default()
             }],
-            workspaces: vec![WorkspaceConfig {
+            workspaces: vec![WorkspacePolicy {
                 name: "space".into(),
                 keys: words.map(Into::into).collect(),
-                ..WorkspaceConfig::default()
+                ..WorkspacePolicy::default()
             }],
             max_body: 1 << 16,
         })
@@ -230,7 +230,7 @@
             target: target.into(),
             address: format!("{target}:80").into(),
             pool: "pool".into(),
-            capacity: Resources {
+            capacity: ResourceVector {
                 cpu: 4000,
                 memory_mb: 4000,
                 gpu: 0,
@@ -265,12 +265,12 @@
         })
     }
 
-    fn move_host(&self, _: &OrderSender, _: &HostId, _: &PoolId) -> PortFuture<HostOrderResponse> {
-        Box::pin(async { HostOrderResponse::Impossible })
+    fn move_host(&self, _: &OrderSender, _: &HostId, _: &PoolId) -> PortFuture<HostOrderAnswer> {
+        Box::pin(async { HostOrderAnswer::Impossible })
     }
 
-    fn maintain(&self, _: &OrderSender, _: &HostId, _: WaveId) -> PortFuture<HostOrderResponse> {
-        Box::pin(async { HostOrderResponse::Impossible })
+    fn maintain(&self, _: &OrderSender, _: &HostId, _: WaveId) -> PortFuture<HostOrderAnswer> {
+        Box::pin(async { HostOrderAnswer::Impossible })
     }
 }
 
--- a/crates/decide/src/work/desk_admit.rs
+++ b/crates/decide/src/work/desk_admit.rs
@@ -2,7 +2,7 @@
 
 use model::{
     PoolId,
-    work::{JobPlan, QueueConfig},
+    work::{JobPlan, QueuePolicy},
 };
 
 use super::{DeskTime, WorkDesk, job_facts::PoolBacklog, objective::longest_wait};
@@ -33,7 +33,7 @@
         }
         self.sync(now.boot);
         let terms = self.terms.clone();
-        let queue: &QueueConfig = terms.queue(queue)?;
+        let queue: &QueuePolicy = terms.queue(queue)?;
         let weight = terms.workspace(workspace).map_or(0, |space| space.weight);
         let beyond = self.shares.foresees_beyond(workspace, weight, now.boot);
         let backlog = self.backlog(&queue.pool);
--- a/crates/decide/src/work/desk_answer.rs
+++ b/crates/decide/src/work/desk_answer.rs
@@ -1,6 +1,6 @@
 use model::{
     BootTime, HostId,
-    work::{AttemptNumber, OrderResponse, StartOrder, StartRefusal, StartResponse, TaskKey},
+    work::{AttemptNumber, OrderAnswer, StartAnswer, StartOrder, StartRefusal, TaskKey},
 };
 
 use super::{
@@ -14,7 +14,7 @@
         id: &HostId,
         task: &TaskKey,
         attempt: AttemptNumber,
-        answer: &StartResponse,
+        answer: &StartAnswer,
         now: DeskTime,
     ) {
         let run: RunKey = (task.clone(), attempt);
@@ -24,7 +24,7 @@
             return;
         }
         match answer {
-            StartResponse::Started { .. } => {
+            StartAnswer::Started { .. } => {
                 self.set_phase(id, &run, PlacePhase::Running, now);
                 self.board.begin_job(&task.job);
                 self.pace_new(id, &run);
@@ -32,14 +32,14 @@
                     target.answered = target.answered.max(now.boot);
                 }
             }
-            StartResponse::Refused(refusal) => self.start_refused(id, &run, *refusal, now),
-            StartResponse::NotSent(_) => {
+            StartAnswer::Refused(refusal) => self.start_refused(id, &run, *refusal, now),
+            StartAnswer::NotSent(_) => {
                 self.note(refused(&run, id, "not-sent"));
                 self.release(id, &run);
                 self.pause_target(id, now);
                 self.note_silence(id, now);
             }
-            StartResponse::Unanswered(_) => {
+            StartAnswer::Unanswered(_) => {
                 self.note(DeskEvent::Unsure(task.clone(), attempt, id.clone()));
                 self.set_phase(id, &run, PlacePhase::Unsure, now);
                 if let Some(target) = self.targets.get_mut(id) {
@@ -63,8 +63,8 @@
 
     /// Remembers an unanswered start that was stopped before: a later life of its target, which
     /// knows nothing of the stop, may carry it out.
-    fn doubt_stopped(&mut self, id: &HostId, run: RunKey, answer: &StartResponse, now: DeskTime) {
-        let unanswered = matches!(answer, StartResponse::Unanswered(_));
+    fn doubt_stopped(&mut self, id: &HostId, run: RunKey, answer: &StartAnswer, now: DeskTime) {
+        let unanswered = matches!(answer, StartAnswer::Unanswered(_));
         if !unanswered || self.is_running(id, &run) {
             return;
         }
@@ -80,27 +80,27 @@
         task: &TaskKey,
         attempt: AttemptNumber,
         sent: BootTime,
-        answer: &OrderResponse,
+        answer: &OrderAnswer,
         now: DeskTime,
     ) {
         let run: RunKey = (task.clone(), attempt);
-        if self.is_outlived(id, sent) && *answer != OrderResponse::Fenced {
+        if self.is_outlived(id, sent) && *answer != OrderAnswer::Fenced {
             // An earlier life's answer says nothing of the present one, where it is stopped anew.
             return;
         }
         match answer {
-            OrderResponse::Done => {
+            OrderAnswer::Done => {
                 self.stops.remove(&(id.clone(), run.clone()));
                 self.stopped.insert((id.clone(), run.clone()), now.boot);
                 self.set_phase(id, &run, PlacePhase::Stopping(true), now);
             }
-            OrderResponse::Fenced => self.orders.push(DeskOrder::Resign(id.clone())),
-            OrderResponse::OtherLife => self.lose_target(id, "replaced", now),
-            OrderResponse::Unanswered(_) => {
+            OrderAnswer::Fenced => self.orders.push(DeskOrder::Resign(id.clone())),
+            OrderAnswer::OtherLife => self.lose_target(id, "replaced", now),
+            OrderAnswer::Unanswered(_) => {
                 self.doubt_stop(id, &run, now);
                 self.note_silence(id, now);
             }
-            OrderResponse::Refused(_) | OrderResponse::NotSent(_) => self.note_silence(id, now),
+            OrderAnswer::Refused(_) | OrderAnswer::NotSent(_) => self.note_silence(id, now),
         }
     }
 
--- a/crates/decide/src/work/desk_evacuate.rs
+++ b/crates/decide/src/work/desk_evacuate.rs
@@ -3,7 +3,7 @@
 use compact_str::CompactString;
 use model::{
     BootTime, HostId, PoolId,
-    work::{Resources, TargetMode},
+    work::{ResourceVector, TargetMode},
 };
 
 use super::{
@@ -30,7 +30,7 @@
     /// Label that the host has to have; empty for any.
     pub(super) label: CompactString,
     /// Room that it takes.
-    pub(super) need: Resources,
+    pub(super) need: ResourceVector,
 }
 
 impl WorkDesk {
@@ -43,7 +43,7 @@
     pub(super) fn evacuate(&mut self, now: DeskTime) {
         let before = std::mem::take(&mut self.stranded);
         let mut stops = Vec::new();
-        let mut coming: BTreeMap<PoolId, Resources> = BTreeMap::new();
+        let mut coming: BTreeMap<PoolId, ResourceVector> = BTreeMap::new();
         for id in &self.index.targets.emptying {
             let Some(target) = self.targets.get(id) else {
                 continue;
@@ -72,7 +72,7 @@
             }
             let others = coming.entry(pool.clone()).or_default();
             if !leaving && !self.has_place(&run, &pool, *others, now) {
-                if self.has_place(&run, &pool, Resources::default(), now) {
+                if self.has_place(&run, &pool, ResourceVector::default(), now) {
                     // The others are there within a moment; then it shows what is left.
                     continue;
                 }
@@ -90,7 +90,13 @@
 
     /// True if a target of the pool takes a task that has to leave its own, beside others that
     /// are on their way and need room as well.
-    fn has_place(&self, run: &RunKey, pool: &PoolId, coming: Resources, now: DeskTime) -> bool {
+    fn has_place(
+        &self,
+        run: &RunKey,
+        pool: &PoolId,
+        coming: ResourceVector,
+        now: DeskTime,
+    ) -> bool {
         let (key, _) = run;
         let (Some(plan), Some(state)) = (
             self.step_of(key),
@@ -104,7 +110,13 @@
         may_go(plan, state, with_room, coming, now.boot)
     }
 
-    fn note_stranded(&mut self, run: &RunKey, pool: &PoolId, need: Resources, since: BootTime) {
+    fn note_stranded(
+        &mut self,
+        run: &RunKey,
+        pool: &PoolId,
+        need: ResourceVector,
+        since: BootTime,
+    ) {
         let label = self.step_of(&run.0).map(|step| step.required_label.clone());
         self.stranded.entry(pool.clone()).or_insert(StrandedTask {
             since,
--- a/crates/decide/src/work/desk_index.rs
+++ b/crates/decide/src/work/desk_index.rs
@@ -5,7 +5,7 @@
 
 use model::{
     BootTime, HostId, PoolId, WorkspaceId,
-    work::{AttemptNumber, FleetConfig, Resources, TaskKey},
+    work::{AttemptNumber, FleetPolicy, ResourceVector, TaskKey},
 };
 
 use super::{
@@ -24,7 +24,7 @@
     /// Runs that claim room.
     pub(super) runs: BTreeSet<RunRow>,
     /// Limits of workspaces that have one.
-    pub(super) limits: BTreeMap<WorkspaceId, Resources>,
+    pub(super) limits: BTreeMap<WorkspaceId, ResourceVector>,
     /// Pools in which something may be started.
     pub(super) due: BTreeSet<PoolId>,
     /// Pools with targets that had not been reached when starts were planned last.
@@ -64,7 +64,7 @@
         }
     }
 
-    fn follow_jobs(&mut self, board: &mut JobBoard, terms: &FleetConfig, now: BootTime) -> usize {
+    fn follow_jobs(&mut self, board: &mut JobBoard, terms: &FleetPolicy, now: BootTime) -> usize {
         for id in self.jobs.take_reranked(now) {
             board.jobs.mark(&id);
         }
--- a/crates/decide/src/work/desk_plan.rs
+++ b/crates/decide/src/work/desk_plan.rs
@@ -1,6 +1,6 @@
 use std::collections::{BTreeMap, BTreeSet};
 
-use model::{PoolId, WorkspaceId, work::Resources};
+use model::{PoolId, WorkspaceId, work::ResourceVector};
 
 use super::{
     DeskEffort, DeskTime, WorkDesk,
@@ -16,7 +16,7 @@
 /// Rooms that are remembered of a pool while starts are planned, since no target has them.
 const MOST_REFUSED: usize = 8;
 /// What a workspace without a limit may take.
-const NO_LIMIT: Resources = Resources {
+const NO_LIMIT: ResourceVector = ResourceVector {
     cpu: u64::MAX,
     memory_mb: u64::MAX,
     gpu: u64::MAX,
@@ -29,11 +29,11 @@
     /// Pools whose inherited jobs have to wait.
     blocked: BTreeSet<PoolId>,
     /// What workspaces may have running on targets that have not been reached.
-    doubt: BTreeMap<WorkspaceId, Resources>,
+    doubt: BTreeMap<WorkspaceId, ResourceVector>,
     /// The most that a target of each pool has, of each resource by itself.
-    rooms: BTreeMap<PoolId, Resources>,
+    rooms: BTreeMap<PoolId, ResourceVector>,
     /// Rooms that no target of the pool has.
-    refused: BTreeMap<PoolId, Vec<Resources>>,
+    refused: BTreeMap<PoolId, Vec<ResourceVector>>,
     /// The last step of each group that was tried.
     tried: BTreeMap<PoolId, BTreeMap<WaitingGroup, StepRank>>,
 }
@@ -175,8 +175,8 @@
     pub(super) fn left_of_limit(
         &self,
         workspace: &WorkspaceId,
-        doubt: &BTreeMap<WorkspaceId, Resources>,
-    ) -> Resources {
+        doubt: &BTreeMap<WorkspaceId, ResourceVector>,
+    ) -> ResourceVector {
         let Some(limit) = self.index.limits.get(workspace) else {
             return NO_LIMIT;
         };
--- a/crates/decide/src/work/desk_sight.rs
+++ b/crates/decide/src/work/desk_sight.rs
@@ -2,7 +2,7 @@
 
 use model::{
     BootTime, HostId,
-    work::{PollRequest, PollResponse, RunReport, TargetReport},
+    work::{PollAnswer, PollOrder, RunReport, TargetReport},
 };
 
 use crate::call_budget::CallClass;
@@ -46,7 +46,7 @@
     }
 
     /// The look that a target needs now; `None` if it needs none.
-    pub fn look_order(&mut self, id: &HostId, now: DeskTime) -> Option<PollRequest> {
+    pub fn look_order(&mut self, id: &HostId, now: DeskTime) -> Option<PollOrder> {
         self.look_class(id, now)?;
         let tuning = self.tuning;
         let both = self.serves_and_fills(id);
@@ -67,7 +67,7 @@
             (true, false) => tuning.look_wait,
             (true, true) => tuning.watch_wait,
         };
-        Some(PollRequest {
+        Some(PollOrder {
             token: self.token,
             observed,
             until,
@@ -81,15 +81,15 @@
         id: &HostId,
         sent: BootTime,
         observed: u64,
-        answer: &PollResponse,
+        answer: &PollAnswer,
         now: DeskTime,
     ) {
         match answer {
-            PollResponse::Seen(sight) => self.take_sight(id, sent, observed, sight, now),
-            PollResponse::Fenced => self.orders.push(DeskOrder::Resign(id.clone())),
-            PollResponse::OtherLife if self.is_outlived(id, sent) => {}
-            PollResponse::OtherLife => self.lose_target(id, "replaced", now),
-            PollResponse::Refused(_) | PollResponse::Unanswered(_) => self.note_silence(id, now),
+            PollAnswer::Seen(sight) => self.take_sight(id, sent, observed, sight, now),
+            PollAnswer::Fenced => self.orders.push(DeskOrder::Resign(id.clone())),
+            PollAnswer::OtherLife if self.is_outlived(id, sent) => {}
+            PollAnswer::OtherLife => self.lose_target(id, "replaced", now),
+            PollAnswer::Refused(_) | PollAnswer::Unanswered(_) => self.note_silence(id, now),
         }
     }
 
--- a/crates/decide/src/work/desk_start.rs
+++ b/crates/decide/src/work/desk_start.rs
@@ -1,6 +1,6 @@
 use model::{
     HostId, WorkspaceId,
-    work::{Resources, StartOrder, TaskKey},
+    work::{ResourceVector, StartOrder, TaskKey},
 };
 use std::{collections::BTreeMap, time::Duration};
 
@@ -42,7 +42,7 @@
     pub(super) fn start_step(
         &mut self,
         (rank, step): &StepRank,
-        doubt: &BTreeMap<WorkspaceId, Resources>,
+        doubt: &BTreeMap<WorkspaceId, ResourceVector>,
         now: DeskTime,
     ) -> StepOutcome {
         let nothing = StepOutcome::default();
@@ -120,7 +120,7 @@
         step: &StepKey,
         plan: &model::work::StepPlan,
         indices: &[u32],
-        doubt: &BTreeMap<WorkspaceId, Resources>,
+        doubt: &BTreeMap<WorkspaceId, ResourceVector>,
         now: DeskTime,
     ) -> PlacedTasks {
         let mut placed = PlacedTasks::default();
--- a/crates/decide/src/work/host_planner.rs
+++ b/crates/decide/src/work/host_planner.rs
@@ -5,7 +5,7 @@
 
 use model::{
     BootTime, HostId, PoolId,
-    work::{FleetHost, HostCondition, HostOrderResponse, MaintenanceWave, WaveId},
+    work::{FleetHost, HostCondition, HostOrderAnswer, MaintenanceWave, WaveId},
 };
 
 use super::{DemandMeter, DeskTime, HostVacancy, JobBoard, WorkDesk};
@@ -201,12 +201,7 @@
     }
 
     /// Takes the answer to an order; true if the host began to do what was ordered.
-    pub fn answered(
-        &mut self,
-        order: &HostOrder,
-        answer: &HostOrderResponse,
-        now: BootTime,
-    ) -> bool {
+    pub fn answered(&mut self, order: &HostOrder, answer: &HostOrderAnswer, now: BootTime) -> bool {
         let Some(view) = self.hosts.get_mut(order.host()) else {
             return false;
         };
@@ -214,7 +209,7 @@
             return false;
         };
         match answer {
-            HostOrderResponse::Done => {
+            HostOrderAnswer::Done => {
                 errand.state = ErrandState::Done(now);
                 if let HostOrder::Maintain(host, wave) = order
                     && let Some(view) = self.waves.get_mut(wave)
@@ -225,14 +220,14 @@
             }
             // The order may still be carried out, so the host stays free of tasks, and the
             // same order is repeated until it is known: it is idempotent.
-            HostOrderResponse::Unanswered(_) | HostOrderResponse::Refused(_) => {
+            HostOrderAnswer::Unanswered(_) | HostOrderAnswer::Refused(_) => {
                 view.not_before = now + RETRY_PAUSE;
             }
-            HostOrderResponse::Busy | HostOrderResponse::Fenced => {
+            HostOrderAnswer::Busy | HostOrderAnswer::Fenced => {
                 view.not_before = now + BUSY_PAUSE;
                 view.errand = None;
             }
-            HostOrderResponse::NotOfWave => {
+            HostOrderAnswer::NotOfWave => {
                 if let HostOrder::Maintain(host, wave) = order
                     && let Some(view) = self.waves.get_mut(wave)
                 {
@@ -240,7 +235,7 @@
                 }
                 view.errand = None;
             }
-            HostOrderResponse::Impossible => {
+            HostOrderAnswer::Impossible => {
                 if let HostOrder::Move(host, pool) = order {
                     self.refused_moves.insert((host.clone(), pool.clone()));
                 }
--- a/crates/decide/src/work/job_board.rs
+++ b/crates/decide/src/work/job_board.rs
@@ -6,7 +6,7 @@
 
 use model::{
     BootTime, HostId, JobId,
-    work::{Resources, TaskKey},
+    work::{ResourceVector, TaskKey},
 };
 use wire::work::{
     HostOrdered, JobEnd, JobPhase, JobRecord, LogEntry, StepEnds, TargetMiss, TargetUse, TaskEnd,
@@ -283,7 +283,7 @@
                 workspace: end.workspace.as_str().into(),
                 opened: end.finished,
                 finished: end.finished,
-                closed_need: Resources {
+                closed_need: ResourceVector {
                     cpu: end.cpu,
                     memory_mb: end.memory_mb,
                     gpu: end.gpu,
--- a/crates/decide/src/work/job_entries.rs
+++ b/crates/decide/src/work/job_entries.rs
@@ -1,4 +1,4 @@
-use model::work::Resources;
+use model::work::ResourceVector;
 use wire::work::{JobEnd, JobPhase, JobRecord, OccurrenceEnd, StepEnds, TaskEnd, log_entry::Event};
 
 use super::{StepState, WorkJob, WorkPhase, record_of_plan};
@@ -16,9 +16,9 @@
     }
 
     /// The most that a task of it takes.
-    fn largest_need(&self) -> Resources {
+    fn largest_need(&self) -> ResourceVector {
         let needs = self.plan.steps.iter().map(|step| step.need);
-        needs.fold(self.closed_need, Resources::larger)
+        needs.fold(self.closed_need, ResourceVector::larger)
     }
 
     /// What is kept of it once it has ended.
--- a/crates/decide/src/work/job_facts.rs
+++ b/crates/decide/src/work/job_facts.rs
@@ -1,7 +1,7 @@
 use compact_str::CompactString;
 use model::{
     BootTime, PoolId, WorkspaceId,
-    work::{FleetConfig, Resources},
+    work::{FleetPolicy, ResourceVector},
 };
 
 use super::{
@@ -80,7 +80,7 @@
     pub(super) pending: Option<CompactString>,
     pub(super) need: PoolNeed,
     pub(super) backlog: PoolBacklog,
-    pub(super) doubt: Resources,
+    pub(super) doubt: ResourceVector,
     pub(super) apart: usize,
     pub(super) repeats: bool,
     pub(super) gang: bool,
@@ -88,7 +88,7 @@
 }
 
 impl JobFacts {
-    pub(super) fn of(job: &WorkJob, terms: &FleetConfig, now: BootTime) -> Self {
+    pub(super) fn of(job: &WorkJob, terms: &FleetPolicy, now: BootTime) -> Self {
         let mut facts = Self {
             pool: job.pool.clone(),
             ..Self::default()
@@ -115,7 +115,7 @@
         facts
     }
 
-    fn take_steps(&mut self, job: &WorkJob, terms: &FleetConfig, now: BootTime) {
+    fn take_steps(&mut self, job: &WorkJob, terms: &FleetPolicy, now: BootTime) {
         let queue = terms.queue(&job.queue);
         let advised = queue.is_some_and(|queue| queue.advice.is_some());
         for (&number, occurrence) in &job.occurrences {
@@ -192,11 +192,11 @@
 }
 
 /// What tasks of a job that are neither done nor known to run would take.
-fn doubt_of(job: &WorkJob) -> Resources {
+fn doubt_of(job: &WorkJob) -> ResourceVector {
     let steps = job
         .occurrences
         .values()
         .flat_map(|occurrence| occurrence.steps.iter().zip(&job.plan.steps));
     let rooms = steps.map(|(state, plan)| plan.need.times(u64::from(state.waiting())));
-    rooms.fold(Resources::default(), Resources::plus)
+    rooms.fold(ResourceVector::default(), ResourceVector::plus)
 }
--- a/crates/decide/src/work/job_index.rs
+++ b/crates/decide/src/work/job_index.rs
@@ -3,7 +3,7 @@
 use compact_str::CompactString;
 use model::{
     BootTime, JobId, PoolId, WorkspaceId,
-    work::{FleetConfig, Resources},
+    work::{FleetPolicy, ResourceVector},
 };
 
 use super::{
@@ -26,7 +26,7 @@
     /// What is to be started in each pool: of predecessors' jobs, and of others.
     backlogs: BTreeMap<(PoolId, bool), PoolBacklog>,
     /// What tasks of predecessors' jobs that are not known to run would take, for each pool.
-    doubts: BTreeMap<PoolId, BTreeMap<WorkspaceId, Resources>>,
+    doubts: BTreeMap<PoolId, BTreeMap<WorkspaceId, ResourceVector>>,
     /// How many open jobs of each pool need so many hosts for tasks that may not share one.
     apart: BTreeMap<PoolId, BTreeMap<usize, usize>>,
     /// When the rank of a job's steps changes.
@@ -46,7 +46,7 @@
         &mut self,
         id: &JobId,
         job: Option<&WorkJob>,
-        terms: &FleetConfig,
+        terms: &FleetPolicy,
         now: BootTime,
         due: &mut BTreeSet<PoolId>,
     ) {
@@ -122,8 +122,8 @@
     }
 
     /// What workspaces may have running on targets of some pools that have not been reached.
-    pub(super) fn doubt(&self, pools: &BTreeSet<PoolId>) -> BTreeMap<WorkspaceId, Resources> {
-        let mut usage: BTreeMap<WorkspaceId, Resources> = BTreeMap::new();
+    pub(super) fn doubt(&self, pools: &BTreeSet<PoolId>) -> BTreeMap<WorkspaceId, ResourceVector> {
+        let mut usage: BTreeMap<WorkspaceId, ResourceVector> = BTreeMap::new();
         let doubts = pools.iter().filter_map(|pool| self.doubts.get(pool));
         for (workspace, doubt) in doubts.flatten() {
             let used = usage.entry(workspace.clone()).or_default();
@@ -165,7 +165,7 @@
             let backlog = self.backlogs.entry(key).or_default();
             *backlog = backlog.plus(facts.backlog);
         }
-        if facts.doubt != Resources::default() {
+        if facts.doubt != ResourceVector::default() {
             let pool = self.doubts.entry(facts.pool.clone()).or_default();
             let doubt = pool.entry(facts.group.workspace.clone()).or_default();
             *doubt = doubt.plus(facts.doubt);
@@ -208,7 +208,7 @@
         if facts.backlog != PoolBacklog::default() {
             self.take_out_backlog(facts);
         }
-        if facts.doubt != Resources::default() {
+        if facts.doubt != ResourceVector::default() {
             self.take_out_doubt(facts);
         }
         if facts.apart > 0 {
@@ -251,7 +251,7 @@
         };
         if let Some(doubt) = pool.get_mut(&facts.group.workspace) {
             *doubt = doubt.minus(facts.doubt);
-            if *doubt == Resources::default() {
+            if *doubt == ResourceVector::default() {
                 pool.remove(&facts.group.workspace);
             }
         }
--- a/crates/decide/src/work/job_record.rs
+++ b/crates/decide/src/work/job_record.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use model::work::{JobPlan, RepeatPlan, Resources, StepPlan};
+use model::work::{JobPlan, RepeatPlan, ResourceVector, StepPlan};
 use wire::work::{JobRecord, StepRecord};
 
 /// What the log keeps of a plan; ids and times are the caller's to fill in.
@@ -56,7 +56,7 @@
 fn step_of_record(record: &StepRecord) -> StepPlan {
     StepPlan {
         count: record.count,
-        need: Resources {
+        need: ResourceVector {
             cpu: record.cpu,
             memory_mb: record.memory_mb,
             gpu: record.gpu,
--- a/crates/decide/src/work/objective.rs
+++ b/crates/decide/src/work/objective.rs
@@ -2,7 +2,7 @@
 
 use model::{
     BootTime,
-    work::{JobPlan, QueueConfig},
+    work::{JobPlan, QueuePolicy},
 };
 
 use super::{OccurrenceState, WorkJob};
@@ -43,7 +43,7 @@
 }
 
 /// Time in which a job is to be completed.
-fn objective(plan: &JobPlan, queue: Option<&QueueConfig>) -> Duration {
+fn objective(plan: &JobPlan, queue: Option<&QueuePolicy>) -> Duration {
     let (factor, extra) = queue.map_or((1.0, Duration::ZERO), |queue| {
         (queue.slack_factor, queue.slack_time)
     });
@@ -52,7 +52,7 @@
 
 /// How long a job that is handed in now may wait for its first start and still count; `None` if its
 /// queue has no objective.
-pub(super) fn longest_wait(plan: &JobPlan, queue: Option<&QueueConfig>) -> Option<Duration> {
+pub(super) fn longest_wait(plan: &JobPlan, queue: Option<&QueuePolicy>) -> Option<Duration> {
     let objective = objective(plan, queue);
     let latest = objective.saturating_mul(LATE_FACTOR);
     (!objective.is_zero()).then(|| latest.saturating_sub(plan.longest_chain()))
@@ -63,7 +63,7 @@
 pub(super) fn rank(
     job: &WorkJob,
     occurrence: &OccurrenceState,
-    queue: Option<&QueueConfig>,
+    queue: Option<&QueuePolicy>,
     now: BootTime,
 ) -> (StartRank, Option<BootTime>) {
     let priority = queue.map_or(u32::MAX, |queue| queue.priority);
--- a/crates/decide/src/work/pick.rs
+++ b/crates/decide/src/work/pick.rs
@@ -2,7 +2,7 @@
 
 use model::{
     BootTime, HostId,
-    work::{Resources, StepPlan},
+    work::{ResourceVector, StepPlan},
 };
 
 use super::{PlacePhase, StepState, TargetState, TaskState};
@@ -81,7 +81,7 @@
     plan: &StepPlan,
     step: &StepState,
     targets: impl Iterator<Item = &'a TargetState>,
-    coming: Resources,
+    coming: ResourceVector,
     now: BootTime,
 ) -> bool {
     let need = plan.footprint().plus(coming);
--- a/crates/decide/src/work/ranked_steps.rs
+++ b/crates/decide/src/work/ranked_steps.rs
@@ -1,4 +1,4 @@
-use model::work::Resources;
+use model::work::ResourceVector;
 
 use super::{objective::StartRank, step_key::StepKey};
 
@@ -13,9 +13,9 @@
     /// The step.
     pub(super) step: StepKey,
     /// Room that a target must have for it to be looked at.
-    pub(super) room: Resources,
+    pub(super) room: ResourceVector,
     /// What its workspace must have left for it to be looked at.
-    pub(super) need: Resources,
+    pub(super) need: ResourceVector,
 }
 
 impl WaitingStep {
@@ -46,15 +46,15 @@
 #[derive(Clone, Debug)]
 pub(super) struct StepFilter<'a> {
     /// The most that a target of the pool has, of each resource by itself.
-    pub(super) room: Resources,
+    pub(super) room: ResourceVector,
     /// What the workspace may still take.
-    pub(super) left: Resources,
+    pub(super) left: ResourceVector,
     /// Rooms that were looked for in vain.
-    pub(super) refused: &'a [Resources],
+    pub(super) refused: &'a [ResourceVector],
 }
 
 impl StepFilter<'_> {
-    fn admits(&self, room: Resources, need: Resources) -> bool {
+    fn admits(&self, room: ResourceVector, need: ResourceVector) -> bool {
         room.fits(self.room)
             && need.fits(self.left)
             && !self.refused.iter().any(|refused| refused.fits(room))
@@ -74,8 +74,8 @@
 #[derive(Clone, Debug)]
 struct StepBlock {
     steps: Vec<WaitingStep>,
-    least_room: Resources,
-    least_need: Resources,
+    least_room: ResourceVector,
+    least_need: ResourceVector,
 }
 
 impl RankedSteps {
@@ -165,8 +165,8 @@
     fn new(steps: Vec<WaitingStep>) -> Self {
         let mut block = Self {
             steps,
-            least_room: Resources::default(),
-            least_need: Resources::default(),
+            least_room: ResourceVector::default(),
+            least_need: ResourceVector::default(),
         };
         block.measure();
         block
@@ -190,9 +190,9 @@
     fn measure(&mut self) {
         let mut rooms = self.steps.iter().map(|step| step.room);
         let first = rooms.next().unwrap_or_default();
-        self.least_room = rooms.fold(first, Resources::smaller);
+        self.least_room = rooms.fold(first, ResourceVector::smaller);
         let mut needs = self.steps.iter().map(|step| step.need);
         let first = needs.next().unwrap_or_default();
-        self.least_need = needs.fold(first, Resources::smaller);
+        self.least_need = needs.fold(first, ResourceVector::smaller);
     }
 }
--- a/crates/decide/src/work/target_index.rs
+++ b/crates/decide/src/work/target_index.rs
@@ -6,7 +6,7 @@
 use compact_str::CompactString;
 use model::{
     BootTime, HostId, PoolId,
-    work::{Resources, TargetMode},
+    work::{ResourceVector, TargetMode},
 };
 
 use super::{HostVacancy, TargetState};
@@ -53,7 +53,7 @@
 struct TargetFacts {
     pool: PoolId,
     address: CompactString,
-    free: Resources,
+    free: ResourceVector,
     /// Whether it takes tasks, but for a pause.
     open: bool,
     paused_until: BootTime,
@@ -171,9 +171,9 @@
     }
 
     /// The most that targets of a pool have free that take tasks, of each resource by itself.
-    pub(super) fn most_free(&self, pool: &str, now: BootTime) -> Resources {
+    pub(super) fn most_free(&self, pool: &str, now: BootTime) -> ResourceVector {
         let Some(pool) = self.pools.get(pool) else {
-            return Resources::default();
+            return ResourceVector::default();
         };
         let most = |by_room: &BTreeSet<(u64, HostId)>| {
             let mut rooms = by_room.iter().rev();
@@ -183,7 +183,7 @@
             });
             open.map_or(0, |(free, _)| *free)
         };
-        Resources {
+        ResourceVector {
             cpu: most(&pool.by_cpu),
             memory_mb: most(&pool.by_memory),
             gpu: u64::MAX,
--- a/crates/decide/src/work/target_state.rs
+++ b/crates/decide/src/work/target_state.rs
@@ -5,7 +5,7 @@
 
 use model::{
     BootTime, WorkspaceId,
-    work::{AttemptNumber, Resources, TargetEntry, TargetMode, TaskKey},
+    work::{AttemptNumber, ResourceVector, TargetEntry, TargetMode, TaskKey},
 };
 
 use super::DeskTuning;
@@ -32,9 +32,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RunClaim {
     /// Part of the target's room.
-    pub room: Resources,
+    pub room: ResourceVector,
     /// Part of the workspace's limit.
-    pub need: Resources,
+    pub need: ResourceVector,
     /// The workspace.
     pub workspace: WorkspaceId,
 }
@@ -81,7 +81,7 @@
     /// What may be there.
     pub claims: BTreeMap<RunKey, RunClaim>,
     /// Room that the claims take together.
-    pub used: Resources,
+    pub used: ResourceVector,
     /// When the last call that was answered had been sent; zero for none.
     pub answered: BootTime,
     /// When the last answer came. A look may wait for a second, and what it tells is fresh.
@@ -137,7 +137,7 @@
     }
 
     /// Room that is left.
-    pub fn free(&self) -> Resources {
+    pub fn free(&self) -> ResourceVector {
         self.entry.capacity.minus(self.used)
     }
 
@@ -228,7 +228,7 @@
             since: now,
             ..TargetLife::default()
         };
-        self.used = Resources::default();
+        self.used = ResourceVector::default();
         std::mem::take(&mut self.claims).into_iter().collect()
     }
 
--- a/crates/decide/src/work/work_desk.rs
+++ b/crates/decide/src/work/work_desk.rs
@@ -6,7 +6,7 @@
 
 use model::{
     BootTime, HostId, JobId, PoolId, WorkspaceId,
-    work::{FencingToken, FleetConfig, Resources, TargetEntry},
+    work::{FencingToken, FleetPolicy, ResourceVector, TargetEntry},
 };
 use wire::work::{JobPhase, JobRecord, LogEntry, TargetUse, log_entry::Event};
 
@@ -38,7 +38,7 @@
     pub(super) tuning: DeskTuning,
     pub(super) token: FencingToken,
     /// What operators ask for.
-    pub terms: Arc<FleetConfig>,
+    pub terms: Arc<FleetPolicy>,
     /// The jobs.
     pub board: JobBoard,
     /// The targets.
@@ -46,7 +46,7 @@
     pub(super) index: DeskIndex,
     /// How much was looked at so far.
     pub effort: DeskEffort,
-    pub(super) usage: BTreeMap<WorkspaceId, Resources>,
+    pub(super) usage: BTreeMap<WorkspaceId, ResourceVector>,
     pub(super) orders: Vec<DeskOrder>,
     pub(super) events: VecDeque<DeskEvent>,
     /// Events that were dropped because nobody took them in time.
@@ -150,14 +150,14 @@
     }
 
     /// Sets what operators ask for.
-    pub fn set_terms(&mut self, terms: Arc<FleetConfig>) {
+    pub fn set_terms(&mut self, terms: Arc<FleetPolicy>) {
         for job in self.board.jobs.values_mut() {
             if let Some(queue) = terms.queue(&job.queue) {
                 job.pool = queue.pool.clone();
             }
         }
         let limited = terms.workspaces.iter();
-        let limited = limited.filter(|space| space.limit != Resources::default());
+        let limited = limited.filter(|space| space.limit != ResourceVector::default());
         self.index.limits = limited
             .map(|space| (space.name.clone(), space.limit))
             .collect();
--- a/crates/decide/src/work/work_job.rs
+++ b/crates/decide/src/work/work_job.rs
@@ -3,7 +3,7 @@
 use compact_str::CompactString;
 use model::{
     BootTime, HostId, JobId, PoolId, WorkspaceId,
-    work::{AttemptNumber, JobPlan, Resources, StepPlan, TaskKey},
+    work::{AttemptNumber, JobPlan, ResourceVector, StepPlan, TaskKey},
 };
 
 /// How far a job is.
@@ -52,7 +52,7 @@
     /// Whether it was handed in beyond its workspace's share.
     pub beyond_share: bool,
     /// The most that a task of it takes, where the log does not tell its steps any more.
-    pub closed_need: Resources,
+    pub closed_need: ResourceVector,
     /// Whether an earlier owner accepted it, who may have started tasks.
     pub inherited: bool,
     /// Occurrences that are due and not done.
--- a/crates/decide/tests/desk/fleet.rs
+++ b/crates/decide/tests/desk/fleet.rs
@@ -8,9 +8,9 @@
 use model::{
     BootTime, HostId,
     work::{
-        EndKind, EndReport, FleetConfig, FleetHost, HostCondition, HostOrderResponse,
-        MaintenanceWave, PoolConfig, Resources, RunReport, StartOrder, StartResponse, TargetEntry,
-        TaskKey,
+        EndKind, EndReport, FleetHost, FleetPolicy, HostCondition, HostOrderAnswer,
+        MaintenanceWave, PoolPolicy, ResourceVector, RunReport, StartAnswer, StartOrder,
+        TargetEntry, TaskKey,
     },
 };
 
@@ -59,8 +59,8 @@
     /// A fleet of so many hosts in service and so many that are switched off.
     pub fn new(serving: usize, off: usize, cpu: u64) -> Self {
         let mut scene = DeskScene::new(1);
-        let mut terms: FleetConfig = terms_with_limit(1_000_000);
-        terms.pools.push(PoolConfig {
+        let mut terms: FleetPolicy = terms_with_limit(1_000_000);
+        terms.pools.push(PoolPolicy {
             name: STANDBY.into(),
             standby: true,
         });
@@ -85,7 +85,7 @@
                     pool: pool.into(),
                     condition: HostCondition::Up,
                     labels: vec!["kind".into(), "rack".into()],
-                    capacity: Resources {
+                    capacity: ResourceVector {
                         cpu,
                         memory_mb: 10_000,
                         gpu: 0,
@@ -209,7 +209,7 @@
                 continue;
             };
             host.runs.push((start.clone(), now.boot));
-            let answer = StartResponse::Started { clock: now.boot };
+            let answer = StartAnswer::Started { clock: now.boot };
             let desk = &mut self.scene.desk;
             desk.started(&id, &start.task, start.attempt, &answer, now);
         }
@@ -270,7 +270,7 @@
         let life = self.planner.target_of(order.host());
         assert!(
             self.planner
-                .answered(order, &HostOrderResponse::Done, now.boot)
+                .answered(order, &HostOrderAnswer::Done, now.boot)
         );
         let named = |host: &&mut SceneHost| host.fleet.host == *order.host();
         let Some(host) = self.hosts.iter_mut().find(named) else {
--- a/crates/decide/tests/desk/scene.rs
+++ b/crates/decide/tests/desk/scene.rs
@@ -4,9 +4,9 @@
 use model::{
     BootTime, HostId,
     work::{
-        EndKind, EndReport, FleetConfig, JobPlan, OrderResponse, PollResponse, PoolConfig,
-        QueueConfig, Resources, RunReport, StartOrder, StartResponse, StepPlan, TargetEntry,
-        TargetReport, TaskKey, WorkspaceConfig,
+        EndKind, EndReport, FleetPolicy, JobPlan, OrderAnswer, PollAnswer, PoolPolicy, QueuePolicy,
+        ResourceVector, RunReport, StartAnswer, StartOrder, StepPlan, TargetEntry, TargetReport,
+        TaskKey, WorkspacePolicy,
     },
 };
 use wire::work::{JobRecord, LogEntry, log_entry::Event};
@@ -142,27 +142,27 @@
             ended,
         };
         self.desk
-            .saw(&id.into(), sent, 0, &PollResponse::Seen(sight), self.now);
+            .saw(&id.into(), sent, 0, &PollAnswer::Seen(sight), self.now);
         self.run();
     }
 
     /// A look at a target that is not answered.
     pub fn miss(&mut self, id: &str) {
-        let silent = PollResponse::Unanswered("timed out".to_owned());
+        let silent = PollAnswer::Unanswered("timed out".to_owned());
         let sent = self.now.boot;
         self.desk.saw(&id.into(), sent, 0, &silent, self.now);
     }
 
     /// A start that is not answered.
     pub fn leave_unanswered(&mut self, id: &HostId, start: &StartOrder) {
-        let unanswered = StartResponse::Unanswered("timed out".to_owned());
+        let unanswered = StartAnswer::Unanswered("timed out".to_owned());
         self.desk
             .started(id, &start.task, start.attempt, &unanswered, self.now);
     }
 
     /// A target has done the stop that was sent at a time.
     pub fn answer_stop(&mut self, id: &HostId, start: &StartOrder, sent: BootTime) {
-        let done = OrderResponse::Done;
+        let done = OrderAnswer::Done;
         self.desk
             .stopped(id, &start.task, start.attempt, sent, &done, self.now);
     }
@@ -207,7 +207,7 @@
 
     /// Gives the workspace a weight.
     pub fn weigh(&mut self, weight: u32) {
-        let mut terms = FleetConfig::clone(&self.desk.terms);
+        let mut terms = FleetPolicy::clone(&self.desk.terms);
         terms
             .workspaces
             .iter_mut()
@@ -219,7 +219,7 @@
     pub fn start_all(&mut self) -> Vec<(HostId, StartOrder)> {
         let starts = std::mem::take(&mut self.starts);
         for (id, start) in &starts {
-            let answer = StartResponse::Started {
+            let answer = StartAnswer::Started {
                 clock: self.now.boot,
             };
             self.desk
@@ -242,7 +242,7 @@
         pool: POOL.into(),
         rack: "rack".into(),
         labels: vec!["kind".into(), "rack".into()],
-        capacity: Resources {
+        capacity: ResourceVector {
             cpu,
             memory_mb: 10_000,
             gpu: 0,
@@ -266,7 +266,7 @@
 pub fn step(count: u32, cpu: u64) -> StepPlan {
     StepPlan {
         count,
-        need: Resources {
+        need: ResourceVector {
             cpu,
             memory_mb: 100,
             gpu: 0,
@@ -313,32 +313,32 @@
     }
 }
 
-fn terms() -> FleetConfig {
+fn terms() -> FleetPolicy {
     terms_with_limit(8000)
 }
 
 /// Terms of one pool, one queue and one workspace of which so much may run.
-pub fn terms_with_limit(cpu: u64) -> FleetConfig {
-    FleetConfig {
+pub fn terms_with_limit(cpu: u64) -> FleetPolicy {
+    FleetPolicy {
         revision: 1,
-        queues: vec![QueueConfig {
+        queues: vec![QueuePolicy {
             name: QUEUE.into(),
             pool: POOL.into(),
             max_attempts: 2,
             slack_factor: 2.0,
-            ..QueueConfig::default()
+            ..QueuePolicy::default()
         }],
-        pools: vec![PoolConfig {
+        pools: vec![PoolPolicy {
             name: POOL.into(),
-            ..PoolConfig::default()
+            ..PoolPolicy::default()
         }],
-        workspaces: vec![WorkspaceConfig {
+        workspaces: vec![WorkspacePolicy {
             name: SPACE.into(),
-            limit: Resources {
+            limit: ResourceVector {
                 cpu,
-                ..Resources::default()
+                ..ResourceVector::default()
             },
-            ..WorkspaceConfig::default()
+            ..WorkspacePolicy::default()
         }],
         max_body: 1 << 20,
     }
--- a/crates/decide/tests/desk/turn.rs
+++ b/crates/decide/tests/desk/turn.rs
@@ -6,8 +6,9 @@
 use model::{
     BootTime, HostId,
     work::{
-        EndKind, EndReport, FleetConfig, JobPlan, PollResponse, PoolConfig, QueueConfig, Resources,
-        RunReport, StartOrder, StartResponse, StepPlan, TargetEntry, TargetReport, WorkspaceConfig,
+        EndKind, EndReport, FleetPolicy, JobPlan, PollAnswer, PoolPolicy, QueuePolicy,
+        ResourceVector, RunReport, StartAnswer, StartOrder, StepPlan, TargetEntry, TargetReport,
+        WorkspacePolicy,
     },
 };
 use wire::work::JobRecord;
@@ -21,7 +22,7 @@
 /// Ends between two ticks of the desk.
 const ENDS_A_TICK: u64 = 83;
 /// Room of a target: seven tasks, and a rest.
-const ROOM: Resources = Resources {
+const ROOM: ResourceVector = ResourceVector {
     cpu: 16_000,
     memory_mb: 32_768,
     gpu: 0,
@@ -142,7 +143,7 @@
             payload: "text".into(),
             steps: vec![StepPlan {
                 count: TASKS,
-                need: Resources {
+                need: ResourceVector {
                     cpu: 2050 + (self.jobs as u64 * 7) % 200,
                     memory_mb: 2000,
                     gpu: 0,
@@ -184,7 +185,7 @@
             DeskOrder::Record(record) => self.desk.recorded(&record, self.now),
             DeskOrder::Start(id, start) => {
                 self.started += 1;
-                let answer = StartResponse::Started {
+                let answer = StartAnswer::Started {
                     clock: self.now.boot,
                 };
                 let (task, attempt) = (start.task.clone(), start.attempt);
@@ -219,33 +220,33 @@
             running,
             ended,
         };
-        let answer = PollResponse::Seen(sight);
+        let answer = PollAnswer::Seen(sight);
         self.desk.saw(id, sent, 0, &answer, self.now);
     }
 }
 
-fn terms(size: TurnSize, first_limit: u64) -> FleetConfig {
-    let queue = |number: usize| QueueConfig {
+fn terms(size: TurnSize, first_limit: u64) -> FleetPolicy {
+    let queue = |number: usize| QueuePolicy {
         name: format!("queue-{number}").into(),
         pool: format!("pool-{number}").into(),
         max_attempts: 3,
         slack_factor: 1.6,
         slack_time: Duration::from_millis(600),
-        ..QueueConfig::default()
+        ..QueuePolicy::default()
     };
-    let pool = |number: usize| PoolConfig {
+    let pool = |number: usize| PoolPolicy {
         name: format!("pool-{number}").into(),
-        ..PoolConfig::default()
+        ..PoolPolicy::default()
     };
-    let space = |number: usize| WorkspaceConfig {
+    let space = |number: usize| WorkspacePolicy {
         name: format!("workspace-{number:03}").into(),
-        limit: Resources {
+        limit: ResourceVector {
             cpu: if number == 0 { first_limit } else { 0 },
-            ..Resources::default()
+            ..ResourceVector::default()
         },
-        ..WorkspaceConfig::default()
+        ..WorkspacePolicy::default()
     };
-    FleetConfig {
+    FleetPolicy {
         revision: 1,
         queues: (0..POOLS).map(queue).collect(),
         pools: (0..POOLS).map(pool).collect(),
--- a/crates/decide/tests/desk/world_call.rs
+++ b/crates/decide/tests/desk/world_call.rs
@@ -4,8 +4,8 @@
 use model::{
     BootTime, HostId,
     work::{
-        OrderResponse, PollRequest, PollResponse, StartOrder, StartRefusal, StartResponse,
-        StopOrder, TaskKey,
+        OrderAnswer, PollAnswer, PollOrder, StartAnswer, StartOrder, StartRefusal, StopOrder,
+        TaskKey,
     },
 };
 use rand::Rng;
@@ -24,9 +24,9 @@
 pub(super) enum WorldOrder {
     Start(StartOrder),
     Stop(StopOrder),
-    Look(PollRequest),
+    Look(PollOrder),
     /// A look beside the one that waits.
-    LookNow(PollRequest),
+    LookNow(PollOrder),
 }
 
 pub(super) struct WorldCall {
@@ -45,9 +45,9 @@
 }
 
 enum WorldAnswer {
-    Start(StartResponse),
-    Stop(OrderResponse),
-    Look(PollResponse),
+    Start(StartAnswer),
+    Stop(OrderAnswer),
+    Look(PollAnswer),
 }
 
 impl DeskWorld {
@@ -76,7 +76,7 @@
                 if let WorldOrder::Start(start) = &order
                     && (alone || !is_wanted(owner, &name, start))
                 {
-                    let answer = StartResponse::NotSent("not wanted any more".to_owned());
+                    let answer = StartAnswer::NotSent("not wanted any more".to_owned());
                     let (task, attempt) = (start.task.clone(), start.attempt);
                     owner.desk.started(&name, &task, attempt, &answer, self.now);
                     continue;
@@ -221,7 +221,7 @@
                     let long = self.long.contains(order.task.job.as_str());
                     let length = if long { length * 8 } else { length };
                     let answer = state.start(order, now, now + length);
-                    let started = matches!(answer, StartResponse::Started { .. });
+                    let started = matches!(answer, StartAnswer::Started { .. });
                     state.started_at.insert(order.task.clone(), now);
                     let task = order.task.clone();
                     let told = self.history.entry(task.clone()).or_default();
@@ -272,7 +272,7 @@
                 (WorldOrder::Start(order), answer) => {
                     let answer = match answer {
                         Some(WorldAnswer::Start(answer)) => answer,
-                        _ => StartResponse::Unanswered(lost()),
+                        _ => StartAnswer::Unanswered(lost()),
                     };
                     owner
                         .desk
@@ -281,7 +281,7 @@
                 (WorldOrder::Stop(order), answer) => {
                     let answer = match answer {
                         Some(WorldAnswer::Stop(answer)) => answer,
-                        _ => OrderResponse::Unanswered(lost()),
+                        _ => OrderAnswer::Unanswered(lost()),
                     };
                     let (task, attempt) = (&order.task, order.attempt);
                     owner
@@ -298,7 +298,7 @@
                     }
                     let answer = match answer {
                         Some(WorldAnswer::Look(answer)) => answer,
-                        _ => PollResponse::Unanswered(lost()),
+                        _ => PollAnswer::Unanswered(lost()),
                     };
                     owner
                         .desk
@@ -321,9 +321,9 @@
 impl WorldOrder {
     fn answer_of_other_life(&self) -> WorldAnswer {
         match self {
-            Self::Start(_) => WorldAnswer::Start(StartResponse::Refused(StartRefusal::OtherLife)),
-            Self::Stop(_) => WorldAnswer::Stop(OrderResponse::OtherLife),
-            Self::Look(_) | Self::LookNow(_) => WorldAnswer::Look(PollResponse::OtherLife),
+            Self::Start(_) => WorldAnswer::Start(StartAnswer::Refused(StartRefusal::OtherLife)),
+            Self::Stop(_) => WorldAnswer::Stop(OrderAnswer::OtherLife),
+            Self::Look(_) | Self::LookNow(_) => WorldAnswer::Look(PollAnswer::OtherLife),
         }
     }
 }
--- a/crates/decide/tests/desk/world_target.rs
+++ b/crates/decide/tests/desk/world_target.rs
@@ -4,8 +4,8 @@
 use model::{
     BootTime, HostId,
     work::{
-        EndKind, EndReport, OrderResponse, PollRequest, PollResponse, RunReport, StartOrder,
-        StartRefusal, StartResponse, StopOrder, TargetReport, TaskKey,
+        EndKind, EndReport, OrderAnswer, PollAnswer, PollOrder, RunReport, StartAnswer, StartOrder,
+        StartRefusal, StopOrder, TargetReport, TaskKey,
     },
 };
 
@@ -112,17 +112,17 @@
         now.saturating_sub(self.zero)
     }
 
-    pub fn start(&mut self, order: &StartOrder, now: BootTime, end: BootTime) -> StartResponse {
+    pub fn start(&mut self, order: &StartOrder, now: BootTime, end: BootTime) -> StartAnswer {
         if self.fenced(order.token) {
-            return StartResponse::Refused(StartRefusal::Fenced);
+            return StartAnswer::Refused(StartRefusal::Fenced);
         }
         if self.zero + order.until < now {
-            return StartResponse::Refused(StartRefusal::Late);
+            return StartAnswer::Refused(StartRefusal::Late);
         }
         self.extend(order.until, now);
         let run = (order.task.clone(), order.attempt);
         if self.runs.contains_key(&run) {
-            return StartResponse::Started {
+            return StartAnswer::Started {
                 clock: self.clock(now),
             };
         }
@@ -131,17 +131,17 @@
             .get(&order.task)
             .is_some_and(|closed| order.attempt <= *closed)
         {
-            return StartResponse::Refused(StartRefusal::OldAttempt);
+            return StartAnswer::Refused(StartRefusal::OldAttempt);
         }
         self.runs.insert(run, end);
-        StartResponse::Started {
+        StartAnswer::Started {
             clock: self.clock(now),
         }
     }
 
-    pub fn stop(&mut self, order: &StopOrder, now: BootTime) -> OrderResponse {
+    pub fn stop(&mut self, order: &StopOrder, now: BootTime) -> OrderAnswer {
         if self.fenced(order.token) {
-            return OrderResponse::Fenced;
+            return OrderAnswer::Fenced;
         }
         let run = (order.task.clone(), order.attempt);
         if self.runs.contains_key(&run) {
@@ -149,13 +149,13 @@
         }
         self.close(&order.task, order.attempt);
         self.finish(now);
-        OrderResponse::Done
+        OrderAnswer::Done
     }
 
     /// Answers a look; also tells which done tasks it lets the target forget.
-    pub fn look(&mut self, order: &PollRequest, now: BootTime) -> (PollResponse, Vec<TaskKey>) {
+    pub fn look(&mut self, order: &PollOrder, now: BootTime) -> (PollAnswer, Vec<TaskKey>) {
         if self.fenced(order.token) {
-            return (PollResponse::Fenced, Vec::new());
+            return (PollAnswer::Fenced, Vec::new());
         }
         if let Some(until) = order.until {
             self.extend(until, now);
@@ -179,6 +179,6 @@
             running: running.collect(),
             ended: self.ended.clone(),
         };
-        (PollResponse::Seen(sight), noted)
+        (PollAnswer::Seen(sight), noted)
     }
 }
--- a/crates/decide/tests/work_admit.rs
+++ b/crates/decide/tests/work_admit.rs
@@ -12,7 +12,7 @@
 use desk::{DeskScene, POOL, QUEUE, SPACE, ended, plan, running, step, terms_with_limit};
 use model::{
     BootTime, HostId, PoolId,
-    work::{EndKind, FleetConfig, JobPlan, Resources, StartOrder, WorkspaceConfig},
+    work::{EndKind, FleetPolicy, JobPlan, ResourceVector, StartOrder, WorkspacePolicy},
 };
 use wire::work::JobRecord;
 
@@ -35,10 +35,10 @@
 impl BusyPool {
     fn new() -> Self {
         let mut scene = DeskScene::new(1);
-        let mut terms: FleetConfig = terms_with_limit(0);
-        terms.workspaces.push(WorkspaceConfig {
+        let mut terms: FleetPolicy = terms_with_limit(0);
+        terms.workspaces.push(WorkspacePolicy {
             name: OTHER.into(),
-            limit: Resources::default(),
+            limit: ResourceVector::default(),
             ..terms.workspaces[0].clone()
         });
         scene.desk.set_terms(Arc::new(terms));
@@ -167,7 +167,7 @@
 fn admit_jobs_without_hurry() {
     for (slack_factor, slack_time) in [(0.0, Duration::ZERO), (2.0, Duration::from_secs(3600))] {
         let mut pool = BusyPool::new();
-        let mut terms = FleetConfig::clone(&pool.scene.desk.terms);
+        let mut terms = FleetPolicy::clone(&pool.scene.desk.terms);
         terms.queues[0].slack_factor = slack_factor;
         terms.queues[0].slack_time = slack_time;
         pool.scene.desk.set_terms(Arc::new(terms));
--- a/crates/decide/tests/work_hosts.rs
+++ b/crates/decide/tests/work_hosts.rs
@@ -9,8 +9,8 @@
 use model::{
     BootTime,
     work::{
-        EndKind, FleetConfig, FleetHost, HostCondition, HostOrderResponse, MaintenanceWave,
-        PollResponse, PoolConfig, Resources, RunReport, StartOrder, StepPlan,
+        EndKind, FleetHost, FleetPolicy, HostCondition, HostOrderAnswer, MaintenanceWave,
+        PollAnswer, PoolPolicy, ResourceVector, RunReport, StartOrder, StepPlan,
     },
 };
 
@@ -21,7 +21,7 @@
         host: name.into(),
         pool: pool.into(),
         condition: HostCondition::Up,
-        capacity: Resources {
+        capacity: ResourceVector {
             cpu: 2000,
             memory_mb: 10_000,
             gpu: 0,
@@ -32,13 +32,13 @@
 }
 
 fn with_standby(scene: &mut DeskScene) {
-    let terms = FleetConfig::clone(&scene.desk.terms);
-    let standby = PoolConfig {
+    let terms = FleetPolicy::clone(&scene.desk.terms);
+    let standby = PoolPolicy {
         name: STANDBY.into(),
         standby: true,
     };
     let pools = terms.pools.iter().cloned().chain([standby]).collect();
-    scene.desk.set_terms(std::sync::Arc::new(FleetConfig {
+    scene.desk.set_terms(std::sync::Arc::new(FleetPolicy {
         revision: terms.revision + 1,
         pools,
         ..terms
@@ -122,7 +122,7 @@
         };
         scene
             .desk
-            .saw(target, sent, 0, &PollResponse::Seen(sight), scene.now);
+            .saw(target, sent, 0, &PollAnswer::Seen(sight), scene.now);
     }
     scene.now.boot += Duration::from_millis(600);
     planner.plan(&mut scene.desk, scene.now.boot);
@@ -167,7 +167,7 @@
     planner.take_waves(&[wave(&names, 2)], &BTreeSet::new(), scene.now.boot);
     let orders = planner.plan(&mut scene.desk, scene.now.boot);
     assert_eq!(orders.len(), 2);
-    let lost = HostOrderResponse::Unanswered("timed out".to_owned());
+    let lost = HostOrderAnswer::Unanswered("timed out".to_owned());
     for order in &orders {
         assert!(!planner.answered(order, &lost, scene.now.boot));
     }
@@ -175,7 +175,7 @@
     let again = planner.plan(&mut scene.desk, scene.now.boot);
     assert_eq!(again, orders, "the same orders, and no third host");
     for order in &again {
-        assert!(planner.answered(order, &HostOrderResponse::Done, scene.now.boot));
+        assert!(planner.answered(order, &HostOrderAnswer::Done, scene.now.boot));
     }
     assert!(planner.plan(&mut scene.desk, scene.now.boot).is_empty());
     assert_eq!(planner.wave_states(), [(1, false)]);
@@ -187,7 +187,7 @@
     planner.take_list(back, scene.now.boot);
     let last = planner.plan(&mut scene.desk, scene.now.boot);
     assert_eq!(last, [HostOrder::Maintain("h3".into(), 1)]);
-    assert!(planner.answered(&last[0], &HostOrderResponse::Done, scene.now.boot));
+    assert!(planner.answered(&last[0], &HostOrderAnswer::Done, scene.now.boot));
     assert_eq!(planner.wave_states(), [(1, true)]);
 }
 
@@ -278,13 +278,13 @@
 fn idle_pool_keeps_part_of_share() {
     let mut scene = DeskScene::new(1);
     with_standby(&mut scene);
-    let terms = FleetConfig::clone(&scene.desk.terms);
-    let other = PoolConfig {
+    let terms = FleetPolicy::clone(&scene.desk.terms);
+    let other = PoolPolicy {
         name: "other".into(),
         standby: false,
     };
     let pools = terms.pools.iter().cloned().chain([other]).collect();
-    let terms = FleetConfig { pools, ..terms };
+    let terms = FleetPolicy { pools, ..terms };
     scene.desk.set_terms(std::sync::Arc::new(terms));
     let mut planner = HostPlanner::default();
     let list = (0..18).map(|number| host(&format!("h{number:02}"), POOL, &format!("t{number}")));
@@ -416,7 +416,7 @@
     let mut scene = DeskScene::new(1);
     scene.add("t1", 2000);
     scene.now.boot += BootTime::from_secs(2);
-    let silent = PollResponse::Unanswered("timed out".to_owned());
+    let silent = PollAnswer::Unanswered("timed out".to_owned());
     scene
         .desk
         .saw(&"t1".into(), scene.now.boot, 0, &silent, scene.now);
@@ -438,7 +438,7 @@
     scene.add("t1", 2000);
     scene.submit("a", &plan(vec![step(1, 1000)]));
     assert!(scene.starts.is_empty(), "its host may be maintained by now");
-    planner.answered(&orders[0], &HostOrderResponse::Busy, scene.now.boot);
+    planner.answered(&orders[0], &HostOrderAnswer::Busy, scene.now.boot);
     planner.plan(&mut scene.desk, scene.now.boot);
     scene.run();
     assert_eq!(scene.starts.len(), 1, "it is not maintained");
--- a/crates/decide/tests/work_lives.rs
+++ b/crates/decide/tests/work_lives.rs
@@ -7,7 +7,7 @@
 use desk::{DeskScene, LATER, plan, reborn, running, step, target};
 use model::{
     HostId,
-    work::{EndKind, EndReport, PollResponse, RunReport, TargetEntry, TargetMode, TargetReport},
+    work::{EndKind, EndReport, PollAnswer, RunReport, TargetEntry, TargetMode, TargetReport},
 };
 
 /// Looks at the later life of `t1`.
@@ -21,7 +21,7 @@
         running,
         ended,
     };
-    let seen = PollResponse::Seen(sight);
+    let seen = PollAnswer::Seen(sight);
     scene.desk.saw(&"t1".into(), sent, 0, &seen, scene.now);
     scene.run();
 }
@@ -86,7 +86,7 @@
     scene.end("t1", &starts[0].1, EndKind::Done);
     let order = scene.desk.look_order(&"t1".into(), scene.now);
     assert_eq!(order.map(|order| order.observed), Some(1));
-    let seen = PollResponse::Seen(TargetReport {
+    let seen = PollAnswer::Seen(TargetReport {
         clock: scene.now.boot,
         born: Duration::from_secs(1),
         ..TargetReport::default()
@@ -218,7 +218,7 @@
     let sent = scene.now.boot;
     scene.pass(Duration::from_millis(100));
     scene.desk.list_target(reborn(2000), scene.now);
-    let other = PollResponse::OtherLife;
+    let other = PollAnswer::OtherLife;
     scene.desk.saw(&"t1".into(), sent, 0, &other, scene.now);
     assert_eq!(scene.desk.listed(), [HostId::from("t1")]);
     scene
--- a/crates/decide/tests/work_rebirth.rs
+++ b/crates/decide/tests/work_rebirth.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use desk::{DeskScene, plan, running, step, target};
-use model::work::{EndKind, PollResponse, StartOrder, TargetEntry, TargetReport};
+use model::work::{EndKind, PollAnswer, StartOrder, TargetEntry, TargetReport};
 
 const NEXT: Duration = Duration::from_secs(900);
 
@@ -24,7 +24,7 @@
         running: shown.into_iter().map(running).collect(),
         ended: Vec::new(),
     };
-    let (sent, answer) = (scene.now.boot - sent_before, PollResponse::Seen(sight));
+    let (sent, answer) = (scene.now.boot - sent_before, PollAnswer::Seen(sight));
     scene.desk.saw(&"t1".into(), sent, 0, &answer, scene.now);
     scene.run();
 }
@@ -95,7 +95,7 @@
         order.map(|order| order.observed)
     };
     assert_eq!(observed(&mut scene), Some(1));
-    let silent = PollResponse::Unanswered("connection reset".to_owned());
+    let silent = PollAnswer::Unanswered("connection reset".to_owned());
     scene.now.boot += Duration::from_millis(10);
     let sent = scene.now.boot;
     scene.desk.saw(&"t1".into(), sent, 1, &silent, scene.now);
--- a/crates/decide/tests/work_services.rs
+++ b/crates/decide/tests/work_services.rs
@@ -16,8 +16,8 @@
 use model::{
     BootTime, HostId,
     work::{
-        FleetHost, HostCondition, HostOrderResponse, MaintenanceWave, OrderResponse, PollRequest,
-        PollResponse, StartOrder, StartResponse, StepPlan, StopOrder, TaskKey,
+        FleetHost, HostCondition, HostOrderAnswer, MaintenanceWave, OrderAnswer, PollAnswer,
+        PollOrder, StartAnswer, StartOrder, StepPlan, StopOrder, TaskKey,
     },
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -50,13 +50,13 @@
 enum Order {
     Start(StartOrder),
     Stop(StopOrder),
-    Look(PollRequest),
+    Look(PollOrder),
 }
 
 enum Answer {
-    Start(StartResponse),
-    Stop(OrderResponse),
-    Look(PollResponse),
+    Start(StartAnswer),
+    Stop(OrderAnswer),
+    Look(PollAnswer),
 }
 
 struct Call {
@@ -331,9 +331,9 @@
             let name = HostId::from(host.replace('h', "t"));
             let up = self.targets.get(&name).is_some_and(|state| state.up);
             let answer = if up {
-                HostOrderResponse::Done
+                HostOrderAnswer::Done
             } else {
-                HostOrderResponse::Busy
+                HostOrderAnswer::Busy
             };
             if up {
                 self.take_down(&name, Duration::from_millis(1500), true);
@@ -419,7 +419,7 @@
                 Order::Start(order) => {
                     tell(&order.task, &format!("start {}", order.attempt));
                     let answer = state.start(order, now, BootTime::MAX);
-                    if matches!(answer, StartResponse::Started { .. }) {
+                    if matches!(answer, StartAnswer::Started { .. }) {
                         self.gone.remove(&order.task);
                         state.started_at.entry(order.task.clone()).or_insert(now);
                     }
@@ -462,21 +462,21 @@
                 (Order::Start(order), done) => {
                     let answer = match done {
                         Some(Answer::Start(answer)) => answer,
-                        _ => StartResponse::Unanswered(lost()),
+                        _ => StartAnswer::Unanswered(lost()),
                     };
                     desk.started(id, &order.task, order.attempt, &answer, now);
                 }
                 (Order::Stop(order), done) => {
                     let answer = match done {
                         Some(Answer::Stop(answer)) => answer,
-                        _ => OrderResponse::Unanswered(lost()),
+                        _ => OrderAnswer::Unanswered(lost()),
                     };
                     desk.stopped(id, &order.task, order.attempt, call.sent, &answer, now);
                 }
                 (Order::Look(order), done) => {
                     let answer = match done {
                         Some(Answer::Look(answer)) => answer,
-                        _ => PollResponse::Unanswered(lost()),
+                        _ => PollAnswer::Unanswered(lost()),
                     };
                     desk.saw(id, call.sent, order.observed, &answer, now);
                 }
--- a/crates/decide/tests/work_stops.rs
+++ b/crates/decide/tests/work_stops.rs
@@ -9,8 +9,8 @@
 use model::{
     HostId,
     work::{
-        FleetHost, HostCondition, MaintenanceWave, OrderResponse, PollResponse, RunReport,
-        StartOrder, StartResponse, StepPlan, StopOrder, TargetEntry, TargetReport,
+        FleetHost, HostCondition, MaintenanceWave, OrderAnswer, PollAnswer, RunReport, StartAnswer,
+        StartOrder, StepPlan, StopOrder, TargetEntry, TargetReport,
     },
 };
 
@@ -33,11 +33,11 @@
     let mut starts = std::mem::take(&mut scene.starts);
     let (second, first) = (starts.remove(1), starts.remove(0));
     let (id, start) = &first;
-    let unanswered = StartResponse::Unanswered("timed out".to_owned());
+    let unanswered = StartAnswer::Unanswered("timed out".to_owned());
     scene
         .desk
         .started(id, &start.task, start.attempt, &unanswered, scene.now);
-    let answer = StartResponse::Started {
+    let answer = StartAnswer::Started {
         clock: scene.now.boot,
     };
     let (id, start) = &second;
@@ -108,7 +108,7 @@
 }
 
 fn lose_answer(scene: &mut DeskScene, (id, stop): &(HostId, StopOrder)) {
-    let lost = OrderResponse::Unanswered("timed out".to_owned());
+    let lost = OrderAnswer::Unanswered("timed out".to_owned());
     let sent = scene.now.boot;
     scene
         .desk
@@ -150,7 +150,7 @@
     let sent = scene.now.boot;
     scene
         .desk
-        .saw(&id, sent, 0, &PollResponse::Seen(sight), scene.now);
+        .saw(&id, sent, 0, &PollAnswer::Seen(sight), scene.now);
     scene.run();
     assert!(wanted_stops(&mut scene).is_empty(), "the other is away");
 }
@@ -182,7 +182,7 @@
     let sent = scene.now.boot;
     scene
         .desk
-        .saw(&id, sent, 0, &PollResponse::Seen(sight), scene.now);
+        .saw(&id, sent, 0, &PollAnswer::Seen(sight), scene.now);
     scene.run();
     scene.pass(UNHEARD);
     assert!(wanted_stops(&mut scene).is_empty(), "the other is away");
@@ -311,7 +311,7 @@
         let sent = scene.now.boot;
         scene
             .desk
-            .saw(&id, sent, 0, &PollResponse::Seen(sight), scene.now);
+            .saw(&id, sent, 0, &PollAnswer::Seen(sight), scene.now);
         scene.run();
     };
     look(&mut scene, Vec::new());
--- a/crates/decide/tests/work_takeover.rs
+++ b/crates/decide/tests/work_takeover.rs
@@ -6,7 +6,7 @@
 
 use decide::call_budget::CallClass;
 use desk::{DeskScene, ended, lasting_pair, plan, running, step};
-use model::work::{EndKind, PollResponse};
+use model::work::{EndKind, PollAnswer};
 
 /// A caller sees its job run on though the owner was killed. The successor reads the log, looks
 /// at the target and finds the run; taking it for a stray one would stop it and start it again.
@@ -338,7 +338,7 @@
     second.pass(Duration::from_millis(50));
     assert!(second.starts.is_empty(), "it may run on t1");
     let sent = second.now.boot;
-    let other = PollResponse::OtherLife;
+    let other = PollAnswer::OtherLife;
     second.desk.saw(&"t1".into(), sent, 0, &other, second.now);
     second.pass(Duration::from_millis(100));
     assert_eq!(second.starts.len(), 1);
--- a/crates/decide/tests/work_targets.rs
+++ b/crates/decide/tests/work_targets.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use desk::{DeskScene, LATER, ended, plan, reborn, running, step, target};
-use model::work::{EndKind, PollResponse, StepPlan, TargetEntry, TargetMode, TargetReport};
+use model::work::{EndKind, PollAnswer, StepPlan, TargetEntry, TargetMode, TargetReport};
 use rstest::rstest;
 
 fn lasting(count: u32) -> StepPlan {
@@ -103,7 +103,7 @@
     };
     scene.desk.list_target(newer, scene.now);
     scene.run();
-    let seen = PollResponse::Seen(sight);
+    let seen = PollAnswer::Seen(sight);
     let sent = scene.now.boot;
     scene.desk.saw(&"t2".into(), sent, 0, &seen, scene.now);
     scene.submit("a", &plan(vec![step(1, 2000)]));
@@ -154,7 +154,7 @@
         born: LATER,
         ..TargetReport::default()
     };
-    let seen = PollResponse::Seen(sight);
+    let seen = PollAnswer::Seen(sight);
     scene
         .desk
         .saw(&"t1".into(), scene.now.boot, 0, &seen, scene.now);
@@ -312,7 +312,7 @@
         ..TargetReport::default()
     };
     scene.now.boot += Duration::from_millis(100);
-    let seen = PollResponse::Seen(sight);
+    let seen = PollAnswer::Seen(sight);
     scene
         .desk
         .saw(&"t1".into(), scene.now.boot, 0, &seen, scene.now);
@@ -386,7 +386,7 @@
 fn refused_start_leaves_job_pending() {
     let mut scene = DeskScene::submitted(2000, vec![step(1, 1000)]);
     let (id, start) = scene.starts.remove(0);
-    let refused = model::work::StartResponse::Refused(model::work::StartRefusal::NoRoom);
+    let refused = model::work::StartAnswer::Refused(model::work::StartRefusal::NoRoom);
     scene
         .desk
         .started(&id, &start.task, start.attempt, &refused, scene.now);
--- a/crates/decide/tests/work_unheard.rs
+++ b/crates/decide/tests/work_unheard.rs
@@ -6,7 +6,7 @@
 
 use decide::work::DeskEvent;
 use desk::{DeskScene, ended, plan, step};
-use model::work::{EndKind, PollResponse, StartOrder};
+use model::work::{EndKind, PollAnswer, StartOrder};
 use rstest::rstest;
 
 const TARGETS: usize = 40;
@@ -40,7 +40,7 @@
                 scene.raise(&name(target));
                 continue;
             }
-            let answer = PollResponse::Unanswered("timed out".to_owned());
+            let answer = PollAnswer::Unanswered("timed out".to_owned());
             let sent = scene.now.boot;
             scene
                 .desk
--- a/crates/model/src/work/fleet_host.rs
+++ b/crates/model/src/work/fleet_host.rs
@@ -2,7 +2,7 @@
 
 use crate::{HostId, PoolId};
 
-use super::{FencingToken, Resources};
+use super::{FencingToken, ResourceVector};
 
 /// What a host of the fleet is doing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -30,14 +30,14 @@
     /// All its labels.
     pub labels: Vec<CompactString>,
     /// Room in all.
-    pub capacity: Resources,
+    pub capacity: ResourceVector,
     /// Its present life as a target; empty for none.
     pub target: HostId,
 }
 
 /// What became of an order to a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum HostOrderResponse {
+pub enum HostOrderAnswer {
     /// Done, or done before: everything on the host has ended.
     Done,
     /// A newer owner has given orders to the host.
--- a/crates/model/src/work/fleet_config.rs
+++ b/crates/model/src/work/fleet_policy.rs
@@ -4,26 +4,26 @@
 
 use crate::{PoolId, Revision, WorkspaceId};
 
-use super::Resources;
+use super::ResourceVector;
 
 /// Everything that operators ask for at one revision.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct FleetConfig {
+pub struct FleetPolicy {
     /// Grows with each change.
     pub revision: Revision,
     /// Queues that callers hand jobs in to.
-    pub queues: Vec<QueueConfig>,
+    pub queues: Vec<QueuePolicy>,
     /// Pools of hosts.
-    pub pools: Vec<PoolConfig>,
+    pub pools: Vec<PoolPolicy>,
     /// Workspaces, with their keys and limits.
-    pub workspaces: Vec<WorkspaceConfig>,
+    pub workspaces: Vec<WorkspacePolicy>,
     /// Largest body of a caller's request, in bytes.
     pub max_body: usize,
 }
 
 /// One queue.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct QueueConfig {
+pub struct QueuePolicy {
     /// Its name.
     pub name: CompactString,
     /// Host name that callers address.
@@ -43,12 +43,12 @@
     /// Whether callers need no key.
     pub public: bool,
     /// Whose advice says which targets may run a step; `None` if all may.
-    pub advice: Option<AdviceConfig>,
+    pub advice: Option<AdvicePolicy>,
 }
 
 /// How a queue's advice service answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct AdviceConfig {
+pub struct AdvicePolicy {
     /// Fixed part of an answer's time.
     pub fixed: Duration,
     /// Part for each target that is asked about.
@@ -59,7 +59,7 @@
 
 /// One pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PoolConfig {
+pub struct PoolPolicy {
     /// Its name.
     pub name: PoolId,
     /// Whether its hosts are switched off.
@@ -68,7 +68,7 @@
 
 /// One workspace.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct WorkspaceConfig {
+pub struct WorkspacePolicy {
     /// Its name.
     pub name: WorkspaceId,
     /// Keys that its callers present.
@@ -76,12 +76,12 @@
     /// Its share when all is full.
     pub weight: u32,
     /// Most that it may have running; zero parts mean no limit.
-    pub limit: Resources,
+    pub limit: ResourceVector,
 }
 
-impl FleetConfig {
+impl FleetPolicy {
     /// The queue that answers `host` and `path`: the one with the longest prefix.
-    pub fn queue_at(&self, host: &str, path: &str) -> Option<&QueueConfig> {
+    pub fn queue_at(&self, host: &str, path: &str) -> Option<&QueuePolicy> {
         let matching = self
             .queues
             .iter()
@@ -90,23 +90,23 @@
     }
 
     /// The queue of a name.
-    pub fn queue(&self, name: &str) -> Option<&QueueConfig> {
+    pub fn queue(&self, name: &str) -> Option<&QueuePolicy> {
         self.queues.iter().find(|queue| queue.name == name)
     }
 
     /// The pool of a name.
-    pub fn pool(&self, name: &str) -> Option<&PoolConfig> {
+    pub fn pool(&self, name: &str) -> Option<&PoolPolicy> {
         self.pools.iter().find(|pool| pool.name == name)
     }
 
     /// The workspace of a name.
-    pub fn workspace(&self, name: &str) -> Option<&WorkspaceConfig> {
+    pub fn workspace(&self, name: &str) -> Option<&WorkspacePolicy> {
         self.workspaces.iter().find(|space| space.name == name)
     }
 
     /// The workspace that a key belongs to.
-    pub fn workspace_of_key(&self, key: &str) -> Option<&WorkspaceConfig> {
-        let holds = |space: &&WorkspaceConfig| space.keys.iter().any(|own| own == key);
+    pub fn workspace_of_key(&self, key: &str) -> Option<&WorkspacePolicy> {
+        let holds = |space: &&WorkspacePolicy| space.keys.iter().any(|own| own == key);
         self.workspaces.iter().find(holds)
     }
 }
--- a/crates/model/src/work/job_plan.rs
+++ b/crates/model/src/work/job_plan.rs
@@ -4,7 +4,7 @@
 
 use crate::RackId;
 
-use super::Resources;
+use super::ResourceVector;
 
 /// Longest payload of a job, in bytes, as the callers' interface promises.
 const MAX_PAYLOAD: usize = 4_000;
@@ -41,7 +41,7 @@
     /// Number of tasks.
     pub count: u32,
     /// What each task asks of a target.
-    pub need: Resources,
+    pub need: ResourceVector,
     /// Rough estimate of a task's run time.
     pub estimate: Duration,
     /// Earlier steps, all of whose tasks must be done first.
@@ -91,8 +91,8 @@
 
 impl StepPlan {
     /// What a task takes from its target's room: tasks that fill take no processors.
-    pub fn footprint(&self) -> Resources {
-        Resources {
+    pub fn footprint(&self) -> ResourceVector {
+        ResourceVector {
             cpu: if self.fills { 0 } else { self.need.cpu },
             ..self.need
         }
--- a/crates/model/src/work/resources.rs
+++ b/crates/model/src/work/resource_vector.rs
@@ -1,6 +1,6 @@
 /// Processors, memory and accelerators, of a host or of what runs on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Resources {
+pub struct ResourceVector {
     /// Thousandths of a processor core.
     pub cpu: u64,
     /// Memory, in MB.
@@ -9,7 +9,7 @@
     pub gpu: u64,
 }
 
-impl Resources {
+impl ResourceVector {
     /// Both together.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
--- a/crates/model/src/work/target_entry.rs
+++ b/crates/model/src/work/target_entry.rs
@@ -4,7 +4,7 @@
 
 use crate::{DataCentreId, HostId, PoolId, RackId};
 
-use super::Resources;
+use super::ResourceVector;
 
 /// Whether a target takes new tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     /// All its labels, the rack's among them.
     pub labels: Vec<CompactString>,
     /// Room in all.
-    pub capacity: Resources,
+    pub capacity: ResourceVector,
     /// Whether it takes new tasks.
     pub mode: TargetMode,
     /// When this life began, since the Unix epoch; a target may restart under its id.
--- a/crates/model/src/work/target_order.rs
+++ b/crates/model/src/work/target_order.rs
@@ -41,7 +41,7 @@
 
 /// What a target said to a start.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StartResponse {
+pub enum StartAnswer {
     /// It runs, or ran already.
     Started {
         /// The target's clock.
@@ -102,7 +102,7 @@
 
 /// What a target said to an order other than a start.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OrderResponse {
+pub enum OrderAnswer {
     /// Carried out.
     Done,
     /// Refused because a newer owner has given orders.
@@ -119,7 +119,7 @@
 
 /// Renews the time that everything on a target may run, and asks what runs and what ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PollRequest {
+pub struct PollOrder {
     /// Token of the owner.
     pub token: FencingToken,
     /// Ends up to this number are known and recorded; the target forgets them.
--- a/crates/model/src/work/target_report.rs
+++ b/crates/model/src/work/target_report.rs
@@ -6,7 +6,7 @@
 
 /// What a target said to a look.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PollResponse {
+pub enum PollAnswer {
     /// What runs and what ended there.
     Seen(TargetReport),
     /// A newer owner has given orders.
--- a/crates/ports/src/fleet_codec.rs
+++ b/crates/ports/src/fleet_codec.rs
@@ -1,4 +1,4 @@
-use model::work::{FleetConfig, MaintenanceWave, TargetEntry, WaveId};
+use model::work::{FleetPolicy, MaintenanceWave, TargetEntry, WaveId};
 
 /// Where a platform keeps what operators and targets write, and how to read it.
 ///
@@ -19,7 +19,7 @@
     ///
     /// # Errors
     /// What could not be read.
-    fn read_terms(&self, value: &[u8]) -> Result<FleetConfig, String>;
+    fn read_terms(&self, value: &[u8]) -> Result<FleetPolicy, String>;
     /// Reads a wave.
     ///
     /// # Errors
--- a/crates/ports/src/host_control.rs
+++ b/crates/ports/src/host_control.rs
@@ -1,6 +1,6 @@
 use model::{
     HostId, PoolId,
-    work::{FleetHost, HostOrderResponse, OrderSender, WaveId},
+    work::{FleetHost, HostOrderAnswer, OrderSender, WaveId},
 };
 
 use crate::PortFuture;
@@ -15,12 +15,12 @@
         sender: &OrderSender,
         host: &HostId,
         pool: &PoolId,
-    ) -> PortFuture<HostOrderResponse>;
+    ) -> PortFuture<HostOrderAnswer>;
     /// Takes a host down for its maintenance.
     fn maintain(
         &self,
         sender: &OrderSender,
         host: &HostId,
         wave: WaveId,
-    ) -> PortFuture<HostOrderResponse>;
+    ) -> PortFuture<HostOrderAnswer>;
 }
--- a/crates/ports/src/target_port.rs
+++ b/crates/ports/src/target_port.rs
@@ -1,5 +1,5 @@
 use model::work::{
-    OrderResponse, PollRequest, PollResponse, StartOrder, StartResponse, StopOrder, TargetAddress,
+    OrderAnswer, PollAnswer, PollOrder, StartAnswer, StartOrder, StopOrder, TargetAddress,
     ThrottleOrder,
 };
 
@@ -8,11 +8,11 @@
 /// Gives orders to targets.
 pub trait TargetPort {
     /// Starts a task.
-    fn start(&self, target: &TargetAddress, order: StartOrder) -> PortFuture<StartResponse>;
+    fn start(&self, target: &TargetAddress, order: StartOrder) -> PortFuture<StartAnswer>;
     /// Stops a run.
-    fn stop(&self, target: &TargetAddress, order: StopOrder) -> PortFuture<OrderResponse>;
+    fn stop(&self, target: &TargetAddress, order: StopOrder) -> PortFuture<OrderAnswer>;
     /// Sets a run's share of time.
-    fn pace(&self, target: &TargetAddress, order: ThrottleOrder) -> PortFuture<OrderResponse>;
+    fn pace(&self, target: &TargetAddress, order: ThrottleOrder) -> PortFuture<OrderAnswer>;
     /// Renews and asks.
-    fn look(&self, target: &TargetAddress, order: PollRequest) -> PortFuture<PollResponse>;
+    fn look(&self, target: &TargetAddress, order: PollOrder) -> PortFuture<PollAnswer>;
 }
