--- a/crates/link/src/call_client.rs
+++ b/crates/link/src/call_client.rs
@@ -25,14 +25,14 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Kept connections that carried nothing for so long are not used again: callers close theirs
 /// after 15 s, and a request that meets the closing has to be repeated.
-const IDLE_LIMIT: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Largest answer that is read, in bytes; the store answers at most a megabyte a page, which
 /// its text encoding makes larger by a third.
-const MAX_ANSWER: usize = 4 << 20;
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 /// Longest time for the body of an answer, however steadily its bytes arrive.
-const LONGEST_BODY: Duration = Duration::from_secs(10);
+const MAX_BODY_TIME: Duration = Duration::from_secs(10);
 
-type LinkSender = SendRequest<Full<Bytes>>;
+type RequestSender = SendRequest<Full<Bytes>>;
 
 /// Calls peers over kept connections.
 ///
@@ -40,12 +40,12 @@
 /// connection and all idle ones to that peer are dropped, and the next call opens a new one.
 #[derive(Clone, Default)]
 pub struct CallClient {
-    idle: Rc<RefCell<HashMap<CompactString, Vec<IdleLink>>>>,
+    idle: Rc<RefCell<HashMap<CompactString, Vec<IdleConnection>>>>,
 }
 
-struct IdleLink {
-    sender: LinkSender,
-    since: Instant,
+struct IdleConnection {
+    sender: RequestSender,
+    idle_since: Instant,
 }
 
 impl CallClient {
@@ -56,51 +56,51 @@
     /// [`CallFault::Unanswered`].
     pub async fn call(&self, call: HttpCall) -> Result<HttpReply, CallFault> {
         let deadline = tokio::time::Instant::now() + call.timeout;
-        let mut request = request_of(&call)?;
+        let mut request = build_request(&call)?;
         while let Some(mut sender) = self.take_idle(&call.address) {
-            check_time(&call, deadline)?;
+            check_deadline(&call, deadline)?;
             match timeout_at(deadline, sender.try_send_request(request)).await {
-                Err(_) => return Err(self.silent(&call)),
-                Ok(Ok(response)) => return self.finish(&call, sender, response).await,
+                Err(_) => return Err(self.timeout_error(&call)),
+                Ok(Ok(response)) => return self.read_response(&call, sender, response).await,
                 Ok(Err(mut fault)) => match fault.take_message() {
                     // The kept connection was closed before the request left.
                     Some(unsent) => request = unsent,
-                    None => return Err(unanswered(&call, fault.into_error())),
+                    None => return Err(unanswered_error(&call, fault.into_error())),
                 },
             }
         }
         let mut sender = connect(&call, deadline).await?;
-        check_time(&call, deadline)?;
+        check_deadline(&call, deadline)?;
         match timeout_at(deadline, sender.try_send_request(request)).await {
-            Err(_) => Err(self.silent(&call)),
-            Ok(Ok(response)) => self.finish(&call, sender, response).await,
+            Err(_) => Err(self.timeout_error(&call)),
+            Ok(Ok(response)) => self.read_response(&call, sender, response).await,
             Ok(Err(mut fault)) => match fault.take_message() {
-                Some(_) => Err(not_sent(&call, fault.into_error())),
-                None => Err(unanswered(&call, fault.into_error())),
+                Some(_) => Err(not_sent_error(&call, fault.into_error())),
+                None => Err(unanswered_error(&call, fault.into_error())),
             },
         }
     }
 
     /// Drops the idle connections to a peer that has gone.
-    pub fn forget(&self, address: &str) {
+    pub fn drop_idle(&self, address: &str) {
         self.idle.borrow_mut().remove(address);
     }
 
-    fn take_idle(&self, address: &str) -> Option<LinkSender> {
+    fn take_idle(&self, address: &str) -> Option<RequestSender> {
         let mut idle = self.idle.borrow_mut();
-        let links = idle.get_mut(address)?;
-        while let Some(link) = links.pop() {
-            if link.since.elapsed() < IDLE_LIMIT && !link.sender.is_closed() {
-                return Some(link.sender);
+        let connections = idle.get_mut(address)?;
+        while let Some(connection) = connections.pop() {
+            if connection.idle_since.elapsed() < IDLE_TIMEOUT && !connection.sender.is_closed() {
+                return Some(connection.sender);
             }
         }
         None
     }
 
-    async fn finish(
+    async fn read_response(
         &self,
         call: &HttpCall,
-        sender: LinkSender,
+        sender: RequestSender,
         response: hyper::Response<Incoming>,
     ) -> Result<HttpReply, CallFault> {
         let status = response.status().as_u16();
@@ -110,7 +110,7 @@
             .and_then(|value| value.to_str().ok()?.parse().ok())
             .map(Duration::from_secs);
         let body = self.read_body(call, response.into_body()).await?;
-        self.keep(&call.address, sender);
+        self.return_idle(&call.address, sender);
         Ok(HttpReply {
             status,
             body,
@@ -124,15 +124,15 @@
     /// connection that went silent. Cut off at the same point each time, a list of keys would
     /// never be read; so the timeout counts from the last bytes that came.
     async fn read_body(&self, call: &HttpCall, body: Incoming) -> Result<Bytes, CallFault> {
-        let limit = tokio::time::Instant::now() + LONGEST_BODY;
-        let mut body = Limited::new(body, MAX_ANSWER);
+        let limit = tokio::time::Instant::now() + MAX_BODY_TIME;
+        let mut body = Limited::new(body, MAX_RESPONSE_BYTES);
         let mut bytes = BytesMut::new();
         loop {
-            let stalled = limit.min(tokio::time::Instant::now() + call.timeout);
-            let frame = match timeout_at(stalled, body.frame()).await {
-                Err(_) => return Err(self.silent(call)),
+            let frame_deadline = limit.min(tokio::time::Instant::now() + call.timeout);
+            let frame = match timeout_at(frame_deadline, body.frame()).await {
+                Err(_) => return Err(self.timeout_error(call)),
                 Ok(None) => return Ok(bytes.freeze()),
-                Ok(Some(Err(error))) => return Err(unanswered(call, error)),
+                Ok(Some(Err(error))) => return Err(unanswered_error(call, error)),
                 Ok(Some(Ok(frame))) => frame,
             };
             if let Some(part) = frame.data_ref() {
@@ -141,36 +141,36 @@
         }
     }
 
-    fn keep(&self, address: &CompactString, sender: LinkSender) {
+    fn return_idle(&self, address: &CompactString, sender: RequestSender) {
         if sender.is_closed() {
             return;
         }
-        let link = IdleLink {
+        let connection = IdleConnection {
             sender,
-            since: Instant::now(),
+            idle_since: Instant::now(),
         };
         let mut idle = self.idle.borrow_mut();
-        idle.entry(address.clone()).or_default().push(link);
+        idle.entry(address.clone()).or_default().push(connection);
     }
 
-    fn silent(&self, call: &HttpCall) -> CallFault {
-        self.forget(&call.address);
-        unanswered(call, "timed out")
+    fn timeout_error(&self, call: &HttpCall) -> CallFault {
+        self.drop_idle(&call.address);
+        unanswered_error(call, "timed out")
     }
 }
 
-async fn connect(call: &HttpCall, deadline: tokio::time::Instant) -> Result<LinkSender, CallFault> {
+async fn connect(call: &HttpCall, deadline: tokio::time::Instant) -> Result<RequestSender, CallFault> {
     let limit = deadline.min(tokio::time::Instant::now() + CONNECT_TIMEOUT);
     let stream = match timeout_at(limit, TcpStream::connect(call.address.as_str())).await {
-        Err(_) => return Err(not_sent(call, "timed out while connecting")),
-        Ok(Err(error)) => return Err(not_sent(call, error)),
+        Err(_) => return Err(not_sent_error(call, "timed out while connecting")),
+        Ok(Err(error)) => return Err(not_sent_error(call, error)),
         Ok(Ok(stream)) => stream,
     };
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("nodelay to {}: {error}", call.address);
     }
     let handshake = http1::handshake::<_, Full<Bytes>>(TokioIo::new(stream));
-    let (sender, connection) = handshake.await.map_err(|error| not_sent(call, error))?;
+    let (sender, connection) = handshake.await.map_err(|error| not_sent_error(call, error))?;
     tokio::task::spawn_local(async move {
         // The call that uses the connection reports the error.
         if let Err(error) = connection.await {
@@ -184,21 +184,21 @@
 ///
 /// A process that stood still finds its connection open when it goes on. What it was about to order
 /// has been overtaken by then, and nobody waits for the answer.
-fn check_time(call: &HttpCall, deadline: tokio::time::Instant) -> Result<(), CallFault> {
+fn check_deadline(call: &HttpCall, deadline: tokio::time::Instant) -> Result<(), CallFault> {
     if tokio::time::Instant::now() >= deadline {
-        return Err(not_sent(call, "held up until its time was over"));
+        return Err(not_sent_error(call, "held up until its time was over"));
     }
     Ok(())
 }
 
-fn request_of(call: &HttpCall) -> Result<Request<Full<Bytes>>, CallFault> {
+fn build_request(call: &HttpCall) -> Result<Request<Full<Bytes>>, CallFault> {
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call
         .path
         .parse()
-        .map_err(|error: hyper::http::uri::InvalidUri| not_sent(call, error))?;
-    let host = HeaderValue::from_str(&call.address).map_err(|error| not_sent(call, error))?;
+        .map_err(|error: hyper::http::uri::InvalidUri| not_sent_error(call, error))?;
+    let host = HeaderValue::from_str(&call.address).map_err(|error| not_sent_error(call, error))?;
     let headers = request.headers_mut();
     headers.extend(call.headers.clone());
     headers.entry(HOST).or_insert(host);
@@ -210,14 +210,14 @@
     Ok(request)
 }
 
-fn not_sent(
+fn not_sent_error(
     call: &HttpCall,
     cause: impl Into<Box<dyn std::error::Error + Send + Sync>>,
 ) -> CallFault {
     CallFault::NotSent(StepError::new(call.step, call.address.as_str(), cause))
 }
 
-fn unanswered(
+fn unanswered_error(
     call: &HttpCall,
     cause: impl Into<Box<dyn std::error::Error + Send + Sync>>,
 ) -> CallFault {
--- a/crates/link/src/http_server.rs
+++ b/crates/link/src/http_server.rs
@@ -27,7 +27,7 @@
 
 /// Largest body that is read at all: the platform's store takes values of 1 MB, and what is in a
 /// body has to fit one with room for its neighbours.
-const MOST_BODY: usize = 512 << 10;
+const MAX_BODY_BYTES: usize = 512 << 10;
 
 /// What a request is answered with, once it is known.
 pub type ReplyFuture = Pin<Box<dyn Future<Output = HttpReply>>>;
@@ -68,7 +68,7 @@
     fn default() -> Self {
         Self {
             connections: 2048,
-            body_bytes: MOST_BODY,
+            body_bytes: MAX_BODY_BYTES,
             header_timeout: Duration::from_secs(15),
         }
     }
@@ -126,7 +126,7 @@
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("nodelay on an accepted connection: {error}");
     }
-    let answer = service_fn(move |request| answer_one(service.clone(), limits, request));
+    let answer = service_fn(move |request| handle_request(service.clone(), limits, request));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.header_timeout)
@@ -144,7 +144,7 @@
     }
 }
 
-async fn answer_one(
+async fn handle_request(
     service: Rc<dyn HttpService>,
     limits: ServerLimits,
     request: Request<Incoming>,
@@ -167,10 +167,10 @@
             service.answer(request).await
         }
     };
-    Ok(response_of(reply))
+    Ok(build_response(reply))
 }
 
-fn response_of(reply: HttpReply) -> Response<Full<Bytes>> {
+fn build_response(reply: HttpReply) -> Response<Full<Bytes>> {
     let json = !reply.body.is_empty();
     let mut response = Response::new(Full::new(reply.body));
     *response.status_mut() =
