--- a/crates/admin/src/audit/audit_keeper.rs
+++ b/crates/admin/src/audit/audit_keeper.rs
@@ -10,7 +10,7 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TrySendError, bounded};
 use model::{Incarnation, MemberId, StepError, event as log_event};
 use parking_lot::Mutex;
-use ports::{AuditNote, AuditSink, ConfigSource, MemberSource};
+use ports::{AuditRecord, AuditSink, ConfigSource, MemberSource};
 use prost::Message;
 use store::{Clock, KeyStore};
 use wire::state::{ConfigBase, ConfigRecord};
@@ -46,7 +46,7 @@
 /// Writes the audit trail: a thread that batches notes, and that turns new changes of the
 /// change log into entries while this entry host holds that duty.
 pub struct AuditKeeper {
-    notes: Sender<AuditNote>,
+    notes: Sender<AuditRecord>,
     shared: Arc<KeeperState>,
     thread: Mutex<Option<JoinHandle<()>>>,
 }
@@ -122,7 +122,7 @@
 }
 
 impl AuditSink for AuditKeeper {
-    fn record(&self, note: AuditNote) {
+    fn record(&self, note: AuditRecord) {
         // While the store is down notes wait. Beyond the queue's bound memory goes before
         // completeness; the trail then says how many are missing.
         if let Err(TrySendError::Full(_)) = self.notes.try_send(note) {
@@ -149,7 +149,7 @@
 }
 
 impl KeeperRound {
-    fn run(mut self, notes: &Receiver<AuditNote>) {
+    fn run(mut self, notes: &Receiver<AuditRecord>) {
         let mut is_delayed = false;
         loop {
             let is_stopped = self.shared.stopped.load(Ordering::Acquire);
@@ -169,7 +169,7 @@
     }
 
     /// Takes notes for a round, or until stopped.
-    fn gather(&mut self, notes: &Receiver<AuditNote>) {
+    fn gather(&mut self, notes: &Receiver<AuditRecord>) {
         /// How soon the thread sees that it is stopped.
         const STEP: Duration = Duration::from_millis(100);
         let deadline = Instant::now() + ROUND;
@@ -185,7 +185,7 @@
         }
     }
 
-    fn take(&mut self, note: AuditNote) {
+    fn take(&mut self, note: AuditRecord) {
         let lane = match note.subject.starts_with(GRANT_SUBJECT) {
             true => &mut self.grants,
             false => &mut self.changes,
@@ -265,7 +265,7 @@
         let members = watch.members.members();
         let heard = members
             .iter()
-            .filter(|member| member.heard && !member.leaving)
+            .filter(|member| member.reachable && !member.leaving)
             .map(|member| &member.member);
         if decide::rendezvous::holder(AUDIT_DUTY, heard) != Some(&self.member) {
             return false;
--- a/crates/admin/src/route/key_route.rs
+++ b/crates/admin/src/route/key_route.rs
@@ -1,4 +1,4 @@
-use ports::{ChangeRequest, ForceConfig};
+use ports::{ActiveConfig, ChangeRequest};
 use wire::state::{KeyEdit, KeyRecord};
 
 use super::{AdminRouter, need_change_id};
@@ -138,7 +138,7 @@
     }
 }
 
-fn check_grant(grant: &GrantCall, config: &ForceConfig) -> Result<(), AdminProblem> {
+fn check_grant(grant: &GrantCall, config: &ActiveConfig) -> Result<(), AdminProblem> {
     if grant.admin != grant.team.is_empty() {
         return Err(refused("a key is for one team, or for administration"));
     }
--- a/crates/admin/src/route/mod.rs
+++ b/crates/admin/src/route/mod.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use model::event as log_event;
-use ports::{AuditNote, AuditSink, ChangeOutcome, ChangeRequest};
+use ports::{AuditRecord, AuditSink, ChangeOutcome, ChangeRequest};
 
 use crate::{
     AdminConfig, AdminProblem, ProblemCode,
@@ -128,7 +128,7 @@
             .iter()
             .map(|edit| edit.section.as_str())
             .collect();
-        self.config.audit.record(AuditNote {
+        self.config.audit.record(AuditRecord {
             author: request.author.clone(),
             change_id: request.change_id.to_string(),
             subject: "large change".to_owned(),
--- a/crates/admin/src/route/status_route.rs
+++ b/crates/admin/src/route/status_route.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeMap;
 
-use ports::{ForceConfig, HostStatus, StatusSource, TeamStatus};
+use ports::{ActiveConfig, HostStatus, StatusSource, TeamStatus};
 
 use super::AdminRouter;
 use crate::{
@@ -48,7 +48,7 @@
     merged.into_values().collect()
 }
 
-fn view_pools(config: &ForceConfig, hosts: &[HostStatus]) -> Vec<PoolView> {
+fn view_pools(config: &ActiveConfig, hosts: &[HostStatus]) -> Vec<PoolView> {
     let count = |pool: &str, is_counted: &dyn Fn(&str) -> bool| {
         let counted = hosts
             .iter()
@@ -73,7 +73,7 @@
 
 /// Every team of the manifest, with what the areas know of it.
 fn view_teams(
-    config: &ForceConfig,
+    config: &ActiveConfig,
     statuses: &[std::sync::Arc<dyn StatusSource>],
 ) -> Vec<TeamStatus> {
     let mut teams: BTreeMap<String, TeamStatus> = BTreeMap::new();
--- a/crates/admin/tests/audit.rs
+++ b/crates/admin/tests/audit.rs
@@ -6,7 +6,7 @@
 
 use admin::audit::{AuditBatch, AuditDraft, AuditStore, ChainFault, TrailName, verify_chain};
 use common::{LoneHost, MemoryStore, WriteFault, eventually, start};
-use ports::{AuditNote, AuditSink};
+use ports::{AuditRecord, AuditSink};
 use store::KeyStore;
 use wire::state::{AuditEntry, AuditHead, AuditPage};
 
@@ -210,10 +210,10 @@
     eventually("both changes are audited", || {
         read_trail(&trail).1.len() >= 2
     });
-    bench.audit.record(AuditNote {
+    bench.audit.record(AuditRecord {
         author: "e1".to_owned(),
         subject: "host w-03".to_owned(),
-        ..AuditNote::default()
+        ..AuditRecord::default()
     });
     eventually("the note is written", || read_trail(&trail).1.len() >= 3);
     bench.audit.stop();
@@ -247,9 +247,9 @@
     let bench = start(LoneHost::with_manifest(MANIFEST)).expect("the interface starts");
     *bench.host.store.down.lock() = true;
     for index in 0..200 {
-        bench.audit.record(AuditNote {
+        bench.audit.record(AuditRecord {
             subject: format!("host w-{index}"),
-            ..AuditNote::default()
+            ..AuditRecord::default()
         });
     }
     std::thread::sleep(std::time::Duration::from_millis(300));
@@ -276,12 +276,12 @@
     let bench = start(LoneHost::with_manifest(MANIFEST)).expect("the interface starts");
     for revision in 1..=50 {
         for team in ["sales", "stock"] {
-            bench.audit.record(AuditNote {
+            bench.audit.record(AuditRecord {
                 subject: format!("grant {team}"),
                 change_id: format!("quota-{team}-{revision}"),
                 revision_before: revision - 1,
                 revision_after: revision,
-                ..AuditNote::default()
+                ..AuditRecord::default()
             });
         }
     }
--- a/crates/admin/tests/common/mod.rs
+++ b/crates/admin/tests/common/mod.rs
@@ -15,7 +15,7 @@
 use model::{Incarnation, Manifest, MemberId};
 use parking_lot::Mutex;
 use ports::{
-    ChangeError, ChangeOutcome, ChangeRequest, ChangeSink, ConfigSource, ForceConfig, MemberInfo,
+    ActiveConfig, ChangeError, ChangeOutcome, ChangeRequest, ChangeSink, ConfigSource, MemberInfo,
     MemberSource, NotServing, ServingGate,
 };
 use prost::Message;
@@ -125,7 +125,7 @@
 #[derive(Default)]
 pub struct LoneHost {
     pub store: Arc<MemoryStore>,
-    pub config: Mutex<Arc<ForceConfig>>,
+    pub config: Mutex<Arc<ActiveConfig>>,
     pub log: Mutex<ConfigRecord>,
     pub closed: Mutex<bool>,
     /// Refuses the next change after it took effect.
@@ -135,10 +135,10 @@
 impl LoneHost {
     pub fn with_manifest(text: &str) -> Self {
         let (sections, manifest) = Manifest::from_ini(text).unwrap_or_default();
-        let config = ForceConfig {
+        let config = ActiveConfig {
             manifest,
             sections,
-            ..ForceConfig::default()
+            ..ActiveConfig::default()
         };
         Self {
             config: Mutex::new(Arc::new(config)),
@@ -171,7 +171,7 @@
                     .collect(),
             });
         }
-        let mut next = ForceConfig::clone(&config);
+        let mut next = ActiveConfig::clone(&config);
         next.revision += 1;
         for edit in &request.sections {
             match edit.text.as_str() {
@@ -209,7 +209,7 @@
 }
 
 impl ConfigSource for LoneHost {
-    fn current(&self) -> Arc<ForceConfig> {
+    fn current(&self) -> Arc<ActiveConfig> {
         Arc::clone(&self.config.lock())
     }
 }
@@ -248,7 +248,7 @@
         Arc::new(vec![MemberInfo {
             member: "e1".into(),
             incarnation: 1,
-            heard: true,
+            reachable: true,
             ..MemberInfo::default()
         }])
     }
--- a/crates/cell/src/caller_front.rs
+++ b/crates/cell/src/caller_front.rs
@@ -2,12 +2,12 @@
 
 use compact_str::CompactString;
 use decide::work::record_of_plan;
-use link::{CallClient, CallFault};
+use link::{CallClient, CallError};
 use model::{
     event as log_event,
     work::{FencingToken, FleetPolicy, JobPlan},
 };
-use ports::{CallerAnswer, CallerCall, CallerDesk, CallerWish, JobProgress, PortFuture};
+use ports::{CallerAnswer, CallerCall, CallerRequest, CallerService, JobProgress, PortFuture};
 use store::{BootClock, Clock};
 use tokio::time::{Instant, timeout_at};
 use wire::work::{AnswerKind, JobPhase, JobRecord, OwnerAnswer, OwnerCall, owner_call::Ask};
@@ -65,8 +65,8 @@
     owner: CompactString,
 }
 
-impl CallerDesk for CallerFront {
-    fn prefix_length(&self, host: &str, path: &str) -> Option<usize> {
+impl CallerService for CallerFront {
+    fn queue_prefix_len(&self, host: &str, path: &str) -> Option<usize> {
         let terms = self.view.terms()?;
         Some(terms.queue_at(host, path)?.prefix.len())
     }
@@ -81,7 +81,7 @@
         })
     }
 
-    fn largest_body(&self) -> usize {
+    fn max_body_bytes(&self) -> usize {
         self.view.terms().map_or(0, |terms| terms.max_body)
     }
 
@@ -106,18 +106,18 @@
         let workspace = workspace
             .map(|space| space.name.clone())
             .unwrap_or_default();
-        let ask = match &call.wish {
-            CallerWish::Submit(job, plan) => {
+        let ask = match &call.request {
+            CallerRequest::Submit(job, plan) => {
                 if let Err(fault) = plan.check() {
                     return unasked(CallerAnswer::Invalid(fault.to_string()));
                 }
                 Ask::Submit(self.record(job, plan, queue, &workspace))
             }
-            CallerWish::Look(job) => Ask::Look(job.to_string()),
-            CallerWish::Cancel(job) => return self.follow_cancel(job, call.patience).await,
-            CallerWish::Pending => Ask::Pending(queue.name.to_string()),
+            CallerRequest::Status(job) => Ask::Look(job.to_string()),
+            CallerRequest::Cancel(job) => return self.follow_cancel(job, call.timeout).await,
+            CallerRequest::Pending => Ask::Pending(queue.name.to_string()),
         };
-        self.ask(ask, call.patience).await
+        self.ask(ask, call.timeout).await
     }
 
     fn record(
@@ -226,11 +226,11 @@
         let call = call_of(ask, owner.token, timeout.saturating_sub(ASK_MARGIN));
         match ask_owner(&self.client, &owner.address, &call, timeout).await {
             Ok(answer) => self.read_answer(&answer, owner.token, state),
-            Err(CallFault::NotSent(error)) => {
+            Err(CallError::NotSent(error)) => {
                 log::debug!("{error}");
                 None
             }
-            Err(CallFault::Unanswered(error)) => {
+            Err(CallError::Unanswered(error)) => {
                 log::debug!("{error}");
                 if matches!(ask, Ask::Submit(_) | Ask::Cancel(_)) {
                     state.unsure = Some(owner.token);
@@ -276,11 +276,11 @@
     }
 
     fn note(&self, call: &CallerCall, answer: &CallerAnswer, owner: &str, begun: Instant) {
-        let (wish, job) = match &call.wish {
-            CallerWish::Submit(job, _) => ("submit", job.as_str()),
-            CallerWish::Look(job) => ("look", job.as_str()),
-            CallerWish::Cancel(job) => ("cancel", job.as_str()),
-            CallerWish::Pending => ("pending", ""),
+        let (wish, job) = match &call.request {
+            CallerRequest::Submit(job, _) => ("submit", job.as_str()),
+            CallerRequest::Status(job) => ("look", job.as_str()),
+            CallerRequest::Cancel(job) => ("cancel", job.as_str()),
+            CallerRequest::Pending => ("pending", ""),
         };
         let (name, refused) = name_of(answer);
         let took = begun.elapsed();
--- a/crates/cell/src/cell_host.rs
+++ b/crates/cell/src/cell_host.rs
@@ -7,7 +7,7 @@
 use link::{CallClient, ServerLimits, ShutdownSignal, serve_http};
 use metrics_exporter_prometheus::PrometheusHandle;
 use model::{StepError, event as log_event};
-use ports::CallerDesk;
+use ports::CallerService;
 use tokio::time::{Instant, sleep, timeout_at};
 
 use crate::{
@@ -73,7 +73,7 @@
     }
 
     /// Answers callers; for the platform's server of the callers' protocol.
-    pub fn desk(&self) -> Rc<dyn CallerDesk> {
+    pub fn desk(&self) -> Rc<dyn CallerService> {
         Rc::new(CallerFront {
             options: self.options.clone(),
             view: self.view.clone(),
--- a/crates/cell/src/election.rs
+++ b/crates/cell/src/election.rs
@@ -2,7 +2,7 @@
 
 use link::ShutdownSignal;
 use model::{BootTime, event as log_event};
-use ports::{LeaseId, StoreChange, StoreFault, StoreOutcome};
+use ports::{LeaseId, StoreChange, StoreError, StoreOutcome};
 use rand::Rng;
 use store::{BootClock, Clock};
 use tokio::time::sleep;
@@ -133,7 +133,7 @@
         }
     }
 
-    async fn read_on(&self) -> Result<(), StoreFault> {
+    async fn read_on(&self) -> Result<(), StoreError> {
         let TermParts {
             options,
             ports,
@@ -185,7 +185,7 @@
     }
 
     /// Writes the entry of the owner, if there is none.
-    async fn run_for_it(&self) -> Result<Option<WonTerm>, StoreFault> {
+    async fn run_for_it(&self) -> Result<Option<WonTerm>, StoreError> {
         let sent = BootClock.boot_now();
         let TermParts { options, ports, .. } = &self.parts;
         let lease = ports.store.take_lease(options.owner_lease).await?;
--- a/crates/cell/src/fleet_view.rs
+++ b/crates/cell/src/fleet_view.rs
@@ -47,12 +47,12 @@
     }
 
     fn take(&self, item: &StoreItem) {
-        if item.key == self.codec.terms_key() {
-            match self.codec.read_terms(&item.value) {
+        if item.key == self.codec.policy_key() {
+            match self.codec.read_policy(&item.value) {
                 Ok(terms) => self.put_in_force(terms),
                 Err(error) => unreadable(item, &error),
             }
-        } else if let Some(wave) = self.codec.wave_of_key(&item.key) {
+        } else if let Some(wave) = self.codec.parse_wave_key(&item.key) {
             match self.codec.read_wave(&item.value) {
                 Ok(read) => self.add_wave(wave, read),
                 Err(error) => unreadable(item, &error),
@@ -115,7 +115,7 @@
             StoreEvent::Written(item) => self.take(&item),
             // Operators replace terms and never remove them.
             StoreEvent::Removed(key, _) => {
-                if let Some(wave) = self.codec.wave_of_key(&key) {
+                if let Some(wave) = self.codec.parse_wave_key(&key) {
                     self.waves.borrow_mut().remove(&wave);
                     self.bump();
                 }
--- a/crates/cell/src/kept_cancellation.rs
+++ b/crates/cell/src/kept_cancellation.rs
@@ -8,7 +8,7 @@
 
 use model::{BootTime, JobId, event as log_event};
 use ports::{
-    LeaseStore, StoreChange, StoreEvent, StoreFault, StoreItem, StoreRevision, StoreWrite,
+    LeaseStore, StoreChange, StoreError, StoreEvent, StoreItem, StoreRevision, StoreWrite,
 };
 use tokio::{
     sync::Notify,
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     /// If it is not known to be stored.
-    pub(crate) async fn keep(&self, job: &str) -> Result<(), StoreFault> {
+    pub(crate) async fn keep(&self, job: &str) -> Result<(), StoreError> {
         self.write(&[job.into()]).await
     }
 
@@ -114,7 +114,7 @@
         waiting.iter().take(KEYS_AT_ONCE).cloned().collect()
     }
 
-    async fn write(&self, jobs: &[JobId]) -> Result<(), StoreFault> {
+    async fn write(&self, jobs: &[JobId]) -> Result<(), StoreError> {
         let write = |job: &JobId| StoreWrite {
             key: self.options.cancellation_key(job),
             value: job.as_bytes().to_vec(),
--- a/crates/cell/src/log_reader.rs
+++ b/crates/cell/src/log_reader.rs
@@ -3,7 +3,7 @@
 use compact_str::CompactString;
 use decide::work::{DeskTime, WorkDesk};
 use model::event as log_event;
-use ports::{LeaseStore, StoreFault, StoreItem};
+use ports::{LeaseStore, StoreError, StoreItem};
 use tokio::time::sleep;
 
 use crate::{
@@ -50,7 +50,7 @@
     store: &dyn LeaseStore,
     options: &CellOptions,
     copy: &LogCopy,
-) -> Result<(), StoreFault> {
+) -> Result<(), StoreError> {
     let prefix = options.log_prefix();
     let last = copy.last();
     let after = last.map_or_else(CompactString::default, |page| page_key(options, page));
@@ -77,7 +77,7 @@
     number
 }
 
-fn note_fault(error: &StoreFault) {
+fn note_fault(error: &StoreError) {
     log_event::warn(
         &event::RECORD_FAILED,
         format_args!("step=\"read log\" cause=\"{error}\" next=retry"),
--- a/crates/cell/src/log_writer.rs
+++ b/crates/cell/src/log_writer.rs
@@ -1,7 +1,7 @@
 use std::{rc::Rc, time::Duration};
 
 use model::event as log_event;
-use ports::{StoreFault, StoreOutcome};
+use ports::{StoreError, StoreOutcome};
 use prost::Message;
 use tokio::time::{Instant, sleep, timeout};
 use wire::work::{JobRecord, LogEntry, StepRecord, log_entry::Event};
@@ -117,7 +117,7 @@
                 return None;
             }
             Err(error) => {
-                taken.sent = unsure || !matches!(error, StoreFault::Refused(_));
+                taken.sent = unsure || !matches!(error, StoreError::Refused(_));
                 note_fault(term, page, &error, taken.sent);
                 sleep(FAULT_PAUSE).await;
             }
@@ -232,7 +232,7 @@
     job.steps.iter().map(step).collect::<Vec<_>>().join("+")
 }
 
-fn note_fault(term: &Term, page: u64, error: &StoreFault, unsure: bool) {
+fn note_fault(term: &Term, page: u64, error: &StoreError, unsure: bool) {
     metrics::counter!(metric::LOG_WRITES, "outcome" => "failed").increment(1);
     if !term.log.failing.replace(true) {
         log_event::warn(
--- a/crates/cell/src/member_book.rs
+++ b/crates/cell/src/member_book.rs
@@ -10,7 +10,7 @@
 use link::CallClient;
 use model::HostStrength;
 use ports::{
-    LeaseId, LeaseStore, StoreChange, StoreEvent, StoreFault, StoreItem, StoreOutcome,
+    LeaseId, LeaseStore, StoreChange, StoreError, StoreEvent, StoreItem, StoreOutcome,
     StoreRevision,
 };
 use prost::Message;
@@ -115,7 +115,7 @@
         &self,
         store: &dyn LeaseStore,
         lease: Option<LeaseId>,
-    ) -> Result<Option<LeaseId>, StoreFault> {
+    ) -> Result<Option<LeaseId>, StoreError> {
         if let Some(standing) = lease
             && store.renew_lease(standing).await?
         {
@@ -124,7 +124,7 @@
         self.enter(store).await
     }
 
-    async fn enter(&self, store: &dyn LeaseStore) -> Result<Option<LeaseId>, StoreFault> {
+    async fn enter(&self, store: &dyn LeaseStore) -> Result<Option<LeaseId>, StoreError> {
         let lease = store.take_lease(ENTRY_LEASE).await?;
         let change = StoreChange {
             expect: Vec::new(),
--- a/crates/cell/src/peer_call.rs
+++ b/crates/cell/src/peer_call.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use hyper::Method;
-use link::{CallClient, CallFault, HttpCall};
+use link::{CallClient, CallError, HttpCall};
 use prost::Message;
 use wire::work::{OwnerAnswer, OwnerCall};
 
@@ -11,18 +11,18 @@
 /// Asks another process as the owner.
 ///
 /// # Errors
-/// [`CallFault::NotSent`] if it can't have seen the call.
+/// [`CallError::NotSent`] if it can't have seen the call.
 pub(crate) async fn ask_owner(
     client: &CallClient,
     address: &str,
     call: &OwnerCall,
     timeout: Duration,
-) -> Result<OwnerAnswer, CallFault> {
+) -> Result<OwnerAnswer, CallError> {
     let request = HttpCall::new("ask owner", address, Method::POST, OWNER_PATH, timeout)
         .with_body(call.encode_to_vec());
     let reply = client.call(request).await?;
     let unreadable =
-        |cause: String| CallFault::Unanswered(model::StepError::new("ask owner", address, cause));
+        |cause: String| CallError::Unanswered(model::StepError::new("ask owner", address, cause));
     if reply.status != 200 {
         return Err(unreadable(format!("status {}", reply.status)));
     }
--- a/crates/cell/src/target_look.rs
+++ b/crates/cell/src/target_look.rs
@@ -124,7 +124,7 @@
         pass.hold_back();
     }
     let observed = order.observed;
-    let answer = term.ports.targets.look(address, order).await;
+    let answer = term.ports.targets.poll(address, order).await;
     drop(pass);
     let outcome = match &answer {
         PollAnswer::Seen(sight) if sight.ended.is_empty() => LookOutcome::Nothing,
--- a/crates/cell/src/target_orders.rs
+++ b/crates/cell/src/target_orders.rs
@@ -109,7 +109,7 @@
     let Some(_permit) = turn(&term, &lane, CallClass::Start).await else {
         return;
     };
-    let answer = term.ports.targets.pace(&address, order).await;
+    let answer = term.ports.targets.throttle(&address, order).await;
     settle(&term, "pace", &id, answer == OrderAnswer::Done, &answer);
 }
 
@@ -127,7 +127,7 @@
 
 async fn advise(term: Rc<Term>, key: TaskKey, targets: Vec<HostId>) {
     let step = format!("{}.{}.{}", key.job, key.occurrence, key.step);
-    let answer = term.ports.advice.ask(&step, targets).await;
+    let answer = term.ports.advice.request_tickets(&step, targets).await;
     let done = answer.is_ok();
     let tickets = answer.unwrap_or_else(|error| {
         note_failure(&term, "advise", &HostId::default(), &error);
--- a/crates/cell/tests/cancels.rs
+++ b/crates/cell/tests/cancels.rs
@@ -6,7 +6,7 @@
 
 use common::{CellBench, LIMIT, accepted, call, plan, run_local, until, until_shown};
 use model::work::JobPlan;
-use ports::{CallerAnswer, CallerDesk, CallerWish, JobProgress};
+use ports::{CallerAnswer, CallerRequest, CallerService, JobProgress};
 use tokio::time::{Instant, sleep};
 
 const LOG: &str = "cell/log/";
@@ -16,11 +16,11 @@
 /// Time in which an owner that wanted to start something would have.
 const SETTLED: Duration = Duration::from_secs(2);
 
-async fn cancel(desk: &Rc<dyn CallerDesk>, job: &str) -> CallerAnswer {
-    desk.answer(call(CallerWish::Cancel(job.into()))).await
+async fn cancel(desk: &Rc<dyn CallerService>, job: &str) -> CallerAnswer {
+    desk.answer(call(CallerRequest::Cancel(job.into()))).await
 }
 
-async fn until_cancelled(desk: &Rc<dyn CallerDesk>, job: &str) {
+async fn until_cancelled(desk: &Rc<dyn CallerService>, job: &str) {
     let begun = Instant::now();
     loop {
         let answer = cancel(desk, job).await;
@@ -82,7 +82,7 @@
         bench.targets.delay_starts(Duration::from_millis(400));
         let mut wide = plan();
         wide.steps[0].count = 8;
-        let wish = CallerWish::Submit("job1".into(), JobPlan { ..wide });
+        let wish = CallerRequest::Submit("job1".into(), JobPlan { ..wide });
         until(&desk, wish, CallerAnswer::Accepted).await;
         bench.targets.until_started(1).await;
         let sent = bench.targets.started();
@@ -142,7 +142,7 @@
         bench.targets.delay_starts(Duration::from_millis(1500));
         let mut wide = plan();
         wide.steps[0].count = 8;
-        let wish = CallerWish::Submit("job1".into(), wide);
+        let wish = CallerRequest::Submit("job1".into(), wide);
         until(&desk, wish, CallerAnswer::Accepted).await;
         handle.unhear(KEPT);
         sleep(Duration::from_secs(5)).await;
@@ -165,7 +165,7 @@
         let desk = bench.host_on("a", &handle).desk();
         accepted(&desk, "job1").await;
         let completed = CallerAnswer::Found(JobProgress::Completed);
-        until(&desk, CallerWish::Look("job1".into()), completed).await;
+        until(&desk, CallerRequest::Status("job1".into()), completed).await;
     });
 }
 
--- a/crates/cell/tests/cell_host.rs
+++ b/crates/cell/tests/cell_host.rs
@@ -8,7 +8,7 @@
     CellBench, KEY, LIMIT, StoreSwitch, accepted, call, run_local, submit, terms_text, until,
     until_shown,
 };
-use ports::{CallerAnswer, CallerCall, CallerWish, JobProgress};
+use ports::{CallerAnswer, CallerCall, CallerRequest, JobProgress};
 use tokio::time::sleep;
 
 #[test]
@@ -20,7 +20,9 @@
         until_shown(&desk, "job1", JobProgress::Completed).await;
         assert_eq!(bench.targets.starts.borrow().len(), 6);
         assert!(bench.targets.started_once());
-        let unknown = desk.answer(call(CallerWish::Look("other".into()))).await;
+        let unknown = desk
+            .answer(call(CallerRequest::Status("other".into())))
+            .await;
         assert_eq!(unknown, CallerAnswer::NoJob);
         let foreign = CallerCall {
             key: "wrong".into(),
@@ -88,7 +90,12 @@
         assert!(begun.elapsed() < Duration::from_secs(1));
         bench.store.set(StoreSwitch::Well);
         sleep(Duration::from_millis(100)).await;
-        until(&desk, CallerWish::Look("job2".into()), CallerAnswer::NoJob).await;
+        until(
+            &desk,
+            CallerRequest::Status("job2".into()),
+            CallerAnswer::NoJob,
+        )
+        .await;
     });
 }
 
@@ -166,13 +173,15 @@
             .put("op/terms", terms_text(5, "another").as_bytes());
         until(
             &desk,
-            CallerWish::Look("job1".into()),
+            CallerRequest::Status("job1".into()),
             CallerAnswer::KeyRefused,
         )
         .await;
         bench.store.put("op/terms", terms_text(4, KEY).as_bytes());
         sleep(Duration::from_millis(200)).await;
-        let answer = desk.answer(call(CallerWish::Look("job1".into()))).await;
+        let answer = desk
+            .answer(call(CallerRequest::Status("job1".into())))
+            .await;
         assert_eq!(answer, CallerAnswer::KeyRefused);
     });
 }
--- a/crates/cell/tests/certain_answers.rs
+++ b/crates/cell/tests/certain_answers.rs
@@ -13,9 +13,9 @@
 };
 
 /// Hands a job in, beside what the test does.
-fn hand_in(host: &CellHost, job: &str, patience: Duration) -> JoinHandle<CallerAnswer> {
+fn hand_in(host: &CellHost, job: &str, timeout: Duration) -> JoinHandle<CallerAnswer> {
     let call = CallerCall {
-        patience,
+        timeout,
         ..submit(job)
     };
     tokio::task::spawn_local(host.desk().answer(call))
--- a/crates/cell/tests/common/caller_calls.rs
+++ b/crates/cell/tests/common/caller_calls.rs
@@ -1,18 +1,18 @@
 use std::time::Duration;
 
 use model::work::{JobPlan, ResourceVector, StepPlan};
-use ports::{CallerCall, CallerWish};
+use ports::{CallerCall, CallerRequest};
 
 /// The key of the only workspace.
 pub const KEY: &str = "secret";
 
-pub fn call(wish: CallerWish) -> CallerCall {
+pub fn call(request: CallerRequest) -> CallerCall {
     CallerCall {
         host: "jobs.example".into(),
         path: "/queue/".into(),
         key: KEY.into(),
-        patience: Duration::from_secs(3),
-        wish,
+        timeout: Duration::from_secs(3),
+        request,
     }
 }
 
@@ -36,5 +36,5 @@
 }
 
 pub fn submit(job: &str) -> CallerCall {
-    call(CallerWish::Submit(job.into(), plan()))
+    call(CallerRequest::Submit(job.into(), plan()))
 }
--- a/crates/cell/tests/common/cell_bench.rs
+++ b/crates/cell/tests/common/cell_bench.rs
@@ -3,7 +3,7 @@
 use cell::{CellHost, CellOptions, CellPorts};
 use link::CallClient;
 use metrics_exporter_prometheus::PrometheusBuilder;
-use ports::{CallerAnswer, CallerDesk, CallerWish, JobProgress};
+use ports::{CallerAnswer, CallerRequest, CallerService, JobProgress};
 use tokio::time::sleep;
 
 use super::{KEY, MemoryStore, MemoryTargets, call, free_address, ports_on, submit, terms_text};
@@ -67,12 +67,12 @@
 }
 
 /// Waits until callers are shown that a job is so far.
-pub async fn until_shown(desk: &Rc<dyn CallerDesk>, job: &str, progress: JobProgress) {
-    let wish = CallerWish::Look(job.into());
+pub async fn until_shown(desk: &Rc<dyn CallerService>, job: &str, progress: JobProgress) {
+    let wish = CallerRequest::Status(job.into());
     until(desk, wish, CallerAnswer::Found(progress)).await;
 }
 
-pub async fn until(desk: &Rc<dyn CallerDesk>, wish: CallerWish, wanted: CallerAnswer) {
+pub async fn until(desk: &Rc<dyn CallerService>, wish: CallerRequest, wanted: CallerAnswer) {
     let end = tokio::time::Instant::now() + LIMIT;
     let mut answer = desk.answer(call(wish.clone())).await;
     while answer != wanted {
@@ -82,7 +82,7 @@
     }
 }
 
-pub async fn accepted(desk: &Rc<dyn CallerDesk>, job: &str) {
+pub async fn accepted(desk: &Rc<dyn CallerService>, job: &str) {
     let end = tokio::time::Instant::now() + LIMIT;
     while desk.answer(submit(job)).await != CallerAnswer::Accepted {
         assert!(tokio::time::Instant::now() < end);
--- a/crates/cell/tests/common/memory_ports.rs
+++ b/crates/cell/tests/common/memory_ports.rs
@@ -116,11 +116,11 @@
         Box::pin(async { OrderAnswer::Done })
     }
 
-    fn pace(&self, _: &TargetAddress, _: ThrottleOrder) -> PortFuture<OrderAnswer> {
+    fn throttle(&self, _: &TargetAddress, _: ThrottleOrder) -> PortFuture<OrderAnswer> {
         Box::pin(async { OrderAnswer::Done })
     }
 
-    fn look(&self, target: &TargetAddress, order: PollOrder) -> PortFuture<PollAnswer> {
+    fn poll(&self, target: &TargetAddress, order: PollOrder) -> PortFuture<PollAnswer> {
         let (targets, target) = (self.clone(), target.target.clone());
         self.looks.set(self.looks.get() + 1);
         if order.until.is_some() {
@@ -166,7 +166,7 @@
 pub struct PathCodec;
 
 impl FleetCodec for PathCodec {
-    fn terms_key(&self) -> &'static str {
+    fn policy_key(&self) -> &'static str {
         "op/terms"
     }
 
@@ -178,7 +178,7 @@
         "targets/"
     }
 
-    fn wave_of_key(&self, _key: &str) -> Option<WaveId> {
+    fn parse_wave_key(&self, _key: &str) -> Option<WaveId> {
         None
     }
 
@@ -187,7 +187,7 @@
     }
 
     /// The revision, then the keys of the one workspace, separated by spaces.
-    fn read_terms(&self, value: &[u8]) -> Result<FleetPolicy, String> {
+    fn read_policy(&self, value: &[u8]) -> Result<FleetPolicy, String> {
         let text = std::str::from_utf8(value).map_err(|error| error.to_string())?;
         let mut words = text.split(' ');
         let revision = words
@@ -277,7 +277,11 @@
 struct NoAdvice;
 
 impl AdvicePort for NoAdvice {
-    fn ask(&self, _: &str, _: Vec<HostId>) -> PortFuture<Result<Vec<AdviceTicket>, String>> {
+    fn request_tickets(
+        &self,
+        _: &str,
+        _: Vec<HostId>,
+    ) -> PortFuture<Result<Vec<AdviceTicket>, String>> {
         Box::pin(async { Err("no advice here".to_owned()) })
     }
 }
--- a/crates/cell/tests/common/memory_store.rs
+++ b/crates/cell/tests/common/memory_store.rs
@@ -6,7 +6,7 @@
 };
 
 use ports::{
-    LeaseId, LeaseStore, PortFuture, StoreChange, StoreChanges, StoreEvent, StoreFault, StoreItem,
+    LeaseId, LeaseStore, PortFuture, StoreChange, StoreChanges, StoreError, StoreEvent, StoreItem,
     StoreOutcome, StorePage, StoreRevision,
 };
 use tokio::{
@@ -118,14 +118,14 @@
         self.change_bytes.set(bytes);
     }
 
-    async fn carries(&self, change: &StoreChange) -> Result<(), StoreFault> {
+    async fn carries(&self, change: &StoreChange) -> Result<(), StoreError> {
         let bytes: usize = change.writes.iter().map(|write| write.value.len()).sum();
         let most = self.change_bytes.get();
         if most == 0 || bytes <= most {
             return Ok(());
         }
         sleep(CHANGE_TIMEOUT).await;
-        Err(StoreFault::Unanswered("timed out".to_owned()))
+        Err(StoreError::Unanswered("timed out".to_owned()))
     }
 
     /// No list and no watch of this prefix is answered through this handle; empty for none.
@@ -133,9 +133,9 @@
         *self.unheard.borrow_mut() = prefix.to_owned();
     }
 
-    fn hears(&self, prefix: &str) -> Result<(), StoreFault> {
+    fn hears(&self, prefix: &str) -> Result<(), StoreError> {
         if !prefix.is_empty() && prefix == *self.unheard.borrow() {
-            return Err(StoreFault::Unanswered("timed out".to_owned()));
+            return Err(StoreError::Unanswered("timed out".to_owned()));
         }
         Ok(())
     }
@@ -161,14 +161,14 @@
     }
 
     /// Most keys that a list may bring.
-    fn list_limit(&self, prefix: &str) -> Result<usize, StoreFault> {
+    fn list_limit(&self, prefix: &str) -> Result<usize, StoreError> {
         let mut fault = self.lists.borrow_mut();
         if prefix != fault.prefix {
             return Ok(LIST_KEYS);
         }
         fault.calls += 1;
         if (fault.calls - 1).checked_rem(fault.fail_every) == Some(0) {
-            return Err(StoreFault::Unanswered("timed out".to_owned()));
+            return Err(StoreError::Unanswered("timed out".to_owned()));
         }
         Ok(match fault.page {
             0 => LIST_KEYS,
@@ -193,10 +193,10 @@
         self.away.set(away);
     }
 
-    async fn call(&self) -> Result<(), StoreFault> {
+    async fn call(&self) -> Result<(), StoreError> {
         self.state.call().await?;
         if self.away.get() {
-            return Err(StoreFault::Refused("status 503".to_owned()));
+            return Err(StoreError::Refused("status 503".to_owned()));
         }
         Ok(())
     }
@@ -290,11 +290,11 @@
         over.into_iter().for_each(|lease| self.end_lease(lease));
     }
 
-    async fn call(&self) -> Result<(), StoreFault> {
+    async fn call(&self) -> Result<(), StoreError> {
         sleep(Duration::from_millis(1)).await;
         self.lapse();
         match self.switch.get() {
-            StoreSwitch::Refuses => Err(StoreFault::Refused("status 503".to_owned())),
+            StoreSwitch::Refuses => Err(StoreError::Refused("status 503".to_owned())),
             StoreSwitch::Well | StoreSwitch::LosesAnswers => Ok(()),
         }
     }
@@ -345,7 +345,7 @@
 }
 
 impl LeaseStore for MemoryStore {
-    fn read(&self, key: &str) -> PortFuture<Result<Option<StoreItem>, StoreFault>> {
+    fn read(&self, key: &str) -> PortFuture<Result<Option<StoreItem>, StoreError>> {
         let (state, key) = (self.state.clone(), key.to_owned());
         let door = self.clone();
         Box::pin(async move {
@@ -356,7 +356,7 @@
         })
     }
 
-    fn list(&self, prefix: &str, after: &str) -> PortFuture<Result<StorePage, StoreFault>> {
+    fn list(&self, prefix: &str, after: &str) -> PortFuture<Result<StorePage, StoreError>> {
         let (state, prefix, after) = (self.state.clone(), prefix.to_owned(), after.to_owned());
         let door = self.clone();
         Box::pin(async move {
@@ -377,7 +377,7 @@
         prefix: &str,
         after: StoreRevision,
         patience: Duration,
-    ) -> PortFuture<Result<StoreChanges, StoreFault>> {
+    ) -> PortFuture<Result<StoreChanges, StoreError>> {
         let (state, prefix) = (self.state.clone(), prefix.to_owned());
         let door = self.clone();
         Box::pin(async move {
@@ -397,7 +397,7 @@
         })
     }
 
-    fn change(&self, change: StoreChange) -> PortFuture<Result<StoreOutcome, StoreFault>> {
+    fn change(&self, change: StoreChange) -> PortFuture<Result<StoreOutcome, StoreError>> {
         let state = self.state.clone();
         let door = self.clone();
         Box::pin(async move {
@@ -406,13 +406,13 @@
             door.carries(&change).await?;
             let outcome = state.apply(change);
             if state.switch.get() == StoreSwitch::LosesAnswers {
-                return Err(StoreFault::Unanswered("timed out".to_owned()));
+                return Err(StoreError::Unanswered("timed out".to_owned()));
             }
             Ok(outcome)
         })
     }
 
-    fn take_lease(&self, length: Duration) -> PortFuture<Result<LeaseId, StoreFault>> {
+    fn take_lease(&self, length: Duration) -> PortFuture<Result<LeaseId, StoreError>> {
         let state = self.state.clone();
         let door = self.clone();
         Box::pin(async move {
@@ -427,7 +427,7 @@
         })
     }
 
-    fn renew_lease(&self, lease: LeaseId) -> PortFuture<Result<bool, StoreFault>> {
+    fn renew_lease(&self, lease: LeaseId) -> PortFuture<Result<bool, StoreError>> {
         let state = self.state.clone();
         let door = self.clone();
         Box::pin(async move {
@@ -442,7 +442,7 @@
         })
     }
 
-    fn end_lease(&self, lease: LeaseId) -> PortFuture<Result<(), StoreFault>> {
+    fn end_lease(&self, lease: LeaseId) -> PortFuture<Result<(), StoreError>> {
         let state = self.state.clone();
         let door = self.clone();
         Box::pin(async move {
--- a/crates/cell/tests/narrow_link.rs
+++ b/crates/cell/tests/narrow_link.rs
@@ -95,10 +95,10 @@
         let host = start_with("a", &way, narrow(), &targets);
         until_owner(&store, "a").await;
         let desk = host.desk();
-        until(&desk, submit("first").wish, CallerAnswer::Accepted).await;
+        until(&desk, submit("first").request, CallerAnswer::Accepted).await;
         sleep(Duration::from_millis(500)).await;
         let begun = Instant::now();
-        until(&desk, submit("second").wish, CallerAnswer::Accepted).await;
+        until(&desk, submit("second").request, CallerAnswer::Accepted).await;
         assert!(begun.elapsed() < Duration::from_secs(1));
     });
 }
@@ -138,7 +138,7 @@
         let host = start_with("a", &store, narrow(), &targets);
         until_owner(&store, "a").await;
         for job in 0..40 {
-            let submitted = submit(&format!("job{job}")).wish;
+            let submitted = submit(&format!("job{job}")).request;
             let accepted = host.desk().answer(call(submitted)).await;
             assert_eq!(accepted, CallerAnswer::Accepted, "job {job}");
         }
@@ -219,7 +219,7 @@
         sleep(Duration::from_millis(500)).await;
         targets.delay_starts(Duration::from_secs(1));
         for job in 0..80 {
-            let submitted = submit(&format!("job{job}")).wish;
+            let submitted = submit(&format!("job{job}")).request;
             until(&host.desk(), submitted, CallerAnswer::Accepted).await;
         }
         for _ in 0..80 {
--- a/crates/cell/tests/succession.rs
+++ b/crates/cell/tests/succession.rs
@@ -6,7 +6,7 @@
 
 use cell::CellHost;
 use common::*;
-use ports::{CallerAnswer, CallerWish, JobProgress};
+use ports::{CallerAnswer, CallerRequest, JobProgress};
 use prost::Message;
 use tokio::time::{Instant, sleep};
 use wire::work::{LogEntry, LogPage, OwnerRecord, log_entry::Event};
@@ -283,11 +283,11 @@
         let _second = start_with("second", &store, strong(), &targets);
         sleep(Duration::from_secs(1)).await;
         let desk = first.desk();
-        until(&desk, submit("job1").wish, CallerAnswer::Accepted).await;
+        until(&desk, submit("job1").request, CallerAnswer::Accepted).await;
         targets.until_started(3).await;
         store.set(StoreSwitch::Refuses);
         sleep(Duration::from_secs(1)).await;
-        let wish = CallerWish::Cancel("job1".into());
+        let wish = CallerRequest::Cancel("job1".into());
         let answer = desk.answer(call(wish)).await;
         assert_eq!(answer, CallerAnswer::Unknown, "it is tried on");
         targets.set_slow(false);
--- a/crates/entry/src/admission/pool_desk.rs
+++ b/crates/entry/src/admission/pool_desk.rs
@@ -2,7 +2,7 @@
 
 use decide::{retry::RetryBudget, share::TeamTurn};
 use model::{BootTime, PoolId, TeamId};
-use ports::{ForceConfig, SlotLease, TargetHost};
+use ports::{ActiveConfig, SlotLease, TargetHost};
 
 use super::{demand_meter::DemandMeter, pool_queue::PoolQueue, target_table::PoolView};
 use crate::work::CallerRequest;
@@ -207,7 +207,7 @@
     /// How many hosts the pool must keep in service.
     pub budget: u32,
     /// The configuration in force.
-    pub config: Arc<ForceConfig>,
+    pub config: Arc<ActiveConfig>,
 }
 
 impl PoolParts {
--- a/crates/entry/src/admission/start_work.rs
+++ b/crates/entry/src/admission/start_work.rs
@@ -109,12 +109,12 @@
         }
         for team in self.waiting.keys() {
             if !waiting.contains_key(team) {
-                self.config.quotas.note_waiting(team, 0);
+                self.config.quotas.report_waiting(team, 0);
             }
         }
         for (team, count) in &waiting {
             if self.waiting.get(team) != Some(count) {
-                self.config.quotas.note_waiting(team, *count);
+                self.config.quotas.report_waiting(team, *count);
             }
         }
         self.waiting = waiting;
--- a/crates/entry/src/caller/job_routes.rs
+++ b/crates/entry/src/caller/job_routes.rs
@@ -2,7 +2,7 @@
 
 use hyper::{HeaderMap, Request, body::Incoming};
 use model::{JobId, ProblemKind, ServiceId};
-use ports::{ForceConfig, JobRequest};
+use ports::{ActiveConfig, JobRequest};
 
 use super::{
     body_reader::read_body,
@@ -57,7 +57,7 @@
 
 fn read_job(
     port: &CallerPort,
-    config: &ForceConfig,
+    config: &ActiveConfig,
     service: ServiceId,
     pass: &KeyPass,
     headers: &HeaderMap,
--- a/crates/entry/src/caller/key_check.rs
+++ b/crates/entry/src/caller/key_check.rs
@@ -2,7 +2,7 @@
 
 use hyper::Request;
 use model::{KeyText, ProblemKind, TeamId};
-use ports::ForceConfig;
+use ports::ActiveConfig;
 use subtle::ConstantTimeEq;
 use wire::state::KeyRecord;
 
@@ -20,7 +20,7 @@
 /// The team whose key came with a request.
 pub(super) fn check_caller<B>(
     port: &CallerPort,
-    config: &ForceConfig,
+    config: &ActiveConfig,
     request: &Request<B>,
 ) -> Result<KeyPass, CallerProblem> {
     let authorization = header_text(request.headers(), "authorization")?;
@@ -32,7 +32,7 @@
 /// The secret is compared as a salted digest in constant time, and an unknown key costs
 /// the same digest, so that answer times tell nothing of which key ids exist.
 fn check_key(
-    config: &ForceConfig,
+    config: &ActiveConfig,
     authorization: Option<&str>,
     unix_now: Duration,
 ) -> Result<KeyPass, CallerProblem> {
@@ -67,7 +67,7 @@
 ///
 /// A key withdrawn while its request is queued must not start it.
 pub(crate) fn key_stands(
-    config: &ForceConfig,
+    config: &ActiveConfig,
     team: &TeamId,
     stamp: &KeyStamp,
     unix_now: Duration,
--- a/crates/entry/src/caller/routes.rs
+++ b/crates/entry/src/caller/routes.rs
@@ -7,7 +7,7 @@
     header::{CONNECTION, HeaderValue},
 };
 use model::{BootTime, PoolId, ProblemKind, RequestId, ServiceId};
-use ports::{ForceConfig, NotServing};
+use ports::{ActiveConfig, NotServing};
 use serde::Serialize;
 
 use super::{
@@ -195,7 +195,7 @@
 
 fn find_pool(
     port: &CallerPort,
-    config: &ForceConfig,
+    config: &ActiveConfig,
     service: &ServiceId,
 ) -> Result<PoolId, CallerProblem> {
     let Some(spec) = config.manifest.services.get(service) else {
--- a/crates/entry/tests/support/entry_bench.rs
+++ b/crates/entry/tests/support/entry_bench.rs
@@ -4,7 +4,7 @@
 use crossbeam_channel::bounded;
 use entry::{EntryConfig, EntryServer, EntryTuning};
 use model::{Manifest, PoolSpec, ServeSettings, ServiceSpec, TeamSpec};
-use ports::{ForceConfig, MemberInfo, TargetHost};
+use ports::{ActiveConfig, MemberInfo, TargetHost};
 use sha2::{Digest, Sha256};
 use store::{BootClock, Clock};
 use wire::state::KeyRecord;
@@ -101,7 +101,7 @@
             .map(|(member, incarnation)| MemberInfo {
                 member: (*member).into(),
                 incarnation: *incarnation,
-                heard: true,
+                reachable: true,
                 ..MemberInfo::default()
             });
         let members = MemberStub {
@@ -148,7 +148,7 @@
     }
 
     /// Changes the configuration in force.
-    pub fn change(&self, edit: impl FnOnce(&mut ForceConfig)) {
+    pub fn change(&self, edit: impl FnOnce(&mut ActiveConfig)) {
         let mut config = self.config.0.load().as_ref().clone();
         edit(&mut config);
         self.config.0.store(Arc::new(config));
@@ -185,7 +185,7 @@
     }
 }
 
-fn force_config(pool: PoolSpec) -> ForceConfig {
+fn force_config(pool: PoolSpec) -> ActiveConfig {
     let mut manifest = Manifest::default();
     manifest.pools.insert(POOL.into(), pool);
     manifest.services.insert(
@@ -199,9 +199,9 @@
     manifest
         .teams
         .insert(OTHER_TEAM.into(), TeamSpec::default());
-    let mut config = ForceConfig {
+    let mut config = ActiveConfig {
         manifest,
-        ..ForceConfig::default()
+        ..ActiveConfig::default()
     };
     for record in [
         key_record("k1", "secret-one", TEAM, Duration::ZERO),
--- a/crates/entry/tests/support/port_stubs.rs
+++ b/crates/entry/tests/support/port_stubs.rs
@@ -12,7 +12,7 @@
 use model::{HostId, JobId, MemberId, PoolId, ServiceId, TeamId};
 use parking_lot::Mutex;
 use ports::{
-    ConfigSource, ForceConfig, InboundMessage, JobError, JobRequest, JobSink, JobView, LinkError,
+    ActiveConfig, ConfigSource, InboundMessage, JobError, JobRequest, JobSink, JobView, LinkError,
     MemberInfo, MemberSource, NotServing, PeerLink, PoolDemand, QuotaPermit, QuotaSource,
     ServingGate, SlotLease, SlotSource, TargetHost, TargetSlots, TargetSource, TargetState,
     TeamUse,
@@ -20,10 +20,10 @@
 use store::{BootClock, Clock};
 use wire::peer::envelope::Body;
 
-pub struct ConfigStub(pub ArcSwap<ForceConfig>);
+pub struct ConfigStub(pub ArcSwap<ActiveConfig>);
 
 impl ConfigSource for ConfigStub {
-    fn current(&self) -> Arc<ForceConfig> {
+    fn current(&self) -> Arc<ActiveConfig> {
         self.0.load_full()
     }
 }
@@ -134,7 +134,7 @@
         }))
     }
 
-    fn note_waiting(&self, team: &TeamId, waiting: u32) {
+    fn report_waiting(&self, team: &TeamId, waiting: u32) {
         self.waiting.lock().insert(team.clone(), waiting);
     }
 }
--- a/crates/fleet/examples/job_calls.rs
+++ b/crates/fleet/examples/job_calls.rs
@@ -31,7 +31,7 @@
 use memory_store::MemoryStore;
 use model::{HostRole, Incarnation, Manifest, MemberId, PoolSpec, ServiceSpec, StepError, TeamId};
 use ports::{
-    ConfigSource, ForceConfig, JobRequest, JobSink, MemberInfo, MemberSource, QuotaPermit,
+    ActiveConfig, ConfigSource, JobRequest, JobSink, MemberInfo, MemberSource, QuotaPermit,
     QuotaSource,
 };
 use store::{
@@ -144,11 +144,11 @@
 
 struct Surroundings {
     own: MemberId,
-    config: Arc<ForceConfig>,
+    config: Arc<ActiveConfig>,
 }
 
 impl ConfigSource for Surroundings {
-    fn current(&self) -> Arc<ForceConfig> {
+    fn current(&self) -> Arc<ActiveConfig> {
         Arc::clone(&self.config)
     }
 }
@@ -166,7 +166,7 @@
         let info = |index| MemberInfo {
             member: format!("e{index}").into(),
             incarnation: 1,
-            heard: true,
+            reachable: true,
             ..MemberInfo::default()
         };
         Arc::new((0..HOLDERS).map(info).collect())
@@ -178,7 +178,7 @@
         Some(QuotaPermit::new(|| {}))
     }
 
-    fn note_waiting(&self, _team: &TeamId, _waiting: u32) {}
+    fn report_waiting(&self, _team: &TeamId, _waiting: u32) {}
 }
 
 fn main() {
@@ -262,9 +262,9 @@
         ..ServiceSpec::default()
     };
     manifest.services.insert("code".into(), service);
-    let config = ForceConfig {
+    let config = ActiveConfig {
         manifest,
-        ..ForceConfig::default()
+        ..ActiveConfig::default()
     };
     let around = Arc::new(Surroundings {
         own: format!("e{index}").into(),
--- a/crates/fleet/src/duty_owner.rs
+++ b/crates/fleet/src/duty_owner.rs
@@ -7,6 +7,6 @@
 /// writes is guarded by compare-and-swap, so two waste work and break nothing.
 pub(crate) fn owns_duty(members: &dyn MemberSource, duty: &str) -> bool {
     let list = members.members();
-    let heard = list.iter().filter(|info| info.heard && !info.leaving);
+    let heard = list.iter().filter(|info| info.reachable && !info.leaving);
     rendezvous::holder(duty, heard.map(|info| &info.member)) == Some(&members.own_id())
 }
--- a/crates/fleet/src/fleet_audit.rs
+++ b/crates/fleet/src/fleet_audit.rs
@@ -1,5 +1,5 @@
 use decide::budget::{FleetMap, HostState};
-use ports::AuditNote;
+use ports::AuditRecord;
 use wire::fleet::FleetChange;
 
 use crate::{fleet_shared::FleetShared, map_store::MapSnapshot};
@@ -33,7 +33,7 @@
     }
 }
 
-fn notes_of(before: &FleetMap, change: &FleetChange) -> Vec<AuditNote> {
+fn notes_of(before: &FleetMap, change: &FleetChange) -> Vec<AuditRecord> {
     let moved = change.hosts.iter().map(|record| {
         let next = HostState::from_record(record);
         let was = before.hosts.get(record.host.as_str());
@@ -45,7 +45,7 @@
     });
     moved
         .chain(removed)
-        .map(|(host, difference)| AuditNote {
+        .map(|(host, difference)| AuditRecord {
             author: change.author.clone(),
             change_id: format!("fleet-{}-{host}", change.revision),
             subject: format!("host {host}"),
--- a/crates/fleet/src/job_keeper.rs
+++ b/crates/fleet/src/job_keeper.rs
@@ -148,12 +148,14 @@
         holder == self.holder_name()
             || members
                 .iter()
-                .any(|info| info.heard && name(&info.member, info.incarnation) == holder)
+                .any(|info| info.reachable && name(&info.member, info.incarnation) == holder)
     }
 
     fn has_duty(&self, log: &str) -> bool {
         let members = self.shared.members.members();
-        let heard = members.iter().filter(|info| info.heard && !info.leaving);
+        let heard = members
+            .iter()
+            .filter(|info| info.reachable && !info.leaving);
         let duty = format!("job-log/{log}");
         let holder = rendezvous::holder(&duty, heard.map(|info| &info.member));
         holder == Some(&self.shared.members.own_id())
--- a/crates/fleet/src/job_settle.rs
+++ b/crates/fleet/src/job_settle.rs
@@ -232,7 +232,7 @@
             let team = held.state.spec.team.clone();
             held.permit = self.shared.quota.try_take(&team);
             if held.permit.is_none() {
-                self.shared.quota.note_waiting(&team, 1);
+                self.shared.quota.report_waiting(&team, 1);
             }
         }
         held.permit.is_some()
--- a/crates/fleet/src/job_start.rs
+++ b/crates/fleet/src/job_start.rs
@@ -75,7 +75,7 @@
             let Some(permit) = self.shared.quota.try_take(team) else {
                 let waiting = self.queues.get(team).map_or(0, BTreeSet::len);
                 let waiting = u32::try_from(waiting).unwrap_or(u32::MAX);
-                self.shared.quota.note_waiting(team, waiting);
+                self.shared.quota.report_waiting(team, waiting);
                 return;
             };
             if let Some(held) = self.jobs.get_mut(&job) {
--- a/crates/fleet/src/worker_port.rs
+++ b/crates/fleet/src/worker_port.rs
@@ -121,19 +121,19 @@
         address: &str,
         path: &str,
         body: &B,
-    ) -> Result<(u16, bool, String), CallFault> {
-        let text = serde_json::to_string(body).map_err(|e| CallFault::Silent(e.to_string()))?;
+    ) -> Result<(u16, bool, String), CallError> {
+        let text = serde_json::to_string(body).map_err(|e| CallError::Silent(e.to_string()))?;
         let answer = self
             .agent
             .post(format!("http://{address}{path}"))
             .content_type("application/json")
             .send(text);
-        let mut answer = answer.map_err(CallFault::from)?;
+        let mut answer = answer.map_err(CallError::from)?;
         let not_run = answer.headers().get("Not-Run").is_some_and(|v| v == "true");
         let text = answer
             .body_mut()
             .read_to_string()
-            .map_err(CallFault::from)?;
+            .map_err(CallError::from)?;
         Ok((answer.status().as_u16(), not_run, text))
     }
 
@@ -181,7 +181,7 @@
             // that the life it was meant for did not run it either.
             Ok((409, ..)) if first => TaskSight::NotRun("its worker restarted".to_owned()),
             Ok((409, ..)) => TaskSight::Unknown,
-            Err(CallFault::Refused) if first => TaskSight::NotRun("connection refused".to_owned()),
+            Err(CallError::Refused) if first => TaskSight::NotRun("connection refused".to_owned()),
             _ => TaskSight::Silent,
         }
     }
@@ -261,14 +261,14 @@
 }
 
 /// Why a call brought no answer.
-enum CallFault {
+enum CallError {
     /// No connection was made.
     Refused,
     /// Anything else: the worker may have handled the call.
     Silent(String),
 }
 
-impl CallFault {
+impl CallError {
     fn text(self) -> String {
         match self {
             Self::Refused => "connection refused".to_owned(),
@@ -277,7 +277,7 @@
     }
 }
 
-impl From<ureq::Error> for CallFault {
+impl From<ureq::Error> for CallError {
     fn from(error: ureq::Error) -> Self {
         match &error {
             ureq::Error::Io(e) if e.kind() == ErrorKind::ConnectionRefused => Self::Refused,
--- a/crates/fleet/tests/common/fake_fleet.rs
+++ b/crates/fleet/tests/common/fake_fleet.rs
@@ -12,7 +12,7 @@
 use model::{HostId, HostRole, Incarnation, Manifest, MemberId, StepError, TeamId};
 use parking_lot::Mutex;
 use ports::{
-    AuditNote, AuditSink, ConfigSource, ForceConfig, MemberInfo, MemberSource, QuotaPermit,
+    ActiveConfig, AuditRecord, AuditSink, ConfigSource, MemberInfo, MemberSource, QuotaPermit,
     QuotaSource,
 };
 use store::{HostEntry, HostList, HostListError};
@@ -146,21 +146,21 @@
 }
 
 /// A configuration that the test sets.
-pub struct FixedConfig(pub Mutex<Arc<ForceConfig>>);
+pub struct FixedConfig(pub Mutex<Arc<ActiveConfig>>);
 
 impl FixedConfig {
     pub fn new(manifest: Manifest) -> Arc<Self> {
-        let config = ForceConfig {
+        let config = ActiveConfig {
             revision: 1,
             manifest,
-            ..ForceConfig::default()
+            ..ActiveConfig::default()
         };
         Arc::new(Self(Mutex::new(Arc::new(config))))
     }
 
     pub fn change(&self, f: impl FnOnce(&mut Manifest)) {
         let mut held = self.0.lock();
-        let mut config = ForceConfig::clone(&held);
+        let mut config = ActiveConfig::clone(&held);
         config.revision += 1;
         f(&mut config.manifest);
         *held = Arc::new(config);
@@ -168,7 +168,7 @@
 }
 
 impl ConfigSource for FixedConfig {
-    fn current(&self) -> Arc<ForceConfig> {
+    fn current(&self) -> Arc<ActiveConfig> {
         Arc::clone(&self.0.lock())
     }
 }
@@ -190,7 +190,7 @@
         let infos = names.map(|name| MemberInfo {
             member: (*name).into(),
             incarnation: 1,
-            heard: true,
+            reachable: true,
             ..MemberInfo::default()
         });
         Arc::new(Self {
@@ -204,7 +204,7 @@
         let mut list = self.list.lock();
         let mut infos = Vec::clone(&list);
         for info in infos.iter_mut().filter(|info| info.member == other) {
-            info.heard = false;
+            info.reachable = false;
         }
         *list = Arc::new(infos);
     }
@@ -226,10 +226,10 @@
 
 /// Keeps the notes that the audit trail would get.
 #[derive(Default)]
-pub struct NoteBook(pub Mutex<Vec<AuditNote>>);
+pub struct NoteBook(pub Mutex<Vec<AuditRecord>>);
 
 impl AuditSink for NoteBook {
-    fn record(&self, note: AuditNote) {
+    fn record(&self, note: AuditRecord) {
         self.0.lock().push(note);
     }
 }
@@ -242,5 +242,5 @@
         Some(QuotaPermit::new(|| {}))
     }
 
-    fn note_waiting(&self, _team: &TeamId, _waiting: u32) {}
+    fn report_waiting(&self, _team: &TeamId, _waiting: u32) {}
 }
--- a/crates/fleet/tests/common/job_scene.rs
+++ b/crates/fleet/tests/common/job_scene.rs
@@ -30,7 +30,7 @@
         }))
     }
 
-    fn note_waiting(&self, _team: &TeamId, _waiting: u32) {}
+    fn report_waiting(&self, _team: &TeamId, _waiting: u32) {}
 }
 
 /// Workers of one pool, and entry hosts that hold jobs for them.
--- a/crates/lacewingshore/src/command/status.rs
+++ b/crates/lacewingshore/src/command/status.rs
@@ -78,7 +78,7 @@
 fn print_members(view: &StatusView) {
     let mut table = TextTable::new(&["ENTRY HOST", "LIFE", "REVISION", "STATE"]);
     for member in &view.members {
-        let state = match (member.leaving, member.heard) {
+        let state = match (member.leaving, member.reachable) {
             (true, _) => "leaving",
             (false, true) => "heard",
             (false, false) => "silent",
--- a/crates/link/src/call_client.rs
+++ b/crates/link/src/call_client.rs
@@ -18,7 +18,7 @@
 use model::StepError;
 use tokio::{net::TcpStream, time::timeout_at};
 
-use crate::{CallFault, HttpCall, HttpReply};
+use crate::{CallError, HttpCall, HttpReply};
 
 /// Longest wait for a connection. Hosts are at most a few milliseconds apart; a lost opening
 /// packet is sent again after a second, and another connection is faster than that.
@@ -52,9 +52,9 @@
     /// Sends a call and waits for its whole answer.
     ///
     /// # Errors
-    /// [`CallFault::NotSent`] if the peer can't have seen the call, otherwise
-    /// [`CallFault::Unanswered`].
-    pub async fn call(&self, call: HttpCall) -> Result<HttpReply, CallFault> {
+    /// [`CallError::NotSent`] if the peer can't have seen the call, otherwise
+    /// [`CallError::Unanswered`].
+    pub async fn call(&self, call: HttpCall) -> Result<HttpReply, CallError> {
         let deadline = tokio::time::Instant::now() + call.timeout;
         let mut request = build_request(&call)?;
         while let Some(mut sender) = self.take_idle(&call.address) {
@@ -102,7 +102,7 @@
         call: &HttpCall,
         sender: RequestSender,
         response: hyper::Response<Incoming>,
-    ) -> Result<HttpReply, CallFault> {
+    ) -> Result<HttpReply, CallError> {
         let status = response.status().as_u16();
         let retry_after = response
             .headers()
@@ -123,7 +123,7 @@
     /// A large answer on a narrow link takes longer than any fixed timeout that is useful for a
     /// connection that went silent. Cut off at the same point each time, a list of keys would
     /// never be read; so the timeout counts from the last bytes that came.
-    async fn read_body(&self, call: &HttpCall, body: Incoming) -> Result<Bytes, CallFault> {
+    async fn read_body(&self, call: &HttpCall, body: Incoming) -> Result<Bytes, CallError> {
         let limit = tokio::time::Instant::now() + MAX_BODY_TIME;
         let mut body = Limited::new(body, MAX_RESPONSE_BYTES);
         let mut bytes = BytesMut::new();
@@ -153,13 +153,16 @@
         idle.entry(address.clone()).or_default().push(connection);
     }
 
-    fn timeout_error(&self, call: &HttpCall) -> CallFault {
+    fn timeout_error(&self, call: &HttpCall) -> CallError {
         self.drop_idle(&call.address);
         unanswered_error(call, "timed out")
     }
 }
 
-async fn connect(call: &HttpCall, deadline: tokio::time::Instant) -> Result<RequestSender, CallFault> {
+async fn connect(
+    call: &HttpCall,
+    deadline: tokio::time::Instant,
+) -> Result<RequestSender, CallError> {
     let limit = deadline.min(tokio::time::Instant::now() + CONNECT_TIMEOUT);
     let stream = match timeout_at(limit, TcpStream::connect(call.address.as_str())).await {
         Err(_) => return Err(not_sent_error(call, "timed out while connecting")),
@@ -170,7 +173,9 @@
         log::debug!("nodelay to {}: {error}", call.address);
     }
     let handshake = http1::handshake::<_, Full<Bytes>>(TokioIo::new(stream));
-    let (sender, connection) = handshake.await.map_err(|error| not_sent_error(call, error))?;
+    let (sender, connection) = handshake
+        .await
+        .map_err(|error| not_sent_error(call, error))?;
     tokio::task::spawn_local(async move {
         // The call that uses the connection reports the error.
         if let Err(error) = connection.await {
@@ -184,14 +189,14 @@
 ///
 /// A process that stood still finds its connection open when it goes on. What it was about to order
 /// has been overtaken by then, and nobody waits for the answer.
-fn check_deadline(call: &HttpCall, deadline: tokio::time::Instant) -> Result<(), CallFault> {
+fn check_deadline(call: &HttpCall, deadline: tokio::time::Instant) -> Result<(), CallError> {
     if tokio::time::Instant::now() >= deadline {
         return Err(not_sent_error(call, "held up until its time was over"));
     }
     Ok(())
 }
 
-fn build_request(call: &HttpCall) -> Result<Request<Full<Bytes>>, CallFault> {
+fn build_request(call: &HttpCall) -> Result<Request<Full<Bytes>>, CallError> {
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call
@@ -213,13 +218,13 @@
 fn not_sent_error(
     call: &HttpCall,
     cause: impl Into<Box<dyn std::error::Error + Send + Sync>>,
-) -> CallFault {
-    CallFault::NotSent(StepError::new(call.step, call.address.as_str(), cause))
+) -> CallError {
+    CallError::NotSent(StepError::new(call.step, call.address.as_str(), cause))
 }
 
 fn unanswered_error(
     call: &HttpCall,
     cause: impl Into<Box<dyn std::error::Error + Send + Sync>>,
-) -> CallFault {
-    CallFault::Unanswered(StepError::new(call.step, call.address.as_str(), cause))
+) -> CallError {
+    CallError::Unanswered(StepError::new(call.step, call.address.as_str(), cause))
 }
--- a/crates/link/src/http_call.rs
+++ b/crates/link/src/http_call.rs
@@ -85,7 +85,7 @@
 
 /// Why a call brought no answer.
 #[derive(Debug, thiserror::Error)]
-pub enum CallFault {
+pub enum CallError {
     /// The request can't have reached the peer: nothing was done.
     #[error("not sent: {0}")]
     NotSent(#[source] StepError),
--- a/crates/link/tests/calls.rs
+++ b/crates/link/tests/calls.rs
@@ -4,7 +4,7 @@
 
 use hyper::Method;
 use link::{
-    CallClient, CallFault, HttpCall, HttpReply, HttpRequest, HttpService, ReplyFuture,
+    CallClient, CallError, HttpCall, HttpReply, HttpRequest, HttpService, ReplyFuture,
     ServerLimits, ShutdownSignal, serve_http,
 };
 use tokio::{
@@ -88,7 +88,7 @@
 fn call_refused_is_not_sent() {
     run(async {
         let fault = CallClient::default().call(call(free_address(), b"")).await;
-        assert!(matches!(fault, Err(CallFault::NotSent(_))));
+        assert!(matches!(fault, Err(CallError::NotSent(_))));
     });
 }
 
@@ -105,7 +105,7 @@
         std::thread::sleep(Duration::from_millis(400));
         let outcome = asked.await;
         assert!(
-            matches!(outcome, Ok(Err(CallFault::NotSent(_)))),
+            matches!(outcome, Ok(Err(CallError::NotSent(_)))),
             "{outcome:?}"
         );
         sleep(Duration::from_millis(100)).await;
@@ -138,7 +138,7 @@
         let client = CallClient::default();
         assert!(client.call(call(address, b"")).await.is_ok());
         let silent = client.call(call(address, b"")).await;
-        assert!(matches!(silent, Err(CallFault::Unanswered(_))));
+        assert!(matches!(silent, Err(CallError::Unanswered(_))));
         let begun = Instant::now();
         assert!(client.call(call(address, b"")).await.is_ok());
         assert!(begun.elapsed() < Duration::from_millis(200));
@@ -190,7 +190,7 @@
         let address = serve_slowly(Duration::from_millis(100), 3).await;
         let begun = Instant::now();
         let reply = CallClient::default().call(call(address, b"")).await;
-        assert!(matches!(reply, Err(CallFault::Unanswered(_))));
+        assert!(matches!(reply, Err(CallError::Unanswered(_))));
         assert!(begun.elapsed() >= Duration::from_millis(600));
         assert!(begun.elapsed() < Duration::from_millis(1000));
     });
@@ -214,6 +214,6 @@
         assert_eq!(answered.get(), 1);
         sleep(Duration::from_millis(100)).await;
         let after = client.call(call(address, b"")).await;
-        assert!(matches!(after, Err(CallFault::NotSent(_))));
+        assert!(matches!(after, Err(CallError::NotSent(_))));
     });
 }
--- a/crates/member/examples/shared_state.rs
+++ b/crates/member/examples/shared_state.rs
@@ -109,7 +109,7 @@
         while held.len() < LIMIT && begin.elapsed() < Duration::from_secs(5) {
             held.extend(host.service.try_take(&team));
             let waiting = u32::try_from(LIMIT - held.len()).unwrap();
-            host.service.note_waiting(&team, waiting);
+            host.service.report_waiting(&team, waiting);
             if begin.elapsed() < Duration::from_secs(1) {
                 at_second = held.len();
             }
@@ -117,7 +117,7 @@
         }
         whole.push(begin.elapsed());
         usable.push(at_second * 100 / LIMIT);
-        host.service.note_waiting(&team, 0);
+        host.service.report_waiting(&team, 0);
     }
     usable.sort_unstable();
     let shifts = SHIFTS as f64;
@@ -151,10 +151,10 @@
                 let (running, _) = usage(host, &team);
                 if running < 8 {
                     held.extend(host.service.try_take(&team));
-                    host.service.note_waiting(&team, 8 - running);
+                    host.service.report_waiting(&team, 8 - running);
                     missing += 1;
                 } else {
-                    host.service.note_waiting(&team, 0);
+                    host.service.report_waiting(&team, 0);
                 }
             }
             thread::sleep(Duration::from_millis(2));
--- a/crates/member/src/config_holder.rs
+++ b/crates/member/src/config_holder.rs
@@ -7,7 +7,7 @@
 };
 use model::{Manifest, Revision, TeamId, event as log_event};
 use parking_lot::Mutex;
-use ports::ForceConfig;
+use ports::ActiveConfig;
 use prost::Message as _;
 use store::{KeyStore, StoreError};
 use wire::{
@@ -27,7 +27,7 @@
 /// Holds the configuration in force and only ever moves it forward.
 pub(crate) struct ConfigHolder {
     held: Mutex<HeldConfig>,
-    force: ArcSwap<ForceConfig>,
+    force: ArcSwap<ActiveConfig>,
 }
 
 #[derive(Default)]
@@ -45,7 +45,7 @@
     }
 
     /// The configuration in force.
-    pub(crate) fn force(&self) -> Arc<ForceConfig> {
+    pub(crate) fn force(&self) -> Arc<ActiveConfig> {
         self.force.load_full()
     }
 
@@ -166,7 +166,7 @@
     }
 
     /// Sections that this version can't read leave its manifest as it was; keys still follow.
-    fn in_force(&self, state: &ConfigState) -> ForceConfig {
+    fn in_force(&self, state: &ConfigState) -> ActiveConfig {
         let read = match state.sections.is_empty() {
             true => Ok(Manifest::default()),
             false => Manifest::from_sections(&state.sections),
@@ -178,7 +178,7 @@
             );
             self.force.load().manifest.clone()
         });
-        ForceConfig {
+        ActiveConfig {
             revision: state.revision,
             hash: state.hash,
             manifest,
--- a/crates/member/src/member_service.rs
+++ b/crates/member/src/member_service.rs
@@ -10,7 +10,7 @@
 use parking_lot::Mutex;
 use peer::BodyKind;
 use ports::{
-    ChangeError, ChangeOutcome, ChangeRequest, ChangeSink, ConfigSource, ForceConfig, MemberInfo,
+    ActiveConfig, ChangeError, ChangeOutcome, ChangeRequest, ChangeSink, ConfigSource, MemberInfo,
     MemberSource, MemberStatus, NotServing, QuotaPermit, QuotaSource, ServingGate, StatusSource,
     TeamStatus,
 };
@@ -121,7 +121,7 @@
 }
 
 impl ConfigSource for MemberService {
-    fn current(&self) -> Arc<ForceConfig> {
+    fn current(&self) -> Arc<ActiveConfig> {
         self.shared.holder.force()
     }
 }
@@ -131,7 +131,7 @@
         self.shared.quota.try_take_for(team, length)
     }
 
-    fn note_waiting(&self, team: &TeamId, waiting: u32) {
+    fn report_waiting(&self, team: &TeamId, waiting: u32) {
         self.shared.quota.note_waiting(team, waiting);
     }
 }
@@ -156,7 +156,7 @@
                 let view = lease.peers().get(&info.member);
                 view.map_or(0, |view| view.config_revision)
             },
-            heard: info.heard,
+            reachable: info.reachable,
             leaving: info.leaving,
         });
         status.collect()
--- a/crates/member/src/quota_book.rs
+++ b/crates/member/src/quota_book.rs
@@ -7,7 +7,7 @@
 };
 use model::{BootTime, Incarnation, MemberId, Revision, ServeSettings, TeamId};
 use parking_lot::Mutex;
-use ports::{ForceConfig, QuotaPermit, TeamStatus};
+use ports::{ActiveConfig, QuotaPermit, TeamStatus};
 
 /// Hands out units of the grants that this host holds.
 pub(crate) struct QuotaBook {
@@ -69,7 +69,7 @@
     }
 
     /// What operators see of the teams of `force`.
-    pub(crate) fn status(&self, force: &ForceConfig) -> Vec<TeamStatus> {
+    pub(crate) fn status(&self, force: &ActiveConfig) -> Vec<TeamStatus> {
         let machine = self.machine.lock();
         let teams = force.manifest.teams.iter().map(|(team, spec)| {
             let (running, granted) = machine.usage(team);
--- a/crates/member/src/quota_store_duty.rs
+++ b/crates/member/src/quota_store_duty.rs
@@ -3,7 +3,7 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError};
 use decide::quota::{QuotaAction, QuotaWrite, WriteOutcome};
 use model::{TeamId, event as log_event};
-use ports::AuditNote;
+use ports::AuditRecord;
 use prost::Message as _;
 use store::StoreError;
 use wire::state::QuotaRecord;
@@ -121,7 +121,7 @@
     let parts: Vec<String> = grants
         .map(|g| format!("{}#{}={}", g.member, g.incarnation, g.units))
         .collect();
-    shared.audit(AuditNote {
+    shared.audit(AuditRecord {
         author: shared.own.to_string(),
         change_id: format!("quota-{}-{version}", write.team),
         subject: format!("grant {}", write.team),
--- a/crates/member/src/shared_state.rs
+++ b/crates/member/src/shared_state.rs
@@ -14,7 +14,7 @@
 };
 use model::{BootTime, Incarnation, MemberId, event as log_event};
 use parking_lot::Mutex;
-use ports::{AuditNote, InboundMessage, MemberInfo, NotServing};
+use ports::{AuditRecord, InboundMessage, MemberInfo, NotServing};
 use store::{KeyStore, StoreError};
 use wire::state::{ConfigRecord, Member};
 
@@ -191,7 +191,7 @@
                 incarnation: member.incarnation,
                 caller_address: member.caller_address.clone(),
                 data_centre: member.data_centre.as_str().into(),
-                heard: is_own || heard_at.is_some_and(|at| now.saturating_sub(at) < length),
+                reachable: is_own || heard_at.is_some_and(|at| now.saturating_sub(at) < length),
                 leaving: if is_own {
                     self.is_leaving()
                 } else {
@@ -226,7 +226,7 @@
     }
 
     /// Notes something for the audit trail.
-    pub(crate) fn audit(&self, note: AuditNote) {
+    pub(crate) fn audit(&self, note: AuditRecord) {
         if let Some(sink) = &self.options.audit {
             sink.record(note);
         }
--- a/crates/member/src/store_duty.rs
+++ b/crates/member/src/store_duty.rs
@@ -5,7 +5,7 @@
     member::{ListRefusal, MemberList},
 };
 use model::{BootTime, Incarnation, MemberId, StepError, event as log_event};
-use ports::{AuditNote, PeerLink as _};
+use ports::{AuditRecord, PeerLink as _};
 use prost::Message as _;
 use store::{StoreError, StoreVersion};
 use wire::{
@@ -315,7 +315,7 @@
 
     /// Notes a change of the list for the audit trail.
     fn audit(&self, member: &MemberId, incarnation: Incarnation, change: &str, list: &MemberList) {
-        self.shared.audit(AuditNote {
+        self.shared.audit(AuditRecord {
             author: self.shared.own.to_string(),
             change_id: format!("members-{}", list.revision()),
             subject: format!("member {member}"),
--- a/crates/member/tests/quota_service.rs
+++ b/crates/member/tests/quota_service.rs
@@ -34,7 +34,7 @@
     await_that("the units are held", || {
         permits.extend(host.service.try_take(&team));
         let waiting = wanted - u32::try_from(permits.len()).unwrap();
-        host.service.note_waiting(&team, waiting);
+        host.service.report_waiting(&team, waiting);
         permits.len() == count
     });
     println!("{count} units after {:?}", begin.elapsed());
--- a/crates/peer/src/outbound_link.rs
+++ b/crates/peer/src/outbound_link.rs
@@ -86,7 +86,7 @@
     }
 
     /// Keeps `body` until the next message goes out.
-    pub(crate) fn send_along(&self, body: Body) {
+    pub(crate) fn send_with_next(&self, body: Body) {
         let mut waiting = self.waiting.lock();
         if WAITING_MAX <= waiting.len() {
             waiting.pop_front();
--- a/crates/peer/src/peer_node.rs
+++ b/crates/peer/src/peer_node.rs
@@ -206,10 +206,10 @@
         })
     }
 
-    fn send_along(&self, to: &MemberId, body: Body) -> Result<(), LinkError> {
+    fn send_with_next(&self, to: &MemberId, body: Body) -> Result<(), LinkError> {
         let links = self.links.read();
         let link = links.get(to).ok_or_else(|| LinkError::NoLink(to.clone()))?;
-        link.send_along(body);
+        link.send_with_next(body);
         Ok(())
     }
 
--- a/crates/ports/src/advice_port.rs
+++ b/crates/ports/src/advice_port.rs
@@ -18,7 +18,7 @@
     ///
     /// # Errors
     /// Why no advice came; asking again is harmless.
-    fn ask(
+    fn request_tickets(
         &self,
         step: &str,
         targets: Vec<HostId>,
--- a/crates/ports/src/audit.rs
+++ b/crates/ports/src/audit.rs
@@ -1,6 +1,6 @@
 /// Something that changed and that operators want to find in the audit trail.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AuditNote {
+pub struct AuditRecord {
     /// Who caused it: an administration key, or the id of an entry host.
     pub author: String,
     /// Id of the change; repeating it does not add an entry.
@@ -18,5 +18,5 @@
 /// Takes notes for the audit trail, which is written to the store in batches.
 pub trait AuditSink: Send + Sync {
     /// Queues the note and returns at once.
-    fn record(&self, note: AuditNote);
+    fn record(&self, note: AuditRecord);
 }
--- a/crates/ports/src/caller_desk.rs
+++ b/crates/ports/src/caller_service.rs
@@ -23,11 +23,11 @@
 
 /// What a caller wants.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CallerWish {
+pub enum CallerRequest {
     /// Hand a job in.
     Submit(JobId, JobPlan),
     /// See how far a job is.
-    Look(JobId),
+    Status(JobId),
     /// Cancel a job.
     Cancel(JobId),
     /// Count the jobs of the queue of which no task has started.
@@ -44,9 +44,9 @@
     /// Key that was presented; empty for none.
     pub key: CompactString,
     /// How long the caller waits.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// What it wants.
-    pub wish: CallerWish,
+    pub request: CallerRequest,
 }
 
 /// What a caller is told.
@@ -73,15 +73,15 @@
 }
 
 /// Answers callers.
-pub trait CallerDesk {
+pub trait CallerService {
     /// Splits a path into its queue's prefix and the job's id.
     ///
     /// Returns the length of the longest prefix that a queue of this host has, if any.
-    fn prefix_length(&self, host: &str, path: &str) -> Option<usize>;
+    fn queue_prefix_len(&self, host: &str, path: &str) -> Option<usize>;
     /// Answers one call.
     fn answer(&self, call: CallerCall) -> PortFuture<CallerAnswer>;
     /// Largest job that operators let callers hand in, in bytes of its text; 0 for no limit.
-    fn largest_body(&self) -> usize;
+    fn max_body_bytes(&self) -> usize;
     /// True while new connections are welcome.
     fn ready(&self) -> bool;
 }
--- a/crates/ports/src/config.rs
+++ b/crates/ports/src/config.rs
@@ -5,7 +5,7 @@
 
 /// The configuration in force on this entry host at one revision.
 #[derive(Clone, Debug, Default)]
-pub struct ForceConfig {
+pub struct ActiveConfig {
     /// Count of accepted changes.
     pub revision: Revision,
     /// Hash of all sections and keys.
@@ -21,5 +21,5 @@
 /// Where the other areas read the configuration in force.
 pub trait ConfigSource: Send + Sync {
     /// The configuration now; cheap enough to call for each request.
-    fn current(&self) -> Arc<ForceConfig>;
+    fn current(&self) -> Arc<ActiveConfig>;
 }
--- a/crates/ports/src/fleet_codec.rs
+++ b/crates/ports/src/fleet_codec.rs
@@ -6,20 +6,20 @@
 /// differ from platform to platform.
 pub trait FleetCodec {
     /// Key of what operators ask for.
-    fn terms_key(&self) -> &'static str;
+    fn policy_key(&self) -> &'static str;
     /// Prefix of all that operators write.
     fn operator_prefix(&self) -> &'static str;
     /// Prefix of the targets' entries; the rest of a key is the target's id.
     fn target_prefix(&self) -> &'static str;
     /// Number of the maintenance wave that a key holds; `None` if it holds none.
-    fn wave_of_key(&self, key: &str) -> Option<WaveId>;
+    fn parse_wave_key(&self, key: &str) -> Option<WaveId>;
     /// Key under which a wave's progress is shown, and what to write there.
     fn wave_status(&self, wave: WaveId, completed: bool) -> (String, Vec<u8>);
     /// Reads what operators ask for.
     ///
     /// # Errors
     /// What could not be read.
-    fn read_terms(&self, value: &[u8]) -> Result<FleetPolicy, String>;
+    fn read_policy(&self, value: &[u8]) -> Result<FleetPolicy, String>;
     /// Reads a wave.
     ///
     /// # Errors
--- a/crates/ports/src/lease_store.rs
+++ b/crates/ports/src/lease_store.rs
@@ -84,7 +84,7 @@
 
 /// Why a call brought nothing.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum StoreFault {
+pub enum StoreError {
     /// Nothing was done: the store refused the call, or it never left.
     #[error("store refused the call: {0}")]
     Refused(String),
@@ -102,23 +102,23 @@
 /// The platform's store, with leases and watches.
 pub trait LeaseStore {
     /// Reads one key; linearizable.
-    fn read(&self, key: &str) -> PortFuture<Result<Option<StoreItem>, StoreFault>>;
+    fn read(&self, key: &str) -> PortFuture<Result<Option<StoreItem>, StoreError>>;
     /// Reads a page of the keys below `prefix`, after a key; linearizable, but pages are no
     /// snapshot together.
-    fn list(&self, prefix: &str, after: &str) -> PortFuture<Result<StorePage, StoreFault>>;
+    fn list(&self, prefix: &str, after: &str) -> PortFuture<Result<StorePage, StoreError>>;
     /// Waits up to `patience` for changes below `prefix` after a revision.
     fn watch(
         &self,
         prefix: &str,
         after: StoreRevision,
         patience: Duration,
-    ) -> PortFuture<Result<StoreChanges, StoreFault>>;
+    ) -> PortFuture<Result<StoreChanges, StoreError>>;
     /// Makes a change.
-    fn change(&self, change: StoreChange) -> PortFuture<Result<StoreOutcome, StoreFault>>;
+    fn change(&self, change: StoreChange) -> PortFuture<Result<StoreOutcome, StoreError>>;
     /// Takes a lease.
-    fn take_lease(&self, length: Duration) -> PortFuture<Result<LeaseId, StoreFault>>;
+    fn take_lease(&self, length: Duration) -> PortFuture<Result<LeaseId, StoreError>>;
     /// Renews a lease from the arrival of the call on; false if it has ended.
-    fn renew_lease(&self, lease: LeaseId) -> PortFuture<Result<bool, StoreFault>>;
+    fn renew_lease(&self, lease: LeaseId) -> PortFuture<Result<bool, StoreError>>;
     /// Ends a lease and removes its keys.
-    fn end_lease(&self, lease: LeaseId) -> PortFuture<Result<(), StoreFault>>;
+    fn end_lease(&self, lease: LeaseId) -> PortFuture<Result<(), StoreError>>;
 }
--- a/crates/ports/src/lib.rs
+++ b/crates/ports/src/lib.rs
@@ -6,7 +6,7 @@
 
 mod advice_port;
 mod audit;
-mod caller_desk;
+mod caller_service;
 mod change;
 mod claim;
 mod config;
@@ -24,17 +24,17 @@
 mod target_port;
 
 pub use advice_port::{AdvicePort, AdviceTicket};
-pub use audit::{AuditNote, AuditSink};
-pub use caller_desk::{CallerAnswer, CallerCall, CallerDesk, CallerWish, JobProgress};
+pub use audit::{AuditRecord, AuditSink};
+pub use caller_service::{CallerAnswer, CallerCall, CallerRequest, CallerService, JobProgress};
 pub use change::{ChangeError, ChangeOutcome, ChangeRequest, ChangeSink};
 pub use claim::{ClaimSource, ClaimVerdict};
-pub use config::{ConfigSource, ForceConfig};
+pub use config::{ActiveConfig, ConfigSource};
 pub use fleet_codec::FleetCodec;
 pub use gate::{NotServing, ServingGate};
 pub use host_control::HostControl;
 pub use job::{JobError, JobRequest, JobSink, JobView};
 pub use lease_store::{
-    LeaseId, LeaseStore, PortFuture, StoreChange, StoreChanges, StoreEvent, StoreFault, StoreItem,
+    LeaseId, LeaseStore, PortFuture, StoreChange, StoreChanges, StoreError, StoreEvent, StoreItem,
     StoreOutcome, StorePage, StoreRevision, StoreWrite,
 };
 pub use link::{InboundMessage, LinkError, PeerLink};
--- a/crates/ports/src/link.rs
+++ b/crates/ports/src/link.rs
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     /// As for [`PeerLink::send`].
-    fn send_along(&self, to: &MemberId, body: Body) -> Result<(), LinkError> {
+    fn send_with_next(&self, to: &MemberId, body: Body) -> Result<(), LinkError> {
         self.send(to, body)
     }
     /// Members that a link exists to, self excluded.
--- a/crates/ports/src/member.rs
+++ b/crates/ports/src/member.rs
@@ -14,7 +14,7 @@
     /// Data centre that it stands in.
     pub data_centre: DataCentreId,
     /// True for this host itself, and for others heard within a lease length.
-    pub heard: bool,
+    pub reachable: bool,
     /// True while it shuts down gracefully.
     pub leaving: bool,
 }
--- a/crates/ports/src/quota.rs
+++ b/crates/ports/src/quota.rs
@@ -44,5 +44,5 @@
         self.try_take_for(team, Duration::MAX)
     }
     /// Says how many starts of `team` wait here for a unit, so that grants move to demand.
-    fn note_waiting(&self, team: &TeamId, waiting: u32);
+    fn report_waiting(&self, team: &TeamId, waiting: u32);
 }
--- a/crates/ports/src/status.rs
+++ b/crates/ports/src/status.rs
@@ -11,7 +11,8 @@
     /// Revision of the configuration in force there.
     pub config_revision: Revision,
     /// True if it was heard within a lease length.
-    pub heard: bool,
+    #[serde(rename = "heard")]
+    pub reachable: bool,
     /// True while it shuts down gracefully.
     pub leaving: bool,
 }
--- a/crates/ports/src/target_port.rs
+++ b/crates/ports/src/target_port.rs
@@ -12,7 +12,7 @@
     /// Stops a run.
     fn stop(&self, target: &TargetAddress, order: StopOrder) -> PortFuture<OrderAnswer>;
     /// Sets a run's share of time.
-    fn pace(&self, target: &TargetAddress, order: ThrottleOrder) -> PortFuture<OrderAnswer>;
+    fn throttle(&self, target: &TargetAddress, order: ThrottleOrder) -> PortFuture<OrderAnswer>;
     /// Renews and asks.
-    fn look(&self, target: &TargetAddress, order: PollOrder) -> PortFuture<PollAnswer>;
+    fn poll(&self, target: &TargetAddress, order: PollOrder) -> PortFuture<PollAnswer>;
 }
--- a/crates/share/src/pool_terms.rs
+++ b/crates/share/src/pool_terms.rs
@@ -2,10 +2,10 @@
 
 use decide::rendezvous;
 use model::{HostRole, MemberId, PoolId, TeamId};
-use ports::ForceConfig;
+use ports::ActiveConfig;
 
 /// The broker of each pool of executors, out of the members that are fit to be one.
-pub(crate) fn pool_owners(config: &ForceConfig, fit: &[MemberId]) -> BTreeMap<PoolId, MemberId> {
+pub(crate) fn pool_owners(config: &ActiveConfig, fit: &[MemberId]) -> BTreeMap<PoolId, MemberId> {
     let pools = config.manifest.pools.iter();
     let executors = pools.filter(|(_, spec)| spec.role == HostRole::Executor);
     executors
@@ -17,7 +17,7 @@
 }
 
 /// The share of each team.
-pub(crate) fn team_weights(config: &ForceConfig) -> BTreeMap<TeamId, f64> {
+pub(crate) fn team_weights(config: &ActiveConfig) -> BTreeMap<TeamId, f64> {
     let teams = config.manifest.teams.iter();
     teams
         .map(|(team, spec)| (team.clone(), f64::from(spec.share)))
--- a/crates/share/src/service.rs
+++ b/crates/share/src/service.rs
@@ -11,7 +11,7 @@
 use model::{BootTime, Incarnation, MemberId, PoolId, StepError, event as log_event};
 use parking_lot::{Mutex, RwLock};
 use ports::{
-    ConfigSource, ForceConfig, InboundMessage, MemberInfo, MemberSource, PeerLink, PoolDemand,
+    ActiveConfig, ConfigSource, InboundMessage, MemberInfo, MemberSource, PeerLink, PoolDemand,
     SlotLease, SlotSource, TargetSource, TargetState,
 };
 use store::Clock;
@@ -279,7 +279,7 @@
         let usable = || {
             members
                 .iter()
-                .filter(|member| member.heard && !member.leaving)
+                .filter(|member| member.reachable && !member.leaving)
         };
         let settled: Vec<MemberId> = usable()
             .filter(is_settled)
@@ -291,7 +291,7 @@
         usable().map(|member| member.member.clone()).collect()
     }
 
-    fn desk_pool(&self, config: &ForceConfig, pool: &PoolId) -> DeskPool {
+    fn desk_pool(&self, config: &ActiveConfig, pool: &PoolId) -> DeskPool {
         let slots = config.manifest.pools.get(pool).map_or(0, |spec| spec.slots);
         let targets = self.options.targets.pool_targets(pool);
         let serving = targets
@@ -358,7 +358,7 @@
     fn send(&self, to: &MemberId, body: Body, is_renewal: bool) {
         let link = &self.options.link;
         let sent = if is_renewal {
-            link.send_along(to, body)
+            link.send_with_next(to, body)
         } else {
             link.send(to, body)
         };
--- a/crates/share/tests/share_service.rs
+++ b/crates/share/tests/share_service.rs
@@ -13,7 +13,7 @@
 use model::{HostRole, Incarnation, MemberId, PoolId, PoolSpec, ServiceId, TeamSpec};
 use parking_lot::Mutex;
 use ports::{
-    ConfigSource, ForceConfig, InboundMessage, LinkError, MemberInfo, MemberSource, PeerLink,
+    ActiveConfig, ConfigSource, InboundMessage, LinkError, MemberInfo, MemberSource, PeerLink,
     PoolDemand, SlotSource, TargetHost, TargetSource, TargetState, TeamDemand,
 };
 use share::{ShareOptions, ShareService, ShareTimes};
@@ -79,10 +79,10 @@
     }
 }
 
-struct FixedConfig(Arc<ForceConfig>);
+struct FixedConfig(Arc<ActiveConfig>);
 
 impl ConfigSource for FixedConfig {
-    fn current(&self) -> Arc<ForceConfig> {
+    fn current(&self) -> Arc<ActiveConfig> {
         Arc::clone(&self.0)
     }
 }
@@ -115,13 +115,13 @@
     MemberInfo {
         member: format!("e{index}").into(),
         incarnation: 1,
-        heard: true,
+        reachable: true,
         ..MemberInfo::default()
     }
 }
 
 fn start_fleet(count: usize) -> Fleet {
-    let mut config = ForceConfig::default();
+    let mut config = ActiveConfig::default();
     for pool in POOLS {
         let spec = PoolSpec {
             role: HostRole::Executor,
