--- a/crates/cell/src/call_gate.rs
+++ b/crates/cell/src/call_limiter.rs
@@ -10,12 +10,12 @@
 use tokio::sync::oneshot;
 
 /// Lets an owner's calls to targets through, the most urgent first, as its budget admits them.
-pub(crate) struct CallGate {
+pub(crate) struct CallLimiter {
     budget: RefCell<CallBudget>,
     waiting: RefCell<BTreeMap<CallClass, VecDeque<oneshot::Sender<()>>>>,
 }
 
-impl CallGate {
+impl CallLimiter {
     pub(crate) fn new(bytes_per_second: f64) -> Rc<Self> {
         Rc::new(Self {
             budget: RefCell::new(CallBudget::new(bytes_per_second)),
@@ -24,13 +24,13 @@
     }
 
     /// Waits until a call may be sent.
-    pub(crate) async fn enter(self: &Rc<Self>, class: CallClass) -> CallPass {
-        if let Some(turn) = self.queue(class) {
+    pub(crate) async fn acquire(self: &Rc<Self>, class: CallClass) -> CallPermit {
+        if let Some(admitted) = self.begin_or_queue(class) {
             // The one that calls has counted this call.
-            let _ = turn.await;
+            let _ = admitted.await;
         }
-        CallPass {
-            gate: self.clone(),
+        CallPermit {
+            limiter: self.clone(),
             class,
             begun: BootClock.boot_now(),
             counted: true,
@@ -38,26 +38,26 @@
     }
 
     /// Counts a call that may be sent now, or queues it.
-    fn queue(&self, class: CallClass) -> Option<oneshot::Receiver<()>> {
+    fn begin_or_queue(&self, class: CallClass) -> Option<oneshot::Receiver<()>> {
         if self.budget.borrow().admits(class) {
             self.budget.borrow_mut().begin(class);
             return None;
         }
-        let (sender, turn) = oneshot::channel();
+        let (sender, admitted) = oneshot::channel();
         let mut waiting = self.waiting.borrow_mut();
         waiting.entry(class).or_default().push_back(sender);
-        Some(turn)
+        Some(admitted)
     }
 
     /// Lets those through that may be sent now.
-    fn call_next(&self) {
+    fn admit_waiting(&self) {
         let mut budget = self.budget.borrow_mut();
         for (&class, queue) in &mut *self.waiting.borrow_mut() {
             while budget.admits(class)
-                && let Some(turn) = queue.pop_front()
+                && let Some(admitted) = queue.pop_front()
             {
                 // Whoever waited may have gone.
-                if turn.send(()).is_ok() {
+                if admitted.send(()).is_ok() {
                     budget.begin(class);
                 }
             }
@@ -66,33 +66,33 @@
 }
 
 /// A call that is under way.
-pub(crate) struct CallPass {
-    gate: Rc<CallGate>,
+pub(crate) struct CallPermit {
+    limiter: Rc<CallLimiter>,
     class: CallClass,
     begun: BootTime,
     counted: bool,
 }
 
-impl CallPass {
+impl CallPermit {
     /// The target answers when it has something to tell; until then the link is free for others.
-    pub(crate) fn hold_back(&mut self) {
+    pub(crate) fn release_while_waiting(&mut self) {
         if std::mem::take(&mut self.counted) {
-            self.gate.budget.borrow_mut().release(self.class);
-            self.gate.call_next();
+            self.limiter.budget.borrow_mut().release(self.class);
+            self.limiter.admit_waiting();
         }
     }
 }
 
-impl Drop for CallPass {
+impl Drop for CallPermit {
     fn drop(&mut self) {
         if !self.counted {
             return;
         }
         let now = BootClock.boot_now();
         let took = now.saturating_sub(self.begun);
-        let mut budget = self.gate.budget.borrow_mut();
+        let mut budget = self.limiter.budget.borrow_mut();
         budget.end(self.class, took, now);
         drop(budget);
-        self.gate.call_next();
+        self.limiter.admit_waiting();
     }
 }
--- a/crates/cell/src/caller_front.rs
+++ b/crates/cell/src/caller_gateway.rs
@@ -13,70 +13,70 @@
 use wire::work::{AnswerKind, JobPhase, JobRecord, OwnerAnswer, OwnerCall, owner_call::Ask};
 
 use crate::{
-    cell_options::CellOptions, event, fleet_view::FleetView, kept_cancellation::CancellationKeeper,
-    member_book::MemberBook, metric, owner_desk, owner_view::OwnerView, peer_call::ask_owner,
-    peer_port::TermSlot,
+    cell_options::CellOptions, event, fleet_view::FleetView, member_directory::MemberDirectory,
+    metric, owner_service, owner_view::OwnerView, peer_call::call_peer, peer_service::CurrentTerm,
+    stored_cancellation::CancellationWriter,
 };
 
 /// Part of a caller's patience that is kept for its answer's way back.
 const ANSWER_MARGIN: Duration = Duration::from_millis(150);
 /// Time that an answer of the owner takes in most cases: the way there and one write of the
 /// log.
-const LEAST_PATIENCE: Duration = Duration::from_millis(50);
+const MIN_OWNER_TIMEOUT: Duration = Duration::from_millis(50);
 /// Longest wait for one answer of the owner before it is asked anew over a new connection:
 /// one that went silent would otherwise cost the caller all its time.
-const ASK_TIMEOUT: Duration = Duration::from_millis(700);
+const OWNER_CALL_TIMEOUT: Duration = Duration::from_millis(700);
 /// Part of that time that is left for the owner's answer on its way. An owner that has nothing to
 /// say yet says so before it: unanswered, a call may have taken effect, and its caller could not be
 /// told to come back.
-const ASK_MARGIN: Duration = Duration::from_millis(150);
+const OWNER_CALL_MARGIN: Duration = Duration::from_millis(150);
 /// Pause before the owner is asked again.
-const ASK_PAUSE: Duration = Duration::from_millis(20);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 /// The same while it is open whether the call took effect: only a successor or the end of a write
 /// can tell.
-const UNSURE_PAUSE: Duration = Duration::from_millis(100);
+const UNCONFIRMED_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Part of its patience for which a cancellation is left to the owner alone: an owner that is well
 /// records it in a tenth of this time.
-const OWNER_SHARE: Duration = Duration::from_millis(500);
+const CANCEL_OWNER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Patience of a caller that does not say how long it waits.
-const DEFAULT_PATIENCE: Duration = Duration::from_secs(3);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(3);
 /// Longest patience that is believed.
-const LONGEST_PATIENCE: Duration = Duration::from_secs(60);
+const MAX_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Answers callers, by asking the owner of the cell.
 #[derive(Clone)]
-pub(crate) struct CallerFront {
+pub(crate) struct CallerGateway {
     pub(crate) options: Rc<CellOptions>,
     pub(crate) view: Rc<FleetView>,
     pub(crate) owners: Rc<OwnerView>,
-    pub(crate) slot: TermSlot,
+    pub(crate) current_term: CurrentTerm,
     pub(crate) client: CallClient,
     pub(crate) draining: Rc<Cell<bool>>,
-    pub(crate) members: Rc<MemberBook>,
-    pub(crate) keeper: Rc<CancellationKeeper>,
+    pub(crate) members: Rc<MemberDirectory>,
+    pub(crate) cancellation_writer: Rc<CancellationWriter>,
 }
 
 /// What is known of one call on its way to the owner.
-struct AskState {
+struct OwnerCallState {
     deadline: Instant,
     begun: Instant,
     /// The last owner that did not answer: the call may have taken effect there.
-    unsure: Option<FencingToken>,
+    unanswered_by: Option<FencingToken>,
     owner: CompactString,
 }
 
-impl CallerService for CallerFront {
+impl CallerService for CallerGateway {
     fn queue_prefix_len(&self, host: &str, path: &str) -> Option<usize> {
         let terms = self.view.terms()?;
         Some(terms.queue_at(host, path)?.prefix.len())
     }
 
     fn answer(&self, call: CallerCall) -> PortFuture<CallerAnswer> {
-        let front = self.clone();
+        let gateway = self.clone();
         Box::pin(async move {
             let begun = Instant::now();
-            let (answer, owner) = front.serve(&call).await;
-            front.note(&call, &answer, &owner, begun);
+            let (answer, owner) = gateway.handle(&call).await;
+            gateway.log_call(&call, &answer, &owner, begun);
             answer
         })
     }
@@ -90,18 +90,18 @@
     }
 }
 
-impl CallerFront {
-    async fn serve(&self, call: &CallerCall) -> (CallerAnswer, CompactString) {
-        let unasked = |answer| (answer, CompactString::default());
+impl CallerGateway {
+    async fn handle(&self, call: &CallerCall) -> (CallerAnswer, CompactString) {
+        let without_owner = |answer| (answer, CompactString::default());
         let Some(terms) = self.view.terms() else {
-            return unasked(CallerAnswer::Refused(self.options.retry_after));
+            return without_owner(CallerAnswer::Refused(self.options.retry_after));
         };
         let Some(queue) = terms.queue_at(&call.host, &call.path) else {
-            return unasked(CallerAnswer::NoQueue);
+            return without_owner(CallerAnswer::NoQueue);
         };
         let workspace = terms.workspace_of_key(&call.key);
         if workspace.is_none() && !queue.public {
-            return unasked(CallerAnswer::KeyRefused);
+            return without_owner(CallerAnswer::KeyRefused);
         }
         let workspace = workspace
             .map(|space| space.name.clone())
@@ -109,18 +109,18 @@
         let ask = match &call.request {
             CallerRequest::Submit(job, plan) => {
                 if let Err(fault) = plan.check() {
-                    return unasked(CallerAnswer::Invalid(fault.to_string()));
+                    return without_owner(CallerAnswer::Invalid(fault.to_string()));
                 }
-                Ask::Submit(self.record(job, plan, queue, &workspace))
+                Ask::Submit(self.job_record(job, plan, queue, &workspace))
             }
             CallerRequest::Status(job) => Ask::Look(job.to_string()),
-            CallerRequest::Cancel(job) => return self.follow_cancel(job, call.timeout).await,
+            CallerRequest::Cancel(job) => return self.cancel_detached(job, call.timeout).await,
             CallerRequest::Pending => Ask::Pending(queue.name.to_string()),
         };
-        self.ask(ask, call.timeout).await
+        self.ask_owner(ask, call.timeout).await
     }
 
-    fn record(
+    fn job_record(
         &self,
         job: &str,
         plan: &JobPlan,
@@ -139,11 +139,11 @@
     }
 
     /// Cancels a job, to the end whether or not the caller stays.
-    async fn follow_cancel(&self, job: &str, patience: Duration) -> (CallerAnswer, CompactString) {
-        let (front, job) = (self.clone(), job.to_owned());
-        let followed =
-            tokio::task::spawn_local(async move { front.cancel(&job, patience).await }).await;
-        followed.unwrap_or((CallerAnswer::Unknown, CompactString::default()))
+    async fn cancel_detached(&self, job: &str, timeout: Duration) -> (CallerAnswer, CompactString) {
+        let (gateway, job) = (self.clone(), job.to_owned());
+        let task =
+            tokio::task::spawn_local(async move { gateway.cancel_job(&job, timeout).await }).await;
+        task.unwrap_or((CallerAnswer::Unknown, CompactString::default()))
     }
 
     /// Cancels a job: through the owner, or where none records that soon, in the store, where the
@@ -151,57 +151,59 @@
     ///
     /// Told to come back while nobody owns the cell, a caller would see its job started after
     /// the time in which a cancellation has to be in force.
-    async fn cancel(&self, job: &str, patience: Duration) -> (CallerAnswer, CompactString) {
-        let end = Instant::now() + patience_of(patience).saturating_sub(ANSWER_MARGIN);
+    async fn cancel_job(&self, job: &str, timeout: Duration) -> (CallerAnswer, CompactString) {
+        let end = Instant::now() + effective_timeout(timeout).saturating_sub(ANSWER_MARGIN);
         let ask = Ask::Cancel(job.to_owned());
-        let (answer, owner) = self.ask(ask, OWNER_SHARE.min(patience_of(patience))).await;
+        let (answer, owner) = self
+            .ask_owner(ask, CANCEL_OWNER_TIMEOUT.min(effective_timeout(timeout)))
+            .await;
         if !matches!(answer, CallerAnswer::Refused(_) | CallerAnswer::Unknown) {
             return (answer, owner);
         }
-        let kept = timeout_at(end, self.keeper.keep(job)).await;
+        let kept = timeout_at(end, self.cancellation_writer.persist(job)).await;
         if matches!(kept, Ok(Ok(()))) {
             return (CallerAnswer::Found(JobProgress::Cancelled), owner);
         }
         log::debug!("keep the cancellation of {job}: {kept:?}");
         // It is tried on, so that it may yet be in force.
-        self.keeper.keep_later(job);
+        self.cancellation_writer.persist_with_retry(job);
         (CallerAnswer::Unknown, owner)
     }
 
     /// Asks the owner, whoever that is by then, until it answers or the caller has to be told
     /// something. Asking again is harmless: ids make all calls idempotent.
-    async fn ask(&self, ask: Ask, patience: Duration) -> (CallerAnswer, CompactString) {
-        let patience = patience_of(patience);
+    async fn ask_owner(&self, ask: Ask, timeout: Duration) -> (CallerAnswer, CompactString) {
+        let timeout = effective_timeout(timeout);
         let begun = Instant::now();
-        if patience < ANSWER_MARGIN + LEAST_PATIENCE {
+        if timeout < ANSWER_MARGIN + MIN_OWNER_TIMEOUT {
             // Asking would leave open whether it was recorded, for an answer that comes too late.
             return (
                 CallerAnswer::Refused(self.options.retry_after),
                 CompactString::default(),
             );
         }
-        let mut state = AskState {
-            deadline: begun + patience.saturating_sub(ANSWER_MARGIN),
+        let mut state = OwnerCallState {
+            deadline: begun + timeout.saturating_sub(ANSWER_MARGIN),
             begun,
-            unsure: None,
+            unanswered_by: None,
             owner: CompactString::default(),
         };
         loop {
-            if let Some(answer) = self.ask_once(&ask, &mut state).await {
+            if let Some(answer) = self.ask_owner_once(&ask, &mut state).await {
                 return (answer, state.owner);
             }
             self.members.find_owner(&self.owners).await;
             let now = Instant::now();
             let waited = now.duration_since(state.begun);
-            if state.unsure.is_none() && waited >= self.options.owner_patience {
+            if state.unanswered_by.is_none() && waited >= self.options.owner_timeout {
                 return (CallerAnswer::Refused(self.options.retry_after), state.owner);
             }
-            if now + ASK_PAUSE >= state.deadline {
+            if now + RETRY_DELAY >= state.deadline {
                 return (CallerAnswer::Unknown, state.owner);
             }
-            let pause = match state.unsure {
-                Some(_) => UNSURE_PAUSE,
-                None => ASK_PAUSE,
+            let pause = match state.unanswered_by {
+                Some(_) => UNCONFIRMED_RETRY_DELAY,
+                None => RETRY_DELAY,
             };
             // A new owner is asked at once.
             let _ = timeout_at(now + pause, self.owners.changed.notified()).await;
@@ -209,23 +211,23 @@
     }
 
     /// Asks once; `None` if there is no answer to give yet.
-    async fn ask_once(&self, ask: &Ask, state: &mut AskState) -> Option<CallerAnswer> {
+    async fn ask_owner_once(&self, ask: &Ask, state: &mut OwnerCallState) -> Option<CallerAnswer> {
         let left = state.deadline.saturating_duration_since(Instant::now());
-        let own = self.slot.borrow().clone();
+        let own = self.current_term.borrow().clone();
         if let Some(term) = own.filter(|term| !term.is_over()) {
             state.owner = self.options.member.clone();
-            let answer = owner_desk::answer_call(&term, call_of(ask, term.token, left)).await;
-            return self.read_answer(&answer, term.token, state);
+            let answer = owner_service::handle_call(&term, owner_call(ask, term.token, left)).await;
+            return self.caller_answer(&answer, term.token, state);
         }
         let owner = self.owners.owner()?;
         if owner.member == self.options.member || owner.address.is_empty() {
             return None;
         }
         state.owner = owner.member.clone();
-        let timeout = ASK_TIMEOUT.min(left);
-        let call = call_of(ask, owner.token, timeout.saturating_sub(ASK_MARGIN));
-        match ask_owner(&self.client, &owner.address, &call, timeout).await {
-            Ok(answer) => self.read_answer(&answer, owner.token, state),
+        let timeout = OWNER_CALL_TIMEOUT.min(left);
+        let call = owner_call(ask, owner.token, timeout.saturating_sub(OWNER_CALL_MARGIN));
+        match call_peer(&self.client, &owner.address, &call, timeout).await {
+            Ok(answer) => self.caller_answer(&answer, owner.token, state),
             Err(CallError::NotSent(error)) => {
                 log::debug!("{error}");
                 None
@@ -233,7 +235,7 @@
             Err(CallError::Unanswered(error)) => {
                 log::debug!("{error}");
                 if matches!(ask, Ask::Submit(_) | Ask::Cancel(_)) {
-                    state.unsure = Some(owner.token);
+                    state.unanswered_by = Some(owner.token);
                 }
                 None
             }
@@ -244,23 +246,23 @@
     ///
     /// An owner has read all that earlier ones recorded, and they record nothing more. So what it
     /// refuses none of them has recorded, though one did not answer.
-    fn read_answer(
+    fn caller_answer(
         &self,
         answer: &OwnerAnswer,
         asked: FencingToken,
-        state: &mut AskState,
+        state: &mut OwnerCallState,
     ) -> Option<CallerAnswer> {
         match answer.kind() {
             AnswerKind::NotOwner => None,
             AnswerKind::Accepted => Some(CallerAnswer::Accepted),
-            AnswerKind::Found => Some(CallerAnswer::Found(progress_of(answer.phase()))),
+            AnswerKind::Found => Some(CallerAnswer::Found(job_progress(answer.phase()))),
             AnswerKind::Counted => Some(CallerAnswer::Counted(answer.pending)),
             AnswerKind::NotFound => Some(CallerAnswer::NoJob),
             // A call that it has not answered may yet reach it.
             AnswerKind::Refused
                 if state
-                    .unsure
-                    .is_some_and(|unsure| answer.owner_token <= unsure) =>
+                    .unanswered_by
+                    .is_some_and(|unanswered_by| answer.owner_token <= unanswered_by) =>
             {
                 None
             }
@@ -269,23 +271,23 @@
                 Some(CallerAnswer::Refused(wait))
             }
             AnswerKind::Unknown => {
-                state.unsure = Some(asked);
+                state.unanswered_by = Some(asked);
                 None
             }
         }
     }
 
-    fn note(&self, call: &CallerCall, answer: &CallerAnswer, owner: &str, begun: Instant) {
+    fn log_call(&self, call: &CallerCall, answer: &CallerAnswer, owner: &str, begun: Instant) {
         let (wish, job) = match &call.request {
             CallerRequest::Submit(job, _) => ("submit", job.as_str()),
             CallerRequest::Status(job) => ("look", job.as_str()),
             CallerRequest::Cancel(job) => ("cancel", job.as_str()),
             CallerRequest::Pending => ("pending", ""),
         };
-        let (name, refused) = name_of(answer);
+        let (name, refused) = answer_name(answer);
         let took = begun.elapsed();
         metrics::counter!(metric::CALLS, "wish" => wish, "answer" => name).increment(1);
-        metric::time(metric::CALL_SECONDS, took);
+        metric::record_duration(metric::CALL_SECONDS, took);
         let revision = self
             .view
             .terms()
@@ -304,24 +306,24 @@
     }
 }
 
-fn call_of(ask: &Ask, token: FencingToken, patience: Duration) -> OwnerCall {
+fn owner_call(ask: &Ask, token: FencingToken, timeout: Duration) -> OwnerCall {
     OwnerCall {
         ask: Some(ask.clone()),
         token,
-        patience_ms: u64::try_from(patience.as_millis()).unwrap_or(u64::MAX),
+        patience_ms: u64::try_from(timeout.as_millis()).unwrap_or(u64::MAX),
     }
 }
 
 /// How long a caller is taken to wait.
-fn patience_of(asked: Duration) -> Duration {
+fn effective_timeout(asked: Duration) -> Duration {
     if asked.is_zero() {
-        DEFAULT_PATIENCE
+        DEFAULT_TIMEOUT
     } else {
-        asked.min(LONGEST_PATIENCE)
+        asked.min(MAX_TIMEOUT)
     }
 }
 
-fn name_of(answer: &CallerAnswer) -> (&'static str, bool) {
+fn answer_name(answer: &CallerAnswer) -> (&'static str, bool) {
     match answer {
         CallerAnswer::Accepted => ("accepted", false),
         CallerAnswer::Found(JobProgress::Queued) => ("queued", false),
@@ -339,7 +341,7 @@
     }
 }
 
-fn progress_of(phase: JobPhase) -> JobProgress {
+fn job_progress(phase: JobPhase) -> JobProgress {
     match phase {
         JobPhase::Queued => JobProgress::Queued,
         JobPhase::Running => JobProgress::Running,
--- a/crates/cell/src/cell_host.rs
+++ b/crates/cell/src/cell_host.rs
@@ -11,20 +11,20 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 use crate::{
-    caller_front::CallerFront,
+    caller_gateway::CallerGateway,
     cell_options::CellOptions,
     cell_ports::CellPorts,
     election::Candidate,
+    election_promise::ElectionPromise,
     event,
     fleet_view::FleetView,
-    kept_cancellation::CancellationKeeper,
-    member_book::MemberBook,
-    metrics_port::MetricsPort,
+    member_directory::MemberDirectory,
+    metrics_service::MetricsService,
     owner_view::OwnerView,
-    peer_port::{PeerPort, TermSlot},
+    peer_service::{CurrentTerm, PeerService},
     prefix_watch::watch_prefix,
-    stand_pledge::StandPledge,
-    term::TermParts,
+    stored_cancellation::CancellationWriter,
+    term::TermContext,
 };
 
 /// How often samples of histograms are folded into their distributions; until then each takes
@@ -37,11 +37,11 @@
     ports: CellPorts,
     view: Rc<FleetView>,
     owners: Rc<OwnerView>,
-    slot: TermSlot,
+    current_term: CurrentTerm,
     client: CallClient,
-    members: Rc<MemberBook>,
-    pledge: Rc<StandPledge>,
-    keeper: Rc<CancellationKeeper>,
+    members: Rc<MemberDirectory>,
+    promise: Rc<ElectionPromise>,
+    cancellation_writer: Rc<CancellationWriter>,
     /// Begins when connections are to finish.
     stopping: ShutdownSignal,
     /// Begins when the process no longer stands for election.
@@ -55,16 +55,16 @@
     pub fn new(options: CellOptions, ports: CellPorts, client: CallClient) -> Self {
         let owners = OwnerView::new(options.owner_key());
         let options = Rc::new(options);
-        let keeper = CancellationKeeper::new(ports.store.clone(), options.clone());
+        let cancellation_writer = CancellationWriter::new(ports.store.clone(), options.clone());
         Self {
-            keeper: Rc::new(keeper),
+            cancellation_writer: Rc::new(cancellation_writer),
             view: Rc::new(FleetView::new(ports.codec.clone())),
             owners: Rc::new(owners),
-            members: Rc::new(MemberBook::new(options.clone(), client.clone())),
+            members: Rc::new(MemberDirectory::new(options.clone(), client.clone())),
             options,
             ports,
-            slot: Rc::new(RefCell::new(None)),
-            pledge: Rc::default(),
+            current_term: Rc::new(RefCell::new(None)),
+            promise: Rc::default(),
             client,
             stopping: ShutdownSignal::default(),
             retired: ShutdownSignal::default(),
@@ -73,16 +73,16 @@
     }
 
     /// Answers callers; for the platform's server of the callers' protocol.
-    pub fn desk(&self) -> Rc<dyn CallerService> {
-        Rc::new(CallerFront {
+    pub fn service(&self) -> Rc<dyn CallerService> {
+        Rc::new(CallerGateway {
             options: self.options.clone(),
             view: self.view.clone(),
             owners: self.owners.clone(),
-            slot: self.slot.clone(),
+            current_term: self.current_term.clone(),
             client: self.client.clone(),
             draining: self.draining.clone(),
             members: self.members.clone(),
-            keeper: self.keeper.clone(),
+            cancellation_writer: self.cancellation_writer.clone(),
         })
     }
 
@@ -101,48 +101,51 @@
             ),
         );
         self.watch();
-        let keeping = self.members.clone().keep(self.ports.store.clone());
-        tokio::task::spawn_local(keeping);
-        let following = self.members.clone().follow(self.ports.store.clone());
+        let registering = self
+            .members
+            .clone()
+            .keep_registered(self.ports.store.clone());
+        tokio::task::spawn_local(registering);
+        let following = self.members.clone().watch_entries(self.ports.store.clone());
         tokio::task::spawn_local(following);
         self.serve(metrics);
         let candidate = Candidate {
-            parts: TermParts {
+            context: TermContext {
                 options: self.options.clone(),
                 ports: self.ports.clone(),
                 view: self.view.clone(),
                 members: self.members.clone(),
-                copy: Rc::default(),
+                log_cache: Rc::default(),
             },
             owners: self.owners.clone(),
-            slot: self.slot.clone(),
+            current_term: self.current_term.clone(),
             stopping: self.retired.clone(),
-            pledge: self.pledge.clone(),
-            aside_until: Cell::default(),
+            promise: self.promise.clone(),
+            campaign_not_before: Cell::default(),
         };
-        tokio::task::spawn_local(candidate.stand());
+        tokio::task::spawn_local(candidate.campaign());
     }
 
     /// Shuts down: new callers are led elsewhere, ownership is handed over, connections end
     /// with the answers that they carry. Returns when `served` has and all cancellations are kept
     /// that the store could not take, or at the limit.
     pub async fn stop(&self, served: impl Future<Output = ()>) {
-        let deadline = Instant::now() + self.options.stop_limit;
+        let deadline = Instant::now() + self.options.stop_timeout;
         log_event::info(
             &event::CELL_STOPPING,
             format_args!("member={}", self.options.member),
         );
         self.draining.set(true);
-        let term = self.slot.borrow().clone();
+        let term = self.current_term.borrow().clone();
         self.retired.begin();
         if let Some(term) = term {
             term.hand_over().await;
         }
-        sleep(self.options.drain_wait).await;
+        sleep(self.options.drain_period).await;
         self.stopping.begin();
         let settled = async {
             served.await;
-            self.keeper.settle().await;
+            self.cancellation_writer.flush().await;
         };
         let cut = timeout_at(deadline, settled).await.is_err();
         log_event::info(
@@ -153,25 +156,25 @@
 
     fn watch(&self) {
         let (store, view) = (self.ports.store.clone(), self.view.clone());
-        let patience = self.options.watch_patience;
+        let timeout = self.options.watch_timeout;
         let prefix = self.ports.codec.operator_prefix();
         tokio::task::spawn_local(async move {
-            watch_prefix(store, prefix, patience, &*view).await;
+            watch_prefix(store, prefix, timeout, &*view).await;
         });
         let (store, owners) = (self.ports.store.clone(), self.owners.clone());
         let key = self.options.owner_key();
         tokio::task::spawn_local(async move {
-            watch_prefix(store, &key, patience, &*owners).await;
+            watch_prefix(store, &key, timeout, &*owners).await;
         });
     }
 
     fn serve(&self, metrics: PrometheusHandle) {
-        let peers = Rc::new(PeerPort {
-            slot: self.slot.clone(),
+        let peers = Rc::new(PeerService {
+            current_term: self.current_term.clone(),
             owners: self.owners.clone(),
             store: self.ports.store.clone(),
             owner_key: self.options.owner_key(),
-            pledge: self.pledge.clone(),
+            promise: self.promise.clone(),
         });
         // Peers go on being answered until the process ends: their callers wait.
         let (address, never) = (self.options.peer_address, ShutdownSignal::default());
@@ -182,7 +185,7 @@
         let upkeep = metrics.clone();
         let (address, never) = (self.options.metrics_address, ShutdownSignal::default());
         tokio::task::spawn_local(async move {
-            let service = MetricsPort::service(metrics);
+            let service = MetricsService::service(metrics);
             let served = serve_http(address, service, ServerLimits::default(), never).await;
             report("serve metrics", address.to_string(), served);
         });
--- a/crates/cell/src/cell_options.rs
+++ b/crates/cell/src/cell_options.rs
@@ -4,7 +4,7 @@
 use decide::work::DeskTuning;
 use model::MemberId;
 
-use crate::host_strength::HostLimits;
+use crate::host_limits::HostLimits;
 
 /// What one process of a cell is told of its surroundings, and the times that it works with.
 #[derive(Clone, Debug)]
@@ -22,19 +22,19 @@
     /// lost owners were worth 0.01 less with a lease of 1.5 s; the platform allows no less than 1 s.
     pub owner_lease: Duration,
     /// How often the lease is renewed; three renewals may fail before it lapses.
-    pub renew_every: Duration,
+    pub renew_interval: Duration,
     /// How long a watch waits for changes. A connection that went silent is noticed this
-    /// time and `watch_slack` later, which has to be below the time that a stable process has
+    /// time and `watch_margin` later, which has to be below the time that a stable process has
     /// to put a change of the terms in force.
-    pub watch_patience: Duration,
+    pub watch_timeout: Duration,
     /// What a watch may take beyond its patience.
-    pub watch_slack: Duration,
+    pub watch_margin: Duration,
     /// Longest time between two writes of the job log while nobody waits for one. Longer saves
     /// calls to the store, of which each is paid for; ends are only observed after it.
-    pub record_pause: Duration,
+    pub max_record_delay: Duration,
     /// How long a caller is kept waiting before it is told to come back while nobody owns the
     /// cell. Beyond a short time it serves the caller better to know.
-    pub owner_patience: Duration,
+    pub owner_timeout: Duration,
     /// When a caller that was refused may come back: an election with its lapse takes about
     /// as long.
     pub retry_after: Duration,
@@ -42,13 +42,13 @@
     /// a host alone for that long after an order of its predecessor.
     pub host_order_pause: Duration,
     /// How long a shutdown waits until callers have been led elsewhere.
-    pub drain_wait: Duration,
+    pub drain_period: Duration,
     /// Longest time for a shutdown; the platform kills the process a little later.
-    pub stop_limit: Duration,
+    pub stop_timeout: Duration,
     /// What this process may use; strong processes stand for election first.
     pub limits: HostLimits,
     /// What the owner decides with.
-    pub desk: DeskTuning,
+    pub scheduler: DeskTuning,
 }
 
 impl CellOptions {
@@ -60,17 +60,17 @@
             metrics_address,
             key_prefix: "cell/".into(),
             owner_lease: Duration::from_millis(1100),
-            renew_every: Duration::from_millis(280),
-            watch_patience: Duration::from_millis(1500),
-            watch_slack: Duration::from_millis(500),
-            record_pause: Duration::from_millis(80),
-            owner_patience: Duration::from_millis(150),
+            renew_interval: Duration::from_millis(280),
+            watch_timeout: Duration::from_millis(1500),
+            watch_margin: Duration::from_millis(500),
+            max_record_delay: Duration::from_millis(80),
+            owner_timeout: Duration::from_millis(150),
             retry_after: Duration::from_secs(1),
             host_order_pause: Duration::from_secs(3),
-            drain_wait: Duration::from_millis(2200),
-            stop_limit: Duration::from_millis(5200),
+            drain_period: Duration::from_millis(2200),
+            stop_timeout: Duration::from_millis(5200),
             limits: HostLimits::default(),
-            desk: DeskTuning::default(),
+            scheduler: DeskTuning::default(),
         }
     }
 
--- a/crates/cell/src/dependency_note.rs
+++ b/crates/cell/src/dependency_logger.rs
@@ -7,17 +7,17 @@
 
 /// Writes one line when a dependency is lost and one when it is back, not one a call.
 #[derive(Debug, Default)]
-pub(crate) struct DependencyNote {
-    lost: Cell<Option<BootTime>>,
+pub(crate) struct DependencyLogger {
+    lost_at: Cell<Option<BootTime>>,
 }
 
-impl DependencyNote {
+impl DependencyLogger {
     /// A call failed.
-    pub(crate) fn failed(&self, step: &str, prefix: &str, cause: &dyn Display) {
-        if self.lost.get().is_some() {
+    pub(crate) fn log_failed(&self, step: &str, prefix: &str, cause: &dyn Display) {
+        if self.lost_at.get().is_some() {
             return;
         }
-        self.lost.set(Some(BootClock.boot_now()));
+        self.lost_at.set(Some(BootClock.boot_now()));
         log_event::warn(
             &event::STORE_LOST,
             format_args!("step=\"{step} {prefix}\" cause=\"{cause}\""),
@@ -25,11 +25,11 @@
     }
 
     /// A call was answered.
-    pub(crate) fn answered(&self, step: &str, prefix: &str) {
-        let Some(lost) = self.lost.take() else {
+    pub(crate) fn log_answered(&self, step: &str, prefix: &str) {
+        let Some(lost_at) = self.lost_at.take() else {
             return;
         };
-        let away = BootClock.boot_now().saturating_sub(lost);
+        let away = BootClock.boot_now().saturating_sub(lost_at);
         log_event::info(
             &event::STORE_BACK,
             format_args!("step=\"{step} {prefix}\" away_ms={}", away.as_millis()),
--- a/crates/cell/src/stand_pledge.rs
+++ b/crates/cell/src/election_promise.rs
@@ -4,11 +4,11 @@
 
 /// How long a process keeps out of elections after it has pledged to. Counted from the arrival
 /// of an owner's question, so it ends after the time for which the owner relies on it.
-const PLEDGE: Duration = Duration::from_millis(500);
+const PROMISE: Duration = Duration::from_millis(500);
 /// How long an owner relies on the pledges of all others, counted from the sending of its
 /// questions: two rounds of them, of which one may be slow. The difference to `PLEDGE` is for
 /// clocks that run at different rates.
-pub(crate) const RELIED_ON: Duration = Duration::from_millis(400);
+pub(crate) const PROMISE_TRUSTED: Duration = Duration::from_millis(400);
 
 /// Keeps a process out of elections while an owner relies on that.
 ///
@@ -16,32 +16,32 @@
 /// successor is being elected. If all others don't reach it either and none of them stands for
 /// election, there can be no successor.
 #[derive(Debug, Default)]
-pub(crate) struct StandPledge {
+pub(crate) struct ElectionPromise {
     until: Cell<BootTime>,
     /// Whether an election of this process is under way: its entry as owner may be written.
-    standing: Cell<bool>,
+    campaigning: Cell<bool>,
 }
 
-impl StandPledge {
+impl ElectionPromise {
     /// Pledges to keep out of elections for a while; false if one is under way.
-    pub(crate) fn give(&self, now: BootTime) -> bool {
-        if self.standing.get() {
+    pub(crate) fn make(&self, now: BootTime) -> bool {
+        if self.campaigning.get() {
             return false;
         }
-        self.until.set(now + PLEDGE);
+        self.until.set(now + PROMISE);
         true
     }
 
     /// How long the process has to keep out of elections; `None` if it may stand.
-    pub(crate) fn left(&self, now: BootTime) -> Option<Duration> {
+    pub(crate) fn remaining(&self, now: BootTime) -> Option<Duration> {
         self.until
             .get()
             .checked_sub(now)
-            .filter(|left| !left.is_zero())
+            .filter(|remaining| !remaining.is_zero())
     }
 
     /// Begins or ends an election of this process.
-    pub(crate) fn set_standing(&self, standing: bool) {
-        self.standing.set(standing);
+    pub(crate) fn set_campaigning(&self, campaigning: bool) {
+        self.campaigning.set(campaigning);
     }
 }
--- a/crates/cell/src/record_note.rs
+++ b/crates/cell/src/event_log.rs
@@ -5,9 +5,9 @@
 
 use crate::{event, metric};
 
-/// Writes a log line for each decision and each change of belief of the desk.
+/// Writes a log line for each decision and each change of belief of the scheduler.
 ///
-/// `dropped` more came in so quick succession that the desk did not keep them.
+/// `dropped` more came in so quick succession that the scheduler did not keep them.
 pub(crate) fn log_events(events: VecDeque<DeskEvent>, dropped: u64) {
     if dropped > 0 {
         log_event::warn(
@@ -15,13 +15,13 @@
             format_args!("decisions={dropped}"),
         );
     }
-    for desk_event in events {
-        log_one(&desk_event);
+    for event in events {
+        log_decision(&event);
     }
 }
 
-fn log_one(desk_event: &DeskEvent) {
-    match desk_event {
+fn log_decision(event: &DeskEvent) {
+    match event {
         DeskEvent::Placed(task, attempt, target, inputs) => log_event::info(
             &event::TASK_PLACED,
             format_args!(
@@ -32,26 +32,26 @@
             ),
         ),
         DeskEvent::Adopted(task, attempt, target) => {
-            run_line(&event::TASK_ADOPTED, task, *attempt, target, "");
+            log_run(&event::TASK_ADOPTED, task, *attempt, target, "");
         }
         DeskEvent::Unwanted(task, attempt, target) => {
-            run_line(&event::TASK_UNWANTED, task, *attempt, target, "");
+            log_run(&event::TASK_UNWANTED, task, *attempt, target, "");
         }
         DeskEvent::Unsure(task, attempt, target) => {
-            run_line(&event::TASK_UNSURE, task, *attempt, target, "");
+            log_run(&event::TASK_UNSURE, task, *attempt, target, "");
         }
         DeskEvent::Vanished(task, attempt, target) => {
-            run_line(&event::TASK_VANISHED, task, *attempt, target, "");
+            log_run(&event::TASK_VANISHED, task, *attempt, target, "");
         }
         DeskEvent::Stalled(task, attempt, target) => {
-            run_line(&event::TASK_STALLED, task, *attempt, target, "");
+            log_run(&event::TASK_STALLED, task, *attempt, target, "");
         }
         DeskEvent::Ended(task, attempt, target, how) => {
             metrics::counter!(metric::ENDS, "how" => *how).increment(1);
-            run_line(&event::TASK_ENDED, task, *attempt, target, how);
+            log_run(&event::TASK_ENDED, task, *attempt, target, how);
         }
         DeskEvent::StartRefused(task, attempt, target, why) => {
-            run_line(&event::TASK_REFUSED, task, *attempt, target, why);
+            log_run(&event::TASK_REFUSED, task, *attempt, target, why);
         }
         DeskEvent::JobEnded(job, how) => {
             log_event::info(&event::JOB_ENDED, format_args!("job={job} how={how}"));
@@ -76,7 +76,7 @@
     }
 }
 
-fn run_line(
+fn log_run(
     info: &EventInfo,
     task: &model::work::TaskKey,
     attempt: u64,
--- a/crates/cell/src/fleet_view.rs
+++ b/crates/cell/src/fleet_view.rs
@@ -12,7 +12,7 @@
 use ports::{FleetCodec, StoreEvent, StoreItem, StoreRevision};
 use tokio::sync::Notify;
 
-use crate::{event, prefix_watch::PrefixSink};
+use crate::{event, prefix_watch::PrefixObserver};
 
 /// What operators ask for, as far as this process has heard.
 pub(crate) struct FleetView {
@@ -46,23 +46,23 @@
         self.waves.borrow().values().cloned().collect()
     }
 
-    fn take(&self, item: &StoreItem) {
+    fn apply_item(&self, item: &StoreItem) {
         if item.key == self.codec.policy_key() {
             match self.codec.read_policy(&item.value) {
-                Ok(terms) => self.put_in_force(terms),
-                Err(error) => unreadable(item, &error),
+                Ok(terms) => self.replace_terms(terms),
+                Err(error) => log_unreadable(item, &error),
             }
         } else if let Some(wave) = self.codec.parse_wave_key(&item.key) {
             match self.codec.read_wave(&item.value) {
                 Ok(read) => self.add_wave(wave, read),
-                Err(error) => unreadable(item, &error),
+                Err(error) => log_unreadable(item, &error),
             }
         }
     }
 
     /// Puts terms in force, unless they are older than those that are: a lagging answer of the
     /// store must not bring back a key or a queue that operators have taken away.
-    fn put_in_force(&self, terms: FleetPolicy) {
+    fn replace_terms(&self, terms: FleetPolicy) {
         let held = self
             .terms
             .borrow()
@@ -87,7 +87,7 @@
             ),
         );
         *self.terms.borrow_mut() = Some(Arc::new(terms));
-        self.bump();
+        self.mark_changed();
     }
 
     fn add_wave(&self, wave: WaveId, read: MaintenanceWave) {
@@ -96,35 +96,35 @@
             format_args!("wave={wave} hosts={} cap={}", read.hosts.len(), read.cap),
         );
         self.waves.borrow_mut().insert(wave, read);
-        self.bump();
+        self.mark_changed();
     }
 
-    fn bump(&self) {
+    fn mark_changed(&self) {
         self.version.set(self.version.get() + 1);
         self.changed.notify_waiters();
     }
 }
 
-impl PrefixSink for FleetView {
+impl PrefixObserver for FleetView {
     fn reset(&self, items: Vec<StoreItem>, _revision: StoreRevision) {
-        items.iter().for_each(|item| self.take(item));
+        items.iter().for_each(|item| self.apply_item(item));
     }
 
-    fn change(&self, event: StoreEvent) {
+    fn apply(&self, event: StoreEvent) {
         match event {
-            StoreEvent::Written(item) => self.take(&item),
+            StoreEvent::Written(item) => self.apply_item(&item),
             // Operators replace terms and never remove them.
             StoreEvent::Removed(key, _) => {
                 if let Some(wave) = self.codec.parse_wave_key(&key) {
                     self.waves.borrow_mut().remove(&wave);
-                    self.bump();
+                    self.mark_changed();
                 }
             }
         }
     }
 }
 
-fn unreadable(item: &StoreItem, error: &str) {
+fn log_unreadable(item: &StoreItem, error: &str) {
     log_event::warn(
         &event::ENTRY_UNREADABLE,
         format_args!(
--- a/crates/cell/src/host_strength.rs
+++ b/crates/cell/src/host_limits.rs
@@ -12,7 +12,7 @@
 }
 
 /// What an owner of a few hundred targets uses at its busiest; more helps it little.
-const AMPLE: HostLimits = HostLimits {
+const FULL_STRENGTH: HostLimits = HostLimits {
     cores: 0.5,
     memory_mb: 256.0,
     link_mbps: 100.0,
@@ -20,25 +20,25 @@
 
 impl Default for HostLimits {
     fn default() -> Self {
-        AMPLE
+        FULL_STRENGTH
     }
 }
 
 /// Bytes a second of a link of one megabit a second.
-const MEGABIT_BYTES: f64 = 125_000.0;
+const BYTES_PER_MEGABIT: f64 = 125_000.0;
 
 impl HostLimits {
     /// What its link carries, in bytes a second.
-    pub fn link_bytes(&self) -> f64 {
-        self.link_mbps * MEGABIT_BYTES
+    pub fn link_bytes_per_second(&self) -> f64 {
+        self.link_mbps * BYTES_PER_MEGABIT
     }
 
     /// How much an owner on this host can carry, in thousandths of what it uses at its busiest.
     /// The scarcest resource decides: with a fast processor behind a narrow link an owner is slow.
     pub fn strength(&self) -> HostStrength {
-        let scarcest = (self.cores / AMPLE.cores)
-            .min(self.memory_mb / AMPLE.memory_mb)
-            .min(self.link_mbps / AMPLE.link_mbps)
+        let scarcest = (self.cores / FULL_STRENGTH.cores)
+            .min(self.memory_mb / FULL_STRENGTH.memory_mb)
+            .min(self.link_mbps / FULL_STRENGTH.link_mbps)
             .clamp(0.0, 1.0);
         #[expect(
             clippy::cast_possible_truncation,
--- a/crates/cell/src/host_duty.rs
+++ b/crates/cell/src/host_loop.rs
@@ -16,42 +16,47 @@
 };
 
 /// How often hosts are considered. Demand doubles within a second at the start of a turn.
-const PLAN_EVERY: Duration = Duration::from_millis(100);
+const PLAN_INTERVAL: Duration = Duration::from_millis(100);
 /// How often the hosts are listed. A host that was moved is back after two seconds at the
 /// earliest, and each list is a call that is paid for.
-const LIST_EVERY: Duration = Duration::from_millis(500);
+const LIST_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Part of the lease that may have been left when an owner gave its last order.
 const LEASE_SLACK: Duration = Duration::from_millis(200);
 
 /// How often hosts are listed while lives of targets are unknown that no look has reached: until
 /// two lists have shown that they ended, older jobs of their pools wait.
-const LIST_SOON: Duration = Duration::from_millis(100);
+const FAST_LIST_INTERVAL: Duration = Duration::from_millis(100);
 /// For how long after the begin of a term that is done.
-const SOON_LIMIT: Duration = Duration::from_secs(2);
+const FAST_LIST_PERIOD: Duration = Duration::from_secs(2);
 
 /// Tends the hosts of the fleet: their maintenance and their moves between pools.
-pub(crate) async fn tend_hosts(term: Rc<Term>) {
+pub(crate) async fn manage_hosts(term: Rc<Term>) {
     let begin = term.now().boot;
     let mut listed = BootTime::ZERO;
     let mut pace = ListPace::default();
-    let mut ticks = interval(PLAN_EVERY);
+    let mut ticks = interval(PLAN_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         let now = term.now().boot;
-        if !term.is_certain() || term.handing_over.get() {
+        if !term.has_valid_lease() || term.handing_over.get() {
             continue;
         }
-        let soon = now < begin + SOON_LIMIT && term.desk.borrow().has_unknown_lives();
-        let every = if soon { LIST_SOON } else { LIST_EVERY };
+        let list_fast =
+            now < begin + FAST_LIST_PERIOD && term.scheduler.borrow().has_unknown_lives();
+        let every = if list_fast {
+            FAST_LIST_INTERVAL
+        } else {
+            LIST_INTERVAL
+        };
         if now.saturating_sub(listed) >= every && pace.admits(now) {
             listed = now;
             list_hosts(&term).await;
             pace.listed(now, term.now().boot.saturating_sub(now));
         }
         plan_hosts(&term);
-        show_waves(&term).await;
+        publish_wave_states(&term).await;
     }
 }
 
@@ -60,8 +65,8 @@
 /// Two owners must not order one host in turns. Each order is recorded with its time before it is
 /// given, but clocks of day may jump. The orders of an owner that was killed or cut off were
 /// given before its lease began to lapse, so that part of the pause has passed.
-fn recent_pause(term: &Term) -> Duration {
-    if term.desk.borrow().board.handed_over {
+fn predecessor_pause(term: &Term) -> Duration {
+    if term.scheduler.borrow().board.handed_over {
         return Duration::ZERO;
     }
     let lapsed = term.options.owner_lease - LEASE_SLACK;
@@ -75,7 +80,7 @@
             let lives = hosts.iter().map(|host| host.target.clone());
             let lives = lives.filter(|life| !life.is_empty()).collect();
             let now = term.now();
-            term.desk.borrow_mut().take_lives(&lives, asked, now);
+            term.scheduler.borrow_mut().take_lives(&lives, asked, now);
             term.hosts.borrow_mut().take_list(hosts, asked);
         }
         Err(error) => log::warn!("list hosts: {error}"),
@@ -86,17 +91,17 @@
     let time = term.now();
     let now = time.boot;
     let waves = term.view.waves();
-    let (pause, least) = (term.options.host_order_pause, recent_pause(term));
+    let (pause, least) = (term.options.host_order_pause, predecessor_pause(term));
     let orders = {
-        let mut desk = term.desk.borrow_mut();
+        let mut scheduler = term.scheduler.borrow_mut();
         let mut hosts = term.hosts.borrow_mut();
-        hosts.take_waves(&waves, &desk.board.maintained, now);
-        hosts.take_ordered(&desk.board.ordered, pause, least, time);
-        hosts.plan(&mut desk, now)
+        hosts.take_waves(&waves, &scheduler.board.maintained, now);
+        hosts.take_ordered(&scheduler.board.ordered, pause, least, time);
+        hosts.plan(&mut scheduler, now)
     };
     for order in orders {
-        let carried = term.clone();
-        term.spawn(async move { order_host(carried, order).await });
+        let cloned = term.clone();
+        term.spawn(async move { order_host(cloned, order).await });
     }
 }
 
@@ -105,9 +110,9 @@
         holder: term.options.member.clone(),
         token: term.token,
     };
-    let recorded = record_ordered(&term, order.host()).await;
-    let answer = if recorded && term.is_certain() {
-        give_order(&term, &sender, &order).await
+    let recorded = record_host_order(&term, order.host()).await;
+    let answer = if recorded && term.has_valid_lease() {
+        send_order(&term, &sender, &order).await
     } else {
         HostOrderAnswer::Refused("not recorded, or the lease may have lapsed".to_owned())
     };
@@ -129,15 +134,15 @@
         return;
     }
     if let Some(target) = target {
-        term.desk.borrow_mut().end_target(&target, now);
+        term.scheduler.borrow_mut().end_target(&target, now);
         term.wake.notify_one();
     }
     if let HostOrder::Maintain(host, wave) = &order {
-        record_begun(&term, *wave, host);
+        record_maintenance(&term, *wave, host);
     }
 }
 
-async fn give_order(term: &Term, sender: &OrderSender, order: &HostOrder) -> HostOrderAnswer {
+async fn send_order(term: &Term, sender: &OrderSender, order: &HostOrder) -> HostOrderAnswer {
     match order {
         HostOrder::Move(host, pool) => term.ports.hosts.move_host(sender, host, pool).await,
         HostOrder::Maintain(host, wave) => term.ports.hosts.maintain(sender, host, *wave).await,
@@ -148,29 +153,29 @@
 /// true once that is stored. An owner that dies right after an order leaves none unrecorded, so
 /// its successor may order all other hosts at once. Not knowing that, it would have to leave all
 /// hosts alone for two seconds, and a queue's turn would be over.
-async fn record_ordered(term: &Term, host: &str) -> bool {
+async fn record_host_order(term: &Term, host: &str) -> bool {
     let now = term.now();
     let ordered = HostOrdered {
         host: host.to_owned(),
         unix_ms: u64::try_from(now.unix.as_millis()).unwrap_or(u64::MAX),
     };
     let order = record_order(Event::Ordered(ordered), true);
-    let outcome = term.log.add_awaited(order, now.boot).await;
+    let outcome = term.log_queue.push_awaited(order, now.boot).await;
     outcome == Ok(RecordOutcome::Stored)
 }
 
 /// Writes down that a host's maintenance began, for the successor.
-fn record_begun(term: &Term, wave: WaveId, host: &str) {
+fn record_maintenance(term: &Term, wave: WaveId, host: &str) {
     let progress = WaveProgress {
         wave,
         host: host.to_owned(),
     };
     let order = record_order(Event::Wave(progress), false);
-    term.log.add(order, term.now().boot);
+    term.log_queue.push(order, term.now().boot);
 }
 
 /// Writes the state of waves for operators where it has changed.
-async fn show_waves(term: &Rc<Term>) {
+async fn publish_wave_states(term: &Rc<Term>) {
     let changed = term.hosts.borrow_mut().wave_states();
     for (wave, completed) in changed {
         let (key, value) = term.ports.codec.wave_status(wave, completed);
--- a/crates/cell/src/log_copy.rs
+++ b/crates/cell/src/log_cache.rs
@@ -11,12 +11,12 @@
 /// A page never changes, so a successor that holds the pages reads only what was written since.
 /// Reading a long log takes longer than callers and targets wait, the more so behind a narrow link.
 #[derive(Debug, Default)]
-pub(crate) struct LogCopy {
-    state: RefCell<CopyState>,
+pub(crate) struct LogCache {
+    state: RefCell<CacheState>,
 }
 
 #[derive(Debug, Default)]
-struct CopyState {
+struct CacheState {
     pages: BTreeMap<PageNumber, Vec<u8>>,
     /// Number of the oldest page in the store, where a page has told it.
     oldest: Option<PageNumber>,
@@ -42,9 +42,9 @@
     }
 }
 
-impl LogCopy {
+impl LogCache {
     /// Number of the last page that is held.
-    pub(crate) fn last(&self) -> Option<PageNumber> {
+    pub(crate) fn last_page(&self) -> Option<PageNumber> {
         let state = self.state.borrow();
         state.pages.last_key_value().map(|(&number, _)| number)
     }
@@ -53,18 +53,18 @@
     ///
     /// Pages are written without a gap. Where one is missing it has been replaced, and so have all
     /// before it.
-    pub(crate) fn take(&self, number: PageNumber, value: Vec<u8>) {
-        let expected = self.last().map(|last| last + 1);
+    pub(crate) fn insert(&self, number: PageNumber, value: Vec<u8>) {
+        let expected = self.last_page().map(|last| last + 1);
         let mut state = self.state.borrow_mut();
         if expected.is_some_and(|expected| expected != number) {
-            *state = CopyState::default();
+            *state = CacheState::default();
         }
         // Entries that can't be read are told of when the log is replayed.
-        let stamp = LogPage::decode(value.as_slice()).unwrap_or_default();
+        let bounds = LogPage::decode(value.as_slice()).unwrap_or_default();
         state.pages.insert(number, value);
-        if stamp.start > 0 {
-            state.pages = state.pages.split_off(&stamp.start);
-            state.oldest = Some(stamp.oldest);
+        if bounds.start > 0 {
+            state.pages = state.pages.split_off(&bounds.start);
+            state.oldest = Some(bounds.oldest);
         }
     }
 
@@ -77,13 +77,13 @@
         LogSummary {
             oldest: state.oldest.unwrap_or(start),
             start,
-            next: self.last().map_or(0, |last| last + 1),
+            next: self.last_page().map_or(0, |last| last + 1),
             bytes: state.pages.values().map(Vec::len).sum(),
         }
     }
 
     /// Calls `visit` with each page in force, in order.
-    pub(crate) fn for_each(&self, mut visit: impl FnMut(PageNumber, &[u8])) {
+    pub(crate) fn for_each_page(&self, mut visit: impl FnMut(PageNumber, &[u8])) {
         let state = self.state.borrow();
         state
             .pages
--- a/crates/cell/src/log_compact.rs
+++ b/crates/cell/src/log_compact.rs
@@ -9,13 +9,13 @@
 
 use crate::{
     event,
-    log_page::{largest_page, page_bytes},
+    log_page::{encode_page, max_page_bytes},
     log_pages::LogPages,
     term::Term,
 };
 
 /// Pause after a failed call.
-const FAULT_PAUSE: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Writes what the log says in as few pages as hold it, if that is much shorter; the pages before
 /// them can go then. `None` once the term is over.
@@ -26,47 +26,47 @@
 /// The old pages go only when the new ones are stored, oldest first, and whatever part of them is
 /// left says, with the new ones after it, the same as the new ones alone. So whenever the owner
 /// dies, its successor reads what is true.
-pub(crate) async fn compact(term: &Term, pages: &mut LogPages) -> Option<()> {
-    let entries = term.desk.borrow().board.entries();
-    let (count, part) = (entries.len(), job_part(&entries));
-    let largest = largest_page(&term.options.limits);
-    let values = match ShortLog::pack(entries, largest, pages.most_short(), page_bytes) {
+pub(crate) async fn compact_log(term: &Term, pages: &mut LogPages) -> Option<()> {
+    let entries = term.scheduler.borrow().board.entries();
+    let (count, share) = (entries.len(), job_byte_share(&entries));
+    let largest = max_page_bytes(&term.options.limits);
+    let values = match ShortLog::pack(entries, largest, pages.max_compacted_bytes(), encode_page) {
         ShortLog::Pages(values) => values,
         ShortLog::Long(bytes) => {
-            note_job_bytes(term, part, bytes);
-            pages.keep(bytes);
+            measure_job_bytes(term, share, bytes);
+            pages.postpone_compaction(bytes);
             return Some(());
         }
     };
     let bytes = values.iter().map(Vec::len).sum();
-    note_job_bytes(term, part, bytes);
-    let start = pages.next();
+    measure_job_bytes(term, share, bytes);
+    let start = pages.next_page();
     for value in values {
-        let value = pages.stamped(value);
-        let change = pages.change(&term.options, term.token, value.clone());
-        settle_change(term, change).await?;
-        pages.wrote(&term.copy, value);
+        let value = pages.with_bounds(value);
+        let change = pages.write_change(&term.options, term.token, value.clone());
+        change_until_settled(term, change).await?;
+        pages.page_written(&term.log_cache, value);
     }
-    pages.compacted(start, bytes);
+    pages.log_compacted(start, bytes);
     log_event::info(
         &event::LOG_COMPACTED,
         format_args!(
             "to={start} pages={} entries={count} bytes={bytes}",
-            pages.next() - start
+            pages.next_page() - start
         ),
     );
     Some(())
 }
 
 /// Notes about how many bytes an open job takes in a log of so many bytes.
-pub(crate) fn note_job_bytes(term: &Term, part: f64, bytes: usize) {
+pub(crate) fn measure_job_bytes(term: &Term, share: f64, bytes: usize) {
     #[expect(clippy::cast_precision_loss, reason = "an estimate")]
-    term.log.job_bytes.set(bytes as f64 * part);
+    term.log_queue.job_bytes.set(bytes as f64 * share);
 }
 
 /// Part of the bytes of all entries that one open job takes. The log tells of ended jobs, targets and
 /// hosts as well, which do not grow with what is accepted.
-pub(crate) fn job_part(entries: &[LogEntry]) -> f64 {
+pub(crate) fn job_byte_share(entries: &[LogEntry]) -> f64 {
     let (mut jobs, mut job_bytes, mut all_bytes) = (0, 0.0, 0.0);
     for entry in entries {
         #[expect(clippy::cast_precision_loss, reason = "an estimate")]
@@ -85,12 +85,12 @@
 
 /// Makes a change that is harmless to repeat, until it is known to be made; `None` once this
 /// process no longer owns the cell.
-async fn settle_change(term: &Term, change: StoreChange) -> Option<()> {
+async fn change_until_settled(term: &Term, change: StoreChange) -> Option<()> {
     loop {
         match term.ports.store.change(change.clone()).await {
             Ok(StoreOutcome::Done(_)) => return Some(()),
             Ok(StoreOutcome::Conflict(items)) => {
-                if term.stands_in(&items) {
+                if term.holds_owner_entry(&items) {
                     // An earlier sending of the same page has landed.
                     return Some(());
                 }
@@ -103,7 +103,7 @@
             }
             Err(error) => {
                 log::debug!("compact the log: {error}");
-                sleep(FAULT_PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/crates/cell/src/log_page.rs
+++ b/crates/cell/src/log_page.rs
@@ -5,19 +5,19 @@
 use prost::Message;
 use wire::work::{LogEntry, LogPage};
 
-use crate::host_strength::HostLimits;
+use crate::host_limits::HostLimits;
 
 /// Largest page, in bytes before it is deflated; the store takes values of up to a megabyte.
-const PAGE_BYTES: usize = 256 << 10;
+const MAX_PAGE_BYTES: usize = 256 << 10;
 /// Pages below this size, in bytes, are kept as they are: deflating them costs more processor
 /// time than the bytes are worth.
-const PACK_FROM: usize = 4 << 10;
+const DEFLATE_MIN_BYTES: usize = 4 << 10;
 /// Largest page that is read, in bytes; a page is written with less, so more is damage.
-const MOST_BYTES: u64 = 4 << 20;
+const MAX_INFLATED_BYTES: u64 = 4 << 20;
 
 /// Why a page can't be read.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum PageFault {
+pub(crate) enum PageError {
     #[error("decode: {0}")]
     Decode(#[from] prost::DecodeError),
     #[error("inflate: {0}")]
@@ -25,19 +25,19 @@
 }
 
 /// Largest page that an owner writes, in bytes before it is deflated.
-pub(crate) fn largest_page(limits: &HostLimits) -> usize {
-    largest_write(limits.link_bytes(), PAGE_BYTES)
+pub(crate) fn max_page_bytes(limits: &HostLimits) -> usize {
+    largest_write(limits.link_bytes_per_second(), MAX_PAGE_BYTES)
 }
 
 /// The bytes of a page of these entries. Large pages are deflated: ids and names repeat, and a
 /// successor on a narrow link waits for every byte.
-pub(crate) fn page_bytes(entries: Vec<LogEntry>) -> Vec<u8> {
+pub(crate) fn encode_page(entries: Vec<LogEntry>) -> Vec<u8> {
     let plain = LogPage {
         entries,
         ..LogPage::default()
     }
     .encode_to_vec();
-    if plain.len() < PACK_FROM {
+    if plain.len() < DEFLATE_MIN_BYTES {
         return plain;
     }
     match deflate(&plain) {
@@ -57,14 +57,14 @@
 ///
 /// # Errors
 /// If the bytes are no page.
-pub(crate) fn page_entries(bytes: &[u8]) -> Result<Vec<LogEntry>, PageFault> {
+pub(crate) fn decode_page(bytes: &[u8]) -> Result<Vec<LogEntry>, PageError> {
     let page = LogPage::decode(bytes)?;
     if page.packed.is_empty() {
         return Ok(page.entries);
     }
     let mut plain = Vec::new();
     DeflateDecoder::new(page.packed.as_slice())
-        .take(MOST_BYTES)
+        .take(MAX_INFLATED_BYTES)
         .read_to_end(&mut plain)?;
     Ok(LogPage::decode(plain.as_slice())?.entries)
 }
--- a/crates/cell/src/log_pages.rs
+++ b/crates/cell/src/log_pages.rs
@@ -8,20 +8,20 @@
 
 use crate::{
     cell_options::CellOptions,
-    log_copy::{LogCopy, LogSummary, PageNumber},
+    log_cache::{LogCache, LogSummary, PageNumber},
 };
 
 /// Pages after which the log is replaced by a shorter one, however small they are.
-const COMPACT_PAGES: u64 = 480;
+const COMPACT_AFTER_PAGES: u64 = 480;
 /// Bytes after which it is, unless the shorter one had more. A successor reads at most twice the
 /// larger of both: within a second over 2 Mbit/s while what is open fits 90 KB.
-const COMPACT_BYTES: usize = 96 << 10;
+const COMPACT_AFTER_BYTES: usize = 96 << 10;
 /// A shorter log is written only if the log is at least so many times as long. Otherwise it would
 /// add more to what the next owner reads than it ever takes away.
-const WORTH_IT: usize = 2;
+const MIN_COMPACTION_RATIO: usize = 2;
 /// Keys that a change which writes a page may remove beside: the store takes 32 entries, three of
 /// which are the owner's entry, the page as a condition, and the page.
-const REMOVED_AT_ONCE: usize = 28;
+const MAX_REMOVES_PER_CHANGE: usize = 28;
 
 /// Where the log stands: which pages are in force, which can go, and how large it has become.
 #[derive(Debug, Default)]
@@ -40,7 +40,7 @@
 
 impl LogPages {
     /// The log as a new owner found it.
-    pub(crate) fn found(summary: LogSummary) -> Self {
+    pub(crate) fn from_summary(summary: LogSummary) -> Self {
         Self {
             first: summary.start,
             next: summary.next,
@@ -51,21 +51,21 @@
     }
 
     /// Number that the next page gets.
-    pub(crate) fn next(&self) -> PageNumber {
+    pub(crate) fn next_page(&self) -> PageNumber {
         self.next
     }
 
     /// The next page with what it tells of the log, so that whoever reads it need not ask the store
     /// which pages are left.
-    pub(crate) fn stamped(&self, mut page: Vec<u8>) -> Vec<u8> {
-        let oldest = self.replaced.get(REMOVED_AT_ONCE);
-        let stamp = LogPage {
+    pub(crate) fn with_bounds(&self, mut page: Vec<u8>) -> Vec<u8> {
+        let oldest = self.replaced.get(MAX_REMOVES_PER_CHANGE);
+        let bounds = LogPage {
             oldest: oldest.copied().unwrap_or(self.first),
             start: self.first,
             ..LogPage::default()
         };
         // Messages that follow each other are read as one with the fields of both.
-        page.extend(stamp.encode_to_vec());
+        page.extend(bounds.encode_to_vec());
         page
     }
 
@@ -75,14 +75,14 @@
     ///
     /// Replaced pages go with pages that are written anyway, oldest first: a call of its own for
     /// each few of them would hold back what callers wait for, for seconds while the store is slow.
-    pub(crate) fn change(
+    pub(crate) fn write_change(
         &self,
         options: &CellOptions,
         token: FencingToken,
         value: Vec<u8>,
     ) -> StoreChange {
         let key = page_key(options, self.next);
-        let removes = self.replaced.iter().take(REMOVED_AT_ONCE);
+        let removes = self.replaced.iter().take(MAX_REMOVES_PER_CHANGE);
         let removes = removes.map(|&page| page_key(options, page)).collect();
         StoreChange {
             expect: vec![(options.owner_key(), token), (key.clone(), 0)],
@@ -96,37 +96,37 @@
     }
 
     /// Takes in that the change which writes the next page was made, and keeps the page in the copy.
-    pub(crate) fn wrote(&mut self, copy: &LogCopy, value: Vec<u8>) {
+    pub(crate) fn page_written(&mut self, log_cache: &LogCache, value: Vec<u8>) {
         self.new_bytes += value.len();
-        copy.take(self.next, value);
+        log_cache.insert(self.next, value);
         self.next += 1;
-        let removed = self.replaced.len().min(REMOVED_AT_ONCE);
+        let removed = self.replaced.len().min(MAX_REMOVES_PER_CHANGE);
         self.replaced.drain(..removed);
     }
 
     /// True once the log should be replaced by a shorter one.
-    pub(crate) fn is_long(&self) -> bool {
-        self.next - self.first >= COMPACT_PAGES
-            || self.new_bytes >= COMPACT_BYTES.max(self.base_bytes)
+    pub(crate) fn needs_compaction(&self) -> bool {
+        self.next - self.first >= COMPACT_AFTER_PAGES
+            || self.new_bytes >= COMPACT_AFTER_BYTES.max(self.base_bytes)
     }
 
     /// Bytes of a log that says the same at which it is still short enough to be written.
-    pub(crate) fn most_short(&self) -> usize {
-        if self.next - self.first >= COMPACT_PAGES {
+    pub(crate) fn max_compacted_bytes(&self) -> usize {
+        if self.next - self.first >= COMPACT_AFTER_PAGES {
             return usize::MAX;
         }
-        (self.base_bytes + self.new_bytes) / WORTH_IT
+        (self.base_bytes + self.new_bytes) / MIN_COMPACTION_RATIO
     }
 
     /// Takes in that of the log `bytes` have to stay, so that it is not long yet.
-    pub(crate) fn keep(&mut self, bytes: usize) {
+    pub(crate) fn postpone_compaction(&mut self, bytes: usize) {
         let all = self.base_bytes + self.new_bytes;
         self.base_bytes = bytes.min(all);
         self.new_bytes = all - self.base_bytes;
     }
 
     /// Takes in that the pages from `start` on say all that the log has to say.
-    pub(crate) fn compacted(&mut self, start: PageNumber, bytes: usize) {
+    pub(crate) fn log_compacted(&mut self, start: PageNumber, bytes: usize) {
         self.replaced.extend(self.first..start);
         self.first = start;
         self.base_bytes = bytes;
--- a/crates/cell/src/log_queue.rs
+++ b/crates/cell/src/log_queue.rs
@@ -21,17 +21,17 @@
 pub(crate) struct PendingRecord {
     pub(crate) order: RecordOrder,
     /// When it was handed in.
-    pub(crate) since: BootTime,
+    pub(crate) queued_at: BootTime,
     /// Told what became of it, if somebody waits for that.
-    pub(crate) done: Option<oneshot::Sender<RecordOutcome>>,
+    pub(crate) reply: Option<oneshot::Sender<RecordOutcome>>,
 }
 
 impl PendingRecord {
     /// Tells whoever waits that the entry is not written and never will be.
     pub(crate) fn refuse(self) {
-        if let Some(done) = self.done {
+        if let Some(reply) = self.reply {
             // Whoever waited may have gone.
-            let _ = done.send(RecordOutcome::Refused);
+            let _ = reply.send(RecordOutcome::Refused);
         }
     }
 }
@@ -50,15 +50,15 @@
 ///
 /// One write is under way at a time, and carries all that has come together since the last.
 #[derive(Default)]
-pub(crate) struct JobLog {
+pub(crate) struct LogQueue {
     /// What has not been written yet, oldest first.
     pub(crate) pending: RefCell<VecDeque<PendingRecord>>,
     /// Told of entries that somebody waits for.
-    pub(crate) urgent: Notify,
+    pub(crate) urgent_added: Notify,
     /// Told of all entries.
-    pub(crate) any: Notify,
+    pub(crate) entry_added: Notify,
     /// Told after each page.
-    pub(crate) stored: Notify,
+    pub(crate) page_stored: Notify,
     /// Whether a page is being written, with entries that do not wait any more.
     pub(crate) writing: Cell<bool>,
     /// Bytes that the entries of an open job take, as of when the log was last looked through.
@@ -67,40 +67,40 @@
     pub(crate) failing: Cell<bool>,
 }
 
-impl JobLog {
+impl LogQueue {
     /// Adds an entry that nobody waits for.
-    pub(crate) fn add(&self, order: RecordOrder, now: BootTime) {
+    pub(crate) fn push(&self, order: RecordOrder, now: BootTime) {
         let urgent = order.urgent;
         self.pending.borrow_mut().push_back(PendingRecord {
             order,
-            since: now,
-            done: None,
+            queued_at: now,
+            reply: None,
         });
-        self.any.notify_one();
+        self.entry_added.notify_one();
         if urgent {
-            self.urgent.notify_one();
+            self.urgent_added.notify_one();
         }
     }
 
     /// Adds an entry and tells what became of it; a closed channel means that nobody knows.
-    pub(crate) fn add_awaited(
+    pub(crate) fn push_awaited(
         &self,
         order: RecordOrder,
         now: BootTime,
     ) -> oneshot::Receiver<RecordOutcome> {
-        let (done, outcome) = oneshot::channel();
+        let (reply, outcome) = oneshot::channel();
         self.pending.borrow_mut().push_back(PendingRecord {
             order,
-            since: now,
-            done: Some(done),
+            queued_at: now,
+            reply: Some(reply),
         });
-        self.any.notify_one();
-        self.urgent.notify_one();
+        self.entry_added.notify_one();
+        self.urgent_added.notify_one();
         outcome
     }
 
     /// Takes back the acceptance of a job that nobody waits for any more; false if it may be written.
-    pub(crate) fn withdraw(&self, job: &str) -> bool {
+    pub(crate) fn withdraw_acceptance(&self, job: &str) -> bool {
         let accepts = |record: &PendingRecord| match &record.order.entry.event {
             Some(Event::Accepted(accepted)) => accepted.job == job,
             _ => false,
--- a/crates/cell/src/log_reader.rs
+++ b/crates/cell/src/log_reader.rs
@@ -9,64 +9,66 @@
 use crate::{
     cell_options::CellOptions,
     event,
-    log_copy::{LogCopy, LogSummary, PageNumber},
-    log_page::page_entries,
+    log_cache::{LogCache, LogSummary, PageNumber},
+    log_page::decode_page,
     log_pages::page_key,
     prefix_watch::PrefixReader,
 };
 
 /// Pause after a failed call.
-const FAULT_PAUSE: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Reads the whole job log into a desk, trying until the store answers.
+/// Reads the whole job log into a scheduler, trying until the store answers.
 ///
 /// The owner's entry was written before, and every page is written under the condition that
 /// its writer's entry still stands. So no page of an earlier owner can appear after this.
 pub(crate) async fn read_log(
     store: &dyn LeaseStore,
     options: &CellOptions,
-    copy: &LogCopy,
-    desk: &mut WorkDesk,
+    log_cache: &LogCache,
+    scheduler: &mut WorkDesk,
     now: impl Fn() -> DeskTime,
 ) -> LogSummary {
-    while let Err(error) = catch_up(store, options, copy).await {
-        note_fault(&error);
-        sleep(FAULT_PAUSE).await;
+    while let Err(error) = fetch_new_pages(store, options, log_cache).await {
+        log_fault(&error);
+        sleep(RETRY_DELAY).await;
     }
-    copy.for_each(|page, value| match page_entries(value) {
-        Ok(entries) => entries.iter().for_each(|entry| desk.replay(entry, now())),
+    log_cache.for_each_page(|page, value| match decode_page(value) {
+        Ok(entries) => entries
+            .iter()
+            .for_each(|entry| scheduler.replay(entry, now())),
         Err(error) => log_event::error(
             &event::ENTRY_UNREADABLE,
             format_args!("key={} cause=\"{error}\"", page_key(options, page)),
         ),
     });
-    desk.begin(now());
-    copy.summary()
+    scheduler.begin(now());
+    log_cache.summary()
 }
 
 /// Reads what was written of the job log since the last page that the copy holds. What comes before
 /// a call fails is kept.
-pub(crate) async fn catch_up(
+pub(crate) async fn fetch_new_pages(
     store: &dyn LeaseStore,
     options: &CellOptions,
-    copy: &LogCopy,
+    log_cache: &LogCache,
 ) -> Result<(), StoreError> {
     let prefix = options.log_prefix();
-    let last = copy.last();
+    let last = log_cache.last_page();
     let after = last.map_or_else(CompactString::default, |page| page_key(options, page));
     let mut reader = PrefixReader::new(&prefix, after);
-    while !reader.is_done() {
+    while !reader.is_complete() {
         reader.read_page(store).await?;
         for item in reader.items.drain(..) {
-            if let Some(number) = page_number(&item, &prefix) {
-                copy.take(number, item.value);
+            if let Some(number) = parse_page_number(&item, &prefix) {
+                log_cache.insert(number, item.value);
             }
         }
     }
     Ok(())
 }
 
-fn page_number(item: &StoreItem, prefix: &str) -> Option<PageNumber> {
+fn parse_page_number(item: &StoreItem, prefix: &str) -> Option<PageNumber> {
     let number = item.key.strip_prefix(prefix)?.parse().ok();
     if number.is_none() {
         log_event::warn(
@@ -77,7 +79,7 @@
     number
 }
 
-fn note_fault(error: &StoreError) {
+fn log_fault(error: &StoreError) {
     log_event::warn(
         &event::RECORD_FAILED,
         format_args!("step=\"read log\" cause=\"{error}\" next=retry"),
--- a/crates/cell/src/log_writer.rs
+++ b/crates/cell/src/log_writer.rs
@@ -8,9 +8,9 @@
 
 use crate::{
     event,
-    log_compact::compact,
-    log_copy::LogSummary,
-    log_page::{largest_page, page_bytes},
+    log_cache::LogSummary,
+    log_compact::compact_log,
+    log_page::{encode_page, max_page_bytes},
     log_pages::LogPages,
     log_queue::{PendingRecord, RecordOutcome},
     metric,
@@ -19,51 +19,51 @@
 
 /// How long an entry that somebody waits for is tried while the store refuses calls. Waiting
 /// longer would keep a caller from going elsewhere with work that is surely not recorded.
-const REFUSED_PATIENCE: Duration = Duration::from_millis(150);
+const AWAITED_ENTRY_TIMEOUT: Duration = Duration::from_millis(150);
 /// Pause after a failed write.
-const FAULT_PAUSE: Duration = Duration::from_millis(25);
+const RETRY_DELAY: Duration = Duration::from_millis(25);
 
 /// Writes the log of a term, until the term is over.
 pub(crate) async fn write_log(term: Rc<Term>, found: LogSummary) {
-    let mut pages = LogPages::found(found);
+    let mut pages = LogPages::from_summary(found);
     loop {
         wait_for_entries(&term).await;
-        term.log.writing.set(true);
+        term.log_queue.writing.set(true);
         if write_page(&term, &mut pages).await.is_none() {
             return;
         }
-        term.log.writing.set(false);
-        if pages.is_long() && compact(&term, &mut pages).await.is_none() {
+        term.log_queue.writing.set(false);
+        if pages.needs_compaction() && compact_log(&term, &mut pages).await.is_none() {
             return;
         }
     }
 }
 
 async fn wait_for_entries(term: &Term) {
-    let log = &term.log;
-    while log.pending.borrow().is_empty() {
-        log.any.notified().await;
+    let queue = &term.log_queue;
+    while queue.pending.borrow().is_empty() {
+        queue.entry_added.notified().await;
     }
-    let urgent = log
+    let urgent = queue
         .pending
         .borrow()
         .iter()
         .any(|record| record.order.urgent);
     if !urgent {
         // A timeout is the ordinary case: nobody waits for these entries.
-        let _ = timeout(term.options.record_pause, log.urgent.notified()).await;
+        let _ = timeout(term.options.max_record_delay, queue.urgent_added.notified()).await;
     }
 }
 
 /// The records of a page that is being written.
 #[derive(Default)]
-struct PageRecords {
+struct PageBatch {
     records: Vec<PendingRecord>,
     /// Whether the page may be in the store, or get there.
     sent: bool,
 }
 
-impl Drop for PageRecords {
+impl Drop for PageBatch {
     /// What was not sent when the term ends is never written, and whoever waits can be told so.
     fn drop(&mut self) {
         if !self.sent {
@@ -74,71 +74,71 @@
 
 /// Writes the next page, if there is something to write; `None` once the term is over.
 async fn write_page(term: &Term, pages: &mut LogPages) -> Option<()> {
-    let page = pages.next();
-    let mut taken = PageRecords::default();
+    let page = pages.next_page();
+    let mut batch = PageBatch::default();
     loop {
-        let unsure = taken.sent;
+        let unsure = batch.sent;
         if !unsure {
             // Nothing of the last attempt can be in the store, so the page may still change.
-            taken.refuse_old(term);
-            taken.take_pending(term);
+            batch.refuse_expired(term);
+            batch.take_pending(term);
         }
-        if taken.records.is_empty() {
+        if batch.records.is_empty() {
             return Some(());
         }
         let started = Instant::now();
-        let value = pages.stamped(page_bytes(taken.entries()));
-        let change = pages.change(&term.options, term.token, value.clone());
-        taken.sent = true;
+        let value = pages.with_bounds(encode_page(batch.entries()));
+        let change = pages.write_change(&term.options, term.token, value.clone());
+        batch.sent = true;
         let outcome = term.ports.store.change(change).await;
-        metric::time(metric::RECORD_SECONDS, started.elapsed());
+        metric::record_duration(metric::RECORD_SECONDS, started.elapsed());
         match outcome {
             Ok(StoreOutcome::Done(_)) => {
-                pages.wrote(&term.copy, value);
-                settle(term, page, std::mem::take(&mut taken.records));
+                pages.page_written(&term.log_cache, value);
+                apply_stored(term, page, std::mem::take(&mut batch.records));
                 return Some(());
             }
             Ok(StoreOutcome::Conflict(items)) => {
                 // Only the owner writes pages, so a page that is there is the one whose
                 // answer was lost.
-                let ours = term.stands_in(&items);
+                let ours = term.holds_owner_entry(&items);
                 if ours && unsure {
-                    pages.wrote(&term.copy, value);
-                    settle(term, page, std::mem::take(&mut taken.records));
+                    pages.page_written(&term.log_cache, value);
+                    apply_stored(term, page, std::mem::take(&mut batch.records));
                     return Some(());
                 }
-                taken.sent = unsure;
+                batch.sent = unsure;
                 term.end(if ours { "page taken" } else { "succeeded" });
                 return None;
             }
             Ok(StoreOutcome::LeaseEnded) => {
-                taken.sent = unsure;
+                batch.sent = unsure;
                 term.end("lease ended");
                 return None;
             }
             Err(error) => {
-                taken.sent = unsure || !matches!(error, StoreError::Refused(_));
-                note_fault(term, page, &error, taken.sent);
-                sleep(FAULT_PAUSE).await;
+                batch.sent = unsure || !matches!(error, StoreError::Refused(_));
+                log_fault(term, page, &error, batch.sent);
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-impl PageRecords {
+impl PageBatch {
     fn entries(&self) -> Vec<LogEntry> {
         let records = self.records.iter();
         records.map(|record| record.order.entry.clone()).collect()
     }
 
     fn take_pending(&mut self, term: &Term) {
-        let mut pending = term.log.pending.borrow_mut();
-        let most = largest_page(&term.options.limits);
+        let mut pending = term.log_queue.pending.borrow_mut();
+        let limit = max_page_bytes(&term.options.limits);
         let size = |record: &PendingRecord| record.order.entry.encoded_len();
         let mut bytes: usize = self.records.iter().map(size).sum();
         while let Some(next) = pending.front() {
             bytes += size(next);
-            if bytes > most && !self.records.is_empty() {
+            if bytes > limit && !self.records.is_empty() {
                 return;
             }
             self.records.extend(pending.pop_front());
@@ -146,10 +146,10 @@
     }
 
     /// Refuses what somebody waits for and could not be written for some time.
-    fn refuse_old(&mut self, term: &Term) {
+    fn refuse_expired(&mut self, term: &Term) {
         let now = term.now().boot;
         let old = |record: &PendingRecord| {
-            record.done.is_some() && now.saturating_sub(record.since) >= REFUSED_PATIENCE
+            record.reply.is_some() && now.saturating_sub(record.queued_at) >= AWAITED_ENTRY_TIMEOUT
         };
         let (refused, kept) = self.records.drain(..).partition(old);
         self.records = kept;
@@ -158,18 +158,18 @@
     }
 }
 
-fn settle(term: &Term, page: u64, taken: Vec<PendingRecord>) {
-    term.log.failing.set(false);
+fn apply_stored(term: &Term, page: u64, batch: Vec<PendingRecord>) {
+    term.log_queue.failing.set(false);
     metrics::counter!(metric::LOG_WRITES, "outcome" => "stored").increment(1);
     let now = term.now();
-    let mut desk = term.desk.borrow_mut();
-    for record in taken {
+    let mut scheduler = term.scheduler.borrow_mut();
+    for record in batch {
         match &record.order.entry.event {
             Some(Event::Accepted(job)) => {
-                desk.accept(job, now);
-                let waited = now.boot.saturating_sub(record.since);
-                metric::time(metric::ACCEPT_SECONDS, waited);
-                let work = desk.board.jobs.get(job.job.as_str());
+                scheduler.accept(job, now);
+                let waited = now.boot.saturating_sub(record.queued_at);
+                metric::record_duration(metric::ACCEPT_SECONDS, waited);
+                let work = scheduler.board.jobs.get(job.job.as_str());
                 let work = work.map_or(0.0, |job| job.plan.work());
                 let mut hosts = term.hosts.borrow_mut();
                 hosts
@@ -188,19 +188,19 @@
                 );
             }
             Some(Event::Cancelled(job)) => {
-                desk.cancel(&job.as_str().into(), now);
+                scheduler.cancel(&job.as_str().into(), now);
                 log_event::info(&event::JOB_CANCELLED, format_args!("job={job} page={page}"));
             }
             _ => {}
         }
-        desk.recorded(&record.order, now);
-        if let Some(done) = record.done {
+        scheduler.recorded(&record.order, now);
+        if let Some(reply) = record.reply {
             // The caller may have gone; the entry counts all the same.
-            let _ = done.send(RecordOutcome::Stored);
+            let _ = reply.send(RecordOutcome::Stored);
         }
     }
-    drop(desk);
-    term.log.stored.notify_waiters();
+    drop(scheduler);
+    term.log_queue.page_stored.notify_waiters();
     term.wake.notify_one();
 }
 
@@ -232,9 +232,9 @@
     job.steps.iter().map(step).collect::<Vec<_>>().join("+")
 }
 
-fn note_fault(term: &Term, page: u64, error: &StoreError, unsure: bool) {
+fn log_fault(term: &Term, page: u64, error: &StoreError, unsure: bool) {
     metrics::counter!(metric::LOG_WRITES, "outcome" => "failed").increment(1);
-    if !term.log.failing.replace(true) {
+    if !term.log_queue.failing.replace(true) {
         log_event::warn(
             &event::RECORD_FAILED,
             format_args!("page={page} cause=\"{error}\" unsure={unsure} next=retry"),
--- a/crates/cell/src/member_book.rs
+++ b/crates/cell/src/member_directory.rs
@@ -23,30 +23,30 @@
 
 use crate::{
     cell_options::CellOptions,
-    owner_view::{OwnerView, entry_write},
-    peer_call::ask_owner,
-    prefix_watch::{PrefixSink, watch_prefix},
+    owner_view::{OwnerView, address_entry},
+    peer_call::call_peer,
+    prefix_watch::{PrefixObserver, watch_prefix},
 };
 
 /// How often a process renews its entry.
-const RENEW_EVERY: Duration = Duration::from_secs(3);
+const RENEW_INTERVAL: Duration = Duration::from_secs(3);
 /// Length of the lease on an entry: a process that is gone is asked in vain for at most this
 /// time, and an owner can't rely on the pledges of all for as long.
 const ENTRY_LEASE: Duration = Duration::from_secs(10);
 /// How long a watch of the entries waits for changes, which are rare.
-const WATCH_PATIENCE: Duration = Duration::from_secs(10);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 /// Least time between two questions to members, whatever callers ask: one process makes ten a
 /// second at most, while nobody owns the cell.
-const ASK_EVERY: Duration = Duration::from_millis(100);
+const ASK_INTERVAL: Duration = Duration::from_millis(100);
 /// Longest wait for an answer; a neighbouring data centre answers in some milliseconds, and one
 /// that looks at the store first gives that up a little earlier.
 const ASK_TIMEOUT: Duration = Duration::from_millis(150);
 /// The duty of following the job log, for rendezvous hashing.
-const STANDBY: &str = "standby";
+const STANDBY_ROLE: &str = "standby";
 
 /// Another process of the system.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Neighbour {
+pub(crate) struct PeerMember {
     /// Where it answers peers.
     pub(crate) address: CompactString,
     /// How much an owner there can carry.
@@ -58,77 +58,77 @@
 /// A process that the store turns away, while it serves the others, does not hear that the
 /// ownership has changed. It would refuse all its callers for as long as that lasts; asking its
 /// neighbours who the owner is it serves them.
-pub(crate) struct MemberBook {
+pub(crate) struct MemberDirectory {
     options: Rc<CellOptions>,
     client: CallClient,
     /// The others, by their keys in the store.
-    others: RefCell<BTreeMap<CompactString, Neighbour>>,
+    peers: RefCell<BTreeMap<CompactString, PeerMember>>,
     /// Whether the entries have been read, and who is told of it.
-    read: Cell<bool>,
-    became_read: Notify,
-    next: Cell<usize>,
-    asked: Cell<Duration>,
+    entries_read: Cell<bool>,
+    on_entries_read: Notify,
+    next_index: Cell<usize>,
+    last_asked: Cell<Duration>,
 }
 
-impl MemberBook {
+impl MemberDirectory {
     pub(crate) fn new(options: Rc<CellOptions>, client: CallClient) -> Self {
         Self {
             options,
             client,
-            others: RefCell::default(),
-            read: Cell::new(false),
-            became_read: Notify::new(),
-            next: Cell::new(0),
-            asked: Cell::new(Duration::ZERO),
+            peers: RefCell::default(),
+            entries_read: Cell::new(false),
+            on_entries_read: Notify::new(),
+            next_index: Cell::new(0),
+            last_asked: Cell::new(Duration::ZERO),
         }
     }
 
     /// Follows the entries of the others, for ever.
-    pub(crate) async fn follow(self: Rc<Self>, store: Rc<dyn LeaseStore>) {
+    pub(crate) async fn watch_entries(self: Rc<Self>, store: Rc<dyn LeaseStore>) {
         let prefix = self.options.member_prefix();
-        watch_prefix(store, &prefix, WATCH_PATIENCE, &*self).await;
+        watch_prefix(store, &prefix, WATCH_TIMEOUT, &*self).await;
     }
 
     /// Waits until the entries of the others have been read, for `limit` at most.
-    pub(crate) async fn wait_read(&self, limit: Duration) {
-        let read = self.became_read.notified();
-        if !self.read.get() {
+    pub(crate) async fn wait_entries_read(&self, limit: Duration) {
+        let read = self.on_entries_read.notified();
+        if !self.entries_read.get() {
             // Without the entries all others count as no stronger.
             let _ = timeout(limit, read).await;
         }
     }
 
     /// Keeps the entry of this process in the store, for ever.
-    pub(crate) async fn keep(self: Rc<Self>, store: Rc<dyn LeaseStore>) {
+    pub(crate) async fn keep_registered(self: Rc<Self>, store: Rc<dyn LeaseStore>) {
         let mut lease = None;
         loop {
-            match self.renew(&*store, lease).await {
-                Ok(standing) => lease = standing,
+            match self.renew_entry(&*store, lease).await {
+                Ok(current) => lease = current,
                 // The watches tell of a store that is away.
                 Err(error) => log::debug!("renew the entry of the member: {error}"),
             }
-            sleep(RENEW_EVERY).await;
+            sleep(RENEW_INTERVAL).await;
         }
     }
 
-    async fn renew(
+    async fn renew_entry(
         &self,
         store: &dyn LeaseStore,
         lease: Option<LeaseId>,
     ) -> Result<Option<LeaseId>, StoreError> {
-        if let Some(standing) = lease
-            && store.renew_lease(standing).await?
+        if let Some(current) = lease
+            && store.renew_lease(current).await?
         {
             return Ok(lease);
         }
-        self.enter(store).await
+        self.register(store).await
     }
 
-    async fn enter(&self, store: &dyn LeaseStore) -> Result<Option<LeaseId>, StoreError> {
+    async fn register(&self, store: &dyn LeaseStore) -> Result<Option<LeaseId>, StoreError> {
         let lease = store.take_lease(ENTRY_LEASE).await?;
         let change = StoreChange {
             expect: Vec::new(),
-            writes: vec![entry_write(&self.options, self.entry_key(), lease)],
+            writes: vec![address_entry(&self.options, self.entry_key(), lease)],
             removes: Vec::new(),
         };
         match store.change(change).await? {
@@ -138,21 +138,21 @@
     }
 
     /// One of the strongest of the others, if it has at least this strength.
-    pub(crate) fn strongest(&self, least: HostStrength) -> Option<Neighbour> {
-        let others = self.others.borrow();
-        let best = others.values().max_by_key(|other| other.strength);
-        best.filter(|other| other.strength >= least).cloned()
+    pub(crate) fn strongest(&self, least: HostStrength) -> Option<PeerMember> {
+        let peers = self.peers.borrow();
+        let best = peers.values().max_by_key(|peer| peer.strength);
+        best.filter(|peer| peer.strength >= least).cloned()
     }
 
     /// How many of the others come before this process as standbys: strong ones first, and among
     /// those of the same strength the same ones for everybody.
-    pub(crate) fn rank(&self) -> usize {
-        let place = |strength, key: &str| (strength, rendezvous::score(STANDBY, key));
-        let own = place(self.options.limits.strength(), &self.entry_key());
-        let others = self.others.borrow();
-        let before = others
+    pub(crate) fn standby_rank(&self) -> usize {
+        let order_key = |strength, key: &str| (strength, rendezvous::score(STANDBY_ROLE, key));
+        let own = order_key(self.options.limits.strength(), &self.entry_key());
+        let peers = self.peers.borrow();
+        let before = peers
             .iter()
-            .filter(|(key, other)| place(other.strength, key) > own);
+            .filter(|(key, peer)| order_key(peer.strength, key) > own);
         before.count()
     }
 
@@ -161,10 +161,10 @@
         compact_str::format_compact!("{prefix}{}", self.options.member)
     }
 
-    fn other(&self, item: &StoreItem) -> Option<Neighbour> {
+    fn parse_entry(&self, item: &StoreItem) -> Option<PeerMember> {
         match OwnerRecord::decode(item.value.as_slice()) {
             Ok(record) if record.member == self.options.member.as_str() => None,
-            Ok(record) => Some(Neighbour {
+            Ok(record) => Some(PeerMember {
                 address: record.address.into(),
                 strength: record.strength,
             }),
@@ -178,15 +178,15 @@
     /// Asks one of the others who owns the cell, unless one was asked just now.
     pub(crate) async fn find_owner(&self, owners: &OwnerView) {
         let now = BootClock.boot_now();
-        if now.saturating_sub(self.asked.get()) < ASK_EVERY {
+        if now.saturating_sub(self.last_asked.get()) < ASK_INTERVAL {
             return;
         }
         let Some(address) = self.next_address() else {
             return;
         };
-        self.asked.set(now);
+        self.last_asked.set(now);
         if let Some(answer) = self.ask_for_owner(&address).await {
-            owners.learn(answer.owner, answer.owner_token);
+            owners.update_from_peer(answer.owner, answer.owner_token);
         }
     }
 
@@ -196,18 +196,18 @@
             ask: Some(Ask::Owner(true)),
             ..OwnerCall::default()
         };
-        self.ask(address, &call).await
+        self.call(address, &call).await
     }
 
     /// Where all others answer peers.
     pub(crate) fn addresses(&self) -> Vec<CompactString> {
-        let others = self.others.borrow();
-        others.values().map(|other| other.address.clone()).collect()
+        let peers = self.peers.borrow();
+        peers.values().map(|peer| peer.address.clone()).collect()
     }
 
     /// Asks another process; `None` if it does not answer soon.
-    pub(crate) async fn ask(&self, address: &str, call: &OwnerCall) -> Option<OwnerAnswer> {
-        match ask_owner(&self.client, address, call, ASK_TIMEOUT).await {
+    pub(crate) async fn call(&self, address: &str, call: &OwnerCall) -> Option<OwnerAnswer> {
+        match call_peer(&self.client, address, call, ASK_TIMEOUT).await {
             Ok(answer) => Some(answer),
             Err(error) => {
                 log::debug!("{error:?}");
@@ -217,36 +217,35 @@
     }
 
     fn next_address(&self) -> Option<CompactString> {
-        let others = self.others.borrow();
-        let next = self.next.replace(self.next.get().wrapping_add(1));
-        let index = next.checked_rem(others.len())?;
-        others
-            .values()
-            .nth(index)
-            .map(|other| other.address.clone())
+        let peers = self.peers.borrow();
+        let next_index = self
+            .next_index
+            .replace(self.next_index.get().wrapping_add(1));
+        let index = next_index.checked_rem(peers.len())?;
+        peers.values().nth(index).map(|peer| peer.address.clone())
     }
 }
 
-impl PrefixSink for MemberBook {
+impl PrefixObserver for MemberDirectory {
     fn reset(&self, items: Vec<StoreItem>, _revision: StoreRevision) {
-        let others = items.iter().filter_map(|item| {
-            let other = self.other(item)?;
-            Some((item.key.clone(), other))
+        let peers = items.iter().filter_map(|item| {
+            let peer = self.parse_entry(item)?;
+            Some((item.key.clone(), peer))
         });
-        *self.others.borrow_mut() = others.collect();
-        self.read.set(true);
-        self.became_read.notify_waiters();
+        *self.peers.borrow_mut() = peers.collect();
+        self.entries_read.set(true);
+        self.on_entries_read.notify_waiters();
     }
 
-    fn change(&self, event: StoreEvent) {
+    fn apply(&self, event: StoreEvent) {
         match event {
             StoreEvent::Written(item) => {
-                if let Some(other) = self.other(&item) {
-                    self.others.borrow_mut().insert(item.key, other);
+                if let Some(peer) = self.parse_entry(&item) {
+                    self.peers.borrow_mut().insert(item.key, peer);
                 }
             }
             StoreEvent::Removed(key, _) => {
-                self.others.borrow_mut().remove(&key);
+                self.peers.borrow_mut().remove(&key);
             }
         }
     }
--- a/crates/cell/src/metric.rs
+++ b/crates/cell/src/metric.rs
@@ -34,6 +34,6 @@
 pub(crate) const TERMS: &str = "lws_cell_terms";
 
 /// Records a duration in a histogram.
-pub(crate) fn time(name: &'static str, duration: Duration) {
+pub(crate) fn record_duration(name: &'static str, duration: Duration) {
     metrics::histogram!(name).record(duration.as_secs_f64());
 }
--- /dev/null
+++ b/crates/cell/src/owner_service.rs
@@ -0,0 +1,230 @@
+use std::{rc::Rc, time::Duration};
+
+use decide::{link_bounds::largest_backlog, work::plan_of_record};
+use model::{BootTime, event as log_event};
+use tokio::time::{Instant, timeout_at};
+use wire::work::{
+    AnswerKind, JobPhase, JobRecord, OwnerAnswer, OwnerCall, log_entry::Event, owner_call::Ask,
+};
+
+use crate::{
+    event,
+    log_queue::{RecordOutcome, record_order},
+    metric,
+    term::Term,
+};
+
+/// Answers, as the owner, what a host that serves callers asks.
+///
+/// A call that was meant for an earlier owner does nothing: whoever sent it may have been told
+/// since that it did not take effect.
+pub(crate) async fn handle_call(term: &Rc<Term>, call: OwnerCall) -> OwnerAnswer {
+    let deadline = Instant::now() + Duration::from_millis(call.patience_ms);
+    if call.token != 0 && call.token != term.token {
+        return answer_of_kind(AnswerKind::NotOwner);
+    }
+    if !term.is_ready() && !wait_ready(term, deadline).await {
+        return answer_of_kind(AnswerKind::NotOwner);
+    }
+    OwnerAnswer {
+        owner_token: term.token,
+        ..dispatch(term, call.ask, deadline).await
+    }
+}
+
+async fn dispatch(term: &Rc<Term>, ask: Option<Ask>, deadline: Instant) -> OwnerAnswer {
+    match ask {
+        Some(Ask::Submit(record)) => submit_job(term, record, deadline).await,
+        Some(Ask::Look(job)) => status(term, &job),
+        Some(Ask::Cancel(job)) => cancel_job(term, &job, deadline).await,
+        Some(Ask::Pending(queue)) => OwnerAnswer {
+            pending: term.scheduler.borrow_mut().pending(&queue, term.now()),
+            ..answer_of_kind(AnswerKind::Counted)
+        },
+        // Questions to any process are answered before; others are of a newer version.
+        Some(Ask::Owner(_) | Ask::Store(_) | Ask::Release(_)) | None => refused_answer(term),
+    }
+}
+
+/// Waits until the log has been read: that takes milliseconds, and asking again costs more.
+async fn wait_ready(term: &Rc<Term>, deadline: Instant) -> bool {
+    let ready = term.on_ready.notified();
+    if !term.is_ready() && !term.is_over() {
+        // Whether it became ready or the time is up shows below.
+        let _ = timeout_at(deadline, ready).await;
+    }
+    term.is_ready()
+}
+
+/// Accepts a job. The same id again is the same job, whoever asks and however often.
+async fn submit_job(term: &Rc<Term>, record: JobRecord, deadline: Instant) -> OwnerAnswer {
+    if term
+        .scheduler
+        .borrow()
+        .board
+        .jobs
+        .contains_key(record.job.as_str())
+    {
+        return answer_of_kind(AnswerKind::Accepted);
+    }
+    if term.submitting.borrow().contains(&record.job) {
+        return wait_for_submission(term, &record.job, deadline).await;
+    }
+    if !term.has_valid_lease() || term.log_queue.is_failing() || has_long_backlog(term) {
+        return refused_answer(term);
+    }
+    if let Some(wait) = predict_lateness(term, &record) {
+        return refused_answer_after(wait);
+    }
+    let job = record.job.clone();
+    term.submitting.borrow_mut().insert(job.clone());
+    let outcome = term
+        .log_queue
+        .push_awaited(record_order(Event::Accepted(record), true), boot_now(term));
+    let (owning_term, submitted) = (term.clone(), job.clone());
+    // The entry is written whether or not the caller stays, so it is followed to its end.
+    let recording = tokio::task::spawn_local(async move {
+        let outcome = outcome.await;
+        owning_term.submitting.borrow_mut().remove(&submitted);
+        outcome
+    });
+    match timeout_at(deadline, recording).await {
+        Ok(Ok(Ok(RecordOutcome::Stored))) => answer_of_kind(AnswerKind::Accepted),
+        Ok(Ok(Ok(RecordOutcome::Refused))) => refused_answer(term),
+        Err(_) if term.log_queue.withdraw_acceptance(&job) => refused_answer(term),
+        _ => answer_of_kind(AnswerKind::Unknown),
+    }
+}
+
+/// How long it takes until a job like this would be begun in time; `None` if it would be now.
+fn predict_lateness(term: &Term, record: &JobRecord) -> Option<Duration> {
+    let plan = plan_of_record(record);
+    let now = term.now();
+    let mut scheduler = term.scheduler.borrow_mut();
+    let wait = scheduler.foresees_late(&plan, &record.queue, &record.workspace, now)?;
+    metric::record_duration(metric::EXCESS_SECONDS, wait);
+    log_event::info(
+        &event::JOB_FORESEEN_LATE,
+        format_args!(
+            "job={} queue={} workspace={} excess_ms={}",
+            record.job,
+            record.queue,
+            record.workspace,
+            wait.as_millis()
+        ),
+    );
+    Some(wait)
+}
+
+/// True if the next owner would read what is open for too long, so that more work would not be done
+/// in time.
+fn has_long_backlog(term: &Term) -> bool {
+    #[expect(clippy::cast_precision_loss, reason = "an estimate")]
+    let open = term.scheduler.borrow().board.open.len() as f64;
+    open * term.log_queue.job_bytes.get()
+        >= largest_backlog(term.options.limits.link_bytes_per_second())
+}
+
+/// Waits for a job that another call is handing in.
+async fn wait_for_submission(term: &Rc<Term>, job: &str, deadline: Instant) -> OwnerAnswer {
+    loop {
+        let stored = term.log_queue.page_stored.notified();
+        if term.scheduler.borrow().board.jobs.contains_key(job) {
+            return answer_of_kind(AnswerKind::Accepted);
+        }
+        if !term.submitting.borrow().contains(job) {
+            return refused_answer(term);
+        }
+        if timeout_at(deadline, stored).await.is_err() || term.is_over() {
+            return answer_of_kind(AnswerKind::Unknown);
+        }
+    }
+}
+
+fn status(term: &Rc<Term>, job: &str) -> OwnerAnswer {
+    if let Some(phase) = term.scheduler.borrow().progress(job) {
+        return found_answer(phase);
+    }
+    if term.has_valid_lease() {
+        answer_of_kind(AnswerKind::NotFound)
+    } else {
+        // A successor may have accepted it meanwhile.
+        refused_answer(term)
+    }
+}
+
+/// Cancels a job. One that is not known is recorded as cancelled before its caller is told so:
+/// its submission may be under way to this owner or to the next.
+async fn cancel_job(term: &Rc<Term>, job: &str, deadline: Instant) -> OwnerAnswer {
+    if term.submitting.borrow().contains(job) {
+        // It is being recorded by a call that its caller has given up on; what becomes of that
+        // shows below.
+        let _ = wait_for_submission(term, job, deadline).await;
+    }
+    let phase = term.scheduler.borrow().progress(job);
+    let answered = match phase {
+        Some(JobPhase::Queued | JobPhase::Running) => found_answer(JobPhase::Cancelled),
+        Some(ended) => return found_answer(ended),
+        None => answer_of_kind(AnswerKind::NotFound),
+    };
+    if phase.is_none() && term.scheduler.borrow().board.jobs.contains_key(job) {
+        // Recorded as cancelled before.
+        return answered;
+    }
+    if !term.has_valid_lease() {
+        return refuse_cancel(term, job, "the lease may have lapsed");
+    }
+    if term.log_queue.is_failing() {
+        return refuse_cancel(term, job, "the store takes no entries");
+    }
+    let entry = record_order(Event::Cancelled(job.to_owned()), true);
+    let outcome = term.log_queue.push_awaited(entry, boot_now(term));
+    match timeout_at(deadline, outcome).await {
+        Ok(Ok(RecordOutcome::Stored)) => answered,
+        Ok(Ok(RecordOutcome::Refused)) => refuse_cancel(term, job, "the store refused the entry"),
+        _ => answer_of_kind(AnswerKind::Unknown),
+    }
+}
+
+/// Refuses a cancellation that can't be stored now. The job is held, and the entry is written once
+/// the store takes it, so that a caller who does not ask again is obeyed as well.
+fn refuse_cancel(term: &Term, job: &str, cause: &str) -> OwnerAnswer {
+    if term.scheduler.borrow_mut().hold(job) {
+        let order = record_order(Event::Cancelled(job.to_owned()), true);
+        term.log_queue.push(order, boot_now(term));
+    }
+    log_event::warn(
+        &event::CANCEL_REFUSED,
+        format_args!("job={job} token={} cause=\"{cause}\"", term.token),
+    );
+    refused_answer(term)
+}
+
+fn boot_now(term: &Term) -> BootTime {
+    term.now().boot
+}
+
+fn answer_of_kind(kind: AnswerKind) -> OwnerAnswer {
+    OwnerAnswer {
+        kind: kind.into(),
+        ..OwnerAnswer::default()
+    }
+}
+
+fn found_answer(phase: JobPhase) -> OwnerAnswer {
+    OwnerAnswer {
+        phase: phase.into(),
+        ..answer_of_kind(AnswerKind::Found)
+    }
+}
+
+fn refused_answer(term: &Term) -> OwnerAnswer {
+    refused_answer_after(term.options.retry_after)
+}
+
+fn refused_answer_after(wait: Duration) -> OwnerAnswer {
+    OwnerAnswer {
+        retry_after_ms: u64::try_from(wait.as_millis()).unwrap_or(u64::MAX),
+        ..answer_of_kind(AnswerKind::Refused)
+    }
+}
--- a/crates/cell/src/owner_view.rs
+++ b/crates/cell/src/owner_view.rs
@@ -7,7 +7,7 @@
 use tokio::sync::Notify;
 use wire::work::OwnerRecord;
 
-use crate::{cell_options::CellOptions, event, prefix_watch::PrefixSink};
+use crate::{cell_options::CellOptions, event, prefix_watch::PrefixObserver};
 
 /// Who owns the cell, as the store says.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -26,7 +26,7 @@
     key: CompactString,
     owner: RefCell<Option<OwnerEntry>>,
     /// Entries of lower revisions are known to be gone.
-    gone_before: Cell<StoreRevision>,
+    removed_before: Cell<StoreRevision>,
     /// Whether the entry has been read at all.
     known: Cell<bool>,
     /// Told of each change.
@@ -58,36 +58,37 @@
             // for it, and would look for themselves only after two seconds.
             self.changed.notify_waiters();
         }
-        self.put(item.and_then(owner_of));
+        self.replace(item.and_then(decode_owner));
     }
 
     /// Takes that no entry of a lower revision stands any more.
-    fn set_gone(&self, revision: StoreRevision) {
-        self.gone_before.set(self.gone_before.get().max(revision));
+    fn mark_removed(&self, revision: StoreRevision) {
+        self.removed_before
+            .set(self.removed_before.get().max(revision));
         if self.owner().is_none_or(|owner| owner.token < revision) {
             self.set(None);
         }
     }
 
     /// Takes who another process says is the owner, if that is a later one than is known here.
-    pub(crate) fn learn(&self, record: Option<OwnerRecord>, token: StoreRevision) {
+    pub(crate) fn update_from_peer(&self, record: Option<OwnerRecord>, token: StoreRevision) {
         let known = self.owner().map_or(0, |owner| owner.token);
         let Some(record) = record.filter(|_| token > known) else {
             return;
         };
-        self.put(Some(OwnerEntry {
+        self.replace(Some(OwnerEntry {
             member: record.member.into(),
             address: record.address.into(),
             token,
         }));
     }
 
-    fn put(&self, entry: Option<OwnerEntry>) {
+    fn replace(&self, entry: Option<OwnerEntry>) {
         // The answer to a read may come after the watch has told that the entry it found is gone.
         // Believed, it would keep this process from ever standing: nothing more happens to that
         // entry. An entry is written once, so one that is gone does not come back.
-        let gone = |owner: &OwnerEntry| owner.token < self.gone_before.get();
-        if *self.owner.borrow() == entry || entry.as_ref().is_some_and(gone) {
+        let removed = |owner: &OwnerEntry| owner.token < self.removed_before.get();
+        if *self.owner.borrow() == entry || entry.as_ref().is_some_and(removed) {
             return;
         }
         match &entry {
@@ -106,7 +107,11 @@
 }
 
 /// The entry that says where this process answers peers, under a key and a lease.
-pub(crate) fn entry_write(options: &CellOptions, key: CompactString, lease: LeaseId) -> StoreWrite {
+pub(crate) fn address_entry(
+    options: &CellOptions,
+    key: CompactString,
+    lease: LeaseId,
+) -> StoreWrite {
     let record = OwnerRecord {
         member: options.member.to_string(),
         address: options.peer_address.to_string(),
@@ -120,7 +125,7 @@
 }
 
 /// Reads an owner's entry; an entry that can't be read is no owner to ask, and lapses.
-pub(crate) fn owner_of(item: &StoreItem) -> Option<OwnerEntry> {
+pub(crate) fn decode_owner(item: &StoreItem) -> Option<OwnerEntry> {
     let record = match OwnerRecord::decode(item.value.as_slice()) {
         Ok(record) => record,
         Err(error) => {
@@ -138,18 +143,18 @@
     })
 }
 
-impl PrefixSink for OwnerView {
+impl PrefixObserver for OwnerView {
     fn reset(&self, items: Vec<StoreItem>, revision: StoreRevision) {
         match items.iter().find(|item| item.key == self.key) {
             Some(item) => self.set(Some(item)),
-            None => self.set_gone(revision),
+            None => self.mark_removed(revision),
         }
     }
 
-    fn change(&self, event: StoreEvent) {
+    fn apply(&self, event: StoreEvent) {
         match event {
             StoreEvent::Written(item) if item.key == self.key => self.set(Some(&item)),
-            StoreEvent::Removed(key, revision) if key == self.key => self.set_gone(revision),
+            StoreEvent::Removed(key, revision) if key == self.key => self.mark_removed(revision),
             StoreEvent::Written(_) | StoreEvent::Removed(..) => {}
         }
     }
--- a/crates/cell/src/peer_call.rs
+++ b/crates/cell/src/peer_call.rs
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 /// [`CallError::NotSent`] if it can't have seen the call.
-pub(crate) async fn ask_owner(
+pub(crate) async fn call_peer(
     client: &CallClient,
     address: &str,
     call: &OwnerCall,
--- a/crates/cell/src/peer_port.rs
+++ b/crates/cell/src/peer_service.rs
@@ -10,12 +10,12 @@
 use wire::work::{AnswerKind, OwnerAnswer, OwnerCall, OwnerRecord, owner_call::Ask};
 
 use crate::{
-    event, owner_desk, owner_view::OwnerView, peer_call::OWNER_PATH, stand_pledge::StandPledge,
-    term::Term,
+    election_promise::ElectionPromise, event, owner_service, owner_view::OwnerView,
+    peer_call::OWNER_PATH, term::Term,
 };
 
 /// The term that this process runs, while it owns the cell.
-pub(crate) type TermSlot = Rc<RefCell<Option<Rc<Term>>>>;
+pub(crate) type CurrentTerm = Rc<RefCell<Option<Rc<Term>>>>;
 
 /// Longest wait for the store before a process says that it does not reach it. Less than its
 /// asker waits.
@@ -23,17 +23,17 @@
 
 /// Answers the other processes of the system.
 #[derive(Clone)]
-pub(crate) struct PeerPort {
-    pub(crate) slot: TermSlot,
+pub(crate) struct PeerService {
+    pub(crate) current_term: CurrentTerm,
     pub(crate) owners: Rc<OwnerView>,
     pub(crate) store: Rc<dyn LeaseStore>,
     pub(crate) owner_key: CompactString,
-    pub(crate) pledge: Rc<StandPledge>,
+    pub(crate) promise: Rc<ElectionPromise>,
 }
 
-impl HttpService for PeerPort {
+impl HttpService for PeerService {
     fn answer(&self, request: HttpRequest) -> ReplyFuture {
-        let port = self.clone();
+        let service = self.clone();
         Box::pin(async move {
             let call = match OwnerCall::decode(request.body) {
                 Ok(call) if request.uri.path() == OWNER_PATH => call,
@@ -43,20 +43,20 @@
                     return HttpReply::status(400);
                 }
             };
-            let answer = port.answer_call(call).await;
+            let answer = service.answer_call(call).await;
             HttpReply::json(200, answer.encode_to_vec())
         })
     }
 }
 
-impl PeerPort {
+impl PeerService {
     async fn answer_call(&self, call: OwnerCall) -> OwnerAnswer {
-        let term = self.slot.borrow().clone();
+        let term = self.current_term.borrow().clone();
         match (call.ask, term) {
-            (Some(Ask::Owner(_)), _) => name_owner(&self.owners),
+            (Some(Ask::Owner(_)), _) => owner_answer(&self.owners),
             (Some(Ask::Store(token)), term) => self.probe_store(token, term.is_some()).await,
-            (Some(Ask::Release(lease)), _) => self.release(lease).await,
-            (ask, Some(term)) => owner_desk::answer_call(&term, OwnerCall { ask, ..call }).await,
+            (Some(Ask::Release(lease)), _) => self.release_lease(lease).await,
+            (ask, Some(term)) => owner_service::handle_call(&term, OwnerCall { ask, ..call }).await,
             (_, None) => OwnerAnswer {
                 kind: AnswerKind::NotOwner.into(),
                 ..OwnerAnswer::default()
@@ -69,23 +69,23 @@
     async fn probe_store(&self, token: FencingToken, owns: bool) -> OwnerAnswer {
         let read = timeout(PROBE_TIMEOUT, self.store.read(&self.owner_key)).await;
         let Ok(Ok(item)) = read else {
-            let pledged = !owns && self.pledge.give(BootClock.boot_now());
+            let pledged = !owns && self.promise.make(BootClock.boot_now());
             return OwnerAnswer {
                 pledged,
                 ..OwnerAnswer::default()
             };
         };
         self.owners.set(item.as_ref());
-        let stands = item.is_some_and(|item| item.revision == token);
+        let is_current = item.is_some_and(|item| item.revision == token);
         OwnerAnswer {
             store_reached: true,
-            owner_token: if stands { token } else { 0 },
+            owner_token: if is_current { token } else { 0 },
             ..OwnerAnswer::default()
         }
     }
 
     /// Ends a lease for an owner that the store turns away.
-    async fn release(&self, lease: LeaseId) -> OwnerAnswer {
+    async fn release_lease(&self, lease: LeaseId) -> OwnerAnswer {
         if let Err(error) = self.store.end_lease(lease).await {
             log_event::warn(
                 &event::STORE_LOST,
@@ -97,7 +97,7 @@
 }
 
 /// Says who the owner is, as far as this process has heard.
-fn name_owner(owners: &OwnerView) -> OwnerAnswer {
+fn owner_answer(owners: &OwnerView) -> OwnerAnswer {
     let owner = owners.owner();
     OwnerAnswer {
         owner_token: owner.as_ref().map_or(0, |owner| owner.token),
--- a/crates/cell/src/prefix_watch.rs
+++ b/crates/cell/src/prefix_watch.rs
@@ -6,19 +6,19 @@
 use store::{BootClock, Clock};
 use tokio::time::sleep;
 
-use crate::{dependency_note::DependencyNote, event};
+use crate::{dependency_logger::DependencyLogger, event};
 
 /// Pause after a failed call; a store that is down is asked this often.
-const FAULT_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Hears what happens below a prefix.
-pub(crate) trait PrefixSink {
+pub(crate) trait PrefixObserver {
     /// All keys that there were at a revision; what was known before and isn't among them is gone.
     fn reset(&self, items: Vec<StoreItem>, revision: StoreRevision);
     /// One change.
-    fn change(&self, event: StoreEvent);
+    fn apply(&self, event: StoreEvent);
     /// All is known that had happened when a call was sent.
-    fn answered(&self, _sent: BootTime) {}
+    fn caught_up_to(&self, _sent: BootTime) {}
 }
 
 /// Keeps a sink in step with the keys below a prefix, for ever.
@@ -27,23 +27,23 @@
 pub(crate) async fn watch_prefix(
     store: Rc<dyn LeaseStore>,
     prefix: &str,
-    patience: Duration,
-    sink: &dyn PrefixSink,
+    timeout: Duration,
+    observer: &dyn PrefixObserver,
 ) {
-    let note = DependencyNote::default();
+    let logger = DependencyLogger::default();
     loop {
-        let mut revision = read_anew(&*store, prefix, sink, &note).await;
+        let mut revision = read_all(&*store, prefix, observer, &logger).await;
         loop {
             let sent = BootClock.boot_now();
-            match store.watch(prefix, revision, patience).await {
+            match store.watch(prefix, revision, timeout).await {
                 Ok(changes) => {
-                    note.answered("watch", prefix);
+                    logger.log_answered("watch", prefix);
                     revision = revision.max(changes.revision);
                     changes
                         .events
                         .into_iter()
-                        .for_each(|event| sink.change(event));
-                    sink.answered(sent);
+                        .for_each(|event| observer.apply(event));
+                    observer.caught_up_to(sent);
                 }
                 Err(StoreError::HistoryGone) => {
                     log_event::info(
@@ -53,8 +53,8 @@
                     break;
                 }
                 Err(error) => {
-                    note.failed("watch", prefix, &error);
-                    sleep(FAULT_PAUSE).await;
+                    logger.log_failed("watch", prefix, &error);
+                    sleep(RETRY_DELAY).await;
                 }
             }
         }
@@ -63,26 +63,26 @@
 
 /// Reads all keys below a prefix for a sink, for as long as that takes. Returns the revision of the
 /// first page, so that a watch from there misses nothing that changed while the others were read.
-async fn read_anew(
+async fn read_all(
     store: &dyn LeaseStore,
     prefix: &str,
-    sink: &dyn PrefixSink,
-    note: &DependencyNote,
+    observer: &dyn PrefixObserver,
+    logger: &DependencyLogger,
 ) -> StoreRevision {
     let mut reader = PrefixReader::new(prefix, CompactString::default());
     let mut sent = BootClock.boot_now();
-    while !reader.is_done() {
+    while !reader.is_complete() {
         if reader.items.is_empty() {
             sent = BootClock.boot_now();
         }
         if let Err(error) = reader.read_page(store).await {
-            note.failed("list", prefix, &error);
-            sleep(FAULT_PAUSE).await;
+            logger.log_failed("list", prefix, &error);
+            sleep(RETRY_DELAY).await;
         }
     }
     let revision = reader.revision.unwrap_or_default();
-    sink.reset(reader.items, revision);
-    sink.answered(sent);
+    observer.reset(reader.items, revision);
+    observer.caught_up_to(sent);
     revision
 }
 
@@ -95,7 +95,7 @@
     /// The keys that were read.
     pub(crate) items: Vec<StoreItem>,
     revision: Option<StoreRevision>,
-    done: bool,
+    complete: bool,
 }
 
 impl<'a> PrefixReader<'a> {
@@ -106,13 +106,13 @@
             after,
             items: Vec::new(),
             revision: None,
-            done: false,
+            complete: false,
         }
     }
 
     /// True once the last page was read.
-    pub(crate) fn is_done(&self) -> bool {
-        self.done
+    pub(crate) fn is_complete(&self) -> bool {
+        self.complete
     }
 
     /// Reads the next page.
@@ -123,7 +123,7 @@
             self.after = item.key.clone();
         }
         // A page without keys would be asked for again for ever.
-        self.done = !page.more || page.items.is_empty();
+        self.complete = !page.more || page.items.is_empty();
         self.items.append(&mut page.items);
         Ok(())
     }
--- a/crates/cell/src/store_witness.rs
+++ b/crates/cell/src/store_check.rs
@@ -4,20 +4,20 @@
 use tokio::{task::JoinSet, time::sleep};
 use wire::work::{OwnerCall, owner_call::Ask};
 
-use crate::{stand_pledge::RELIED_ON, step_aside::Departure, term::Term};
+use crate::{election_promise::PROMISE_TRUSTED, step_down::StepDownKind, term::Term};
 
 /// How often an owner that does not reach the store asks the others whether they do.
-const ASK_EVERY: Duration = Duration::from_millis(100);
+const ASK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Rounds of questions in a row that have to find the store in place.
-const SURE_AFTER: u32 = 2;
+const CONFIRMING_ROUNDS: u32 = 2;
 
 /// What the others say of the store.
-enum StoreSight {
+enum StoreVerdict {
     /// One of them, at this address, reaches it and knows this owner.
     Reached(CompactString),
     /// None of them reaches it, and all keep out of elections.
-    Away,
+    Unreachable,
     /// Not all answered, or they differ.
     Unclear,
 }
@@ -28,33 +28,33 @@
 /// A store that turns away only the owner would leave the cell without one until the lease has
 /// lapsed; it is handed over at once. A store that is away for all leaves no way to a successor,
 /// so the owner may go on starting what it has accepted.
-pub(crate) async fn consult_others(term: &Rc<Term>) -> Departure {
+pub(crate) async fn check_with_members(term: &Rc<Term>) -> StepDownKind {
     let mut reached = 0;
     loop {
-        sleep(ASK_EVERY).await;
-        if !term.is_ready() || !term.misses_store() {
+        sleep(ASK_INTERVAL).await;
+        if !term.is_ready() || !term.seems_cut_off() {
             reached = 0;
             continue;
         }
         let sent = term.now().boot;
-        match ask_all(term).await {
-            StoreSight::Reached(address) => {
+        match ask_members(term).await {
+            StoreVerdict::Reached(address) => {
                 reached += 1;
                 // A store that has just come back is reached by this one too, a moment later.
-                if reached >= SURE_AFTER && term.misses_store() {
-                    return Departure::ReleaseBy(address);
+                if reached >= CONFIRMING_ROUNDS && term.seems_cut_off() {
+                    return StepDownKind::ReleaseThrough(address);
                 }
             }
-            StoreSight::Away => {
+            StoreVerdict::Unreachable => {
                 reached = 0;
-                term.rely_until(sent + RELIED_ON);
+                term.trust_promises_until(sent + PROMISE_TRUSTED);
             }
-            StoreSight::Unclear => reached = 0,
+            StoreVerdict::Unclear => reached = 0,
         }
     }
 }
 
-async fn ask_all(term: &Term) -> StoreSight {
+async fn ask_members(term: &Term) -> StoreVerdict {
     let others = term.members.addresses();
     let count = others.len();
     let mut answers = JoinSet::new();
@@ -65,21 +65,21 @@
                 ask: Some(Ask::Store(token)),
                 ..OwnerCall::default()
             };
-            (members.ask(&address, &call).await, address)
+            (members.call(&address, &call).await, address)
         });
     }
-    let mut pledged = 0;
+    let mut promised = 0;
     while let Some(joined) = answers.join_next().await {
         let Ok((Some(answer), address)) = joined else {
             continue;
         };
         if answer.store_reached && answer.owner_token == term.token {
-            return StoreSight::Reached(address);
+            return StoreVerdict::Reached(address);
         }
-        pledged += usize::from(answer.pledged);
+        promised += usize::from(answer.pledged);
     }
-    match pledged == count && count > 0 {
-        true => StoreSight::Away,
-        false => StoreSight::Unclear,
+    match promised == count && count > 0 {
+        true => StoreVerdict::Unreachable,
+        false => StoreVerdict::Unclear,
     }
 }
--- a/crates/cell/src/kept_cancellation.rs
+++ b/crates/cell/src/stored_cancellation.rs
@@ -21,48 +21,48 @@
     event,
     log_queue::{RecordOutcome, record_order},
     metric,
-    prefix_watch::{PrefixSink, watch_prefix},
+    prefix_watch::{PrefixObserver, watch_prefix},
     term::Term,
 };
 
 /// Pause after a failed call, or an entry that was refused.
-const FAULT_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// How long a watch waits for cancellations. While it waits nothing shows that the store is heard.
-const WATCH_PATIENCE: Duration = Duration::from_millis(250);
+const WATCH_TIMEOUT: Duration = Duration::from_millis(250);
 /// Cancellations that a process tries to keep at once; callers of others have to ask again.
-const MOST_WAITING: usize = 256;
+const MAX_PENDING: usize = 256;
 /// For how long that is tried: as long as the store is away at a time.
-const KEEP_LIMIT: Duration = Duration::from_secs(30);
+const PERSIST_TIMEOUT: Duration = Duration::from_secs(30);
 /// Pause before that is tried again.
-const KEEP_PAUSE: Duration = Duration::from_millis(300);
+const PERSIST_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Keys of one change: the store takes 32 entries, one of which may be the owner's.
-const KEYS_AT_ONCE: usize = 28;
+const MAX_KEYS_PER_CHANGE: usize = 28;
 
 /// Keeps cancellations in the store, for the process that callers asked.
-pub(crate) struct CancellationKeeper {
+pub(crate) struct CancellationWriter {
     store: Rc<dyn LeaseStore>,
     options: Rc<CellOptions>,
     /// Jobs whose cancellations are tried until the store takes them.
-    waiting: RefCell<BTreeSet<JobId>>,
+    pending: RefCell<BTreeSet<JobId>>,
     /// Told when none waits any more.
-    settled: Notify,
+    flushed: Notify,
 }
 
-impl CancellationKeeper {
+impl CancellationWriter {
     pub(crate) fn new(store: Rc<dyn LeaseStore>, options: Rc<CellOptions>) -> Self {
         Self {
             store,
             options,
-            waiting: RefCell::default(),
-            settled: Notify::new(),
+            pending: RefCell::default(),
+            flushed: Notify::new(),
         }
     }
 
     /// Waits until the store has taken all cancellations that wait, or they are given up.
-    pub(crate) async fn settle(&self) {
-        let settled = self.settled.notified();
-        if !self.waiting.borrow().is_empty() {
-            settled.await;
+    pub(crate) async fn flush(&self) {
+        let flushed = self.flushed.notified();
+        if !self.pending.borrow().is_empty() {
+            flushed.await;
         }
     }
 
@@ -70,48 +70,48 @@
     ///
     /// # Errors
     /// If it is not known to be stored.
-    pub(crate) async fn keep(&self, job: &str) -> Result<(), StoreError> {
+    pub(crate) async fn persist(&self, job: &str) -> Result<(), StoreError> {
         self.write(&[job.into()]).await
     }
 
     /// Goes on trying to keep the cancellation of a job, whether or not its caller asks again.
-    pub(crate) fn keep_later(self: &Rc<Self>, job: &str) {
-        let mut waiting = self.waiting.borrow_mut();
-        if waiting.len() >= MOST_WAITING {
+    pub(crate) fn persist_with_retry(self: &Rc<Self>, job: &str) {
+        let mut pending = self.pending.borrow_mut();
+        if pending.len() >= MAX_PENDING {
             return;
         }
-        let first = waiting.is_empty();
-        waiting.insert(job.into());
+        let first = pending.is_empty();
+        pending.insert(job.into());
         if first {
-            tokio::task::spawn_local(self.clone().keep_waiting());
+            tokio::task::spawn_local(self.clone().persist_pending());
         }
     }
 
     /// Tries until all that wait are kept, or none could be for a long time.
-    async fn keep_waiting(self: Rc<Self>) {
-        let mut end = Instant::now() + KEEP_LIMIT;
+    async fn persist_pending(self: Rc<Self>) {
+        let mut end = Instant::now() + PERSIST_TIMEOUT;
         loop {
-            let jobs = self.first_waiting();
+            let jobs = self.next_batch();
             if jobs.is_empty() || Instant::now() >= end {
                 break;
             }
             if self.write(&jobs).await.is_ok() {
-                let mut waiting = self.waiting.borrow_mut();
+                let mut pending = self.pending.borrow_mut();
                 jobs.iter().for_each(|job| {
-                    waiting.remove(job);
+                    pending.remove(job);
                 });
-                end = Instant::now() + KEEP_LIMIT;
+                end = Instant::now() + PERSIST_TIMEOUT;
             } else {
-                sleep(KEEP_PAUSE).await;
+                sleep(PERSIST_RETRY_DELAY).await;
             }
         }
-        self.waiting.borrow_mut().clear();
-        self.settled.notify_waiters();
+        self.pending.borrow_mut().clear();
+        self.flushed.notify_waiters();
     }
 
-    fn first_waiting(&self) -> Vec<JobId> {
-        let waiting = self.waiting.borrow();
-        waiting.iter().take(KEYS_AT_ONCE).cloned().collect()
+    fn next_batch(&self) -> Vec<JobId> {
+        let pending = self.pending.borrow();
+        pending.iter().take(MAX_KEYS_PER_CHANGE).cloned().collect()
     }
 
     async fn write(&self, jobs: &[JobId]) -> Result<(), StoreError> {
@@ -134,27 +134,27 @@
 }
 
 /// Follows the cancellations that are kept for as long as the term lasts, and records them.
-pub(crate) async fn follow_cancellations(term: Rc<Term>) {
+pub(crate) async fn watch_cancellations(term: Rc<Term>) {
     let prefix = term.options.cancellation_prefix();
-    let sink = CancellationSink { term: term.clone() };
+    let observer = CancellationObserver { term: term.clone() };
     let store = term.ports.store.clone();
-    watch_prefix(store, &prefix, WATCH_PATIENCE, &sink).await;
+    watch_prefix(store, &prefix, WATCH_TIMEOUT, &observer).await;
 }
 
-struct CancellationSink {
+struct CancellationObserver {
     term: Rc<Term>,
 }
 
-impl CancellationSink {
+impl CancellationObserver {
     fn record(&self, items: &[StoreItem]) {
-        let jobs = jobs_of(items, &self.term.options.cancellation_prefix());
+        let jobs = job_ids(items, &self.term.options.cancellation_prefix());
         if jobs.is_empty() {
             return;
         }
         // What is kept lasts, so it is in force before it is in the log.
         let now = self.term.now();
         for job in &jobs {
-            self.term.desk.borrow_mut().cancel(job, now);
+            self.term.scheduler.borrow_mut().cancel(job, now);
         }
         self.term.wake.notify_one();
         self.term
@@ -162,23 +162,23 @@
     }
 }
 
-impl PrefixSink for CancellationSink {
+impl PrefixObserver for CancellationObserver {
     fn reset(&self, items: Vec<StoreItem>, _revision: StoreRevision) {
         self.record(&items);
     }
 
-    fn change(&self, event: StoreEvent) {
+    fn apply(&self, event: StoreEvent) {
         if let StoreEvent::Written(item) = event {
             self.record(&[item]);
         }
     }
 
-    fn answered(&self, sent: BootTime) {
-        self.term.heard_cancellations(sent);
+    fn caught_up_to(&self, sent: BootTime) {
+        self.term.cancellations_read(sent);
     }
 }
 
-fn jobs_of(items: &[StoreItem], prefix: &str) -> Vec<JobId> {
+fn job_ids(items: &[StoreItem], prefix: &str) -> Vec<JobId> {
     let names = items
         .iter()
         .filter_map(|item| item.key.strip_prefix(prefix));
@@ -191,11 +191,11 @@
     while !left.is_empty() {
         left = record_once(&term, left).await;
         if !left.is_empty() {
-            sleep(FAULT_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
-    for part in jobs.chunks(KEYS_AT_ONCE) {
-        remove_kept(&term, part).await;
+    for part in jobs.chunks(MAX_KEYS_PER_CHANGE) {
+        remove_recorded(&term, part).await;
     }
 }
 
@@ -204,7 +204,7 @@
     let now = term.now().boot;
     let record = |job: JobId| {
         let order = record_order(Event::Cancelled(job.to_string()), true);
-        (term.log.add_awaited(order, now), job)
+        (term.log_queue.push_awaited(order, now), job)
     };
     let waits: Vec<_> = jobs.into_iter().map(record).collect();
     let mut left = Vec::new();
@@ -218,7 +218,7 @@
 
 /// Removes the keys of cancellations that are recorded. One that stays is recorded once more by
 /// the next owner, which changes nothing.
-async fn remove_kept(term: &Term, jobs: &[JobId]) {
+async fn remove_recorded(term: &Term, jobs: &[JobId]) {
     let change = StoreChange {
         expect: vec![(term.options.owner_key(), term.token)],
         removes: jobs
@@ -232,6 +232,6 @@
             Ok(_) => return,
             Err(error) => log::debug!("remove cancellations that are recorded: {error}"),
         }
-        sleep(FAULT_PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
 }
--- a/crates/cell/src/target_lane.rs
+++ b/crates/cell/src/target_channel.rs
@@ -5,18 +5,18 @@
 const ORDERS_AT_ONCE: usize = 3;
 
 /// The way to one target.
-pub(crate) struct TargetLane {
+pub(crate) struct TargetChannel {
     /// Orders that may be under way at once.
     pub(crate) orders: Semaphore,
     /// Told when a look is wanted at once.
-    pub(crate) hurry: Notify,
+    pub(crate) poll_now: Notify,
 }
 
-impl Default for TargetLane {
+impl Default for TargetChannel {
     fn default() -> Self {
         Self {
             orders: Semaphore::new(ORDERS_AT_ONCE),
-            hurry: Notify::new(),
+            poll_now: Notify::new(),
         }
     }
 }
--- a/crates/cell/src/target_orders.rs
+++ b/crates/cell/src/target_orders.rs
@@ -8,41 +8,41 @@
 use tokio::{sync::SemaphorePermit, time::Instant};
 
 use crate::{
-    call_gate::CallPass,
+    call_limiter::CallPermit,
     event, metric,
-    target_lane::TargetLane,
-    target_look::{address_of, look_once, next_look, note_failure, way_to},
+    target_channel::TargetChannel,
+    target_poll::{channel_to, log_failure, next_poll, poll_once, target_address},
     term::Term,
 };
 
 /// Wait of a start for a connection that is worth a log line.
-const LONG_WAIT: Duration = Duration::from_millis(500);
+const LOGGED_WAIT: Duration = Duration::from_millis(500);
 /// Why an order was not sent.
-const TOO_LATE: &str = "the term is over, or it is not known what has been cancelled";
+const NOT_SENT_CAUSE: &str = "the term is over, or it is not known what has been cancelled";
 
 /// Carries out an order to a target.
-pub(crate) fn run_order(term: &Rc<Term>, order: DeskOrder) {
-    let carried = term.clone();
+pub(crate) fn send_order(term: &Rc<Term>, order: DeskOrder) {
+    let cloned = term.clone();
     match order {
-        DeskOrder::Start(id, order) => term.spawn(start(carried, id, order)),
-        DeskOrder::Stop(id, order) => term.spawn(stop(carried, id, order)),
-        DeskOrder::Pace(id, order) => term.spawn(pace(carried, id, order)),
-        DeskOrder::Look(id) => term.spawn(look(carried, id)),
-        DeskOrder::Advise(key, targets) => term.spawn(advise(carried, key, targets)),
+        DeskOrder::Start(id, order) => term.spawn(send_start(cloned, id, order)),
+        DeskOrder::Stop(id, order) => term.spawn(send_stop(cloned, id, order)),
+        DeskOrder::Pace(id, order) => term.spawn(send_throttle(cloned, id, order)),
+        DeskOrder::Look(id) => term.spawn(poll_at_once(cloned, id)),
+        DeskOrder::Advise(key, targets) => term.spawn(request_advice(cloned, key, targets)),
         // Orders to the log and to the term itself; the term carries them out.
         DeskOrder::Record(_) | DeskOrder::Resign(_) => {}
     }
 }
 
-async fn start(term: Rc<Term>, id: HostId, mut order: StartOrder) {
-    let Some((lane, address)) = way_to(&term, &id) else {
+async fn send_start(term: Rc<Term>, id: HostId, mut order: StartOrder) {
+    let Some((channel, address)) = channel_to(&term, &id) else {
         return;
     };
     let (task, attempt) = (order.task.clone(), order.attempt);
     let begun = Instant::now();
-    let permit = turn(&term, &lane, CallClass::Start).await;
-    note_wait(&order, &id, begun.elapsed());
-    if !term.desk.borrow().wants_start(&id, &task, attempt) {
+    let permit = acquire_permits(&term, &channel, CallClass::Start).await;
+    record_start_wait(&order, &id, begun.elapsed());
+    if !term.scheduler.borrow().wants_start(&id, &task, attempt) {
         log_event::info(
             &event::START_DROPPED,
             format_args!("task={task} attempt={attempt} target={id}"),
@@ -50,34 +50,42 @@
         return;
     }
     // It may have waited for its turn for longer than the lease goes.
-    let permit = permit.filter(|_| term.may_start() && term.knows_cancellations());
+    let permit = permit.filter(|_| term.may_start_tasks() && term.cancellations_are_current());
     let Some(_permit) = permit else {
-        note_failure(&term, "start", &id, TOO_LATE);
-        term.desk.borrow_mut().start_withdrawn(&id, &task, attempt);
+        log_failure(&term, "start", &id, NOT_SENT_CAUSE);
+        term.scheduler
+            .borrow_mut()
+            .start_withdrawn(&id, &task, attempt);
         term.wake.notify_one();
         return;
     };
     let now = term.now();
-    term.desk.borrow_mut().renew_start(&id, &mut order, now);
+    term.scheduler
+        .borrow_mut()
+        .renew_start(&id, &mut order, now);
     let answer = term.ports.targets.start(&address, order).await;
-    lane.hurry.notify_one();
-    metric::time(metric::ORDER_SECONDS, begun.elapsed());
+    channel.poll_now.notify_one();
+    metric::record_duration(metric::ORDER_SECONDS, begun.elapsed());
     let done = matches!(answer, StartAnswer::Started { .. });
-    settle(&term, "start", &id, done, &(&task, &answer));
+    record_outcome(&term, "start", &id, done, &(&task, &answer));
     let now = term.now();
-    let mut desk = term.desk.borrow_mut();
-    desk.started(&id, &task, attempt, &answer, now);
+    let mut scheduler = term.scheduler.borrow_mut();
+    scheduler.started(&id, &task, attempt, &answer, now);
     term.wake.notify_one();
 }
 
-async fn stop(term: Rc<Term>, id: HostId, order: StopOrder) {
-    let Some((lane, address)) = way_to(&term, &id) else {
+async fn send_stop(term: Rc<Term>, id: HostId, order: StopOrder) {
+    let Some((channel, address)) = channel_to(&term, &id) else {
         return;
     };
     let (task, attempt) = (order.task.clone(), order.attempt);
-    let permit = turn(&term, &lane, CallClass::Stop).await;
+    let permit = acquire_permits(&term, &channel, CallClass::Stop).await;
     let now = term.now();
-    if !term.desk.borrow_mut().wants_stop(&id, &task, attempt, now) {
+    if !term
+        .scheduler
+        .borrow_mut()
+        .wants_stop(&id, &task, attempt, now)
+    {
         log_event::info(
             &event::STOP_DROPPED,
             format_args!("task={task} attempt={attempt} target={id}"),
@@ -85,65 +93,65 @@
         return;
     }
     let sent = now.boot;
-    let Some(_permit) = permit.filter(|_| term.may_order()) else {
-        // The desk sends it again if it is still wanted.
-        note_failure(&term, "stop", &id, TOO_LATE);
+    let Some(_permit) = permit.filter(|_| term.may_send_orders()) else {
+        // The scheduler sends it again if it is still wanted.
+        log_failure(&term, "stop", &id, NOT_SENT_CAUSE);
         return;
     };
     let answer = term.ports.targets.stop(&address, order).await;
-    lane.hurry.notify_one();
+    channel.poll_now.notify_one();
     let done = answer == OrderAnswer::Done;
-    settle(&term, "stop", &id, done, &(&task, &answer));
+    record_outcome(&term, "stop", &id, done, &(&task, &answer));
     let now = term.now();
-    let mut desk = term.desk.borrow_mut();
-    desk.stopped(&id, &task, attempt, sent, &answer, now);
+    let mut scheduler = term.scheduler.borrow_mut();
+    scheduler.stopped(&id, &task, attempt, sent, &answer, now);
     term.wake.notify_one();
 }
 
-/// Sets a task's share of time. The next look shows whether that helped, so the desk does not
+/// Sets a task's share of time. The next look shows whether that helped, so the scheduler does not
 /// wait for the answer.
-async fn pace(term: Rc<Term>, id: HostId, order: ThrottleOrder) {
-    let Some((lane, address)) = way_to(&term, &id) else {
+async fn send_throttle(term: Rc<Term>, id: HostId, order: ThrottleOrder) {
+    let Some((channel, address)) = channel_to(&term, &id) else {
         return;
     };
-    let Some(_permit) = turn(&term, &lane, CallClass::Start).await else {
+    let Some(_permit) = acquire_permits(&term, &channel, CallClass::Start).await else {
         return;
     };
     let answer = term.ports.targets.throttle(&address, order).await;
-    settle(&term, "pace", &id, answer == OrderAnswer::Done, &answer);
+    record_outcome(&term, "pace", &id, answer == OrderAnswer::Done, &answer);
 }
 
-async fn look(term: Rc<Term>, id: HostId) {
-    let look = next_look(&term, &id).await;
-    let (Some((order, pass)), Some(address)) = (look, address_of(&term, &id)) else {
+async fn poll_at_once(term: Rc<Term>, id: HostId) {
+    let poll = next_poll(&term, &id).await;
+    let (Some((order, permit)), Some(address)) = (poll, target_address(&term, &id)) else {
         return;
     };
     let order = PollOrder {
         wait: Duration::ZERO,
         ..order
     };
-    look_once(&term, &id, &address, order, pass).await;
+    poll_once(&term, &id, &address, order, permit).await;
 }
 
-async fn advise(term: Rc<Term>, key: TaskKey, targets: Vec<HostId>) {
+async fn request_advice(term: Rc<Term>, key: TaskKey, targets: Vec<HostId>) {
     let step = format!("{}.{}.{}", key.job, key.occurrence, key.step);
     let answer = term.ports.advice.request_tickets(&step, targets).await;
     let done = answer.is_ok();
     let tickets = answer.unwrap_or_else(|error| {
-        note_failure(&term, "advise", &HostId::default(), &error);
+        log_failure(&term, "advise", &HostId::default(), &error);
         Vec::new()
     });
-    count("advise", done);
+    count_order("advise", done);
     let tickets = tickets.into_iter().map(|row| (row.target, row.ticket));
     let now = term.now();
-    let mut desk = term.desk.borrow_mut();
-    desk.advised(&key, tickets.collect(), now);
+    let mut scheduler = term.scheduler.borrow_mut();
+    scheduler.advised(&key, tickets.collect(), now);
     term.wake.notify_one();
 }
 
-fn note_wait(order: &StartOrder, id: &HostId, waited: Duration) {
-    metric::time(metric::ORDER_WAIT_SECONDS, waited);
-    if waited >= LONG_WAIT {
+fn record_start_wait(order: &StartOrder, id: &HostId, waited: Duration) {
+    metric::record_duration(metric::ORDER_WAIT_SECONDS, waited);
+    if waited >= LOGGED_WAIT {
         log_event::info(
             &event::START_DELAYED,
             format_args!(
@@ -158,23 +166,29 @@
 
 /// Waits until few enough orders to the target and calls at all are under way; `None` once its lane
 /// is closed.
-async fn turn<'a>(
+async fn acquire_permits<'a>(
     term: &Term,
-    lane: &'a TargetLane,
+    channel: &'a TargetChannel,
     class: CallClass,
-) -> Option<(SemaphorePermit<'a>, CallPass)> {
-    let permit = lane.orders.acquire().await.ok()?;
-    Some((permit, term.gate.enter(class).await))
+) -> Option<(SemaphorePermit<'a>, CallPermit)> {
+    let permit = channel.orders.acquire().await.ok()?;
+    Some((permit, term.call_limiter.acquire(class).await))
 }
 
-fn settle(term: &Term, kind: &'static str, id: &HostId, done: bool, what: &dyn std::fmt::Debug) {
-    count(kind, done);
+fn record_outcome(
+    term: &Term,
+    kind: &'static str,
+    id: &HostId,
+    done: bool,
+    what: &dyn std::fmt::Debug,
+) {
+    count_order(kind, done);
     if !done {
-        note_failure(term, kind, id, &format!("{what:?}"));
+        log_failure(term, kind, id, &format!("{what:?}"));
     }
 }
 
-fn count(kind: &'static str, done: bool) {
+fn count_order(kind: &'static str, done: bool) {
     let outcome = if done { "done" } else { "failed" };
     metrics::counter!(metric::ORDERS, "kind" => kind, "outcome" => outcome).increment(1);
 }
--- a/crates/cell/src/term.rs
+++ b/crates/cell/src/term.rs
@@ -23,33 +23,33 @@
 use wire::work::log_entry::Event;
 
 use crate::{
-    call_gate::CallGate,
+    call_limiter::CallLimiter,
     cell_options::CellOptions,
     cell_ports::CellPorts,
     event,
     fleet_view::FleetView,
-    log_copy::LogCopy,
-    log_queue::{JobLog, record_order},
-    member_book::MemberBook,
-    target_lane::TargetLane,
+    log_cache::LogCache,
+    log_queue::{LogQueue, record_order},
+    member_directory::MemberDirectory,
+    target_channel::TargetChannel,
 };
 
 /// Part of the lease that is not counted on: the clocks of store and host may differ a little.
 const LEASE_MARGIN: Duration = Duration::from_millis(100);
 /// A renewal that takes this long is waited for, and others are sent meanwhile; one that fails
 /// earlier was refused.
-const RENEWAL_PATIENCE: Duration = Duration::from_millis(100);
+const RENEWAL_GRACE: Duration = Duration::from_millis(100);
 /// How old the knowledge of cancellations may be for work to be begun: less than the time in which
 /// one has to be in force, by the way of a start to its target.
-const CANCELLATIONS_RECENT: Duration = Duration::from_secs(2);
+const CANCELLATIONS_MAX_AGE: Duration = Duration::from_secs(2);
 /// How long a handing over waits for the last entries of the log.
-const HAND_OVER_PATIENCE: Duration = Duration::from_millis(300);
+const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(300);
 /// How often a hand-over looks whether the last entries of the log are stored.
-const STORED_PAUSE: Duration = Duration::from_millis(10);
+const STORED_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What a process gets by winning the ownership.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct WonTerm {
+pub(crate) struct TermLease {
     /// Revision of its entry.
     pub(crate) token: FencingToken,
     /// The lease that the entry stands under.
@@ -60,33 +60,33 @@
 
 /// What a term needs of its process.
 #[derive(Clone)]
-pub(crate) struct TermParts {
+pub(crate) struct TermContext {
     pub(crate) options: Rc<CellOptions>,
     pub(crate) ports: CellPorts,
     pub(crate) view: Rc<FleetView>,
-    pub(crate) members: Rc<MemberBook>,
+    pub(crate) members: Rc<MemberDirectory>,
     /// Kept from one term to the next.
-    pub(crate) copy: Rc<LogCopy>,
+    pub(crate) log_cache: Rc<LogCache>,
 }
 
-/// One term: the desk that decides, the log that it writes and the lanes to its targets.
+/// One term: the scheduler that decides, the log that it writes and the lanes to its targets.
 pub(crate) struct Term {
     pub(crate) options: Rc<CellOptions>,
     pub(crate) ports: CellPorts,
     pub(crate) view: Rc<FleetView>,
-    pub(crate) members: Rc<MemberBook>,
-    pub(crate) copy: Rc<LogCopy>,
+    pub(crate) members: Rc<MemberDirectory>,
+    pub(crate) log_cache: Rc<LogCache>,
     /// Revision of the owner's entry: fences earlier owners.
     pub(crate) token: FencingToken,
     pub(crate) lease: LeaseId,
-    pub(crate) desk: RefCell<WorkDesk>,
+    pub(crate) scheduler: RefCell<WorkDesk>,
     pub(crate) hosts: RefCell<HostPlanner>,
-    pub(crate) log: JobLog,
+    pub(crate) log_queue: LogQueue,
     /// Jobs that are being recorded.
     pub(crate) submitting: RefCell<HashSet<String>>,
-    pub(crate) lanes: RefCell<HashMap<HostId, Rc<TargetLane>>>,
+    pub(crate) channels: RefCell<HashMap<HostId, Rc<TargetChannel>>>,
     /// Orders the calls to all targets.
-    pub(crate) gate: Rc<CallGate>,
+    pub(crate) call_limiter: Rc<CallLimiter>,
     /// Tells the driver that something has changed.
     pub(crate) wake: Notify,
     pub(crate) over: ShutdownSignal,
@@ -94,62 +94,62 @@
     /// Set once nothing more is to be begun.
     pub(crate) handing_over: Cell<bool>,
     /// Told once the log has been read.
-    pub(crate) became_ready: Notify,
+    pub(crate) on_ready: Notify,
     /// Whether the process gave the cell up for another to take it.
-    pub(crate) given_up: Cell<bool>,
-    certain_until: Cell<BootTime>,
+    pub(crate) stepped_down: Cell<bool>,
+    lease_valid_until: Cell<BootTime>,
     /// Until when all other processes keep out of elections.
-    pledged_until: Cell<BootTime>,
+    promised_until: Cell<BootTime>,
     /// When the last renewal was sent that was answered.
-    renewed_at: Cell<BootTime>,
+    last_renewal_sent: Cell<BootTime>,
     /// Whether the last renewal failed at once.
-    refused: Cell<bool>,
-    alone: Cell<bool>,
+    last_renewal_refused: Cell<bool>,
+    ownership_uncertain: Cell<bool>,
     /// Up to when all cancellations are known that are kept in the store; `None` before the first
     /// reading.
-    cancellations_known: Cell<Option<BootTime>>,
+    cancellations_read_at: Cell<Option<BootTime>>,
 }
 
 impl Term {
     /// A term that was just won.
-    pub(crate) fn new(parts: TermParts, won: WonTerm) -> Rc<Self> {
-        let TermParts {
+    pub(crate) fn new(context: TermContext, won: TermLease) -> Rc<Self> {
+        let TermContext {
             options,
             ports,
             view,
             members,
-            copy,
-        } = parts;
-        let mut desk = WorkDesk::new(options.desk, won.token);
-        desk.set_link(most_starts(options.limits.link_bytes()));
-        let certain = won.sent + options.owner_lease - LEASE_MARGIN;
-        let gate = CallGate::new(options.limits.link_bytes());
+            log_cache,
+        } = context;
+        let mut scheduler = WorkDesk::new(options.scheduler, won.token);
+        scheduler.set_link(most_starts(options.limits.link_bytes_per_second()));
+        let valid_until = won.sent + options.owner_lease - LEASE_MARGIN;
+        let call_limiter = CallLimiter::new(options.limits.link_bytes_per_second());
         Rc::new(Self {
             options,
             ports,
             view,
             members,
-            copy,
+            log_cache,
             token: won.token,
             lease: won.lease,
-            desk: RefCell::new(desk),
+            scheduler: RefCell::new(scheduler),
             hosts: RefCell::default(),
-            log: JobLog::default(),
+            log_queue: LogQueue::default(),
             submitting: RefCell::default(),
-            lanes: RefCell::default(),
-            gate,
+            channels: RefCell::default(),
+            call_limiter,
             wake: Notify::new(),
             over: ShutdownSignal::default(),
             ready: Cell::new(false),
             handing_over: Cell::new(false),
-            became_ready: Notify::new(),
-            given_up: Cell::new(false),
-            certain_until: Cell::new(certain),
-            pledged_until: Cell::default(),
-            renewed_at: Cell::new(won.sent),
-            refused: Cell::default(),
-            alone: Cell::new(false),
-            cancellations_known: Cell::new(None),
+            on_ready: Notify::new(),
+            stepped_down: Cell::new(false),
+            lease_valid_until: Cell::new(valid_until),
+            promised_until: Cell::default(),
+            last_renewal_sent: Cell::new(won.sent),
+            last_renewal_refused: Cell::default(),
+            ownership_uncertain: Cell::new(false),
+            cancellations_read_at: Cell::new(None),
         })
     }
 
@@ -172,26 +172,26 @@
     }
 
     /// True while no other process can have become the owner.
-    pub(crate) fn is_certain(&self) -> bool {
-        !self.over.begun() && BootClock.boot_now() < self.certain_until.get()
+    pub(crate) fn has_valid_lease(&self) -> bool {
+        !self.over.begun() && BootClock.boot_now() < self.lease_valid_until.get()
     }
 
     /// True while what was accepted may be started: no other process can be the owner, by the
     /// lease or by the pledges of all.
-    pub(crate) fn may_start(&self) -> bool {
-        !self.over.begun() && BootClock.boot_now() < self.sole_until()
+    pub(crate) fn may_start_tasks(&self) -> bool {
+        !self.over.begun() && BootClock.boot_now() < self.sole_owner_until()
     }
 
     /// True if among the entries that a change conflicted with is the one of this term.
-    pub(crate) fn stands_in(&self, items: &[StoreItem]) -> bool {
+    pub(crate) fn holds_owner_entry(&self, items: &[StoreItem]) -> bool {
         let key = self.options.owner_key();
         let owner = items.iter().find(|item| item.key == key);
         owner.is_some_and(|item| item.revision == self.token)
     }
 
     /// Takes in that all cancellations are known that were kept when a call was sent.
-    pub(crate) fn heard_cancellations(&self, sent: BootTime) {
-        self.cancellations_known.set(Some(sent));
+    pub(crate) fn cancellations_read(&self, sent: BootTime) {
+        self.cancellations_read_at.set(Some(sent));
     }
 
     /// True while it is known what callers have cancelled, so that work may be begun.
@@ -199,64 +199,68 @@
     /// Callers count on a cancellation that is kept in the store. An owner that hears the store
     /// late, behind a narrow link, would start what they were told does not run. While the store is
     /// away for all, nobody can keep one.
-    pub(crate) fn knows_cancellations(&self) -> bool {
+    pub(crate) fn cancellations_are_current(&self) -> bool {
         let now = BootClock.boot_now();
-        let Some(known) = self.cancellations_known.get() else {
+        let Some(known) = self.cancellations_read_at.get() else {
             return false;
         };
         // Counted up to the time at which the store was last there for all.
-        let needed = match now < self.pledged_until.get() {
-            true => self.renewed_at.get(),
+        let needed = match now < self.promised_until.get() {
+            true => self.last_renewal_sent.get(),
             false => now,
         };
-        needed.saturating_sub(known) < CANCELLATIONS_RECENT
+        needed.saturating_sub(known) < CANCELLATIONS_MAX_AGE
     }
 
     /// Until when no other process can have become the owner.
-    fn sole_until(&self) -> BootTime {
-        self.certain_until.get().max(self.pledged_until.get())
+    fn sole_owner_until(&self) -> BootTime {
+        self.lease_valid_until.get().max(self.promised_until.get())
     }
 
     /// True while orders may be given: also for a bounded time in which the store is away.
     ///
     /// The clock counts suspended time, so a process that stood still learns here that its
     /// time is over before it gives another order.
-    pub(crate) fn may_order(&self) -> bool {
-        let limit = self.sole_until() + self.options.desk.alone;
+    pub(crate) fn may_send_orders(&self) -> bool {
+        let limit = self.sole_owner_until() + self.options.scheduler.alone;
         !self.over.begun() && BootClock.boot_now() < limit
     }
 
     /// True if this process seems not to reach the store: it was refused just now, or no renewal
     /// was answered for some time. Single answers get lost; the renewal after them is in time.
-    pub(crate) fn misses_store(&self) -> bool {
-        let limit = self.options.renew_every * 2 + RENEWAL_PATIENCE;
-        let silence = BootClock.boot_now().saturating_sub(self.renewed_at.get());
-        self.refused.get() || silence >= limit
+    pub(crate) fn seems_cut_off(&self) -> bool {
+        let limit = self.options.renew_interval * 2 + RENEWAL_GRACE;
+        let unanswered = BootClock
+            .boot_now()
+            .saturating_sub(self.last_renewal_sent.get());
+        self.last_renewal_refused.get() || unanswered >= limit
     }
 
     /// Takes in that all other processes keep out of elections until a time.
     ///
     /// That counts only while this one was sure until now: an election in a gap before would be
     /// over, and nobody need tell of it.
-    pub(crate) fn rely_until(&self, until: BootTime) {
-        if !self.may_start() {
+    pub(crate) fn trust_promises_until(&self, until: BootTime) {
+        if !self.may_start_tasks() {
             return;
         }
-        let first = self.pledged_until.get() < BootClock.boot_now();
+        let first = self.promised_until.get() < BootClock.boot_now();
         if first {
             log_event::info(&event::TERM_PLEDGED, format_args!("token={}", self.token));
         }
-        self.pledged_until.set(self.pledged_until.get().max(until));
+        self.promised_until
+            .set(self.promised_until.get().max(until));
     }
 
     /// Takes in that a renewal which was sent at `sent` was answered.
-    pub(crate) fn renewed(&self, sent: BootTime) {
-        self.refused.set(false);
-        self.renewed_at.set(self.renewed_at.get().max(sent));
-        let certain = sent + self.options.owner_lease - LEASE_MARGIN;
-        self.certain_until
-            .set(self.certain_until.get().max(certain));
-        if self.alone.take() {
+    pub(crate) fn renewal_succeeded(&self, sent: BootTime) {
+        self.last_renewal_refused.set(false);
+        self.last_renewal_sent
+            .set(self.last_renewal_sent.get().max(sent));
+        let valid_until = sent + self.options.owner_lease - LEASE_MARGIN;
+        self.lease_valid_until
+            .set(self.lease_valid_until.get().max(valid_until));
+        if self.ownership_uncertain.take() {
             log_event::info(&event::TERM_CALM, format_args!("token={}", self.token));
         }
     }
@@ -265,9 +269,9 @@
     /// lapsed by that.
     pub(crate) fn renewal_failed(&self, sent: BootTime, cause: &str) {
         let took = BootClock.boot_now().saturating_sub(sent);
-        self.refused
-            .set(self.refused.get() || took < RENEWAL_PATIENCE);
-        if !self.is_certain() && !self.alone.replace(true) {
+        self.last_renewal_refused
+            .set(self.last_renewal_refused.get() || took < RENEWAL_GRACE);
+        if !self.has_valid_lease() && !self.ownership_uncertain.replace(true) {
             log_event::warn(
                 &event::TERM_ALONE,
                 format_args!("token={} cause=\"{cause}\"", self.token),
@@ -290,19 +294,19 @@
     /// Hands the cell over: writes what is left and ends the lease, so that a successor need
     /// not wait until it lapses.
     pub(crate) async fn hand_over(&self) {
-        let deadline = Instant::now() + HAND_OVER_PATIENCE;
+        let deadline = Instant::now() + HAND_OVER_TIMEOUT;
         let order = record_order(Event::HandedOver(self.token), true);
         self.handing_over.set(true);
-        self.log.add(order, self.now().boot);
-        while !self.log.is_empty() && Instant::now() < deadline {
-            sleep(STORED_PAUSE).await;
+        self.log_queue.push(order, self.now().boot);
+        while !self.log_queue.is_empty() && Instant::now() < deadline {
+            sleep(STORED_CHECK_INTERVAL).await;
         }
-        self.give_up("handed over").await;
+        self.step_down_now("handed over").await;
     }
 
     /// Ends the term and its lease, so that another process can take the cell at once.
-    pub(crate) async fn give_up(&self, reason: &str) {
-        self.given_up.set(true);
+    pub(crate) async fn step_down_now(&self, reason: &str) {
+        self.stepped_down.set(true);
         self.end(reason);
         if let Err(error) = self.ports.store.end_lease(self.lease).await {
             log_event::warn(
--- a/crates/cell/src/term_run.rs
+++ b/crates/cell/src/term_run.rs
@@ -9,55 +9,55 @@
 use wire::work::{OwnerCall, owner_call::Ask};
 
 use crate::{
-    event,
-    host_duty::tend_hosts,
-    kept_cancellation::follow_cancellations,
-    log_compact::{job_part, note_job_bytes},
+    event, event_log,
+    host_loop::manage_hosts,
+    log_compact::{job_byte_share, measure_job_bytes},
     log_reader::read_log,
     log_writer::write_log,
-    metric, record_note,
-    step_aside::{Departure, step_aside},
-    store_witness::consult_others,
-    target_look::open_lane,
-    target_orders::run_order,
+    metric,
+    step_down::{StepDownKind, step_down},
+    store_check::check_with_members,
+    stored_cancellation::watch_cancellations,
+    target_orders::send_order,
+    target_poll::open_channel,
     target_watch::watch_targets,
     term::Term,
 };
 
 /// Pause after a renewal that failed: a store that is back should be known to be.
-const RENEW_AGAIN: Duration = Duration::from_millis(100);
-/// How often the desk is told the time.
-const TICK: Duration = Duration::from_millis(50);
+const RENEWAL_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How often the scheduler is told the time.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs a term until it is over.
 pub(crate) async fn run_term(term: &Rc<Term>) {
     metrics::gauge!(metric::OWNER).set(1.0);
     metrics::counter!(metric::TERMS).increment(1);
-    let link = term.options.limits.link_bytes();
-    for _ in 0..renewals_ahead(link, term.options.renew_every) {
+    let link = term.options.limits.link_bytes_per_second();
+    for _ in 0..renewals_ahead(link, term.options.renew_interval) {
         term.spawn(renew_once(term.clone()));
     }
-    term.spawn(renew(term.clone()));
-    term.spawn(lead(term.clone()));
+    term.spawn(renew_until_over(term.clone()));
+    term.spawn(read_log_and_schedule(term.clone()));
     let departure = tokio::select! {
         biased;
         () = term.over.wait() => None,
-        departure = step_aside(term) => Some(departure),
-        departure = consult_others(term) => Some(departure),
+        departure = step_down(term) => Some(departure),
+        departure = check_with_members(term) => Some(departure),
     };
     match departure {
-        Some(Departure::HandOver) => term.hand_over().await,
-        Some(Departure::GiveUp(reason)) => term.give_up(reason).await,
-        Some(Departure::ReleaseBy(address)) => release_by(term, &address).await,
+        Some(StepDownKind::HandOver) => term.hand_over().await,
+        Some(StepDownKind::Immediate(reason)) => term.step_down_now(reason).await,
+        Some(StepDownKind::ReleaseThrough(address)) => release_through_peer(term, &address).await,
         None => {}
     }
-    term.log.refuse_pending();
+    term.log_queue.refuse_pending();
     metrics::gauge!(metric::OWNER).set(0.0);
-    term.lanes.borrow_mut().clear();
+    term.channels.borrow_mut().clear();
 }
 
 /// Ends the term, and has another process end its lease.
-async fn release_by(term: &Term, address: &str) {
+async fn release_through_peer(term: &Term, address: &str) {
     log_event::info(
         &event::TERM_RELEASED,
         format_args!("token={} by={address}", term.token),
@@ -68,16 +68,16 @@
         ..OwnerCall::default()
     };
     // Without an answer the lease lapses by itself.
-    term.members.ask(address, &call).await;
+    term.members.call(address, &call).await;
 }
 
 /// Renews the lease until the term is over. A renewal does not wait for the one before: its answer
 /// may be lost, and waiting for that would let the lease lapse.
-async fn renew(term: Rc<Term>) {
+async fn renew_until_over(term: Rc<Term>) {
     loop {
-        let pause = match term.misses_store() {
-            true => RENEW_AGAIN,
-            false => term.options.renew_every,
+        let pause = match term.seems_cut_off() {
+            true => RENEWAL_RETRY_DELAY,
+            false => term.options.renew_interval,
         };
         sleep(pause).await;
         term.spawn(renew_once(term.clone()));
@@ -87,23 +87,30 @@
 async fn renew_once(term: Rc<Term>) {
     let sent = term.now().boot;
     match term.ports.store.renew_lease(term.lease).await {
-        Ok(true) => term.renewed(sent),
+        Ok(true) => term.renewal_succeeded(sent),
         Ok(false) => term.end("lease lapsed"),
         Err(error) => term.renewal_failed(sent, &error.to_string()),
     }
 }
 
 /// Reads the log, then decides until the term is over.
-async fn lead(term: Rc<Term>) {
+async fn read_log_and_schedule(term: Rc<Term>) {
     let started = term.now().boot;
-    let mut desk = term.desk.borrow().clone();
+    let mut scheduler = term.scheduler.borrow().clone();
     let store = &*term.ports.store;
-    let summary = read_log(store, &term.options, &term.copy, &mut desk, || term.now()).await;
+    let summary = read_log(
+        store,
+        &term.options,
+        &term.log_cache,
+        &mut scheduler,
+        || term.now(),
+    )
+    .await;
     if let Some(terms) = term.view.terms() {
-        desk.set_terms(terms);
+        scheduler.set_terms(terms);
     }
     let took = term.now().boot.saturating_sub(started);
-    metric::time(metric::LOG_READ_SECONDS, took);
+    metric::record_duration(metric::LOG_READ_SECONDS, took);
     log_event::info(
         &event::TERM_READ,
         format_args!(
@@ -111,33 +118,37 @@
             term.token,
             summary.pages(),
             summary.bytes,
-            desk.board.jobs.len(),
-            desk.board.open.len(),
-            desk.board.cancelled(),
-            desk.board.used.len(),
+            scheduler.board.jobs.len(),
+            scheduler.board.open.len(),
+            scheduler.board.cancelled(),
+            scheduler.board.used.len(),
             took.as_millis()
         ),
     );
     let now = term.now().boot;
-    term.hosts.borrow_mut().take_arrivals(&desk.board, now);
+    term.hosts.borrow_mut().take_arrivals(&scheduler.board, now);
     // Calls that wait for the log are answered at once after it, and some are to be refused.
-    note_job_bytes(&term, job_part(&desk.board.entries()), summary.bytes);
-    *term.desk.borrow_mut() = desk;
+    measure_job_bytes(
+        &term,
+        job_byte_share(&scheduler.board.entries()),
+        summary.bytes,
+    );
+    *term.scheduler.borrow_mut() = scheduler;
     term.ready.set(true);
-    term.became_ready.notify_waiters();
-    term.spawn(follow_cancellations(term.clone()));
+    term.on_ready.notify_waiters();
+    term.spawn(watch_cancellations(term.clone()));
     term.spawn(write_log(term.clone(), summary));
     term.spawn(watch_targets(term.clone()));
-    term.spawn(tend_hosts(term.clone()));
-    drive(term).await;
+    term.spawn(manage_hosts(term.clone()));
+    schedule_loop(term).await;
 }
 
-/// Lets the desk plan whenever something has changed.
-async fn drive(term: Rc<Term>) {
-    let mut terms_seen = 0;
+/// Lets the scheduler plan whenever something has changed.
+async fn schedule_loop(term: Rc<Term>) {
+    let mut applied_version = 0;
     // The ticks go on by themselves: a sleep begun anew after each event would never end
     // while events come in more often, and what time alone brings would not happen.
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let ticked = tokio::select! {
@@ -149,51 +160,56 @@
         // Other answers that have arrived are taken in first: one plan serves them all.
         yield_now().await;
         let version = term.view.version.get();
-        if version != terms_seen {
-            terms_seen = version;
+        if version != applied_version {
+            applied_version = version;
             if let Some(terms) = term.view.terms() {
-                term.desk.borrow_mut().set_terms(terms);
+                term.scheduler.borrow_mut().set_terms(terms);
             }
         }
         let now = term.now();
-        if !term.may_order() {
+        if !term.may_send_orders() {
             term.end("lapsed while the store did not answer");
             return;
         }
         {
-            let mut desk = term.desk.borrow_mut();
-            desk.set_alone(!term.may_start());
+            let mut scheduler = term.scheduler.borrow_mut();
+            scheduler.set_alone(!term.may_start_tasks());
             if ticked {
-                desk.tick(now);
+                scheduler.tick(now);
                 #[expect(clippy::cast_precision_loss, reason = "a gauge is a float")]
-                metrics::gauge!(metric::OPEN_JOBS).set(desk.board.open.len() as f64);
+                metrics::gauge!(metric::OPEN_JOBS).set(scheduler.board.open.len() as f64);
             }
-            if term.knows_cancellations() {
-                desk.plan(now);
+            if term.cancellations_are_current() {
+                scheduler.plan(now);
             }
         }
-        carry_out(&term);
+        execute_actions(&term);
     }
 }
 
-/// Carries out what the desk has ordered.
-fn carry_out(term: &Rc<Term>) {
+/// Carries out what the scheduler has ordered.
+fn execute_actions(term: &Rc<Term>) {
     let (orders, events, dropped, targets) = {
-        let mut desk = term.desk.borrow_mut();
-        let known = term.lanes.borrow();
-        let mut added = desk.take_added();
-        added.retain(|id| desk.targets.contains_key(id) && !known.contains_key(id));
-        let dropped = std::mem::take(&mut desk.events_dropped);
-        (desk.take_orders(), desk.take_events(), dropped, added)
+        let mut scheduler = term.scheduler.borrow_mut();
+        let known = term.channels.borrow();
+        let mut added = scheduler.take_added();
+        added.retain(|id| scheduler.targets.contains_key(id) && !known.contains_key(id));
+        let dropped = std::mem::take(&mut scheduler.events_dropped);
+        (
+            scheduler.take_orders(),
+            scheduler.take_events(),
+            dropped,
+            added,
+        )
     };
-    record_note::log_events(events, dropped);
+    event_log::log_events(events, dropped);
     for id in targets {
-        open_lane(term, id);
+        open_channel(term, id);
     }
     let now = term.now().boot;
     for order in orders {
         match order {
-            DeskOrder::Record(record) => term.log.add(record, now),
+            DeskOrder::Record(record) => term.log_queue.push(record, now),
             DeskOrder::Resign(target) => {
                 log_event::warn(
                     &event::OWNER_FENCED,
@@ -202,7 +218,7 @@
                 term.end("fenced");
                 return;
             }
-            other => run_order(term, other),
+            other => send_order(term, other),
         }
     }
 }
--- a/crates/cell/tests/cancels.rs
+++ b/crates/cell/tests/cancels.rs
@@ -16,14 +16,16 @@
 /// Time in which an owner that wanted to start something would have.
 const SETTLED: Duration = Duration::from_secs(2);
 
-async fn cancel(desk: &Rc<dyn CallerService>, job: &str) -> CallerAnswer {
-    desk.answer(call(CallerRequest::Cancel(job.into()))).await
+async fn cancel(service: &Rc<dyn CallerService>, job: &str) -> CallerAnswer {
+    service
+        .answer(call(CallerRequest::Cancel(job.into())))
+        .await
 }
 
-async fn until_cancelled(desk: &Rc<dyn CallerService>, job: &str) {
+async fn until_cancelled(service: &Rc<dyn CallerService>, job: &str) {
     let begun = Instant::now();
     loop {
-        let answer = cancel(desk, job).await;
+        let answer = cancel(service, job).await;
         if answer == CallerAnswer::Found(JobProgress::Cancelled) {
             return;
         }
@@ -38,16 +40,16 @@
     run_local(async {
         let bench = CellBench::without_targets();
         let first = bench.host("a");
-        accepted(&first.desk(), "job1").await;
+        accepted(&first.service(), "job1").await;
         let handle = bench.store.handle();
         handle.fail_lists(LOG);
         let second = bench.host_on("b", &handle);
         first.stop(std::future::ready(())).await;
-        let desk = second.desk();
-        until_cancelled(&desk, "job1").await;
+        let service = second.service();
+        until_cancelled(&service, "job1").await;
         handle.answer_lists();
         bench.add_target();
-        until_shown(&desk, "job1", JobProgress::Cancelled).await;
+        until_shown(&service, "job1", JobProgress::Cancelled).await;
         sleep(SETTLED).await;
         assert_eq!(bench.targets.started(), 0);
     });
@@ -59,14 +61,14 @@
     run_local(async {
         let bench = CellBench::new();
         let first = bench.host("a");
-        let desk = first.desk();
-        accepted(&desk, "other").await;
-        until_shown(&desk, "other", JobProgress::Completed).await;
+        let service = first.service();
+        accepted(&service, "other").await;
+        until_shown(&service, "other", JobProgress::Completed).await;
         let before = bench.targets.started();
-        assert_eq!(cancel(&desk, "job1").await, CallerAnswer::NoJob);
+        assert_eq!(cancel(&service, "job1").await, CallerAnswer::NoJob);
         let second = bench.host("b");
         first.stop(std::future::ready(())).await;
-        accepted(&second.desk(), "job1").await;
+        accepted(&second.service(), "job1").await;
         sleep(SETTLED).await;
         assert_eq!(bench.targets.started(), before);
     });
@@ -77,16 +79,16 @@
 fn cancel_drops_waiting_starts() {
     run_local(async {
         let bench = CellBench::new();
-        let desk = bench.host("a").desk();
+        let service = bench.host("a").service();
         bench.targets.set_slow(true);
         bench.targets.delay_starts(Duration::from_millis(400));
         let mut wide = plan();
         wide.steps[0].count = 8;
         let wish = CallerRequest::Submit("job1".into(), JobPlan { ..wide });
-        until(&desk, wish, CallerAnswer::Accepted).await;
+        until(&service, wish, CallerAnswer::Accepted).await;
         bench.targets.until_started(1).await;
         let sent = bench.targets.started();
-        until_cancelled(&desk, "job1").await;
+        until_cancelled(&service, "job1").await;
         sleep(SETTLED).await;
         assert_eq!(bench.targets.started(), sent);
     });
@@ -98,10 +100,10 @@
     run_local(async {
         let bench = CellBench::new();
         bench.targets.set_slow(true);
-        let desk = bench.host("a").desk();
-        accepted(&desk, "job1").await;
+        let service = bench.host("a").service();
+        accepted(&service, "job1").await;
         bench.store.put(&format!("{KEPT}job1"), b"job1");
-        until_shown(&desk, "job1", JobProgress::Cancelled).await;
+        until_shown(&service, "job1", JobProgress::Cancelled).await;
         let end = Instant::now() + LIMIT;
         while !bench.store.keys(KEPT).is_empty() {
             assert!(Instant::now() < end, "not moved into the log");
@@ -116,8 +118,8 @@
     run_local(async {
         let bench = CellBench::without_targets();
         let handle = bench.store.handle();
-        let desk = bench.host_on("a", &handle).desk();
-        accepted(&desk, "job1").await;
+        let service = bench.host_on("a", &handle).service();
+        accepted(&service, "job1").await;
         handle.unhear(KEPT);
         bench.store.put(&format!("{KEPT}job1"), b"job1");
         sleep(SETTLED + Duration::from_millis(500)).await;
@@ -125,9 +127,9 @@
         sleep(SETTLED).await;
         assert_eq!(bench.targets.started(), 0);
         handle.unhear("");
-        until_shown(&desk, "job1", JobProgress::Cancelled).await;
-        accepted(&desk, "job2").await;
-        until_shown(&desk, "job2", JobProgress::Completed).await;
+        until_shown(&service, "job1", JobProgress::Cancelled).await;
+        accepted(&service, "job2").await;
+        until_shown(&service, "job2", JobProgress::Completed).await;
     });
 }
 
@@ -137,13 +139,13 @@
     run_local(async {
         let bench = CellBench::new();
         let handle = bench.store.handle();
-        let desk = bench.host_on("a", &handle).desk();
+        let service = bench.host_on("a", &handle).service();
         bench.targets.set_slow(true);
         bench.targets.delay_starts(Duration::from_millis(1500));
         let mut wide = plan();
         wide.steps[0].count = 8;
         let wish = CallerRequest::Submit("job1".into(), wide);
-        until(&desk, wish, CallerAnswer::Accepted).await;
+        until(&service, wish, CallerAnswer::Accepted).await;
         handle.unhear(KEPT);
         sleep(Duration::from_secs(5)).await;
         // Three at once, and three more before the knowledge is two seconds old.
@@ -162,10 +164,10 @@
         }
         let handle = bench.store.handle();
         handle.limit_lists(KEPT, 10, 2);
-        let desk = bench.host_on("a", &handle).desk();
-        accepted(&desk, "job1").await;
+        let service = bench.host_on("a", &handle).service();
+        accepted(&service, "job1").await;
         let completed = CallerAnswer::Found(JobProgress::Completed);
-        until(&desk, CallerRequest::Status("job1".into()), completed).await;
+        until(&service, CallerRequest::Status("job1".into()), completed).await;
     });
 }
 
@@ -177,12 +179,12 @@
         let bench = CellBench::without_targets();
         let handle = bench.store.handle();
         let host = bench.host_on("a", &handle);
-        let desk = host.desk();
-        accepted(&desk, "job1").await;
+        let service = host.service();
+        accepted(&service, "job1").await;
         handle.turn_away(true);
         // The lease lapses, so that nobody can record it.
         sleep(Duration::from_millis(1500)).await;
-        assert_eq!(cancel(&desk, "job1").await, CallerAnswer::Unknown);
+        assert_eq!(cancel(&service, "job1").await, CallerAnswer::Unknown);
         let back = async {
             sleep(Duration::from_secs(1)).await;
             handle.turn_away(false);
--- a/crates/cell/tests/cell_host.rs
+++ b/crates/cell/tests/cell_host.rs
@@ -15,12 +15,12 @@
 fn cell_completes_job() {
     run_local(async {
         let bench = CellBench::new();
-        let desk = bench.host("a").desk();
-        accepted(&desk, "job1").await;
-        until_shown(&desk, "job1", JobProgress::Completed).await;
+        let service = bench.host("a").service();
+        accepted(&service, "job1").await;
+        until_shown(&service, "job1", JobProgress::Completed).await;
         assert_eq!(bench.targets.starts.borrow().len(), 6);
         assert!(bench.targets.started_once());
-        let unknown = desk
+        let unknown = service
             .answer(call(CallerRequest::Status("other".into())))
             .await;
         assert_eq!(unknown, CallerAnswer::NoJob);
@@ -28,7 +28,7 @@
             key: "wrong".into(),
             ..submit("job2")
         };
-        assert_eq!(desk.answer(foreign).await, CallerAnswer::KeyRefused);
+        assert_eq!(service.answer(foreign).await, CallerAnswer::KeyRefused);
     });
 }
 
@@ -40,8 +40,8 @@
     run_local(async {
         let bench = CellBench::new();
         bench.targets.set_slow(true);
-        let desk = bench.host("a").desk();
-        accepted(&desk, "job1").await;
+        let service = bench.host("a").service();
+        accepted(&service, "job1").await;
         bench.targets.until_started(3).await;
         bench.store.set(StoreSwitch::Refuses);
         // Two ends are listed, and the target is looked at for the third.
@@ -60,17 +60,17 @@
 fn submit_settles_lost_answer() {
     run_local(async {
         let bench = CellBench::new();
-        let desk = bench.host("a").desk();
-        accepted(&desk, "job1").await;
-        until_shown(&desk, "job1", JobProgress::Completed).await;
+        let service = bench.host("a").service();
+        accepted(&service, "job1").await;
+        until_shown(&service, "job1", JobProgress::Completed).await;
         bench.store.set(StoreSwitch::LosesAnswers);
         let store = bench.store.clone();
         tokio::task::spawn_local(async move {
             sleep(Duration::from_millis(200)).await;
             store.set(StoreSwitch::Well);
         });
-        assert_eq!(desk.answer(submit("job2")).await, CallerAnswer::Accepted);
-        until_shown(&desk, "job2", JobProgress::Completed).await;
+        assert_eq!(service.answer(submit("job2")).await, CallerAnswer::Accepted);
+        until_shown(&service, "job2", JobProgress::Completed).await;
         assert!(bench.targets.started_once());
     });
 }
@@ -81,17 +81,17 @@
 fn submit_refused_while_store_refuses() {
     run_local(async {
         let bench = CellBench::new();
-        let desk = bench.host("a").desk();
-        accepted(&desk, "job1").await;
+        let service = bench.host("a").service();
+        accepted(&service, "job1").await;
         bench.store.set(StoreSwitch::Refuses);
         let begun = tokio::time::Instant::now();
-        let answer = desk.answer(submit("job2")).await;
+        let answer = service.answer(submit("job2")).await;
         assert!(matches!(answer, CallerAnswer::Refused(wait) if wait >= Duration::from_secs(1)));
         assert!(begun.elapsed() < Duration::from_secs(1));
         bench.store.set(StoreSwitch::Well);
         sleep(Duration::from_millis(100)).await;
         until(
-            &desk,
+            &service,
             CallerRequest::Status("job2".into()),
             CallerAnswer::NoJob,
         )
@@ -106,19 +106,19 @@
     run_local(async {
         let bench = CellBench::new();
         let first = bench.host("a");
-        accepted(&first.desk(), "job1").await;
+        accepted(&first.service(), "job1").await;
         let second = bench.host("b");
-        let desk = second.desk();
-        until_shown(&desk, "job1", JobProgress::Completed).await;
+        let service = second.service();
+        until_shown(&service, "job1", JobProgress::Completed).await;
         let begun = tokio::time::Instant::now();
         first.stop(std::future::ready(())).await;
-        accepted(&desk, "job2").await;
+        accepted(&service, "job2").await;
         assert!(
             begun.elapsed() < Duration::from_millis(1000),
             "the lease lasts 1.1 s"
         );
-        until_shown(&desk, "job2", JobProgress::Completed).await;
-        until_shown(&desk, "job1", JobProgress::Completed).await;
+        until_shown(&service, "job2", JobProgress::Completed).await;
+        until_shown(&service, "job1", JobProgress::Completed).await;
         assert!(bench.targets.started_once());
     });
 }
@@ -131,17 +131,17 @@
     run_local(async {
         let bench = CellBench::new();
         let first = bench.host("a");
-        accepted(&first.desk(), "job1").await;
+        accepted(&first.service(), "job1").await;
         let second = bench.host("b");
-        accepted(&second.desk(), "job2").await;
+        accepted(&second.service(), "job2").await;
         let handle = bench.store.handle();
         let third = bench.host_on("c", &handle);
-        let desk = third.desk();
-        accepted(&desk, "job3").await;
+        let service = third.service();
+        accepted(&service, "job3").await;
         handle.turn_away(true);
         first.stop(std::future::ready(())).await;
-        accepted(&second.desk(), "job4").await;
-        accepted(&desk, "job5").await;
+        accepted(&second.service(), "job4").await;
+        accepted(&service, "job5").await;
     });
 }
 
@@ -154,7 +154,7 @@
         let bench = CellBench::new();
         let begun = tokio::time::Instant::now();
         let host = bench.host("a");
-        accepted(&host.desk(), "job1").await;
+        accepted(&host.service(), "job1").await;
         let took = begun.elapsed();
         assert!(took < Duration::from_millis(1000), "{took:?}");
     });
@@ -166,20 +166,20 @@
 fn older_terms_ignored() {
     run_local(async {
         let bench = CellBench::new();
-        let desk = bench.host("a").desk();
-        accepted(&desk, "job1").await;
+        let service = bench.host("a").service();
+        accepted(&service, "job1").await;
         bench
             .store
             .put("op/terms", terms_text(5, "another").as_bytes());
         until(
-            &desk,
+            &service,
             CallerRequest::Status("job1".into()),
             CallerAnswer::KeyRefused,
         )
         .await;
         bench.store.put("op/terms", terms_text(4, KEY).as_bytes());
         sleep(Duration::from_millis(200)).await;
-        let answer = desk
+        let answer = service
             .answer(call(CallerRequest::Status("job1".into())))
             .await;
         assert_eq!(answer, CallerAnswer::KeyRefused);
@@ -193,21 +193,21 @@
     run_local(async {
         let bench = CellBench::new();
         let first = bench.host("a");
-        let desk = first.desk();
-        accepted(&desk, "job0").await;
+        let service = first.service();
+        accepted(&service, "job0").await;
         for number in 1..400 {
-            accepted(&desk, &format!("job{number}")).await;
+            accepted(&service, &format!("job{number}")).await;
         }
-        until_shown(&desk, "job399", JobProgress::Completed).await;
+        until_shown(&service, "job399", JobProgress::Completed).await;
         let end = tokio::time::Instant::now() + LIMIT;
         let mut number = 400;
         while bench.store.keys("cell/log/").len() > 300 {
             assert!(tokio::time::Instant::now() < end, "not compacted");
-            accepted(&desk, &format!("job{number}")).await;
+            accepted(&service, &format!("job{number}")).await;
             number += 1;
         }
         first.stop(std::future::ready(())).await;
-        let second = bench.host("b").desk();
+        let second = bench.host("b").service();
         until_shown(&second, "job7", JobProgress::Completed).await;
     });
 }
--- a/crates/cell/tests/certain_answers.rs
+++ b/crates/cell/tests/certain_answers.rs
@@ -18,14 +18,14 @@
         timeout,
         ..submit(job)
     };
-    tokio::task::spawn_local(host.desk().answer(call))
+    tokio::task::spawn_local(host.service().answer(call))
 }
 
 /// An owner one of whose pages is under way for long, and others wait for the next.
 async fn owner_with_slow_page(way: &MemoryStore) -> std::rc::Rc<CellHost> {
     let host = start_host("a", way, strong());
     until_owner(way, "a").await;
-    accepted(&host.desk(), "first").await;
+    accepted(&host.service(), "first").await;
     way.delay_changes(Duration::from_secs(20));
     hand_in(&host, "under-way", Duration::from_secs(1));
     sleep(Duration::from_millis(100)).await;
--- a/crates/cell/tests/common/cell_bench.rs
+++ b/crates/cell/tests/common/cell_bench.rs
@@ -45,7 +45,7 @@
 
     pub fn host_on(&self, name: &str, store: &MemoryStore) -> CellHost {
         let options = CellOptions {
-            drain_wait: Duration::from_millis(10),
+            drain_period: Duration::from_millis(10),
             ..CellOptions::new(name.into(), free_address(), free_address())
         };
         start_cell(options, ports_on(store, &self.targets))
@@ -67,24 +67,24 @@
 }
 
 /// Waits until callers are shown that a job is so far.
-pub async fn until_shown(desk: &Rc<dyn CallerService>, job: &str, progress: JobProgress) {
+pub async fn until_shown(service: &Rc<dyn CallerService>, job: &str, progress: JobProgress) {
     let wish = CallerRequest::Status(job.into());
-    until(desk, wish, CallerAnswer::Found(progress)).await;
+    until(service, wish, CallerAnswer::Found(progress)).await;
 }
 
-pub async fn until(desk: &Rc<dyn CallerService>, wish: CallerRequest, wanted: CallerAnswer) {
+pub async fn until(service: &Rc<dyn CallerService>, wish: CallerRequest, wanted: CallerAnswer) {
     let end = tokio::time::Instant::now() + LIMIT;
-    let mut answer = desk.answer(call(wish.clone())).await;
+    let mut answer = service.answer(call(wish.clone())).await;
     while answer != wanted {
         assert!(tokio::time::Instant::now() < end, "still {answer:?}");
         sleep(Duration::from_millis(20)).await;
-        answer = desk.answer(call(wish.clone())).await;
+        answer = service.answer(call(wish.clone())).await;
     }
 }
 
-pub async fn accepted(desk: &Rc<dyn CallerService>, job: &str) {
+pub async fn accepted(service: &Rc<dyn CallerService>, job: &str) {
     let end = tokio::time::Instant::now() + LIMIT;
-    while desk.answer(submit(job)).await != CallerAnswer::Accepted {
+    while service.answer(submit(job)).await != CallerAnswer::Accepted {
         assert!(tokio::time::Instant::now() < end);
         sleep(Duration::from_millis(20)).await;
     }
--- a/crates/cell/tests/narrow_link.rs
+++ b/crates/cell/tests/narrow_link.rs
@@ -70,7 +70,7 @@
         first_way.turn_away(true);
         let begun = Instant::now();
         until_owner(&store, "b").await;
-        accepted(&second.desk(), "job").await;
+        accepted(&second.service(), "job").await;
         assert!(begun.elapsed() < Duration::from_millis(1500));
     });
 }
@@ -94,11 +94,11 @@
         targets.set_slow(true);
         let host = start_with("a", &way, narrow(), &targets);
         until_owner(&store, "a").await;
-        let desk = host.desk();
-        until(&desk, submit("first").request, CallerAnswer::Accepted).await;
+        let service = host.service();
+        until(&service, submit("first").request, CallerAnswer::Accepted).await;
         sleep(Duration::from_millis(500)).await;
         let begun = Instant::now();
-        until(&desk, submit("second").request, CallerAnswer::Accepted).await;
+        until(&service, submit("second").request, CallerAnswer::Accepted).await;
         assert!(begun.elapsed() < Duration::from_secs(1));
     });
 }
@@ -115,7 +115,7 @@
         let host = start_with("a", &store, narrow(), &targets);
         until_owner(&store, "a").await;
         sleep(Duration::from_millis(500)).await;
-        let answer = host.desk().answer(submit("job")).await;
+        let answer = host.service().answer(submit("job")).await;
         assert!(matches!(answer, CallerAnswer::Refused(_)), "{answer:?}");
     });
 }
@@ -139,7 +139,7 @@
         until_owner(&store, "a").await;
         for job in 0..40 {
             let submitted = submit(&format!("job{job}")).request;
-            let accepted = host.desk().answer(call(submitted)).await;
+            let accepted = host.service().answer(call(submitted)).await;
             assert_eq!(accepted, CallerAnswer::Accepted, "job {job}");
         }
     });
@@ -220,7 +220,7 @@
         targets.delay_starts(Duration::from_secs(1));
         for job in 0..80 {
             let submitted = submit(&format!("job{job}")).request;
-            until(&host.desk(), submitted, CallerAnswer::Accepted).await;
+            until(&host.service(), submitted, CallerAnswer::Accepted).await;
         }
         for _ in 0..80 {
             sleep(Duration::from_millis(100)).await;
--- a/crates/cell/tests/succession.rs
+++ b/crates/cell/tests/succession.rs
@@ -146,7 +146,7 @@
         let other = start_host("other", &store, strong());
         sleep(Duration::from_millis(300)).await;
         let begun = Instant::now();
-        let answer = other.desk().answer(submit("job1")).await;
+        let answer = other.service().answer(submit("job1")).await;
         assert!(matches!(answer, CallerAnswer::Refused(_)), "{answer:?}");
         assert!(begun.elapsed() < Duration::from_secs(1));
     });
@@ -173,8 +173,8 @@
 
 /// Accepts a job of two steps, of which the first takes until the store is away.
 async fn accept_before_outage(host: &CellHost, store: &MemoryStore, targets: &MemoryTargets) {
-    let desk = host.desk();
-    accepted(&desk, "job1").await;
+    let service = host.service();
+    accepted(&service, "job1").await;
     targets.until_started(3).await;
     store.set(StoreSwitch::Refuses);
     sleep(Duration::from_secs(2)).await;
@@ -282,20 +282,20 @@
         until_owner(&store, "first").await;
         let _second = start_with("second", &store, strong(), &targets);
         sleep(Duration::from_secs(1)).await;
-        let desk = first.desk();
-        until(&desk, submit("job1").request, CallerAnswer::Accepted).await;
+        let service = first.service();
+        until(&service, submit("job1").request, CallerAnswer::Accepted).await;
         targets.until_started(3).await;
         store.set(StoreSwitch::Refuses);
         sleep(Duration::from_secs(1)).await;
         let wish = CallerRequest::Cancel("job1".into());
-        let answer = desk.answer(call(wish)).await;
+        let answer = service.answer(call(wish)).await;
         assert_eq!(answer, CallerAnswer::Unknown, "it is tried on");
         targets.set_slow(false);
         sleep(Duration::from_secs(1)).await;
         assert_eq!(targets.started(), 3);
         targets.set_slow(true);
         store.set(StoreSwitch::Well);
-        until_shown(&desk, "job1", JobProgress::Cancelled).await;
+        until_shown(&service, "job1", JobProgress::Cancelled).await;
     });
 }
 
@@ -309,27 +309,27 @@
         let first = start_host("a", &first_way, strong());
         until_owner(&store, "a").await;
         let second = start_host("b", &second_way, strong());
-        let desk = first.desk();
-        accepted(&desk, "before").await;
+        let service = first.service();
+        accepted(&service, "before").await;
         sleep(Duration::from_millis(1500)).await;
         second_way.fail_lists(LOG);
         let oldest = || store.keys(LOG).first().cloned();
         let end = Instant::now() + LIMIT;
         let begun = oldest();
         for number in 0.. {
-            accepted(&desk, &format!("{}{number}", "x".repeat(3000))).await;
+            accepted(&service, &format!("{}{number}", "x".repeat(3000))).await;
             if oldest() != begun {
                 break;
             }
             assert!(Instant::now() < end, "the log was not made shorter");
         }
-        accepted(&desk, "after").await;
-        until_shown(&desk, "after", JobProgress::Completed).await;
+        accepted(&service, "after").await;
+        until_shown(&service, "after", JobProgress::Completed).await;
         second_way.answer_lists();
         first_way.turn_away(true);
         until_owner(&store, "b").await;
         for job in ["before", "after"] {
-            until_shown(&second.desk(), job, JobProgress::Completed).await;
+            until_shown(&second.service(), job, JobProgress::Completed).await;
         }
     });
 }
--- a/crates/lacewingshore/src/cell_serve.rs
+++ b/crates/lacewingshore/src/cell_serve.rs
@@ -67,8 +67,8 @@
 
 /// Serves callers, and the balancer that asks whether to send them here.
 fn open_doors(settings: &CellSettings, host: &CellHost) -> Result<JoinHandle<()>> {
-    let desk = host.desk();
-    let ready = Rc::new(ReadyPort::new(desk.clone()));
+    let service = host.service();
+    let ready = Rc::new(ReadyPort::new(service.clone()));
     // Readiness is told until the process ends.
     let never = ShutdownSignal::default();
     let ready_address = address_of(&settings.ready_address)?;
@@ -79,7 +79,7 @@
             "readiness",
         );
     });
-    let callers = Rc::new(CallerPort::new(desk));
+    let callers = Rc::new(CallerPort::new(service));
     let caller_address = address_of(&settings.caller_address)?;
     let stopping = host.stopping();
     Ok(tokio::task::spawn_local(async move {
@@ -117,7 +117,7 @@
     let metrics = address_of(&settings.metrics_address)?;
     let mut options = CellOptions::new(settings.member.clone(), peers, metrics);
     let default = DeskTuning::default();
-    options.desk = DeskTuning {
+    options.scheduler = DeskTuning {
         lease_limit: settings.task_lease,
         grant: default.grant.min(settings.task_lease),
         ..default
@@ -128,7 +128,7 @@
         memory_mb: settings.memory_mb,
         link_mbps: settings.link_mbps,
     };
-    options.owner_lease = lease_length(options.owner_lease, options.limits.link_bytes());
+    options.owner_lease = lease_length(options.owner_lease, options.limits.link_bytes_per_second());
     Ok(options)
 }
 
