--- a/crates/link/src/call_client.rs
+++ b/crates/link/src/call_client.rs
@@ -62,10 +62,10 @@
             match timeout_at(deadline, sender.try_send_request(request)).await {
                 Err(_) => return Err(self.timeout_error(&call)),
                 Ok(Ok(response)) => return self.read_response(&call, sender, response).await,
-                Ok(Err(mut fault)) => match fault.take_message() {
+                Ok(Err(mut error)) => match error.take_message() {
                     // The kept connection was closed before the request left.
                     Some(unsent) => request = unsent,
-                    None => return Err(unanswered_error(&call, fault.into_error())),
+                    None => return Err(unanswered_error(&call, error.into_error())),
                 },
             }
         }
@@ -74,9 +74,9 @@
         match timeout_at(deadline, sender.try_send_request(request)).await {
             Err(_) => Err(self.timeout_error(&call)),
             Ok(Ok(response)) => self.read_response(&call, sender, response).await,
-            Ok(Err(mut fault)) => match fault.take_message() {
-                Some(_) => Err(not_sent_error(&call, fault.into_error())),
-                None => Err(unanswered_error(&call, fault.into_error())),
+            Ok(Err(mut error)) => match error.take_message() {
+                Some(_) => Err(not_sent_error(&call, error.into_error())),
+                None => Err(unanswered_error(&call, error.into_error())),
             },
         }
     }
--- a/crates/ports/src/claim.rs
+++ b/crates/ports/src/claim.rs
@@ -17,6 +17,6 @@
 pub trait ClaimSource: Send + Sync {
     /// A fresh id for `team`, whose home is this entry host.
     fn mint(&self, team: &TeamId) -> RequestId;
-    /// Claims `request` for `team` at the host that minted it, waiting at most `patience`.
-    fn claim(&self, request: &RequestId, team: &TeamId, patience: Duration) -> ClaimVerdict;
+    /// Claims `request` for `team` at the host that minted it, waiting at most `timeout`.
+    fn claim(&self, request: &RequestId, team: &TeamId, timeout: Duration) -> ClaimVerdict;
 }
--- a/crates/ports/src/lease_store.rs
+++ b/crates/ports/src/lease_store.rs
@@ -106,12 +106,12 @@
     /// Reads a page of the keys below `prefix`, after a key; linearizable, but pages are no
     /// snapshot together.
     fn list(&self, prefix: &str, after: &str) -> PortFuture<Result<StorePage, StoreError>>;
-    /// Waits up to `patience` for changes below `prefix` after a revision.
+    /// Waits up to `timeout` for changes below `prefix` after a revision.
     fn watch(
         &self,
         prefix: &str,
         after: StoreRevision,
-        patience: Duration,
+        timeout: Duration,
     ) -> PortFuture<Result<StoreChanges, StoreError>>;
     /// Makes a change.
     fn change(&self, change: StoreChange) -> PortFuture<Result<StoreOutcome, StoreError>>;
