--- a/crates/cell/tests/cancels.rs
+++ b/crates/cell/tests/cancels.rs
@@ -4,13 +4,16 @@
 
 use std::{rc::Rc, time::Duration};
 
-use common::{CellBench, LIMIT, accepted, call, plan, run_local, until, until_shown};
+use common::{
+    LIMIT, TestCell, call, plan, run_local, submit_until_accepted, wait_for_answer,
+    wait_for_progress,
+};
 use model::work::JobPlan;
 use ports::{CallerAnswer, CallerRequest, CallerService, JobProgress};
 use tokio::time::{Instant, sleep};
 
 const LOG: &str = "cell/log/";
-const KEPT: &str = "cell/cancel/";
+const CANCELLATIONS: &str = "cell/cancel/";
 /// Time in which a cancellation has to be acknowledged while the store is well.
 const ACK_LIMIT: Duration = Duration::from_secs(4);
 /// Time in which an owner that wanted to start something would have.
@@ -22,7 +25,7 @@
         .await
 }
 
-async fn until_cancelled(service: &Rc<dyn CallerService>, job: &str) {
+async fn wait_for_cancelled(service: &Rc<dyn CallerService>, job: &str) {
     let begun = Instant::now();
     loop {
         let answer = cancel(service, job).await;
@@ -36,41 +39,41 @@
 
 /// Guards against an owner that starts a job whose caller cancelled it while nobody decided.
 #[test]
-fn cancel_holds_without_owner() {
+fn cancel_persists_without_owner() {
     run_local(async {
-        let bench = CellBench::without_targets();
-        let first = bench.host("a");
-        accepted(&first.service(), "job1").await;
-        let handle = bench.store.handle();
+        let cell = TestCell::without_targets();
+        let first = cell.start_host("a");
+        submit_until_accepted(&first.service(), "job1").await;
+        let handle = cell.store.new_handle();
         handle.fail_lists(LOG);
-        let second = bench.host_on("b", &handle);
+        let second = cell.start_host_on("b", &handle);
         first.stop(std::future::ready(())).await;
         let service = second.service();
-        until_cancelled(&service, "job1").await;
-        handle.answer_lists();
-        bench.add_target();
-        until_shown(&service, "job1", JobProgress::Cancelled).await;
+        wait_for_cancelled(&service, "job1").await;
+        handle.restore_lists();
+        cell.add_target();
+        wait_for_progress(&service, "job1", JobProgress::Cancelled).await;
         sleep(SETTLED).await;
-        assert_eq!(bench.targets.started(), 0);
+        assert_eq!(cell.targets.start_count(), 0);
     });
 }
 
 /// Guards against running a job whose submission arrives after its cancellation was answered.
 #[test]
-fn cancel_holds_before_submit() {
+fn cancel_before_submit_prevents_start() {
     run_local(async {
-        let bench = CellBench::new();
-        let first = bench.host("a");
+        let cell = TestCell::new();
+        let first = cell.start_host("a");
         let service = first.service();
-        accepted(&service, "other").await;
-        until_shown(&service, "other", JobProgress::Completed).await;
-        let before = bench.targets.started();
+        submit_until_accepted(&service, "other").await;
+        wait_for_progress(&service, "other", JobProgress::Completed).await;
+        let before = cell.targets.start_count();
         assert_eq!(cancel(&service, "job1").await, CallerAnswer::NoJob);
-        let second = bench.host("b");
+        let second = cell.start_host("b");
         first.stop(std::future::ready(())).await;
-        accepted(&second.service(), "job1").await;
+        submit_until_accepted(&second.service(), "job1").await;
         sleep(SETTLED).await;
-        assert_eq!(bench.targets.started(), before);
+        assert_eq!(cell.targets.start_count(), before);
     });
 }
 
@@ -78,34 +81,34 @@
 #[test]
 fn cancel_drops_waiting_starts() {
     run_local(async {
-        let bench = CellBench::new();
-        let service = bench.host("a").service();
-        bench.targets.set_slow(true);
-        bench.targets.delay_starts(Duration::from_millis(400));
+        let cell = TestCell::new();
+        let service = cell.start_host("a").service();
+        cell.targets.set_blocked(true);
+        cell.targets.delay_starts(Duration::from_millis(400));
         let mut wide = plan();
         wide.steps[0].count = 8;
         let wish = CallerRequest::Submit("job1".into(), JobPlan { ..wide });
-        until(&service, wish, CallerAnswer::Accepted).await;
-        bench.targets.until_started(1).await;
-        let sent = bench.targets.started();
-        until_cancelled(&service, "job1").await;
+        wait_for_answer(&service, wish, CallerAnswer::Accepted).await;
+        cell.targets.wait_for_started(1).await;
+        let sent = cell.targets.start_count();
+        wait_for_cancelled(&service, "job1").await;
         sleep(SETTLED).await;
-        assert_eq!(bench.targets.started(), sent);
+        assert_eq!(cell.targets.start_count(), sent);
     });
 }
 
 /// Guards against an owner that goes on with a job whose cancellation reached the store only.
 #[test]
-fn kept_cancel_reaches_owner() {
+fn stored_cancel_reaches_owner() {
     run_local(async {
-        let bench = CellBench::new();
-        bench.targets.set_slow(true);
-        let service = bench.host("a").service();
-        accepted(&service, "job1").await;
-        bench.store.put(&format!("{KEPT}job1"), b"job1");
-        until_shown(&service, "job1", JobProgress::Cancelled).await;
+        let cell = TestCell::new();
+        cell.targets.set_blocked(true);
+        let service = cell.start_host("a").service();
+        submit_until_accepted(&service, "job1").await;
+        cell.store.put(&format!("{CANCELLATIONS}job1"), b"job1");
+        wait_for_progress(&service, "job1", JobProgress::Cancelled).await;
         let end = Instant::now() + LIMIT;
-        while !bench.store.keys(KEPT).is_empty() {
+        while !cell.store.keys(CANCELLATIONS).is_empty() {
             assert!(Instant::now() < end, "not moved into the log");
             sleep(Duration::from_millis(10)).await;
         }
@@ -114,84 +117,85 @@
 
 /// Guards against an owner that hears the store late and starts what callers have cancelled.
 #[test]
-fn unheard_cancel_holds_starts() {
+fn unread_cancels_block_starts() {
     run_local(async {
-        let bench = CellBench::without_targets();
-        let handle = bench.store.handle();
-        let service = bench.host_on("a", &handle).service();
-        accepted(&service, "job1").await;
-        handle.unhear(KEPT);
-        bench.store.put(&format!("{KEPT}job1"), b"job1");
+        let cell = TestCell::without_targets();
+        let handle = cell.store.new_handle();
+        let service = cell.start_host_on("a", &handle).service();
+        submit_until_accepted(&service, "job1").await;
+        handle.set_unreadable_prefix(CANCELLATIONS);
+        cell.store.put(&format!("{CANCELLATIONS}job1"), b"job1");
         sleep(SETTLED + Duration::from_millis(500)).await;
-        bench.add_target();
+        cell.add_target();
         sleep(SETTLED).await;
-        assert_eq!(bench.targets.started(), 0);
-        handle.unhear("");
-        until_shown(&service, "job1", JobProgress::Cancelled).await;
-        accepted(&service, "job2").await;
-        until_shown(&service, "job2", JobProgress::Completed).await;
+        assert_eq!(cell.targets.start_count(), 0);
+        handle.set_unreadable_prefix("");
+        wait_for_progress(&service, "job1", JobProgress::Cancelled).await;
+        submit_until_accepted(&service, "job2").await;
+        wait_for_progress(&service, "job2", JobProgress::Completed).await;
     });
 }
 
 /// Guards against sending a start that waited until it was not known any more what is cancelled.
 #[test]
-fn unheard_cancel_holds_waiting_starts() {
+fn unread_cancels_block_waiting_starts() {
     run_local(async {
-        let bench = CellBench::new();
-        let handle = bench.store.handle();
-        let service = bench.host_on("a", &handle).service();
-        bench.targets.set_slow(true);
-        bench.targets.delay_starts(Duration::from_millis(1500));
+        let cell = TestCell::new();
+        let handle = cell.store.new_handle();
+        let service = cell.start_host_on("a", &handle).service();
+        cell.targets.set_blocked(true);
+        cell.targets.delay_starts(Duration::from_millis(1500));
         let mut wide = plan();
         wide.steps[0].count = 8;
         let wish = CallerRequest::Submit("job1".into(), wide);
-        until(&service, wish, CallerAnswer::Accepted).await;
-        handle.unhear(KEPT);
+        wait_for_answer(&service, wish, CallerAnswer::Accepted).await;
+        handle.set_unreadable_prefix(CANCELLATIONS);
         sleep(Duration::from_secs(5)).await;
         // Three at once, and three more before the knowledge is two seconds old.
-        assert_eq!(bench.targets.started(), 6);
+        assert_eq!(cell.targets.start_count(), 6);
     });
 }
 
 /// Guards against an owner that starts nothing more since it never gets to the end of what is kept:
 /// it began anew with the first page after each call that failed.
 #[test]
-fn kept_cancels_are_read_on() {
+fn stored_cancels_read_despite_failures() {
     run_local(async {
-        let bench = CellBench::new();
+        let cell = TestCell::new();
         for number in 0..30 {
-            bench.store.put(&format!("{KEPT}old{number:02}"), b"");
+            cell.store
+                .put(&format!("{CANCELLATIONS}old{number:02}"), b"");
         }
-        let handle = bench.store.handle();
-        handle.limit_lists(KEPT, 10, 2);
-        let service = bench.host_on("a", &handle).service();
-        accepted(&service, "job1").await;
+        let handle = cell.store.new_handle();
+        handle.limit_lists(CANCELLATIONS, 10, 2);
+        let service = cell.start_host_on("a", &handle).service();
+        submit_until_accepted(&service, "job1").await;
         let completed = CallerAnswer::Found(JobProgress::Completed);
-        until(&service, CallerRequest::Status("job1".into()), completed).await;
+        wait_for_answer(&service, CallerRequest::Status("job1".into()), completed).await;
     });
 }
 
 /// Guards against a process that forgets, when it stops, what the store could not take: its caller
 /// was left without an answer, and the job would be started after all.
 #[test]
-fn stop_keeps_waiting_cancels() {
+fn stop_persists_pending_cancels() {
     run_local(async {
-        let bench = CellBench::without_targets();
-        let handle = bench.store.handle();
-        let host = bench.host_on("a", &handle);
+        let cell = TestCell::without_targets();
+        let handle = cell.store.new_handle();
+        let host = cell.start_host_on("a", &handle);
         let service = host.service();
-        accepted(&service, "job1").await;
-        handle.turn_away(true);
+        submit_until_accepted(&service, "job1").await;
+        handle.set_cut_off(true);
         // The lease lapses, so that nobody can record it.
         sleep(Duration::from_millis(1500)).await;
         assert_eq!(cancel(&service, "job1").await, CallerAnswer::Unknown);
         let back = async {
             sleep(Duration::from_secs(1)).await;
-            handle.turn_away(false);
+            handle.set_cut_off(false);
         };
         let stopped = async {
             host.stop(std::future::ready(())).await;
-            bench.store.value(&format!("{KEPT}job1")).is_some()
+            cell.store.value(&format!("{CANCELLATIONS}job1")).is_some()
         };
         let (kept, ()) = tokio::join!(stopped, back);
         assert!(kept, "forgotten");
--- a/crates/cell/tests/cell_host.rs
+++ b/crates/cell/tests/cell_host.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use common::{
-    CellBench, KEY, LIMIT, StoreSwitch, accepted, call, run_local, submit, terms_text, until,
-    until_shown,
+    KEY, LIMIT, StoreMode, TestCell, call, policy_text, run_local, submit, submit_until_accepted,
+    wait_for_answer, wait_for_progress,
 };
 use ports::{CallerAnswer, CallerCall, CallerRequest, JobProgress};
 use tokio::time::sleep;
@@ -14,12 +14,12 @@
 #[test]
 fn cell_completes_job() {
     run_local(async {
-        let bench = CellBench::new();
-        let service = bench.host("a").service();
-        accepted(&service, "job1").await;
-        until_shown(&service, "job1", JobProgress::Completed).await;
-        assert_eq!(bench.targets.starts.borrow().len(), 6);
-        assert!(bench.targets.started_once());
+        let cell = TestCell::new();
+        let service = cell.start_host("a").service();
+        submit_until_accepted(&service, "job1").await;
+        wait_for_progress(&service, "job1", JobProgress::Completed).await;
+        assert_eq!(cell.targets.starts_by_task.borrow().len(), 6);
+        assert!(cell.targets.started_once());
         let unknown = service
             .answer(call(CallerRequest::Status("other".into())))
             .await;
@@ -36,42 +36,42 @@
 /// often as ends come takes the bytes that the log needs on a narrow link, until neither gets
 /// through; so the next look waits, for a quarter of a second at most.
 #[test]
-fn looks_wait_for_stored_ends() {
+fn polls_wait_for_stored_ends() {
     run_local(async {
-        let bench = CellBench::new();
-        bench.targets.set_slow(true);
-        let service = bench.host("a").service();
-        accepted(&service, "job1").await;
-        bench.targets.until_started(3).await;
-        bench.store.set(StoreSwitch::Refuses);
+        let cell = TestCell::new();
+        cell.targets.set_blocked(true);
+        let service = cell.start_host("a").service();
+        submit_until_accepted(&service, "job1").await;
+        cell.targets.wait_for_started(3).await;
+        cell.store.set_mode(StoreMode::Refuses);
         // Two ends are listed, and the target is looked at for the third.
-        bench.targets.hold(1);
+        cell.targets.hold_last(1);
         sleep(Duration::from_millis(200)).await;
-        let before = bench.targets.looks.get();
+        let before = cell.targets.polls.get();
         sleep(Duration::from_millis(800)).await;
         // Four waits and what is looked at for other reasons; one each 30 ms would be 26.
-        assert!(bench.targets.looks.get() - before <= 8);
+        assert!(cell.targets.polls.get() - before <= 8);
     });
 }
 
 /// A caller's job is stored and the store's answer is lost. The owner writes the same page
 /// again, finds it there, and accepts the job once.
 #[test]
-fn submit_settles_lost_answer() {
+fn submit_accepted_once_after_lost_answer() {
     run_local(async {
-        let bench = CellBench::new();
-        let service = bench.host("a").service();
-        accepted(&service, "job1").await;
-        until_shown(&service, "job1", JobProgress::Completed).await;
-        bench.store.set(StoreSwitch::LosesAnswers);
-        let store = bench.store.clone();
+        let cell = TestCell::new();
+        let service = cell.start_host("a").service();
+        submit_until_accepted(&service, "job1").await;
+        wait_for_progress(&service, "job1", JobProgress::Completed).await;
+        cell.store.set_mode(StoreMode::LosesAnswers);
+        let store = cell.store.clone();
         tokio::task::spawn_local(async move {
             sleep(Duration::from_millis(200)).await;
-            store.set(StoreSwitch::Well);
+            store.set_mode(StoreMode::Normal);
         });
         assert_eq!(service.answer(submit("job2")).await, CallerAnswer::Accepted);
-        until_shown(&service, "job2", JobProgress::Completed).await;
-        assert!(bench.targets.started_once());
+        wait_for_progress(&service, "job2", JobProgress::Completed).await;
+        assert!(cell.targets.started_once());
     });
 }
 
@@ -80,17 +80,17 @@
 #[test]
 fn submit_refused_while_store_refuses() {
     run_local(async {
-        let bench = CellBench::new();
-        let service = bench.host("a").service();
-        accepted(&service, "job1").await;
-        bench.store.set(StoreSwitch::Refuses);
+        let cell = TestCell::new();
+        let service = cell.start_host("a").service();
+        submit_until_accepted(&service, "job1").await;
+        cell.store.set_mode(StoreMode::Refuses);
         let begun = tokio::time::Instant::now();
         let answer = service.answer(submit("job2")).await;
         assert!(matches!(answer, CallerAnswer::Refused(wait) if wait >= Duration::from_secs(1)));
         assert!(begun.elapsed() < Duration::from_secs(1));
-        bench.store.set(StoreSwitch::Well);
+        cell.store.set_mode(StoreMode::Normal);
         sleep(Duration::from_millis(100)).await;
-        until(
+        wait_for_answer(
             &service,
             CallerRequest::Status("job2".into()),
             CallerAnswer::NoJob,
@@ -104,22 +104,22 @@
 #[test]
 fn stopped_owner_hands_over() {
     run_local(async {
-        let bench = CellBench::new();
-        let first = bench.host("a");
-        accepted(&first.service(), "job1").await;
-        let second = bench.host("b");
+        let cell = TestCell::new();
+        let first = cell.start_host("a");
+        submit_until_accepted(&first.service(), "job1").await;
+        let second = cell.start_host("b");
         let service = second.service();
-        until_shown(&service, "job1", JobProgress::Completed).await;
+        wait_for_progress(&service, "job1", JobProgress::Completed).await;
         let begun = tokio::time::Instant::now();
         first.stop(std::future::ready(())).await;
-        accepted(&service, "job2").await;
+        submit_until_accepted(&service, "job2").await;
         assert!(
             begun.elapsed() < Duration::from_millis(1000),
             "the lease lasts 1.1 s"
         );
-        until_shown(&service, "job2", JobProgress::Completed).await;
-        until_shown(&service, "job1", JobProgress::Completed).await;
-        assert!(bench.targets.started_once());
+        wait_for_progress(&service, "job2", JobProgress::Completed).await;
+        wait_for_progress(&service, "job1", JobProgress::Completed).await;
+        assert!(cell.targets.started_once());
     });
 }
 
@@ -127,21 +127,21 @@
 /// callers of that process were refused until the store came back: it hears of the new owner from
 /// its neighbours.
 #[test]
-fn turned_away_process_finds_owner() {
+fn cut_off_process_finds_owner() {
     run_local(async {
-        let bench = CellBench::new();
-        let first = bench.host("a");
-        accepted(&first.service(), "job1").await;
-        let second = bench.host("b");
-        accepted(&second.service(), "job2").await;
-        let handle = bench.store.handle();
-        let third = bench.host_on("c", &handle);
+        let cell = TestCell::new();
+        let first = cell.start_host("a");
+        submit_until_accepted(&first.service(), "job1").await;
+        let second = cell.start_host("b");
+        submit_until_accepted(&second.service(), "job2").await;
+        let handle = cell.store.new_handle();
+        let third = cell.start_host_on("c", &handle);
         let service = third.service();
-        accepted(&service, "job3").await;
-        handle.turn_away(true);
+        submit_until_accepted(&service, "job3").await;
+        handle.set_cut_off(true);
         first.stop(std::future::ready(())).await;
-        accepted(&second.service(), "job4").await;
-        accepted(&service, "job5").await;
+        submit_until_accepted(&second.service(), "job4").await;
+        submit_until_accepted(&service, "job5").await;
     });
 }
 
@@ -149,12 +149,12 @@
 /// refused for two seconds more, until the candidates looked by themselves whether there is an
 /// owner: that there is none was no change from what they had begun with.
 #[test]
-fn cold_process_stands_at_once() {
+fn cold_process_campaigns_at_once() {
     run_local(async {
-        let bench = CellBench::new();
+        let cell = TestCell::new();
         let begun = tokio::time::Instant::now();
-        let host = bench.host("a");
-        accepted(&host.service(), "job1").await;
+        let host = cell.start_host("a");
+        submit_until_accepted(&host.service(), "job1").await;
         let took = begun.elapsed();
         assert!(took < Duration::from_millis(1000), "{took:?}");
     });
@@ -163,21 +163,20 @@
 /// A store that lags shows older terms than those in force. A key that operators have taken
 /// away must not come back with them.
 #[test]
-fn older_terms_ignored() {
+fn older_policy_ignored() {
     run_local(async {
-        let bench = CellBench::new();
-        let service = bench.host("a").service();
-        accepted(&service, "job1").await;
-        bench
-            .store
-            .put("op/terms", terms_text(5, "another").as_bytes());
-        until(
+        let cell = TestCell::new();
+        let service = cell.start_host("a").service();
+        submit_until_accepted(&service, "job1").await;
+        cell.store
+            .put("op/terms", policy_text(5, "another").as_bytes());
+        wait_for_answer(
             &service,
             CallerRequest::Status("job1".into()),
             CallerAnswer::KeyRefused,
         )
         .await;
-        bench.store.put("op/terms", terms_text(4, KEY).as_bytes());
+        cell.store.put("op/terms", policy_text(4, KEY).as_bytes());
         sleep(Duration::from_millis(200)).await;
         let answer = service
             .answer(call(CallerRequest::Status("job1".into())))
@@ -191,23 +190,23 @@
 #[test]
 fn long_log_is_compacted() {
     run_local(async {
-        let bench = CellBench::new();
-        let first = bench.host("a");
+        let cell = TestCell::new();
+        let first = cell.start_host("a");
         let service = first.service();
-        accepted(&service, "job0").await;
+        submit_until_accepted(&service, "job0").await;
         for number in 1..400 {
-            accepted(&service, &format!("job{number}")).await;
+            submit_until_accepted(&service, &format!("job{number}")).await;
         }
-        until_shown(&service, "job399", JobProgress::Completed).await;
+        wait_for_progress(&service, "job399", JobProgress::Completed).await;
         let end = tokio::time::Instant::now() + LIMIT;
         let mut number = 400;
-        while bench.store.keys("cell/log/").len() > 300 {
+        while cell.store.keys("cell/log/").len() > 300 {
             assert!(tokio::time::Instant::now() < end, "not compacted");
-            accepted(&service, &format!("job{number}")).await;
+            submit_until_accepted(&service, &format!("job{number}")).await;
             number += 1;
         }
         first.stop(std::future::ready(())).await;
-        let second = bench.host("b").service();
-        until_shown(&second, "job7", JobProgress::Completed).await;
+        let second = cell.start_host("b").service();
+        wait_for_progress(&second, "job7", JobProgress::Completed).await;
     });
 }
--- a/crates/cell/tests/common/memory_ports.rs
+++ b/crates/cell/tests/common/memory_ports.rs
@@ -26,26 +26,26 @@
 #[derive(Clone, Default)]
 pub struct MemoryTargets {
     /// How many of the tasks that a target was given last do not end.
-    held: Rc<Cell<usize>>,
+    unfinished: Rc<Cell<usize>>,
     /// How often a target was looked at.
-    pub looks: Rc<Cell<usize>>,
+    pub polls: Rc<Cell<usize>>,
     /// Looks that are under way.
-    looking: Rc<Cell<usize>>,
+    active_polls: Rc<Cell<usize>>,
     /// Most looks that were under way at once.
-    pub most_looks: Rc<Cell<usize>>,
+    pub max_concurrent_polls: Rc<Cell<usize>>,
     /// When each target was last granted time, by a look or a start.
-    granted: Rc<RefCell<BTreeMap<HostId, Instant>>>,
+    last_grant: Rc<RefCell<BTreeMap<HostId, Instant>>>,
     /// How long an order to start a task is under way.
     start_delay: Rc<Cell<Duration>>,
     ended: Rc<RefCell<BTreeMap<HostId, Vec<EndReport>>>>,
     /// How often each task was started.
-    pub starts: Rc<RefCell<BTreeMap<String, usize>>>,
+    pub starts_by_task: Rc<RefCell<BTreeMap<String, usize>>>,
 }
 
 impl MemoryTargets {
     /// Tasks do not end, or end at once.
-    pub fn set_slow(&self, slow: bool) {
-        self.hold(if slow { usize::MAX } else { 0 });
+    pub fn set_blocked(&self, blocked: bool) {
+        self.hold_last(if blocked { usize::MAX } else { 0 });
     }
 
     /// Orders to start a task are under way for so long.
@@ -54,34 +54,37 @@
     }
 
     /// Longest time since a target that runs a task was granted time.
-    pub fn longest_ungranted(&self) -> Duration {
-        let (granted, used) = (self.granted.borrow(), self.ended.borrow());
+    pub fn longest_since_grant(&self) -> Duration {
+        let (granted, used) = (self.last_grant.borrow(), self.ended.borrow());
         let times = used.keys().filter_map(|target| granted.get(target));
         times.map(Instant::elapsed).max().unwrap_or_default()
     }
 
     /// How many starts were sent.
-    pub fn started(&self) -> usize {
-        self.starts.borrow().values().sum()
+    pub fn start_count(&self) -> usize {
+        self.starts_by_task.borrow().values().sum()
     }
 
     /// True if no task was started more than once.
     pub fn started_once(&self) -> bool {
-        self.starts.borrow().values().all(|&count| count == 1)
+        self.starts_by_task
+            .borrow()
+            .values()
+            .all(|&count| count == 1)
     }
 
     /// Waits until so many tasks were started.
-    pub async fn until_started(&self, count: usize) {
+    pub async fn wait_for_started(&self, count: usize) {
         let end = Instant::now() + LIMIT;
-        while self.starts.borrow().len() < count {
+        while self.starts_by_task.borrow().len() < count {
             assert!(Instant::now() < end, "not started");
             sleep(Duration::from_millis(1)).await;
         }
     }
 
     /// The tasks that a target was given last, so many of them, do not end.
-    pub fn hold(&self, tasks: usize) {
-        self.held.set(tasks);
+    pub fn hold_last(&self, tasks: usize) {
+        self.unfinished.set(tasks);
     }
 }
 
@@ -90,12 +93,12 @@
         let (targets, target) = (self.clone(), target.target.clone());
         Box::pin(async move {
             *targets
-                .starts
+                .starts_by_task
                 .borrow_mut()
                 .entry(order.task.to_string())
                 .or_default() += 1;
             let now = Instant::now();
-            targets.granted.borrow_mut().insert(target.clone(), now);
+            targets.last_grant.borrow_mut().insert(target.clone(), now);
             sleep(targets.start_delay.get()).await;
             let mut ended = targets.ended.borrow_mut();
             let ends = ended.entry(target).or_default();
@@ -122,17 +125,20 @@
 
     fn poll(&self, target: &TargetAddress, order: PollOrder) -> PortFuture<PollAnswer> {
         let (targets, target) = (self.clone(), target.target.clone());
-        self.looks.set(self.looks.get() + 1);
+        self.polls.set(self.polls.get() + 1);
         if order.until.is_some() {
             let now = Instant::now();
-            self.granted.borrow_mut().insert(target.clone(), now);
+            self.last_grant.borrow_mut().insert(target.clone(), now);
         }
         Box::pin(async move {
-            targets.looking.set(targets.looking.get() + 1);
-            let most = targets.most_looks.get().max(targets.looking.get());
-            targets.most_looks.set(most);
+            targets.active_polls.set(targets.active_polls.get() + 1);
+            let most = targets
+                .max_concurrent_polls
+                .get()
+                .max(targets.active_polls.get());
+            targets.max_concurrent_polls.set(most);
             sleep(Duration::from_millis(5)).await;
-            targets.looking.set(targets.looking.get() - 1);
+            targets.active_polls.set(targets.active_polls.get() - 1);
             let ended = targets
                 .ended
                 .borrow()
@@ -141,8 +147,8 @@
                 .unwrap_or_default();
             let listed = ended.into_iter().filter(|end| end.number > order.observed);
             let mut ended: Vec<EndReport> = listed.collect();
-            let held = ended.split_off(ended.len().saturating_sub(targets.held.get()));
-            let running = held.into_iter().map(running_sight).collect();
+            let held = ended.split_off(ended.len().saturating_sub(targets.unfinished.get()));
+            let running = held.into_iter().map(running_report).collect();
             PollAnswer::Seen(TargetReport {
                 clock: BootClock.boot_now(),
                 born: Duration::from_secs(1),
@@ -154,7 +160,7 @@
 }
 
 /// A task that will end later, while it is at work.
-fn running_sight(end: EndReport) -> RunReport {
+fn running_report(end: EndReport) -> RunReport {
     RunReport {
         task: end.task,
         attempt: end.attempt,
@@ -163,9 +169,9 @@
 }
 
 /// Reads the few things that the tests write as plain words.
-pub struct PathCodec;
+pub struct TextCodec;
 
-impl FleetCodec for PathCodec {
+impl FleetCodec for TextCodec {
     fn policy_key(&self) -> &'static str {
         "op/terms"
     }
@@ -241,24 +247,24 @@
     }
 }
 
-/// What [`PathCodec`] reads as terms.
-pub fn terms_text(revision: u64, key: &str) -> String {
+/// What [`TextCodec`] reads as terms.
+pub fn policy_text(revision: u64, key: &str) -> String {
     format!("{revision} {key}")
 }
 
 /// A control of no hosts.
 #[derive(Clone, Default)]
-pub struct NoControl {
+pub struct EmptyHostControl {
     /// How long a list of hosts is under way.
-    pub list_time: Duration,
+    pub list_delay: Duration,
     /// How often the hosts were listed.
-    pub lists: Rc<Cell<usize>>,
+    pub list_count: Rc<Cell<usize>>,
 }
 
-impl HostControl for NoControl {
+impl HostControl for EmptyHostControl {
     fn hosts(&self) -> PortFuture<Result<Vec<FleetHost>, String>> {
-        self.lists.set(self.lists.get() + 1);
-        let time = self.list_time;
+        self.list_count.set(self.list_count.get() + 1);
+        let time = self.list_delay;
         Box::pin(async move {
             sleep(time).await;
             Ok(Vec::new())
@@ -290,9 +296,9 @@
 pub fn ports_on(store: &MemoryStore, targets: &MemoryTargets) -> CellPorts {
     CellPorts {
         store: Rc::new(store.clone()),
-        codec: Rc::new(PathCodec),
+        codec: Rc::new(TextCodec),
         targets: Rc::new(targets.clone()),
-        hosts: Rc::new(NoControl::default()),
+        hosts: Rc::new(EmptyHostControl::default()),
         advice: Rc::new(NoAdvice),
     }
 }
--- a/crates/cell/tests/common/memory_store.rs
+++ b/crates/cell/tests/common/memory_store.rs
@@ -21,10 +21,10 @@
 
 /// What goes wrong at the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum StoreSwitch {
+pub enum StoreMode {
     /// Nothing.
     #[default]
-    Well,
+    Normal,
     /// Refuses every call.
     Refuses,
     /// Makes changes and loses their answers.
@@ -36,9 +36,9 @@
 pub struct MemoryStore {
     state: Rc<StoreState>,
     /// Whether the store turns away who calls through this handle.
-    away: Rc<Cell<bool>>,
+    cut_off: Rc<Cell<bool>>,
     /// How lists are answered through this handle.
-    lists: Rc<RefCell<ListFault>>,
+    list_fault: Rc<RefCell<ListFault>>,
     /// How long answers to reads of a key are under way through this handle.
     read_delay: Rc<Cell<Duration>>,
     /// How long changes are under way through this handle before they are made.
@@ -48,7 +48,7 @@
     /// Bytes of lists a second that this handle carries; 0 for any.
     list_rate: Rc<Cell<usize>>,
     /// Prefix of which no list and no watch is answered through this handle; empty for none.
-    unheard: Rc<RefCell<String>>,
+    unreadable_prefix: Rc<RefCell<String>>,
 }
 
 /// What goes wrong with lists of the keys below a prefix.
@@ -65,31 +65,31 @@
 #[derive(Default)]
 struct StoreState {
     items: RefCell<BTreeMap<String, StoreItem>>,
-    owners: RefCell<BTreeMap<String, LeaseId>>,
+    key_leases: RefCell<BTreeMap<String, LeaseId>>,
     leases: RefCell<BTreeMap<LeaseId, (Instant, Duration)>>,
     history: RefCell<Vec<(StoreRevision, StoreEvent)>>,
     revision: Cell<StoreRevision>,
     changed: Notify,
-    switch: Cell<StoreSwitch>,
+    mode: Cell<StoreMode>,
     renewals: Cell<usize>,
 }
 
 impl MemoryStore {
-    pub fn set(&self, switch: StoreSwitch) {
-        self.state.switch.set(switch);
+    pub fn set_mode(&self, mode: StoreMode) {
+        self.state.mode.set(mode);
     }
 
     /// Another handle on the same store, for a process that the store is to turn away.
-    pub fn handle(&self) -> Self {
+    pub fn new_handle(&self) -> Self {
         Self {
             state: self.state.clone(),
-            away: Rc::default(),
-            lists: Rc::default(),
+            cut_off: Rc::default(),
+            list_fault: Rc::default(),
             read_delay: Rc::default(),
             change_delay: Rc::default(),
             change_bytes: Rc::default(),
             list_rate: Rc::default(),
-            unheard: Rc::default(),
+            unreadable_prefix: Rc::default(),
         }
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// Lists come through this handle with so many bytes a second.
-    pub fn pace_lists(&self, bytes_per_second: usize) {
+    pub fn limit_list_rate(&self, bytes_per_second: usize) {
         self.list_rate.set(bytes_per_second);
     }
 
@@ -114,11 +114,11 @@
     }
 
     /// Changes with more bytes than these time out on their way through this handle.
-    pub fn limit_changes(&self, bytes: usize) {
+    pub fn limit_change_bytes(&self, bytes: usize) {
         self.change_bytes.set(bytes);
     }
 
-    async fn carries(&self, change: &StoreChange) -> Result<(), StoreError> {
+    async fn check_change_size(&self, change: &StoreChange) -> Result<(), StoreError> {
         let bytes: usize = change.writes.iter().map(|write| write.value.len()).sum();
         let most = self.change_bytes.get();
         if most == 0 || bytes <= most {
@@ -129,12 +129,12 @@
     }
 
     /// No list and no watch of this prefix is answered through this handle; empty for none.
-    pub fn unhear(&self, prefix: &str) {
-        *self.unheard.borrow_mut() = prefix.to_owned();
+    pub fn set_unreadable_prefix(&self, prefix: &str) {
+        *self.unreadable_prefix.borrow_mut() = prefix.to_owned();
     }
 
-    fn hears(&self, prefix: &str) -> Result<(), StoreError> {
-        if !prefix.is_empty() && prefix == *self.unheard.borrow() {
+    fn check_readable(&self, prefix: &str) -> Result<(), StoreError> {
+        if !prefix.is_empty() && prefix == *self.unreadable_prefix.borrow() {
             return Err(StoreError::Unanswered("timed out".to_owned()));
         }
         Ok(())
@@ -142,7 +142,7 @@
 
     /// Lists of the keys below a prefix bring `page` keys, and each `fail_every`-th fails.
     pub fn limit_lists(&self, prefix: &str, page: usize, fail_every: usize) {
-        *self.lists.borrow_mut() = ListFault {
+        *self.list_fault.borrow_mut() = ListFault {
             prefix: prefix.to_owned(),
             page,
             fail_every,
@@ -156,13 +156,13 @@
     }
 
     /// All lists through this handle are answered again.
-    pub fn answer_lists(&self) {
-        *self.lists.borrow_mut() = ListFault::default();
+    pub fn restore_lists(&self) {
+        *self.list_fault.borrow_mut() = ListFault::default();
     }
 
     /// Most keys that a list may bring.
     fn list_limit(&self, prefix: &str) -> Result<usize, StoreError> {
-        let mut fault = self.lists.borrow_mut();
+        let mut fault = self.list_fault.borrow_mut();
         if prefix != fault.prefix {
             return Ok(LIST_KEYS);
         }
@@ -189,13 +189,13 @@
     }
 
     /// Turns away who calls through this handle, or serves it again.
-    pub fn turn_away(&self, away: bool) {
-        self.away.set(away);
+    pub fn set_cut_off(&self, cut_off: bool) {
+        self.cut_off.set(cut_off);
     }
 
     async fn call(&self) -> Result<(), StoreError> {
         self.state.call().await?;
-        if self.away.get() {
+        if self.cut_off.get() {
             return Err(StoreError::Refused("status 503".to_owned()));
         }
         Ok(())
@@ -240,7 +240,7 @@
         };
         self.items.borrow_mut().insert(key.to_owned(), item.clone());
         if let Some(lease) = lease {
-            self.owners.borrow_mut().insert(key.to_owned(), lease);
+            self.key_leases.borrow_mut().insert(key.to_owned(), lease);
         }
         self.history
             .borrow_mut()
@@ -264,21 +264,21 @@
     fn end_lease(&self, lease: LeaseId) {
         self.leases.borrow_mut().remove(&lease);
         let owned: Vec<String> = {
-            let mut owners = self.owners.borrow_mut();
-            let keys: Vec<String> = owners
+            let mut key_leases = self.key_leases.borrow_mut();
+            let keys: Vec<String> = key_leases
                 .iter()
                 .filter(|(_, owner)| **owner == lease)
                 .map(|(key, _)| key.clone())
                 .collect();
             keys.iter().for_each(|key| {
-                owners.remove(key);
+                key_leases.remove(key);
             });
             keys
         };
         owned.iter().for_each(|key| self.remove(key));
     }
 
-    fn lapse(&self) {
+    fn expire_leases(&self) {
         let now = Instant::now();
         let over: Vec<LeaseId> = self
             .leases
@@ -292,10 +292,10 @@
 
     async fn call(&self) -> Result<(), StoreError> {
         sleep(Duration::from_millis(1)).await;
-        self.lapse();
-        match self.switch.get() {
-            StoreSwitch::Refuses => Err(StoreError::Refused("status 503".to_owned())),
-            StoreSwitch::Well | StoreSwitch::LosesAnswers => Ok(()),
+        self.expire_leases();
+        match self.mode.get() {
+            StoreMode::Refuses => Err(StoreError::Refused("status 503".to_owned())),
+            StoreMode::Normal | StoreMode::LosesAnswers => Ok(()),
         }
     }
 
@@ -333,7 +333,7 @@
         StoreOutcome::Done(self.revision.get())
     }
 
-    fn since(&self, prefix: &str, after: StoreRevision) -> Vec<StoreEvent> {
+    fn events_after(&self, prefix: &str, after: StoreRevision) -> Vec<StoreEvent> {
         let history = self.history.borrow();
         let newer = history.iter().filter(|(revision, _)| *revision > after);
         let below = newer.filter(|(_, event)| match event {
@@ -347,25 +347,25 @@
 impl LeaseStore for MemoryStore {
     fn read(&self, key: &str) -> PortFuture<Result<Option<StoreItem>, StoreError>> {
         let (state, key) = (self.state.clone(), key.to_owned());
-        let door = self.clone();
+        let handle = self.clone();
         Box::pin(async move {
-            door.call().await?;
+            handle.call().await?;
             let found = state.items.borrow().get(&key).cloned();
-            sleep(door.read_delay.get()).await;
+            sleep(handle.read_delay.get()).await;
             Ok(found)
         })
     }
 
     fn list(&self, prefix: &str, after: &str) -> PortFuture<Result<StorePage, StoreError>> {
         let (state, prefix, after) = (self.state.clone(), prefix.to_owned(), after.to_owned());
-        let door = self.clone();
+        let handle = self.clone();
         Box::pin(async move {
-            door.call().await?;
-            door.hears(&prefix)?;
-            let limit = door.list_limit(&prefix)?;
+            handle.call().await?;
+            handle.check_readable(&prefix)?;
+            let limit = handle.list_limit(&prefix)?;
             let page = state.page(&prefix, &after, limit);
             let bytes: usize = page.items.iter().map(|item| item.value.len()).sum();
-            if let Some(millis) = (bytes * 1000).checked_div(door.list_rate.get()) {
+            if let Some(millis) = (bytes * 1000).checked_div(handle.list_rate.get()) {
                 sleep(Duration::from_millis(millis as u64)).await;
             }
             Ok(page)
@@ -379,13 +379,13 @@
         patience: Duration,
     ) -> PortFuture<Result<StoreChanges, StoreError>> {
         let (state, prefix) = (self.state.clone(), prefix.to_owned());
-        let door = self.clone();
+        let handle = self.clone();
         Box::pin(async move {
             let end = Instant::now() + patience;
             loop {
-                door.call().await?;
-                door.hears(&prefix)?;
-                let events = state.since(&prefix, after);
+                handle.call().await?;
+                handle.check_readable(&prefix)?;
+                let events = state.events_after(&prefix, after);
                 if !events.is_empty() || Instant::now() >= end {
                     return Ok(StoreChanges {
                         events,
@@ -399,13 +399,13 @@
 
     fn change(&self, change: StoreChange) -> PortFuture<Result<StoreOutcome, StoreError>> {
         let state = self.state.clone();
-        let door = self.clone();
+        let handle = self.clone();
         Box::pin(async move {
-            door.call().await?;
-            sleep(door.change_delay.get()).await;
-            door.carries(&change).await?;
+            handle.call().await?;
+            sleep(handle.change_delay.get()).await;
+            handle.check_change_size(&change).await?;
             let outcome = state.apply(change);
-            if state.switch.get() == StoreSwitch::LosesAnswers {
+            if state.mode.get() == StoreMode::LosesAnswers {
                 return Err(StoreError::Unanswered("timed out".to_owned()));
             }
             Ok(outcome)
@@ -414,9 +414,9 @@
 
     fn take_lease(&self, length: Duration) -> PortFuture<Result<LeaseId, StoreError>> {
         let state = self.state.clone();
-        let door = self.clone();
+        let handle = self.clone();
         Box::pin(async move {
-            door.call().await?;
+            handle.call().await?;
             let lease = state.revision.get() + 1;
             state.revision.set(lease);
             state
@@ -429,9 +429,9 @@
 
     fn renew_lease(&self, lease: LeaseId) -> PortFuture<Result<bool, StoreError>> {
         let state = self.state.clone();
-        let door = self.clone();
+        let handle = self.clone();
         Box::pin(async move {
-            door.call().await?;
+            handle.call().await?;
             state.renewals.set(state.renewals.get() + 1);
             let mut leases = state.leases.borrow_mut();
             let Some((until, length)) = leases.get_mut(&lease) else {
@@ -444,9 +444,9 @@
 
     fn end_lease(&self, lease: LeaseId) -> PortFuture<Result<(), StoreError>> {
         let state = self.state.clone();
-        let door = self.clone();
+        let handle = self.clone();
         Box::pin(async move {
-            door.call().await?;
+            handle.call().await?;
             state.end_lease(lease);
             Ok(())
         })
--- a/crates/cell/tests/common/mod.rs
+++ b/crates/cell/tests/common/mod.rs
@@ -3,20 +3,22 @@
 #![allow(dead_code, unused_imports)]
 
 mod caller_calls;
-mod cell_bench;
 mod memory_ports;
 mod memory_store;
 mod successors;
+mod test_cell;
 
 pub use caller_calls::{KEY, call, plan, submit};
-pub use cell_bench::{
-    CellBench, LIMIT, accepted, start_cell, store_with_terms, until, until_shown,
-};
-pub use memory_ports::{MemoryTargets, NoControl, free_address, ports_on, terms_text};
-pub use memory_store::{MemoryStore, StoreSwitch};
+pub use memory_ports::{EmptyHostControl, MemoryTargets, free_address, policy_text, ports_on};
+pub use memory_store::{MemoryStore, StoreMode};
 pub use successors::{
-    LOG, OWNER, large_job, narrow, new_store, owner, put_entry, put_long_log, put_page, start_host,
-    start_on, start_with, strong, until_owner, until_page, weak,
+    LOG, OWNER, large_job, narrow_limits, new_store, owner_name, put_entry, put_long_log, put_page,
+    start_host, start_host_with_ports, start_host_with_targets, strong_limits, wait_for_owner,
+    wait_for_page, weak_limits,
+};
+pub use test_cell::{
+    LIMIT, TestCell, start_cell, store_with_policy, submit_until_accepted, wait_for_answer,
+    wait_for_progress,
 };
 
 use tokio::task::LocalSet;
--- a/crates/cell/tests/common/successors.rs
+++ b/crates/cell/tests/common/successors.rs
@@ -7,36 +7,36 @@
 use wire::work::{JobRecord, LogEntry, LogPage, OwnerRecord, StepRecord, log_entry::Event};
 
 use super::{
-    LIMIT, MemoryStore, MemoryTargets, free_address, ports_on, start_cell, store_with_terms,
+    LIMIT, MemoryStore, MemoryTargets, free_address, ports_on, start_cell, store_with_policy,
 };
 
 pub const OWNER: &str = "cell/owner";
 pub const LOG: &str = "cell/log/";
 
-pub fn strong() -> HostLimits {
+pub fn strong_limits() -> HostLimits {
     HostLimits::default()
 }
 
-pub fn weak() -> HostLimits {
+pub fn weak_limits() -> HostLimits {
     HostLimits {
         link_mbps: 10.0,
-        ..strong()
+        ..strong_limits()
     }
 }
 
 /// The small link of a fleet whose lists and logs fill it.
-pub fn narrow() -> HostLimits {
+pub fn narrow_limits() -> HostLimits {
     HostLimits {
         link_mbps: 2.0,
-        ..strong()
+        ..strong_limits()
     }
 }
 
 pub fn start_host(name: &str, store: &MemoryStore, limits: HostLimits) -> Rc<CellHost> {
-    start_with(name, store, limits, &MemoryTargets::default())
+    start_host_with_targets(name, store, limits, &MemoryTargets::default())
 }
 
-pub fn start_with(
+pub fn start_host_with_targets(
     name: &str,
     store: &MemoryStore,
     limits: HostLimits,
@@ -46,28 +46,28 @@
         limits,
         ..CellOptions::new(name.into(), free_address(), free_address())
     };
-    start_on(options, ports_on(store, targets))
+    start_host_with_ports(options, ports_on(store, targets))
 }
 
-pub fn start_on(options: CellOptions, ports: CellPorts) -> Rc<CellHost> {
+pub fn start_host_with_ports(options: CellOptions, ports: CellPorts) -> Rc<CellHost> {
     Rc::new(start_cell(options, ports))
 }
 
 pub fn new_store() -> MemoryStore {
-    let store = store_with_terms();
+    let store = store_with_policy();
     store.put("targets/t1", b"ready");
     store
 }
 
-pub fn owner(store: &MemoryStore) -> Option<String> {
+pub fn owner_name(store: &MemoryStore) -> Option<String> {
     let record = OwnerRecord::decode(store.value(OWNER)?.as_slice());
     record.ok().map(|record| record.member)
 }
 
-pub async fn until_owner(store: &MemoryStore, wanted: &str) {
+pub async fn wait_for_owner(store: &MemoryStore, wanted: &str) {
     let end = Instant::now() + LIMIT;
-    while owner(store).as_deref() != Some(wanted) {
-        assert!(Instant::now() < end, "still {:?}", owner(store));
+    while owner_name(store).as_deref() != Some(wanted) {
+        assert!(Instant::now() < end, "still {:?}", owner_name(store));
         sleep(Duration::from_millis(5)).await;
     }
 }
@@ -87,7 +87,7 @@
 }
 
 /// Text that does not get shorter by deflating.
-fn noise(length: usize, seed: u64) -> String {
+fn incompressible_text(length: usize, seed: u64) -> String {
     let mut dice = StdRng::seed_from_u64(seed);
     let letters = (0..length).map(|_| char::from(dice.sample(Alphanumeric)));
     letters.collect()
@@ -99,7 +99,7 @@
         job: format!("job{number}"),
         queue: "queue".to_owned(),
         pool: "another".to_owned(),
-        payload: noise(3000, number),
+        payload: incompressible_text(3000, number),
         steps: vec![StepRecord {
             count: 1,
             ..StepRecord::default()
@@ -116,7 +116,7 @@
 }
 
 /// Waits until a page of the log is there; the owner's first shows that it has read those before.
-pub async fn until_page(store: &MemoryStore, page: usize) {
+pub async fn wait_for_page(store: &MemoryStore, page: usize) {
     let end = Instant::now() + LIMIT;
     while store.value(&format!("{LOG}{page:012}")).is_none() {
         assert!(Instant::now() < end, "the log was not read");
--- a/crates/cell/tests/common/cell_bench.rs
+++ b/crates/cell/tests/common/test_cell.rs
@@ -6,32 +6,32 @@
 use ports::{CallerAnswer, CallerRequest, CallerService, JobProgress};
 use tokio::time::sleep;
 
-use super::{KEY, MemoryStore, MemoryTargets, call, free_address, ports_on, submit, terms_text};
+use super::{KEY, MemoryStore, MemoryTargets, call, free_address, policy_text, ports_on, submit};
 
 /// Longest wait for something that takes milliseconds; reached only by a failing test.
 pub const LIMIT: Duration = Duration::from_secs(10);
 
 /// A store and targets that the processes of a test share.
-pub struct CellBench {
+pub struct TestCell {
     pub store: MemoryStore,
     pub targets: MemoryTargets,
 }
 
-impl CellBench {
+impl TestCell {
     pub fn new() -> Self {
-        let bench = Self::without_targets();
-        bench.add_target();
-        bench
+        let cell = Self::without_targets();
+        cell.add_target();
+        cell
     }
 
     /// The same with no target that takes tasks.
     pub fn without_targets() -> Self {
-        let bench = Self {
-            store: store_with_terms(),
+        let cell = Self {
+            store: store_with_policy(),
             targets: MemoryTargets::default(),
         };
-        bench.store.put("targets/t2", b"unreadable");
-        bench
+        cell.store.put("targets/t2", b"unreadable");
+        cell
     }
 
     /// Adds a target that takes tasks.
@@ -39,11 +39,11 @@
         self.store.put("targets/t1", b"ready");
     }
 
-    pub fn host(&self, name: &str) -> CellHost {
-        self.host_on(name, &self.store)
+    pub fn start_host(&self, name: &str) -> CellHost {
+        self.start_host_on(name, &self.store)
     }
 
-    pub fn host_on(&self, name: &str, store: &MemoryStore) -> CellHost {
+    pub fn start_host_on(&self, name: &str, store: &MemoryStore) -> CellHost {
         let options = CellOptions {
             drain_period: Duration::from_millis(10),
             ..CellOptions::new(name.into(), free_address(), free_address())
@@ -53,9 +53,9 @@
 }
 
 /// A store that holds the terms alone.
-pub fn store_with_terms() -> MemoryStore {
+pub fn store_with_policy() -> MemoryStore {
     let store = MemoryStore::default();
-    store.put("op/terms", terms_text(1, KEY).as_bytes());
+    store.put("op/terms", policy_text(1, KEY).as_bytes());
     store
 }
 
@@ -67,12 +67,16 @@
 }
 
 /// Waits until callers are shown that a job is so far.
-pub async fn until_shown(service: &Rc<dyn CallerService>, job: &str, progress: JobProgress) {
+pub async fn wait_for_progress(service: &Rc<dyn CallerService>, job: &str, progress: JobProgress) {
     let wish = CallerRequest::Status(job.into());
-    until(service, wish, CallerAnswer::Found(progress)).await;
+    wait_for_answer(service, wish, CallerAnswer::Found(progress)).await;
 }
 
-pub async fn until(service: &Rc<dyn CallerService>, wish: CallerRequest, wanted: CallerAnswer) {
+pub async fn wait_for_answer(
+    service: &Rc<dyn CallerService>,
+    wish: CallerRequest,
+    wanted: CallerAnswer,
+) {
     let end = tokio::time::Instant::now() + LIMIT;
     let mut answer = service.answer(call(wish.clone())).await;
     while answer != wanted {
@@ -82,7 +86,7 @@
     }
 }
 
-pub async fn accepted(service: &Rc<dyn CallerService>, job: &str) {
+pub async fn submit_until_accepted(service: &Rc<dyn CallerService>, job: &str) {
     let end = tokio::time::Instant::now() + LIMIT;
     while service.answer(submit(job)).await != CallerAnswer::Accepted {
         assert!(tokio::time::Instant::now() < end);
--- a/crates/cell/tests/narrow_link.rs
+++ b/crates/cell/tests/narrow_link.rs
@@ -13,7 +13,7 @@
 /// Guards against a log that each owner of a row of short terms makes longer by a copy of itself:
 /// behind a narrow link the next one reads for longer than its lease lasts.
 #[test]
-fn successors_leave_dense_log() {
+fn log_stays_compact_across_successors() {
     run_local(async {
         let store = new_store();
         for number in 0..60 {
@@ -22,25 +22,25 @@
         }
         let before = log_bytes(&store);
         for name in ["a", "b", "c"] {
-            let way = store.handle();
-            let _host = start_host(name, &way, strong());
-            until_owner(&store, name).await;
+            let handle = store.new_handle();
+            let _host = start_host(name, &handle, strong_limits());
+            wait_for_owner(&store, name).await;
             let end = Instant::now() + Duration::from_millis(500);
             while Instant::now() < end {
                 let now = log_bytes(&store);
                 assert!(now < before * 3 / 2, "{before} bytes became {now}");
                 sleep(Duration::from_millis(1)).await;
             }
-            way.turn_away(true);
+            handle.set_cut_off(true);
         }
     });
 }
 
 /// Lists come so slowly through this handle that the log of [`put_long_log`] takes so many seconds.
-fn slow_way(store: &MemoryStore, seconds: usize) -> MemoryStore {
-    let way = store.handle();
-    way.pace_lists(log_bytes(store) / seconds);
-    way
+fn slow_handle(store: &MemoryStore, seconds: usize) -> MemoryStore {
+    let handle = store.new_handle();
+    handle.limit_list_rate(log_bytes(store) / seconds);
+    handle
 }
 
 /// Guards against a cell without an owner for as long as each that reads the log is told to let
@@ -50,27 +50,27 @@
     run_local(async {
         let store = new_store();
         put_long_log(&store);
-        let _host = start_host("a", &slow_way(&store, 4), strong());
-        until_page(&store, 100).await;
+        let _host = start_host("a", &slow_handle(&store, 4), strong_limits());
+        wait_for_page(&store, 100).await;
     });
 }
 
 /// Guards against a successor that begins to read the log when its predecessor has gone, while
 /// callers and targets wait.
 #[test]
-fn successor_has_read_log() {
+fn standby_reads_log_in_advance() {
     run_local(async {
         let store = new_store();
         put_long_log(&store);
-        let first_way = store.handle();
-        let _first = start_host("a", &first_way, strong());
-        until_owner(&store, "a").await;
-        let second = start_host("b", &slow_way(&store, 2), strong());
+        let first_handle = store.new_handle();
+        let _first = start_host("a", &first_handle, strong_limits());
+        wait_for_owner(&store, "a").await;
+        let second = start_host("b", &slow_handle(&store, 2), strong_limits());
         sleep(Duration::from_secs(4)).await;
-        first_way.turn_away(true);
+        first_handle.set_cut_off(true);
         let begun = Instant::now();
-        until_owner(&store, "b").await;
-        accepted(&second.service(), "job").await;
+        wait_for_owner(&store, "b").await;
+        submit_until_accepted(&second.service(), "job").await;
         assert!(begun.elapsed() < Duration::from_millis(1500));
     });
 }
@@ -78,7 +78,7 @@
 /// Guards against an owner behind a narrow link that writes the shorter log in pages which never get
 /// through in time: it tries the first again and again, and nothing else is recorded.
 #[test]
-fn narrow_link_carries_shorter_log() {
+fn compacted_log_fits_narrow_link() {
     run_local(async {
         let store = new_store();
         for number in 0..140 {
@@ -88,17 +88,17 @@
             let failed = Event::Failed(format!("job{number}"));
             put_entry(&store, 100 + number as usize, failed);
         }
-        let way = store.handle();
-        way.limit_changes(60_000);
+        let handle = store.new_handle();
+        handle.limit_change_bytes(60_000);
         let targets = MemoryTargets::default();
-        targets.set_slow(true);
-        let host = start_with("a", &way, narrow(), &targets);
-        until_owner(&store, "a").await;
+        targets.set_blocked(true);
+        let host = start_host_with_targets("a", &handle, narrow_limits(), &targets);
+        wait_for_owner(&store, "a").await;
         let service = host.service();
-        until(&service, submit("first").request, CallerAnswer::Accepted).await;
+        wait_for_answer(&service, submit("first").request, CallerAnswer::Accepted).await;
         sleep(Duration::from_millis(500)).await;
         let begun = Instant::now();
-        until(&service, submit("second").request, CallerAnswer::Accepted).await;
+        wait_for_answer(&service, submit("second").request, CallerAnswer::Accepted).await;
         assert!(begun.elapsed() < Duration::from_secs(1));
     });
 }
@@ -111,9 +111,9 @@
         let store = new_store();
         put_long_log(&store);
         let targets = MemoryTargets::default();
-        targets.set_slow(true);
-        let host = start_with("a", &store, narrow(), &targets);
-        until_owner(&store, "a").await;
+        targets.set_blocked(true);
+        let host = start_host_with_targets("a", &store, narrow_limits(), &targets);
+        wait_for_owner(&store, "a").await;
         sleep(Duration::from_millis(500)).await;
         let answer = host.service().answer(submit("job")).await;
         assert!(matches!(answer, CallerAnswer::Refused(_)), "{answer:?}");
@@ -123,7 +123,7 @@
 /// Guards against an owner that takes what its log says of targets for a backlog of jobs, and refuses
 /// the few that come.
 #[test]
-fn used_targets_refuse_no_jobs() {
+fn used_targets_do_not_count_as_backlog() {
     run_local(async {
         let store = new_store();
         for number in 0..150 {
@@ -134,9 +134,9 @@
             put_entry(&store, number, Event::Used(used));
         }
         let targets = MemoryTargets::default();
-        targets.hold(usize::MAX);
-        let host = start_with("a", &store, narrow(), &targets);
-        until_owner(&store, "a").await;
+        targets.hold_last(usize::MAX);
+        let host = start_host_with_targets("a", &store, narrow_limits(), &targets);
+        wait_for_owner(&store, "a").await;
         for job in 0..40 {
             let submitted = submit(&format!("job{job}")).request;
             let accepted = host.service().answer(call(submitted)).await;
@@ -154,7 +154,7 @@
 /// Guards against an owner whose narrow link is taken by lists of hosts, one after the other, so
 /// that the renewals of its lease don't get through.
 #[test]
-fn host_lists_leave_link_free() {
+fn host_lists_leave_bandwidth() {
     run_local(async {
         let store = new_store();
         // A life that no look reaches and that the host list lacks.
@@ -164,18 +164,18 @@
             ..TargetUse::default()
         };
         put_entry(&store, 0, Event::Used(used));
-        let control = NoControl {
-            list_time: Duration::from_millis(200),
-            ..NoControl::default()
+        let control = EmptyHostControl {
+            list_delay: Duration::from_millis(200),
+            ..EmptyHostControl::default()
         };
-        let lists = control.lists.clone();
+        let lists = control.list_count.clone();
         let options = CellOptions::new("a".into(), free_address(), free_address());
         let ports = CellPorts {
             hosts: Rc::new(control),
             ..ports_on(&store, &MemoryTargets::default())
         };
-        let _host = start_on(options, ports);
-        until_owner(&store, "a").await;
+        let _host = start_host_with_ports(options, ports);
+        wait_for_owner(&store, "a").await;
         sleep(Duration::from_secs(3)).await;
         // A fifth of three seconds.
         assert!(lists.get() <= 4, "{} lists of 0.2 s in 3 s", lists.get());
@@ -185,23 +185,23 @@
 /// Guards against a new owner that looks at all targets at once: behind a narrow link their answers
 /// hold back the renewals of its lease.
 #[test]
-fn first_looks_leave_link_free() {
+fn first_polls_leave_bandwidth() {
     run_local(async {
         let (store, targets) = (new_store(), MemoryTargets::default());
         for number in 0..60 {
             store.put(&format!("targets/n{number}"), b"ready");
         }
-        let _host = start_with("a", &store, narrow(), &targets);
+        let _host = start_host_with_targets("a", &store, narrow_limits(), &targets);
         let end = Instant::now() + LIMIT;
-        while targets.looks.get() < 61 {
-            assert!(Instant::now() < end, "{} looks", targets.looks.get());
+        while targets.polls.get() < 61 {
+            assert!(Instant::now() < end, "{} looks", targets.polls.get());
             sleep(Duration::from_millis(5)).await;
         }
         // 1.5 KB each are 0.1 s of the link.
         assert!(
-            targets.most_looks.get() <= 16,
+            targets.max_concurrent_polls.get() <= 16,
             "{}",
-            targets.most_looks.get()
+            targets.max_concurrent_polls.get()
         );
     });
 }
@@ -209,22 +209,22 @@
 /// Guards against starts that keep an owner behind a narrow link from looking at what runs until the
 /// time that was granted to it is over.
 #[test]
-fn starts_leave_looks_their_turn() {
+fn starts_do_not_starve_polls() {
     run_local(async {
         let (store, targets) = (new_store(), MemoryTargets::default());
         (0..40).for_each(|number| store.put(&format!("targets/n{number}"), b"ready"));
-        targets.set_slow(true);
-        let host = start_with("a", &store, narrow(), &targets);
-        until_owner(&store, "a").await;
+        targets.set_blocked(true);
+        let host = start_host_with_targets("a", &store, narrow_limits(), &targets);
+        wait_for_owner(&store, "a").await;
         sleep(Duration::from_millis(500)).await;
         targets.delay_starts(Duration::from_secs(1));
         for job in 0..80 {
             let submitted = submit(&format!("job{job}")).request;
-            until(&host.service(), submitted, CallerAnswer::Accepted).await;
+            wait_for_answer(&host.service(), submitted, CallerAnswer::Accepted).await;
         }
         for _ in 0..80 {
             sleep(Duration::from_millis(100)).await;
-            let ungranted = targets.longest_ungranted();
+            let ungranted = targets.longest_since_grant();
             // Five seconds are granted.
             assert!(ungranted < Duration::from_millis(4500), "{ungranted:?}");
         }
@@ -237,8 +237,8 @@
 fn renewals_open_connections_before_log() {
     run_local(async {
         let store = new_store();
-        let _host = start_host("a", &store, narrow());
-        until_owner(&store, "a").await;
+        let _host = start_host("a", &store, narrow_limits());
+        wait_for_owner(&store, "a").await;
         sleep(Duration::from_millis(100)).await;
         assert!(store.renewals() >= 3, "{} renewals", store.renewals());
     });
--- a/crates/cell/tests/succession.rs
+++ b/crates/cell/tests/succession.rs
@@ -18,12 +18,12 @@
 fn owner_hands_over_to_stronger() {
     run_local(async {
         let store = new_store();
-        let _weak = start_host("weak", &store, weak());
-        until_owner(&store, "weak").await;
-        let _strong = start_host("strong", &store, strong());
-        until_owner(&store, "strong").await;
+        let _weak = start_host("weak", &store, weak_limits());
+        wait_for_owner(&store, "weak").await;
+        let _strong = start_host("strong", &store, strong_limits());
+        wait_for_owner(&store, "strong").await;
         sleep(Duration::from_secs(2)).await;
-        assert_eq!(owner(&store).as_deref(), Some("strong"));
+        assert_eq!(owner_name(&store).as_deref(), Some("strong"));
     });
 }
 
@@ -33,19 +33,19 @@
 fn owner_is_strong_after_loss() {
     run_local(async {
         let store = new_store();
-        let mut hosts = vec![start_host("strong-a", &store, strong())];
-        until_owner(&store, "strong-a").await;
+        let mut hosts = vec![start_host("strong-a", &store, strong_limits())];
+        wait_for_owner(&store, "strong-a").await;
         for name in ["weak-a", "weak-b", "weak-c", "weak-d", "weak-e"] {
-            hosts.push(start_host(name, &store, weak()));
+            hosts.push(start_host(name, &store, weak_limits()));
         }
-        hosts.push(start_host("strong-b", &store, strong()));
+        hosts.push(start_host("strong-b", &store, strong_limits()));
         // All have read by then who else is there.
         sleep(Duration::from_secs(6)).await;
         let stopping = hosts[0].clone();
         tokio::task::spawn_local(async move { stopping.stop(async {}).await });
         let end = Instant::now() + LIMIT;
         loop {
-            let now = owner(&store).unwrap_or_default();
+            let now = owner_name(&store).unwrap_or_default();
             assert!(!now.starts_with("weak"), "{now} leads");
             if now == "strong-b" {
                 return;
@@ -60,27 +60,27 @@
 /// stood before it had read who else is there, and decided behind its narrow link for more than a
 /// second, until it had handed over. The entries of the others' last lives tell it to wait.
 #[test]
-fn cold_weak_process_lets_strong_stand() {
+fn cold_weak_process_lets_strong_campaign() {
     run_local(async {
         let store = new_store();
         let entry = OwnerRecord {
             member: "strong".to_owned(),
             address: free_address().to_string(),
-            strength: strong().strength(),
+            strength: strong_limits().strength(),
         };
         store.put("cell/member/strong", &entry.encode_to_vec());
-        let narrow = store.handle();
+        let narrow = store.new_handle();
         // The first list fails, so that the entries are known a moment after the owner's.
         narrow.limit_lists("cell/member/", 0, 2);
-        let _weak = start_host("weak", &narrow, weak());
+        let _weak = start_host("weak", &narrow, weak_limits());
         sleep(Duration::from_millis(100)).await;
-        let _strong = start_host("strong", &store, strong());
+        let _strong = start_host("strong", &store, strong_limits());
         let end = Instant::now() + LIMIT;
-        while owner(&store).is_none() {
+        while owner_name(&store).is_none() {
             assert!(Instant::now() < end);
             sleep(Duration::from_millis(2)).await;
         }
-        assert_eq!(owner(&store).as_deref(), Some("strong"));
+        assert_eq!(owner_name(&store).as_deref(), Some("strong"));
     });
 }
 
@@ -90,8 +90,8 @@
     run_local(async {
         let store = new_store();
         let begun = Instant::now();
-        let _weak = start_host("weak", &store, weak());
-        until_owner(&store, "weak").await;
+        let _weak = start_host("weak", &store, weak_limits());
+        wait_for_owner(&store, "weak").await;
         assert!(begun.elapsed() < Duration::from_secs(1));
     });
 }
@@ -100,7 +100,7 @@
 /// failure the log would not be read before the day ends, while the lease is renewed and nobody
 /// else may serve; the pages that came are kept.
 #[test]
-fn log_is_read_beside_failures() {
+fn log_is_read_despite_failures() {
     run_local(async {
         let store = new_store();
         for page in 0..200 {
@@ -108,27 +108,27 @@
         }
         // With 5 keys a call the log takes 40 calls, of which every second fails.
         store.limit_lists(LOG, 5, 2);
-        let _host = start_host("a", &store, strong());
-        until_owner(&store, "a").await;
-        until_page(&store, 200).await;
+        let _host = start_host("a", &store, strong_limits());
+        wait_for_owner(&store, "a").await;
+        wait_for_page(&store, 200).await;
     });
 }
 
 /// An owner renews its lease and can't read the log, since its way to the store has become too
 /// narrow for that. It lets another process take the cell, which serves.
 #[test]
-fn owner_gives_up_unread_log() {
+fn owner_steps_down_with_unread_log() {
     run_local(async {
         let store = new_store();
         put_page(&store, 0, 1);
-        let narrow = store.handle();
+        let narrow = store.new_handle();
         narrow.fail_lists(LOG);
-        let _first = start_host("first", &narrow, strong());
-        until_owner(&store, "first").await;
-        let _second = start_host("second", &store, strong());
-        until_owner(&store, "second").await;
+        let _first = start_host("first", &narrow, strong_limits());
+        wait_for_owner(&store, "first").await;
+        let _second = start_host("second", &store, strong_limits());
+        wait_for_owner(&store, "second").await;
         sleep(Duration::from_secs(4)).await;
-        assert_eq!(owner(&store).as_deref(), Some("second"));
+        assert_eq!(owner_name(&store).as_deref(), Some("second"));
     });
 }
 
@@ -139,11 +139,11 @@
     run_local(async {
         let store = new_store();
         put_page(&store, 0, 1);
-        let narrow = store.handle();
+        let narrow = store.new_handle();
         narrow.fail_lists(LOG);
-        let _owner = start_host("owner", &narrow, strong());
-        until_owner(&store, "owner").await;
-        let other = start_host("other", &store, strong());
+        let _owner = start_host("owner", &narrow, strong_limits());
+        wait_for_owner(&store, "owner").await;
+        let other = start_host("other", &store, strong_limits());
         sleep(Duration::from_millis(300)).await;
         let begun = Instant::now();
         let answer = other.service().answer(submit("job1")).await;
@@ -155,74 +155,74 @@
 /// The store turns the owner away and serves the others. Waiting until its lease has lapsed would
 /// leave the work without an owner for more than a second; it has another process end the lease.
 #[test]
-fn owner_turned_away_is_released() {
+fn cut_off_owner_has_lease_released() {
     run_local(async {
         let store = new_store();
-        let first_way = store.handle();
-        let _first = start_host("first", &first_way, strong());
-        until_owner(&store, "first").await;
-        let _second = start_host("second", &store, strong());
+        let first_handle = store.new_handle();
+        let _first = start_host("first", &first_handle, strong_limits());
+        wait_for_owner(&store, "first").await;
+        let _second = start_host("second", &store, strong_limits());
         sleep(Duration::from_millis(500)).await;
         let begun = Instant::now();
-        first_way.turn_away(true);
-        until_owner(&store, "second").await;
+        first_handle.set_cut_off(true);
+        wait_for_owner(&store, "second").await;
         // Its lease lapses after 0.8 s at the earliest.
         assert!(begun.elapsed() < Duration::from_millis(700));
     });
 }
 
 /// Accepts a job of two steps, of which the first takes until the store is away.
-async fn accept_before_outage(host: &CellHost, store: &MemoryStore, targets: &MemoryTargets) {
+async fn submit_before_outage(host: &CellHost, store: &MemoryStore, targets: &MemoryTargets) {
     let service = host.service();
-    accepted(&service, "job1").await;
-    targets.until_started(3).await;
-    store.set(StoreSwitch::Refuses);
+    submit_until_accepted(&service, "job1").await;
+    targets.wait_for_started(3).await;
+    store.set_mode(StoreMode::Refuses);
     sleep(Duration::from_secs(2)).await;
-    targets.set_slow(false);
+    targets.set_blocked(false);
 }
 
 /// The store is away for all, longer than the owner's lease. A job's next step is due then. As
 /// all other processes keep out of elections, there is no other owner, and the step starts.
 #[test]
-fn owner_starts_while_store_is_away() {
+fn owner_starts_tasks_during_store_outage() {
     run_local(async {
         let (store, targets) = (new_store(), MemoryTargets::default());
-        targets.set_slow(true);
-        let first = start_with("first", &store, strong(), &targets);
-        until_owner(&store, "first").await;
-        let _second = start_host("second", &store, strong());
+        targets.set_blocked(true);
+        let first = start_host_with_targets("first", &store, strong_limits(), &targets);
+        wait_for_owner(&store, "first").await;
+        let _second = start_host("second", &store, strong_limits());
         sleep(Duration::from_secs(1)).await;
-        accept_before_outage(&first, &store, &targets).await;
+        submit_before_outage(&first, &store, &targets).await;
         let end = Instant::now() + LIMIT;
-        while targets.starts.borrow().len() < 6 {
+        while targets.starts_by_task.borrow().len() < 6 {
             assert!(Instant::now() < end, "the second step was not started");
             sleep(Duration::from_millis(10)).await;
         }
-        store.set(StoreSwitch::Well);
-        until_owner(&store, "first").await;
+        store.set_mode(StoreMode::Normal);
+        wait_for_owner(&store, "first").await;
     });
 }
 
 /// The store is away, and one process does not answer: it may be the next owner, in a part of the
 /// network that this one does not see. Nothing is started before the store is back.
 #[test]
-fn owner_starts_nothing_beside_silent_member() {
+fn owner_starts_nothing_with_unresponsive_member() {
     run_local(async {
         let (store, targets) = (new_store(), MemoryTargets::default());
-        targets.set_slow(true);
+        targets.set_blocked(true);
         let record = OwnerRecord {
             member: "silent".to_owned(),
             address: free_address().to_string(),
             ..OwnerRecord::default()
         };
         store.put("cell/member/silent", &record.encode_to_vec());
-        let first = start_with("first", &store, strong(), &targets);
-        until_owner(&store, "first").await;
-        let _second = start_host("second", &store, strong());
+        let first = start_host_with_targets("first", &store, strong_limits(), &targets);
+        wait_for_owner(&store, "first").await;
+        let _second = start_host("second", &store, strong_limits());
         sleep(Duration::from_secs(1)).await;
-        accept_before_outage(&first, &store, &targets).await;
+        submit_before_outage(&first, &store, &targets).await;
         sleep(Duration::from_secs(2)).await;
-        assert_eq!(targets.starts.borrow().len(), 3);
+        assert_eq!(targets.starts_by_task.borrow().len(), 3);
     });
 }
 
@@ -230,11 +230,11 @@
 /// watch tells of that first. Believing the answer it would take the cell for owned for ever, and
 /// nobody would serve.
 #[test]
-fn owner_view_drops_late_answer() {
+fn owner_view_ignores_late_answer() {
     run_local(async {
         let store = new_store();
-        let _host = start_host("a", &store, strong());
-        until_owner(&store, "a").await;
+        let _host = start_host("a", &store, strong_limits());
+        wait_for_owner(&store, "a").await;
         let page = |number: usize| format!("{LOG}{number:012}");
         while store.value(&page(0)).is_none() {
             sleep(Duration::from_millis(5)).await;
@@ -258,8 +258,8 @@
 fn hand_over_waits_for_last_page() {
     run_local(async {
         let store = new_store();
-        let host = start_host("a", &store, strong());
-        until_owner(&store, "a").await;
+        let host = start_host("a", &store, strong_limits());
+        wait_for_owner(&store, "a").await;
         sleep(Duration::from_millis(300)).await;
         store.delay_changes(Duration::from_millis(100));
         host.stop(async {}).await;
@@ -274,62 +274,62 @@
 /// Guards against an owner that hears a cancellation, can't record it while the store is away, and
 /// starts the job's next step.
 #[test]
-fn refused_cancel_holds_job() {
+fn unrecorded_cancel_blocks_job() {
     run_local(async {
         let (store, targets) = (new_store(), MemoryTargets::default());
-        targets.set_slow(true);
-        let first = start_with("first", &store, strong(), &targets);
-        until_owner(&store, "first").await;
-        let _second = start_with("second", &store, strong(), &targets);
+        targets.set_blocked(true);
+        let first = start_host_with_targets("first", &store, strong_limits(), &targets);
+        wait_for_owner(&store, "first").await;
+        let _second = start_host_with_targets("second", &store, strong_limits(), &targets);
         sleep(Duration::from_secs(1)).await;
         let service = first.service();
-        until(&service, submit("job1").request, CallerAnswer::Accepted).await;
-        targets.until_started(3).await;
-        store.set(StoreSwitch::Refuses);
+        wait_for_answer(&service, submit("job1").request, CallerAnswer::Accepted).await;
+        targets.wait_for_started(3).await;
+        store.set_mode(StoreMode::Refuses);
         sleep(Duration::from_secs(1)).await;
         let wish = CallerRequest::Cancel("job1".into());
         let answer = service.answer(call(wish)).await;
         assert_eq!(answer, CallerAnswer::Unknown, "it is tried on");
-        targets.set_slow(false);
+        targets.set_blocked(false);
         sleep(Duration::from_secs(1)).await;
-        assert_eq!(targets.started(), 3);
-        targets.set_slow(true);
-        store.set(StoreSwitch::Well);
-        until_shown(&service, "job1", JobProgress::Cancelled).await;
+        assert_eq!(targets.start_count(), 3);
+        targets.set_blocked(true);
+        store.set_mode(StoreMode::Normal);
+        wait_for_progress(&service, "job1", JobProgress::Cancelled).await;
     });
 }
 
 /// Guards against a standby that takes pages which were replaced while it could not read for the whole
 /// log, and forgets what the shorter one tells.
 #[test]
-fn standby_begins_anew_behind_gap() {
+fn standby_restarts_log_after_gap() {
     run_local(async {
         let store = new_store();
-        let (first_way, second_way) = (store.handle(), store.handle());
-        let first = start_host("a", &first_way, strong());
-        until_owner(&store, "a").await;
-        let second = start_host("b", &second_way, strong());
+        let (first_handle, second_handle) = (store.new_handle(), store.new_handle());
+        let first = start_host("a", &first_handle, strong_limits());
+        wait_for_owner(&store, "a").await;
+        let second = start_host("b", &second_handle, strong_limits());
         let service = first.service();
-        accepted(&service, "before").await;
+        submit_until_accepted(&service, "before").await;
         sleep(Duration::from_millis(1500)).await;
-        second_way.fail_lists(LOG);
+        second_handle.fail_lists(LOG);
         let oldest = || store.keys(LOG).first().cloned();
         let end = Instant::now() + LIMIT;
         let begun = oldest();
         for number in 0.. {
-            accepted(&service, &format!("{}{number}", "x".repeat(3000))).await;
+            submit_until_accepted(&service, &format!("{}{number}", "x".repeat(3000))).await;
             if oldest() != begun {
                 break;
             }
             assert!(Instant::now() < end, "the log was not made shorter");
         }
-        accepted(&service, "after").await;
-        until_shown(&service, "after", JobProgress::Completed).await;
-        second_way.answer_lists();
-        first_way.turn_away(true);
-        until_owner(&store, "b").await;
+        submit_until_accepted(&service, "after").await;
+        wait_for_progress(&service, "after", JobProgress::Completed).await;
+        second_handle.restore_lists();
+        first_handle.set_cut_off(true);
+        wait_for_owner(&store, "b").await;
         for job in ["before", "after"] {
-            until_shown(&second.service(), job, JobProgress::Completed).await;
+            wait_for_progress(&second.service(), job, JobProgress::Completed).await;
         }
     });
 }
