--- a/crates/cell/src/caller_gateway.rs
+++ b/crates/cell/src/caller_gateway.rs
@@ -67,8 +67,8 @@
 
 impl CallerService for CallerGateway {
     fn queue_prefix_len(&self, host: &str, path: &str) -> Option<usize> {
-        let terms = self.view.terms()?;
-        Some(terms.queue_at(host, path)?.prefix.len())
+        let policy = self.view.policy()?;
+        Some(policy.queue_at(host, path)?.prefix.len())
     }
 
     fn answer(&self, call: CallerCall) -> PortFuture<CallerAnswer> {
@@ -82,24 +82,24 @@
     }
 
     fn max_body_bytes(&self) -> usize {
-        self.view.terms().map_or(0, |terms| terms.max_body)
+        self.view.policy().map_or(0, |policy| policy.max_body)
     }
 
     fn ready(&self) -> bool {
-        !self.draining.get() && self.view.terms().is_some()
+        !self.draining.get() && self.view.policy().is_some()
     }
 }
 
 impl CallerGateway {
     async fn handle(&self, call: &CallerCall) -> (CallerAnswer, CompactString) {
         let without_owner = |answer| (answer, CompactString::default());
-        let Some(terms) = self.view.terms() else {
+        let Some(policy) = self.view.policy() else {
             return without_owner(CallerAnswer::Refused(self.options.retry_after));
         };
-        let Some(queue) = terms.queue_at(&call.host, &call.path) else {
+        let Some(queue) = policy.queue_at(&call.host, &call.path) else {
             return without_owner(CallerAnswer::NoQueue);
         };
-        let workspace = terms.workspace_of_key(&call.key);
+        let workspace = policy.workspace_of_key(&call.key);
         if workspace.is_none() && !queue.public {
             return without_owner(CallerAnswer::KeyRefused);
         }
@@ -290,8 +290,8 @@
         metric::record_duration(metric::CALL_SECONDS, took);
         let revision = self
             .view
-            .terms()
-            .map_or(0, |terms: std::sync::Arc<FleetPolicy>| terms.revision);
+            .policy()
+            .map_or(0, |policy: std::sync::Arc<FleetPolicy>| policy.revision);
         let details = format_args!(
             "wish={wish} job={job} path={} answer={name} owner={owner} terms={revision} took_ms={}",
             call.path,
--- a/crates/cell/src/cell_host.rs
+++ b/crates/cell/src/cell_host.rs
@@ -29,7 +29,7 @@
 
 /// How often samples of histograms are folded into their distributions; until then each takes
 /// memory.
-const METRICS_UPKEEP: std::time::Duration = std::time::Duration::from_secs(5);
+const METRICS_UPKEEP_INTERVAL: std::time::Duration = std::time::Duration::from_secs(5);
 
 /// Everything that one process of the system does, but for the callers' protocol.
 pub struct CellHost {
@@ -191,7 +191,7 @@
         });
         tokio::task::spawn_local(async move {
             loop {
-                sleep(METRICS_UPKEEP).await;
+                sleep(METRICS_UPKEEP_INTERVAL).await;
                 upkeep.run_upkeep();
             }
         });
--- a/crates/cell/src/fleet_view.rs
+++ b/crates/cell/src/fleet_view.rs
@@ -17,7 +17,7 @@
 /// What operators ask for, as far as this process has heard.
 pub(crate) struct FleetView {
     codec: Rc<dyn FleetCodec>,
-    terms: RefCell<Option<Arc<FleetPolicy>>>,
+    policy: RefCell<Option<Arc<FleetPolicy>>>,
     waves: RefCell<BTreeMap<WaveId, MaintenanceWave>>,
     /// Counts the changes.
     pub(crate) version: Cell<u64>,
@@ -29,7 +29,7 @@
     pub(crate) fn new(codec: Rc<dyn FleetCodec>) -> Self {
         Self {
             codec,
-            terms: RefCell::default(),
+            policy: RefCell::default(),
             waves: RefCell::default(),
             version: Cell::new(0),
             changed: Notify::new(),
@@ -37,8 +37,8 @@
     }
 
     /// The terms in force; `None` before the first were read.
-    pub(crate) fn terms(&self) -> Option<Arc<FleetPolicy>> {
-        self.terms.borrow().clone()
+    pub(crate) fn policy(&self) -> Option<Arc<FleetPolicy>> {
+        self.policy.borrow().clone()
     }
 
     /// The waves that operators ask for.
@@ -49,7 +49,7 @@
     fn apply_item(&self, item: &StoreItem) {
         if item.key == self.codec.policy_key() {
             match self.codec.read_policy(&item.value) {
-                Ok(terms) => self.replace_terms(terms),
+                Ok(policy) => self.replace_policy(policy),
                 Err(error) => log_unreadable(item, &error),
             }
         } else if let Some(wave) = self.codec.parse_wave_key(&item.key) {
@@ -62,17 +62,17 @@
 
     /// Puts terms in force, unless they are older than those that are: a lagging answer of the
     /// store must not bring back a key or a queue that operators have taken away.
-    fn replace_terms(&self, terms: FleetPolicy) {
+    fn replace_policy(&self, policy: FleetPolicy) {
         let held = self
-            .terms
+            .policy
             .borrow()
             .as_ref()
-            .map_or(0, |terms| terms.revision);
-        if terms.revision <= held {
-            if terms.revision < held {
+            .map_or(0, |policy| policy.revision);
+        if policy.revision <= held {
+            if policy.revision < held {
                 log_event::warn(
                     &event::TERMS_STALE,
-                    format_args!("revision={} in_force={held}", terms.revision),
+                    format_args!("revision={} in_force={held}", policy.revision),
                 );
             }
             return;
@@ -81,12 +81,12 @@
             &event::TERMS_IN_FORCE,
             format_args!(
                 "revision={} before={held} queues={} workspaces={}",
-                terms.revision,
-                terms.queues.len(),
-                terms.workspaces.len()
+                policy.revision,
+                policy.queues.len(),
+                policy.workspaces.len()
             ),
         );
-        *self.terms.borrow_mut() = Some(Arc::new(terms));
+        *self.policy.borrow_mut() = Some(Arc::new(policy));
         self.mark_changed();
     }
 
--- a/crates/cell/src/host_loop.rs
+++ b/crates/cell/src/host_loop.rs
@@ -77,10 +77,14 @@
     let asked = term.now().boot;
     match term.ports.hosts.hosts().await {
         Ok(hosts) => {
-            let lives = hosts.iter().map(|host| host.target.clone());
-            let lives = lives.filter(|life| !life.is_empty()).collect();
+            let incarnations = hosts.iter().map(|host| host.target.clone());
+            let incarnations = incarnations
+                .filter(|incarnation| !incarnation.is_empty())
+                .collect();
             let now = term.now();
-            term.scheduler.borrow_mut().take_lives(&lives, asked, now);
+            term.scheduler
+                .borrow_mut()
+                .take_lives(&incarnations, asked, now);
             term.hosts.borrow_mut().take_list(hosts, asked);
         }
         Err(error) => log::warn!("list hosts: {error}"),
--- a/crates/cell/src/log_writer.rs
+++ b/crates/cell/src/log_writer.rs
@@ -77,8 +77,8 @@
     let page = pages.next_page();
     let mut batch = PageBatch::default();
     loop {
-        let unsure = batch.sent;
-        if !unsure {
+        let unconfirmed = batch.sent;
+        if !unconfirmed {
             // Nothing of the last attempt can be in the store, so the page may still change.
             batch.refuse_expired(term);
             batch.take_pending(term);
@@ -102,22 +102,22 @@
                 // Only the owner writes pages, so a page that is there is the one whose
                 // answer was lost.
                 let ours = term.holds_owner_entry(&items);
-                if ours && unsure {
+                if ours && unconfirmed {
                     pages.page_written(&term.log_cache, value);
                     apply_stored(term, page, std::mem::take(&mut batch.records));
                     return Some(());
                 }
-                batch.sent = unsure;
+                batch.sent = unconfirmed;
                 term.end(if ours { "page taken" } else { "succeeded" });
                 return None;
             }
             Ok(StoreOutcome::LeaseEnded) => {
-                batch.sent = unsure;
+                batch.sent = unconfirmed;
                 term.end("lease ended");
                 return None;
             }
             Err(error) => {
-                batch.sent = unsure || !matches!(error, StoreError::Refused(_));
+                batch.sent = unconfirmed || !matches!(error, StoreError::Refused(_));
                 log_fault(term, page, &error, batch.sent);
                 sleep(RETRY_DELAY).await;
             }
--- a/crates/cell/src/target_channel.rs
+++ b/crates/cell/src/target_channel.rs
@@ -2,7 +2,7 @@
 
 /// Orders to one target at the same time, each on a connection of its own. New connections
 /// are paid for; with three, a step of twenty tasks reaches a target in 25 ms.
-const ORDERS_AT_ONCE: usize = 3;
+const MAX_CONCURRENT_ORDERS: usize = 3;
 
 /// The way to one target.
 pub(crate) struct TargetChannel {
@@ -15,7 +15,7 @@
 impl Default for TargetChannel {
     fn default() -> Self {
         Self {
-            orders: Semaphore::new(ORDERS_AT_ONCE),
+            orders: Semaphore::new(MAX_CONCURRENT_ORDERS),
             poll_now: Notify::new(),
         }
     }
--- a/crates/cell/src/term_run.rs
+++ b/crates/cell/src/term_run.rs
@@ -39,13 +39,13 @@
     }
     term.spawn(renew_until_over(term.clone()));
     term.spawn(read_log_and_schedule(term.clone()));
-    let departure = tokio::select! {
+    let step_down_kind = tokio::select! {
         biased;
         () = term.over.wait() => None,
-        departure = step_down(term) => Some(departure),
-        departure = check_with_members(term) => Some(departure),
+        step_down_kind = step_down(term) => Some(step_down_kind),
+        step_down_kind = check_with_members(term) => Some(step_down_kind),
     };
-    match departure {
+    match step_down_kind {
         Some(StepDownKind::HandOver) => term.hand_over().await,
         Some(StepDownKind::Immediate(reason)) => term.step_down_now(reason).await,
         Some(StepDownKind::ReleaseThrough(address)) => release_through_peer(term, &address).await,
@@ -106,8 +106,8 @@
         || term.now(),
     )
     .await;
-    if let Some(terms) = term.view.terms() {
-        scheduler.set_terms(terms);
+    if let Some(policy) = term.view.policy() {
+        scheduler.set_terms(policy);
     }
     let took = term.now().boot.saturating_sub(started);
     metric::record_duration(metric::LOG_READ_SECONDS, took);
@@ -162,8 +162,8 @@
         let version = term.view.version.get();
         if version != applied_version {
             applied_version = version;
-            if let Some(terms) = term.view.terms() {
-                term.scheduler.borrow_mut().set_terms(terms);
+            if let Some(policy) = term.view.policy() {
+                term.scheduler.borrow_mut().set_terms(policy);
             }
         }
         let now = term.now();
--- a/crates/cell/tests/cancels.rs
+++ b/crates/cell/tests/cancels.rs
@@ -87,8 +87,8 @@
         cell.targets.delay_starts(Duration::from_millis(400));
         let mut wide = plan();
         wide.steps[0].count = 8;
-        let wish = CallerRequest::Submit("job1".into(), JobPlan { ..wide });
-        wait_for_answer(&service, wish, CallerAnswer::Accepted).await;
+        let request = CallerRequest::Submit("job1".into(), JobPlan { ..wide });
+        wait_for_answer(&service, request, CallerAnswer::Accepted).await;
         cell.targets.wait_for_started(1).await;
         let sent = cell.targets.start_count();
         wait_for_cancelled(&service, "job1").await;
@@ -147,8 +147,8 @@
         cell.targets.delay_starts(Duration::from_millis(1500));
         let mut wide = plan();
         wide.steps[0].count = 8;
-        let wish = CallerRequest::Submit("job1".into(), wide);
-        wait_for_answer(&service, wish, CallerAnswer::Accepted).await;
+        let request = CallerRequest::Submit("job1".into(), wide);
+        wait_for_answer(&service, request, CallerAnswer::Accepted).await;
         handle.set_unreadable_prefix(CANCELLATIONS);
         sleep(Duration::from_secs(5)).await;
         // Three at once, and three more before the knowledge is two seconds old.
--- a/crates/cell/tests/common/test_cell.rs
+++ b/crates/cell/tests/common/test_cell.rs
@@ -68,21 +68,21 @@
 
 /// Waits until callers are shown that a job is so far.
 pub async fn wait_for_progress(service: &Rc<dyn CallerService>, job: &str, progress: JobProgress) {
-    let wish = CallerRequest::Status(job.into());
-    wait_for_answer(service, wish, CallerAnswer::Found(progress)).await;
+    let request = CallerRequest::Status(job.into());
+    wait_for_answer(service, request, CallerAnswer::Found(progress)).await;
 }
 
 pub async fn wait_for_answer(
     service: &Rc<dyn CallerService>,
-    wish: CallerRequest,
+    request: CallerRequest,
     wanted: CallerAnswer,
 ) {
     let end = tokio::time::Instant::now() + LIMIT;
-    let mut answer = service.answer(call(wish.clone())).await;
+    let mut answer = service.answer(call(request.clone())).await;
     while answer != wanted {
         assert!(tokio::time::Instant::now() < end, "still {answer:?}");
         sleep(Duration::from_millis(20)).await;
-        answer = service.answer(call(wish.clone())).await;
+        answer = service.answer(call(request.clone())).await;
     }
 }
 
--- a/crates/cell/tests/succession.rs
+++ b/crates/cell/tests/succession.rs
@@ -69,10 +69,10 @@
             strength: strong_limits().strength(),
         };
         store.put("cell/member/strong", &entry.encode_to_vec());
-        let narrow = store.new_handle();
+        let narrow_handle = store.new_handle();
         // The first list fails, so that the entries are known a moment after the owner's.
-        narrow.limit_lists("cell/member/", 0, 2);
-        let _weak = start_host("weak", &narrow, weak_limits());
+        narrow_handle.limit_lists("cell/member/", 0, 2);
+        let _weak = start_host("weak", &narrow_handle, weak_limits());
         sleep(Duration::from_millis(100)).await;
         let _strong = start_host("strong", &store, strong_limits());
         let end = Instant::now() + LIMIT;
@@ -121,9 +121,9 @@
     run_local(async {
         let store = new_store();
         put_page(&store, 0, 1);
-        let narrow = store.new_handle();
-        narrow.fail_lists(LOG);
-        let _first = start_host("first", &narrow, strong_limits());
+        let narrow_handle = store.new_handle();
+        narrow_handle.fail_lists(LOG);
+        let _first = start_host("first", &narrow_handle, strong_limits());
         wait_for_owner(&store, "first").await;
         let _second = start_host("second", &store, strong_limits());
         wait_for_owner(&store, "second").await;
@@ -139,9 +139,9 @@
     run_local(async {
         let store = new_store();
         put_page(&store, 0, 1);
-        let narrow = store.new_handle();
-        narrow.fail_lists(LOG);
-        let _owner = start_host("owner", &narrow, strong_limits());
+        let narrow_handle = store.new_handle();
+        narrow_handle.fail_lists(LOG);
+        let _owner = start_host("owner", &narrow_handle, strong_limits());
         wait_for_owner(&store, "owner").await;
         let other = start_host("other", &store, strong_limits());
         sleep(Duration::from_millis(300)).await;
@@ -235,8 +235,8 @@
         let store = new_store();
         let _host = start_host("a", &store, strong_limits());
         wait_for_owner(&store, "a").await;
-        let page = |number: usize| format!("{LOG}{number:012}");
-        while store.value(&page(0)).is_none() {
+        let page_key_of = |number: usize| format!("{LOG}{number:012}");
+        while store.value(&page_key_of(0)).is_none() {
             sleep(Duration::from_millis(5)).await;
         }
         let token = store.revision(OWNER);
@@ -287,8 +287,8 @@
         targets.wait_for_started(3).await;
         store.set_mode(StoreMode::Refuses);
         sleep(Duration::from_secs(1)).await;
-        let wish = CallerRequest::Cancel("job1".into());
-        let answer = service.answer(call(wish)).await;
+        let request = CallerRequest::Cancel("job1".into());
+        let answer = service.answer(call(request)).await;
         assert_eq!(answer, CallerAnswer::Unknown, "it is tried on");
         targets.set_blocked(false);
         sleep(Duration::from_secs(1)).await;
