--- a/crates/cell/src/fleet_view.rs
+++ b/crates/cell/src/fleet_view.rs
@@ -93,7 +93,11 @@
     fn add_wave(&self, wave: WaveId, read: MaintenanceWave) {
         log_event::info(
             &event::WAVE_SEEN,
-            format_args!("wave={wave} hosts={} cap={}", read.hosts.len(), read.cap),
+            format_args!(
+                "wave={wave} hosts={} cap={}",
+                read.hosts.len(),
+                read.max_down
+            ),
         );
         self.waves.borrow_mut().insert(wave, read);
         self.mark_changed();
--- a/crates/cell/src/log_writer.rs
+++ b/crates/cell/src/log_writer.rs
@@ -170,7 +170,7 @@
                 let waited = now.boot.saturating_sub(record.queued_at);
                 metric::record_duration(metric::ACCEPT_SECONDS, waited);
                 let work = scheduler.board.jobs.get(job.job.as_str());
-                let work = work.map_or(0.0, |job| job.plan.work());
+                let work = work.map_or(0.0, |job| job.plan.core_seconds());
                 let mut hosts = term.hosts.borrow_mut();
                 hosts
                     .meter
--- a/crates/cell/src/target_poll.rs
+++ b/crates/cell/src/target_poll.rs
@@ -53,7 +53,7 @@
             let _ = timeout(IDLE_INTERVAL, channel.poll_now.notified()).await;
             continue;
         };
-        let observed = order.observed;
+        let observed = order.acked_end;
         let outcome = poll_once(&term, &id, &address, order, permit).await;
         if outcome == PollOutcome::Ends {
             sleep(ENDS_DELAY).await;
@@ -125,7 +125,7 @@
     if !order.wait.is_zero() {
         permit.release_while_waiting();
     }
-    let observed = order.observed;
+    let observed = order.acked_end;
     let answer = term.ports.targets.poll(address, order).await;
     drop(permit);
     let outcome = match &answer {
--- a/crates/cell/tests/common/caller_calls.rs
+++ b/crates/cell/tests/common/caller_calls.rs
@@ -19,7 +19,7 @@
 pub fn plan() -> JobPlan {
     let step = |after: Vec<u32>| StepPlan {
         count: 3,
-        need: ResourceVector {
+        resources: ResourceVector {
             cpu: 500,
             memory_mb: 10,
             gpu: 0,
--- a/crates/cell/tests/common/memory_ports.rs
+++ b/crates/cell/tests/common/memory_ports.rs
@@ -126,7 +126,7 @@
     fn poll(&self, target: &TargetAddress, order: PollOrder) -> PortFuture<PollAnswer> {
         let (targets, target) = (self.clone(), target.target.clone());
         self.polls.set(self.polls.get() + 1);
-        if order.until.is_some() {
+        if order.lease_until.is_some() {
             let now = Instant::now();
             self.last_grant.borrow_mut().insert(target.clone(), now);
         }
@@ -145,13 +145,13 @@
                 .get(&target)
                 .cloned()
                 .unwrap_or_default();
-            let listed = ended.into_iter().filter(|end| end.number > order.observed);
+            let listed = ended.into_iter().filter(|end| end.number > order.acked_end);
             let mut ended: Vec<EndReport> = listed.collect();
             let held = ended.split_off(ended.len().saturating_sub(targets.unfinished.get()));
             let running = held.into_iter().map(running_report).collect();
             PollAnswer::Seen(TargetReport {
                 clock: BootClock.boot_now(),
-                born: Duration::from_secs(1),
+                started_at: Duration::from_secs(1),
                 running,
                 ended,
             })
@@ -241,7 +241,7 @@
                 memory_mb: 4000,
                 gpu: 0,
             },
-            born: Duration::from_secs(1),
+            started_at: Duration::from_secs(1),
             ..TargetEntry::default()
         })
     }
--- a/crates/decide/src/work/desk_answer.rs
+++ b/crates/decide/src/work/desk_answer.rs
@@ -130,7 +130,7 @@
             return;
         };
         target.granted = now.boot;
-        order.until = clock + grant;
+        order.lease_until = clock + grant;
     }
 
     fn awaits_start(&self, id: &HostId, run: &RunKey) -> bool {
--- a/crates/decide/src/work/desk_claim.rs
+++ b/crates/decide/src/work/desk_claim.rs
@@ -80,7 +80,7 @@
         };
         RunClaim {
             room: step.footprint(),
-            need: step.need,
+            need: step.resources,
             workspace: job.workspace.clone(),
         }
     }
--- a/crates/decide/src/work/desk_end.rs
+++ b/crates/decide/src/work/desk_end.rs
@@ -23,9 +23,9 @@
             EndKind::Done => "done",
             EndKind::Failed => "failed",
             EndKind::Stopped => "stopped",
-            EndKind::Lapsed => "lapsed",
-            EndKind::Broken => "broken",
-            EndKind::Alone => "alone",
+            EndKind::LeaseExpired => "lapsed",
+            EndKind::GangBroken => "broken",
+            EndKind::GangIncomplete => "alone",
         };
         self.note(DeskEvent::Ended(
             end.task.clone(),
@@ -45,7 +45,10 @@
         match end.kind {
             EndKind::Done => self.end_done(end, origin, now),
             EndKind::Failed => self.end_failed(end, origin, now),
-            EndKind::Stopped | EndKind::Lapsed | EndKind::Broken | EndKind::Alone => {}
+            EndKind::Stopped
+            | EndKind::LeaseExpired
+            | EndKind::GangBroken
+            | EndKind::GangIncomplete => {}
         }
     }
 
--- a/crates/decide/src/work/desk_evacuate.rs
+++ b/crates/decide/src/work/desk_evacuate.rs
@@ -142,7 +142,7 @@
         steps.iter().all(|(step, count)| {
             let plan = self.board.jobs.get(&step.job);
             let plan = plan.and_then(|job| job.plan.steps.get(step.step as usize));
-            plan.is_some_and(|plan| *count <= plan.may_miss.max(1))
+            plan.is_some_and(|plan| *count <= plan.max_unavailable.max(1))
         })
     }
 
@@ -183,7 +183,7 @@
             .zip(&state.tasks)
             .filter(|(index, _)| *index != key.index);
         let away = others.filter(|(_, task)| !at_work(task)).count();
-        away < step.may_miss.max(1) as usize
+        away < step.max_unavailable.max(1) as usize
     }
 
     /// True if a stop of a task may still be carried out though it was taken back.
--- a/crates/decide/src/work/desk_plan.rs
+++ b/crates/decide/src/work/desk_plan.rs
@@ -153,7 +153,7 @@
         DeskEffort::add(&self.effort.steps, looked);
         let found = found?;
         filter.left = self.left_of_limit(&group.workspace, &plan.doubt);
-        if found.need.fits(filter.left) {
+        if found.need.fits_in(filter.left) {
             return Some((Some(found), false));
         }
         let (found, looked) = ranked.next(tried, &filter);
@@ -182,7 +182,7 @@
         };
         let used = self.usage.get(workspace).copied().unwrap_or_default();
         let doubt = doubt.get(workspace).copied().unwrap_or_default();
-        limit.left_of_limit(used.plus(doubt))
+        limit.remaining_of_limit(used.plus(doubt))
     }
 
     /// Notes that steps of a workspace wait for it to have less running.
--- a/crates/decide/src/work/desk_sight.rs
+++ b/crates/decide/src/work/desk_sight.rs
@@ -52,14 +52,14 @@
         let both = self.serves_and_fills(id);
         let target = self.targets.get_unindexed(id)?;
         let busy = !target.claims.is_empty();
-        let observed = target.observed_at(now.boot);
+        let acked_end = target.observed_at(now.boot);
         // A target that doesn't answer gets no more time: what it runs has to lapse, so that it
         // can start elsewhere.
-        let until = target
+        let lease_until = target
             .clock_at(now.boot)
             .filter(|_| busy && !target.silent)
             .map(|clock| clock + tuning.grant);
-        if until.is_some() {
+        if lease_until.is_some() {
             target.granted = now.boot;
         }
         let wait = match (target.life.raised && busy && !target.silent, both) {
@@ -69,8 +69,8 @@
         };
         Some(PollOrder {
             token: self.token,
-            observed,
-            until,
+            acked_end,
+            lease_until,
             wait,
         })
     }
@@ -105,15 +105,15 @@
             return;
         };
         let known = target.life.born;
-        if !sight.born.is_zero() && !known.is_zero() && sight.born < known {
+        if !sight.started_at.is_zero() && !known.is_zero() && sight.started_at < known {
             // An answer of the life before, which was under way for long.
             return;
         }
         if known.is_zero() && self.is_outlived(id, sent) {
             return;
         }
-        if !sight.born.is_zero() && !known.is_zero() && sight.born > known {
-            self.end_life(id, sight.born, "reborn", now);
+        if !sight.started_at.is_zero() && !known.is_zero() && sight.started_at > known {
+            self.end_life(id, sight.started_at, "reborn", now);
         }
         self.greet(id, sent, observed, sight, now);
         let ends: Vec<_> = {
@@ -149,7 +149,7 @@
             return;
         };
         if target.life.born.is_zero() {
-            target.life.born = sight.born;
+            target.life.born = sight.started_at;
         }
         // Of two readings the one that promises the later time is the better lower bound.
         let known = target.clock_at(now.boot).unwrap_or_default();
@@ -328,7 +328,7 @@
             return false;
         };
         let steps = || target.claims.keys().filter_map(|run| self.step_of(&run.0));
-        steps().any(model::work::StepPlan::serves) && steps().any(|step| step.fills)
+        steps().any(model::work::StepPlan::serves_requests) && steps().any(|step| step.best_effort)
     }
 
     pub(super) fn step_of(&self, key: &model::work::TaskKey) -> Option<&model::work::StepPlan> {
--- a/crates/decide/src/work/desk_start.rs
+++ b/crates/decide/src/work/desk_start.rs
@@ -130,7 +130,10 @@
         let (pool, workspace) = (job.pool.clone(), job.workspace.clone());
         let attempt = self.next_attempt(step);
         for &index in indices {
-            if !plan.need.fits(self.left_of_limit(&workspace, doubt)) {
+            if !plan
+                .resources
+                .fits_in(self.left_of_limit(&workspace, doubt))
+            {
                 self.note_capped(&workspace, &pool);
                 break;
             }
@@ -231,7 +234,7 @@
             task: key.clone(),
             attempt: *attempt,
             payload,
-            until: clock + self.tuning.grant,
+            lease_until: clock + self.tuning.grant,
             token: self.token,
             checkpoint,
             ticket,
--- a/crates/decide/src/work/desk_tick.rs
+++ b/crates/decide/src/work/desk_tick.rs
@@ -242,7 +242,8 @@
     /// True if a run stands still for longer than its task may, by the last answer of its target.
     pub(super) fn is_stalled(&self, id: &HostId, run: &RunKey) -> bool {
         let plan = self.step_of(&run.0);
-        let Some(plan) = plan.filter(|plan| !plan.long_running && !plan.fills && !plan.gang) else {
+        let Some(plan) = plan.filter(|plan| !plan.long_running && !plan.best_effort && !plan.gang)
+        else {
             return false;
         };
         let (Some(place), Some(target)) = (self.board.place_of(id, run), self.targets.get(id))
--- a/crates/decide/src/work/host_planner.rs
+++ b/crates/decide/src/work/host_planner.rs
@@ -112,7 +112,8 @@
             .collect();
         lately.sort_by_key(|job| job.arrived);
         for job in lately {
-            self.meter.arrived(&job.pool, job.plan.work(), job.arrived);
+            self.meter
+                .arrived(&job.pool, job.plan.core_seconds(), job.arrived);
         }
     }
 
--- a/crates/decide/src/work/host_spares.rs
+++ b/crates/decide/src/work/host_spares.rs
@@ -51,5 +51,5 @@
 
 fn takes(view: &HostView, task: &StrandedTask) -> bool {
     let labelled = task.label.is_empty() || view.fleet.labels.contains(&task.label);
-    labelled && task.need.fits(view.fleet.capacity)
+    labelled && task.need.fits_in(view.fleet.capacity)
 }
--- a/crates/decide/src/work/host_waves.rs
+++ b/crates/decide/src/work/host_waves.rs
@@ -31,7 +31,7 @@
             let Some(view) = self.waves.get(&id) else {
                 continue;
             };
-            let room = (view.wave.cap as usize).saturating_sub(self.begun(view, now));
+            let room = (view.wave.max_down as usize).saturating_sub(self.begun(view, now));
             let chosen = self.next_hosts(view, room, &short, desk, now);
             for host in chosen {
                 self.begin_errand(&host.clone(), HostOrder::Maintain(host, id));
@@ -50,7 +50,7 @@
             let host = &view.fleet.host;
             let inherited =
                 now < view.settled && wave.wave.hosts.contains(host) && !wave.done.contains(host);
-            ordered || inherited || view.fleet.condition == HostCondition::Maintained
+            ordered || inherited || view.fleet.condition == HostCondition::UnderMaintenance
         };
         self.hosts.values().filter(of_wave).count()
     }
@@ -74,7 +74,7 @@
         if left.is_empty() || room == 0 {
             return Vec::new();
         }
-        let rounds = left.len().div_ceil((wave.wave.cap as usize).max(1));
+        let rounds = left.len().div_ceil((wave.wave.max_down as usize).max(1));
         let end = wave.seen + wave.wave.deadline;
         let rounds = u32::try_from(rounds).unwrap_or(u32::MAX);
         let urgent = now + TURN.saturating_mul(rounds.saturating_add(1)) >= end;
--- a/crates/decide/src/work/job_entries.rs
+++ b/crates/decide/src/work/job_entries.rs
@@ -17,8 +17,8 @@
 
     /// The most that a task of it takes.
     fn largest_need(&self) -> ResourceVector {
-        let needs = self.plan.steps.iter().map(|step| step.need);
-        needs.fold(self.closed_need, ResourceVector::larger)
+        let needs = self.plan.steps.iter().map(|step| step.resources);
+        needs.fold(self.closed_need, ResourceVector::max_each)
     }
 
     /// What is kept of it once it has ended.
--- a/crates/decide/src/work/job_facts.rs
+++ b/crates/decide/src/work/job_facts.rs
@@ -154,7 +154,7 @@
                 // asked for early: they are looked at whatever room there is.
                 let needs_room = !plan.long_running && !advised;
                 let (room, need) = match needs_room {
-                    true => (plan.footprint(), plan.need),
+                    true => (plan.footprint(), plan.resources),
                     false => Default::default(),
                 };
                 self.waiting.push(WaitingStep {
@@ -197,6 +197,6 @@
         .occurrences
         .values()
         .flat_map(|occurrence| occurrence.steps.iter().zip(&job.plan.steps));
-    let rooms = steps.map(|(state, plan)| plan.need.times(u64::from(state.waiting())));
+    let rooms = steps.map(|(state, plan)| plan.resources.times(u64::from(state.waiting())));
     rooms.fold(ResourceVector::default(), ResourceVector::plus)
 }
--- a/crates/decide/src/work/job_record.rs
+++ b/crates/decide/src/work/job_record.rs
@@ -33,9 +33,9 @@
 fn record_of_step(step: &StepPlan) -> StepRecord {
     StepRecord {
         count: step.count,
-        cpu: step.need.cpu,
-        memory_mb: step.need.memory_mb,
-        gpu: step.need.gpu,
+        cpu: step.resources.cpu,
+        memory_mb: step.resources.memory_mb,
+        gpu: step.resources.gpu,
         estimate_ms: millis(step.estimate),
         after: step.after.clone(),
         saves_progress: step.saves_progress,
@@ -47,16 +47,16 @@
         speculative: step.speculative,
         long_running: step.long_running,
         image: step.image.to_string(),
-        tail_target_ms: millis(step.tail_target),
-        fills: step.fills,
-        may_miss: step.may_miss,
+        tail_target_ms: millis(step.tail_latency_target),
+        fills: step.best_effort,
+        may_miss: step.max_unavailable,
     }
 }
 
 fn step_of_record(record: &StepRecord) -> StepPlan {
     StepPlan {
         count: record.count,
-        need: ResourceVector {
+        resources: ResourceVector {
             cpu: record.cpu,
             memory_mb: record.memory_mb,
             gpu: record.gpu,
@@ -72,9 +72,9 @@
         speculative: record.speculative,
         long_running: record.long_running,
         image: record.image.as_str().into(),
-        tail_target: Duration::from_millis(record.tail_target_ms),
-        fills: record.fills,
-        may_miss: record.may_miss,
+        tail_latency_target: Duration::from_millis(record.tail_target_ms),
+        best_effort: record.fills,
+        max_unavailable: record.may_miss,
     }
 }
 
--- a/crates/decide/src/work/objective.rs
+++ b/crates/decide/src/work/objective.rs
@@ -47,7 +47,7 @@
     let (factor, extra) = queue.map_or((1.0, Duration::ZERO), |queue| {
         (queue.slack_factor, queue.slack_time)
     });
-    plan.longest_chain().mul_f64(factor.clamp(0.0, 1000.0)) + extra
+    plan.critical_path().mul_f64(factor.clamp(0.0, 1000.0)) + extra
 }
 
 /// How long a job that is handed in now may wait for its first start and still count; `None` if its
@@ -55,7 +55,7 @@
 pub(super) fn longest_wait(plan: &JobPlan, queue: Option<&QueuePolicy>) -> Option<Duration> {
     let objective = objective(plan, queue);
     let latest = objective.saturating_mul(LATE_FACTOR);
-    (!objective.is_zero()).then(|| latest.saturating_sub(plan.longest_chain()))
+    (!objective.is_zero()).then(|| latest.saturating_sub(plan.critical_path()))
 }
 
 /// Ranks a job of which one occurrence waits, and tells until when the rank holds; `None` if it
--- a/crates/decide/src/work/pace.rs
+++ b/crates/decide/src/work/pace.rs
@@ -41,7 +41,7 @@
 
     /// Sets the share of a task that fills right after its start, since it starts at full.
     pub(super) fn pace_new(&mut self, id: &HostId, run: &RunKey) {
-        let fills = self.step_of(&run.0).is_some_and(|step| step.fills);
+        let fills = self.step_of(&run.0).is_some_and(|step| step.best_effort);
         let Some(percent) = self
             .paces
             .get(id)
@@ -67,7 +67,7 @@
         let Some(target) = self.targets.get(id) else {
             return Vec::new();
         };
-        let fills = |run: &&RunKey| self.step_of(&run.0).is_some_and(|step| step.fills);
+        let fills = |run: &&RunKey| self.step_of(&run.0).is_some_and(|step| step.best_effort);
         target.claims.keys().filter(fills).cloned().collect()
     }
 
@@ -82,7 +82,7 @@
             let job = self.board.jobs.get(&run.0.job)?;
             let step = job.plan.steps.get(run.0.step as usize)?;
             let task = job.task(run.0.occurrence, run.0.step, run.0.index)?;
-            let place = task.place.as_ref().filter(|_| step.serves())?;
+            let place = task.place.as_ref().filter(|_| step.serves_requests())?;
             Some(tail_percent(place.load, step))
         });
         tails.max()
@@ -90,6 +90,6 @@
 }
 
 fn tail_percent(tail_ms: u64, step: &StepPlan) -> u64 {
-    let target = u64::try_from(step.tail_target.as_millis()).unwrap_or(u64::MAX);
+    let target = u64::try_from(step.tail_latency_target.as_millis()).unwrap_or(u64::MAX);
     tail_ms.saturating_mul(100) / target.max(1)
 }
--- a/crates/decide/src/work/pick.rs
+++ b/crates/decide/src/work/pick.rs
@@ -58,7 +58,7 @@
 
 /// True if tasks of a step are spread over targets, and not packed.
 fn spreads(plan: &StepPlan) -> bool {
-    plan.long_running || plan.fills
+    plan.long_running || plan.best_effort
 }
 
 /// The same among targets that are being emptied or pause, too.
@@ -95,14 +95,14 @@
     };
     targets
         .filter(|target| target.takes_tasks(now))
-        .filter(|target| need.fits(target.free()) && may_hold(plan, step, target, now))
+        .filter(|target| need.fits_in(target.free()) && may_hold(plan, step, target, now))
         .nth(before)
         .is_some()
 }
 
 /// True if a target has room for a task of the step, and may run it.
 fn suits(plan: &StepPlan, step: &StepState, target: &TargetState, now: BootTime) -> bool {
-    plan.footprint().fits(target.free()) && may_hold(plan, step, target, now)
+    plan.footprint().fits_in(target.free()) && may_hold(plan, step, target, now)
 }
 
 /// True if a target may run a task of the step once it has room.
@@ -116,7 +116,7 @@
             .tickets
             .get(&target.entry.target)
             .is_some_and(|(_, until)| now < *until);
-    labelled && apart && allowed && plan.footprint().fits(target.entry.capacity)
+    labelled && apart && allowed && plan.footprint().fits_in(target.entry.capacity)
 }
 
 /// Tasks of the step that are, or may be, on a target.
@@ -144,7 +144,11 @@
             far,
             apart,
             together,
-            if plan.fills { u64::MAX - free } else { free },
+            if plan.best_effort {
+                u64::MAX - free
+            } else {
+                free
+            },
         )
     } else {
         (failed, far, apart, free, 0)
--- a/crates/decide/src/work/ranked_steps.rs
+++ b/crates/decide/src/work/ranked_steps.rs
@@ -55,9 +55,9 @@
 
 impl StepFilter<'_> {
     fn admits(&self, room: ResourceVector, need: ResourceVector) -> bool {
-        room.fits(self.room)
-            && need.fits(self.left)
-            && !self.refused.iter().any(|refused| refused.fits(room))
+        room.fits_in(self.room)
+            && need.fits_in(self.left)
+            && !self.refused.iter().any(|refused| refused.fits_in(room))
     }
 }
 
@@ -173,8 +173,8 @@
     }
 
     fn insert(&mut self, step: WaitingStep, key: &StepRank) {
-        self.least_room = self.least_room.smaller(step.room);
-        self.least_need = self.least_need.smaller(step.need);
+        self.least_room = self.least_room.min_each(step.room);
+        self.least_need = self.least_need.min_each(step.need);
         let at = self.steps.partition_point(|other| other.is_before(key));
         self.steps.insert(at, step);
     }
@@ -190,9 +190,9 @@
     fn measure(&mut self) {
         let mut rooms = self.steps.iter().map(|step| step.room);
         let first = rooms.next().unwrap_or_default();
-        self.least_room = rooms.fold(first, ResourceVector::smaller);
+        self.least_room = rooms.fold(first, ResourceVector::min_each);
         let mut needs = self.steps.iter().map(|step| step.need);
         let first = needs.next().unwrap_or_default();
-        self.least_need = needs.fold(first, ResourceVector::smaller);
+        self.least_need = needs.fold(first, ResourceVector::min_each);
     }
 }
--- a/crates/decide/src/work/target_index.rs
+++ b/crates/decide/src/work/target_index.rs
@@ -110,7 +110,7 @@
     /// True if something may be started by what has changed since `before`.
     fn gives_room(&self, before: &Self) -> bool {
         let opened = self.open && (!before.open || before.pool != self.pool);
-        let grown = self.open && !self.free.fits(before.free);
+        let grown = self.open && !self.free.fits_in(before.free);
         let known = before.unknown && (!self.unknown || before.pool != self.pool);
         opened || grown || known || self.paused_until < before.paused_until
     }
--- a/crates/decide/src/work/target_state.rs
+++ b/crates/decide/src/work/target_state.rs
@@ -125,7 +125,7 @@
         Self {
             life: TargetLife {
                 number: 1,
-                born: entry.born,
+                born: entry.started_at,
                 since: now,
                 ..TargetLife::default()
             },
--- a/crates/decide/src/work/work_desk.rs
+++ b/crates/decide/src/work/work_desk.rs
@@ -185,7 +185,7 @@
             self.record_use(&id);
             return;
         };
-        let (born, known) = (entry.born, target.life.born);
+        let (born, known) = (entry.started_at, target.life.born);
         if !born.is_zero() && born < known {
             // An entry of the life before, which was under way for long.
             return;
@@ -357,7 +357,7 @@
         let mut others = others.iter().filter_map(|id| self.targets.get(id));
         others.any(|other| {
             let lives = other.listed || !other.claims.is_empty();
-            lives && other.life.born > entry.born
+            lives && other.life.born > entry.started_at
         })
     }
 
--- a/crates/decide/tests/desk/fleet.rs
+++ b/crates/decide/tests/desk/fleet.rs
@@ -115,14 +115,14 @@
     }
 
     /// Asks for the maintenance of the hosts named.
-    pub fn ask(&mut self, hosts: std::ops::Range<usize>, cap: u32, deadline: Duration) {
+    pub fn ask(&mut self, hosts: std::ops::Range<usize>, max_down: u32, deadline: Duration) {
         let wave = MaintenanceWave {
             wave: 1,
             hosts: hosts
                 .map(|number| self.hosts[number].fleet.host.clone())
                 .collect(),
             deadline,
-            cap,
+            max_down,
         };
         let now = self.scene.now.boot;
         self.planner.take_list(self.list(), now);
@@ -168,7 +168,7 @@
         for order in self.planner.plan(&mut self.scene.desk, now) {
             self.order(&order);
         }
-        let down = |host: &&SceneHost| host.fleet.condition == HostCondition::Maintained;
+        let down = |host: &&SceneHost| host.fleet.condition == HostCondition::UnderMaintenance;
         self.most_down = self.most_down.max(self.hosts.iter().filter(down).count());
         self.obey();
     }
@@ -286,7 +286,7 @@
                 host.fleet.condition = HostCondition::Moving;
             }
             HostOrder::Maintain(..) => {
-                host.fleet.condition = HostCondition::Maintained;
+                host.fleet.condition = HostCondition::UnderMaintenance;
                 host.maintained += 1;
             }
         }
--- a/crates/decide/tests/desk/scene.rs
+++ b/crates/decide/tests/desk/scene.rs
@@ -137,7 +137,7 @@
         self.now.boot += Duration::from_millis(1);
         let sight = TargetReport {
             clock: self.now.boot,
-            born: Duration::from_secs(1),
+            started_at: Duration::from_secs(1),
             running,
             ended,
         };
@@ -247,7 +247,7 @@
             memory_mb: 10_000,
             gpu: 0,
         },
-        born: Duration::from_secs(1),
+        started_at: Duration::from_secs(1),
         ..TargetEntry::default()
     }
 }
@@ -258,7 +258,7 @@
 /// The entry of a later life of `t1`, under the same id.
 pub fn reborn(cpu: u64) -> TargetEntry {
     TargetEntry {
-        born: LATER,
+        started_at: LATER,
         ..target("t1", cpu)
     }
 }
@@ -266,7 +266,7 @@
 pub fn step(count: u32, cpu: u64) -> StepPlan {
     StepPlan {
         count,
-        need: ResourceVector {
+        resources: ResourceVector {
             cpu,
             memory_mb: 100,
             gpu: 0,
@@ -280,7 +280,7 @@
 pub fn lasting_pair() -> StepPlan {
     StepPlan {
         long_running: true,
-        may_miss: 1,
+        max_unavailable: 1,
         anti_affinity: 1,
         ..step(2, 1000)
     }
--- a/crates/decide/tests/desk/turn.rs
+++ b/crates/decide/tests/desk/turn.rs
@@ -143,7 +143,7 @@
             payload: "text".into(),
             steps: vec![StepPlan {
                 count: TASKS,
-                need: ResourceVector {
+                resources: ResourceVector {
                     cpu: 2050 + (self.jobs as u64 * 7) % 200,
                     memory_mb: 2000,
                     gpu: 0,
@@ -204,7 +204,7 @@
             pool: format!("pool-{}", number % POOLS).into(),
             rack: format!("rack-{}", number / 12).into(),
             capacity: ROOM,
-            born: Duration::from_secs(1),
+            started_at: Duration::from_secs(1),
             ..TargetEntry::default()
         };
         self.desk.list_target(entry, self.now);
@@ -216,7 +216,7 @@
         let sent: BootTime = self.now.boot;
         let sight = TargetReport {
             clock: self.now.boot,
-            born: Duration::from_secs(1),
+            started_at: Duration::from_secs(1),
             running,
             ended,
         };
--- a/crates/decide/tests/desk/world.rs
+++ b/crates/decide/tests/desk/world.rs
@@ -405,7 +405,7 @@
             let known = owner.desk.targets.get(name).map(|known| known.life.born);
             if state.listed && (!listed || (state.up && known != Some(state.shown))) {
                 let mut entry = target(name, CAPACITY);
-                entry.born = state.shown;
+                entry.started_at = state.shown;
                 owner.desk.list_target(entry, self.now);
             } else if !state.listed && listed {
                 owner.desk.unlist_target(name);
--- a/crates/decide/tests/desk/world_call.rs
+++ b/crates/decide/tests/desk/world_call.rs
@@ -302,7 +302,7 @@
                     };
                     owner
                         .desk
-                        .saw(&call.target, call.sent, order.observed, &answer, now);
+                        .saw(&call.target, call.sent, order.acked_end, &answer, now);
                 }
             }
             if answered {
--- a/crates/decide/tests/desk/world_check.rs
+++ b/crates/decide/tests/desk/world_check.rs
@@ -101,7 +101,7 @@
 
     fn cpu(&self, key: &TaskKey) -> u64 {
         self.jobs[key.job.as_str()].steps[key.step as usize]
-            .need
+            .resources
             .cpu
     }
 
--- a/crates/decide/tests/desk/world_list.rs
+++ b/crates/decide/tests/desk/world_list.rs
@@ -82,7 +82,7 @@
         let back = now.saturating_sub(self.store_back) < Duration::from_secs(2);
         let mut told = Vec::new();
         for (name, state) in &mut self.targets {
-            let known = self.list.entries.get(name).map(|entry| entry.born);
+            let known = self.list.entries.get(name).map(|entry| entry.started_at);
             if !state.up || state.cut {
                 state.writes_at = None;
                 if known.is_some() && now >= state.down_since + LIST_LAPSE {
@@ -105,7 +105,7 @@
             if now >= at {
                 let entry = TargetEntry {
                     address: state.address.as_str().into(),
-                    born: state.born,
+                    started_at: state.born,
                     ..target(name, CAPACITY)
                 };
                 self.list.write(name, Some(entry), now);
--- a/crates/decide/tests/desk/world_target.rs
+++ b/crates/decide/tests/desk/world_target.rs
@@ -73,7 +73,7 @@
         if now > self.until {
             let lapsed: Vec<(TaskKey, u64)> = self.runs.keys().cloned().collect();
             for run in lapsed {
-                self.end(run, EndKind::Lapsed);
+                self.end(run, EndKind::LeaseExpired);
             }
         }
     }
@@ -116,10 +116,10 @@
         if self.fenced(order.token) {
             return StartAnswer::Refused(StartRefusal::Fenced);
         }
-        if self.zero + order.until < now {
+        if self.zero + order.lease_until < now {
             return StartAnswer::Refused(StartRefusal::Late);
         }
-        self.extend(order.until, now);
+        self.extend(order.lease_until, now);
         let run = (order.task.clone(), order.attempt);
         if self.runs.contains_key(&run) {
             return StartAnswer::Started {
@@ -157,15 +157,18 @@
         if self.fenced(order.token) {
             return (PollAnswer::Fenced, Vec::new());
         }
-        if let Some(until) = order.until {
+        if let Some(until) = order.lease_until {
             self.extend(until, now);
         }
-        let noted = self.ended.iter().filter(|end| end.number <= order.observed);
+        let noted = self
+            .ended
+            .iter()
+            .filter(|end| end.number <= order.acked_end);
         let noted = noted
             .filter(|end| end.kind == EndKind::Done)
             .map(|end| end.task.clone());
         let noted = noted.collect();
-        self.ended.retain(|end| end.number > order.observed);
+        self.ended.retain(|end| end.number > order.acked_end);
         let running = self.runs.iter().map(|((task, attempt), end)| RunReport {
             task: task.clone(),
             attempt: *attempt,
@@ -175,7 +178,7 @@
         });
         let sight = TargetReport {
             clock: self.clock(now),
-            born: self.born,
+            started_at: self.born,
             running: running.collect(),
             ended: self.ended.clone(),
         };
--- a/crates/decide/tests/work_hosts.rs
+++ b/crates/decide/tests/work_hosts.rs
@@ -45,12 +45,12 @@
     }));
 }
 
-fn wave(hosts: &[&str], cap: u32) -> MaintenanceWave {
+fn wave(hosts: &[&str], max_down: u32) -> MaintenanceWave {
     MaintenanceWave {
         wave: 1,
         hosts: hosts.iter().map(|host| (*host).into()).collect(),
         deadline: Duration::from_secs(20),
-        cap,
+        max_down,
     }
 }
 
@@ -116,7 +116,7 @@
         let sent = scene.now.boot - Duration::from_secs(1);
         let sight = model::work::TargetReport {
             clock: scene.now.boot,
-            born: Duration::from_secs(1),
+            started_at: Duration::from_secs(1),
             running: vec![at_work(start)],
             ended: Vec::new(),
         };
--- a/crates/decide/tests/work_lives.rs
+++ b/crates/decide/tests/work_lives.rs
@@ -17,7 +17,7 @@
     scene.now.boot += Duration::from_millis(1);
     let sight = TargetReport {
         clock: Duration::from_secs(1),
-        born: LATER,
+        started_at: LATER,
         running,
         ended,
     };
@@ -85,10 +85,10 @@
     let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 1000)]);
     scene.end("t1", &starts[0].1, EndKind::Done);
     let order = scene.desk.look_order(&"t1".into(), scene.now);
-    assert_eq!(order.map(|order| order.observed), Some(1));
+    assert_eq!(order.map(|order| order.acked_end), Some(1));
     let seen = PollAnswer::Seen(TargetReport {
         clock: scene.now.boot,
-        born: Duration::from_secs(1),
+        started_at: Duration::from_secs(1),
         ..TargetReport::default()
     });
     let sent = scene.now.boot;
@@ -97,10 +97,10 @@
     scene.submit("b", &plan(vec![step(1, 1000)]));
     assert_eq!(scene.start_all().len(), 1);
     let order = scene.desk.look_order(&"t1".into(), scene.now);
-    assert_eq!(order.map(|order| order.observed), Some(0));
+    assert_eq!(order.map(|order| order.acked_end), Some(0));
     scene.raise("t1");
     let order = scene.desk.look_order(&"t1".into(), scene.now);
-    assert_eq!(order.map(|order| order.observed), Some(1));
+    assert_eq!(order.map(|order| order.acked_end), Some(1));
 }
 
 /// A batch runs twice: all entries of targets had lapsed while the store was away, and the entry
@@ -112,7 +112,7 @@
     scene.add("t2", 2000);
     scene.desk.unlist_target(&"t1".into());
     let older = TargetEntry {
-        born: Duration::from_millis(1),
+        started_at: Duration::from_millis(1),
         address: "t1:80".into(),
         ..target("t0", 2000)
     };
@@ -130,12 +130,12 @@
         ..target("foreign", 2000)
     };
     let unborn = TargetEntry {
-        born: Duration::ZERO,
+        started_at: Duration::ZERO,
         ..foreign.clone()
     };
     let unknown = TargetEntry {
         pool: "nowhere".into(),
-        born: LATER,
+        started_at: LATER,
         ..foreign
     };
     for entry in [unborn, unknown] {
@@ -160,7 +160,7 @@
     let mut second = first.successor(9);
     second.list("t1", 2000);
     let older = TargetEntry {
-        born: Duration::from_millis(1),
+        started_at: Duration::from_millis(1),
         address: "t1:80".into(),
         ..target("t0", 2000)
     };
--- a/crates/decide/tests/work_rebirth.rs
+++ b/crates/decide/tests/work_rebirth.rs
@@ -20,7 +20,7 @@
 fn see_next(scene: &mut DeskScene, shown: Vec<&StartOrder>, sent_before: Duration) {
     let sight = TargetReport {
         clock: Duration::from_millis(100),
-        born: NEXT,
+        started_at: NEXT,
         running: shown.into_iter().map(running).collect(),
         ended: Vec::new(),
     };
@@ -35,7 +35,7 @@
 fn start_is_kept_on_life_listed_later() {
     let (mut scene, start) = started_unseen();
     let next = TargetEntry {
-        born: NEXT,
+        started_at: NEXT,
         ..target("t1", 4000)
     };
     scene.desk.list_target(next, scene.now);
@@ -73,7 +73,7 @@
 fn unseen_run_starts_again_once_known_gone() {
     let (mut scene, _) = started_unseen();
     let next = TargetEntry {
-        born: NEXT,
+        started_at: NEXT,
         ..target("t1", 4000)
     };
     scene.desk.list_target(next, scene.now);
@@ -92,7 +92,7 @@
     scene.end("t1", &start, EndKind::Done);
     let observed = |scene: &mut DeskScene| {
         let order = scene.desk.look_order(&"t1".into(), scene.now);
-        order.map(|order| order.observed)
+        order.map(|order| order.acked_end)
     };
     assert_eq!(observed(&mut scene), Some(1));
     let silent = PollAnswer::Unanswered("connection reset".to_owned());
@@ -113,7 +113,7 @@
         ..target("t0", 4000)
     };
     let newer = TargetEntry {
-        born: NEXT,
+        started_at: NEXT,
         ..target("t1", 4000)
     };
     let mut first = DeskScene::new(1);
--- a/crates/decide/tests/work_services.rs
+++ b/crates/decide/tests/work_services.rs
@@ -94,7 +94,7 @@
 }
 
 impl ServiceWorld {
-    fn new(seed: u64, may_miss: u32, faults: Faults) -> Self {
+    fn new(seed: u64, max_unavailable: u32, faults: Faults) -> Self {
         let now = DeskTime {
             boot: Duration::from_secs(1000),
             unix: Duration::from_secs(1_000_000),
@@ -125,7 +125,7 @@
         };
         let service = StepPlan {
             long_running: true,
-            may_miss,
+            max_unavailable,
             anti_affinity: 1,
             ..step(TASKS, 1000)
         };
@@ -186,7 +186,7 @@
             wave,
             hosts: hosts.collect(),
             deadline: Duration::from_secs(20),
-            cap: 2,
+            max_down: 2,
         };
         let now = self.now.boot;
         self.planner.take_waves(&[wave], &BTreeSet::new(), now);
@@ -281,7 +281,7 @@
                 .map(|known| known.life.born);
             if state.up && born != Some(state.born) {
                 let mut entry = target(name, CAPACITY);
-                entry.born = state.born;
+                entry.started_at = state.born;
                 self.desk.list_target(entry, now);
             } else if !state.up && now.boot >= state.down_since + NOTICE {
                 self.desk.unlist_target(name);
@@ -478,7 +478,7 @@
                         Some(Answer::Look(answer)) => answer,
                         _ => PollAnswer::Unanswered(lost()),
                     };
-                    desk.saw(id, call.sent, order.observed, &answer, now);
+                    desk.saw(id, call.sent, order.acked_end, &answer, now);
                 }
             }
         }
@@ -493,14 +493,14 @@
             return;
         }
         let now = self.now.boot;
-        let may_miss = self.desk.board.jobs["a"].plan.steps[0].may_miss as usize;
+        let max_unavailable = self.desk.board.jobs["a"].plan.steps[0].max_unavailable as usize;
         let missing = |index: &u32| {
             let gone = self.gone.get(&key(*index));
             gone.is_some_and(|gone| gone.ordered || now >= gone.since + NOTICE)
         };
         let others = (0..TASKS).filter(|index| *index != task.index);
         let away: Vec<u32> = others.filter(missing).collect();
-        if away.len() >= may_miss {
+        if away.len() >= max_unavailable {
             let told = self.history.get(task);
             let fault = format!("{now:?}: {task} ends on {on} while {away:?} are away: {told:#?}");
             self.found.push(fault);
@@ -540,10 +540,10 @@
 #[case::late_starts(1, Faults { lost: 0.05, late: 0.4, crash: 0.1, cut: 0.1 })]
 #[case::unsure(1, Faults { lost: 0.3, late: 0.35, crash: 0.3, cut: 0.0 })]
 #[case::two_may_miss(2, Faults { lost: 0.1, late: 0.2, crash: 0.1, cut: 0.1 })]
-fn services_miss_no_more(#[case] may_miss: u32, #[case] faults: Faults) {
+fn services_miss_no_more(#[case] max_unavailable: u32, #[case] faults: Faults) {
     let mut stops = 0;
     for seed in 0..SEEDS {
-        let mut world = ServiceWorld::new(seed, may_miss, faults);
+        let mut world = ServiceWorld::new(seed, max_unavailable, faults);
         world.run();
         stops += world.stops;
         assert!(world.found.is_empty(), "seed {seed}: {:#?}", world.found);
--- a/crates/decide/tests/work_stops.rs
+++ b/crates/decide/tests/work_stops.rs
@@ -58,7 +58,7 @@
 fn service() -> StepPlan {
     StepPlan {
         long_running: true,
-        may_miss: 1,
+        max_unavailable: 1,
         anti_affinity: 1,
         ..step(2, 1000)
     }
@@ -84,7 +84,7 @@
         wave: 1,
         hosts: vec!["h1".into()],
         deadline: Duration::from_secs(20),
-        cap: 1,
+        max_down: 1,
     };
     let mut planner = HostPlanner::default();
     planner.take_list(vec![host], scene.now.boot);
@@ -143,7 +143,7 @@
     scene.others.clear();
     let sight = TargetReport {
         clock: scene.now.boot,
-        born: LATER,
+        started_at: LATER,
         running: vec![at_work(&start)],
         ended: Vec::new(),
     };
@@ -162,7 +162,7 @@
     let (mut scene, (id, start), _) = with_unsure_start();
     scene.see(&id, vec![at_work(&start)], Vec::new());
     let reborn = TargetEntry {
-        born: LATER,
+        started_at: LATER,
         ..target(&id, 2000)
     };
     // Nothing takes the task meanwhile.
@@ -175,7 +175,7 @@
     wanted_stops(&mut scene);
     let sight = TargetReport {
         clock: scene.now.boot,
-        born: LATER,
+        started_at: LATER,
         running: vec![at_work(&start)],
         ended: Vec::new(),
     };
@@ -291,7 +291,7 @@
     scene.pass(UNHEARD);
     scene.others.clear();
     let reborn = TargetEntry {
-        born: LATER,
+        started_at: LATER,
         ..target(&id, 2000)
     };
     scene.desk.list_target(reborn, scene.now);
@@ -304,7 +304,7 @@
     let look = |scene: &mut DeskScene, running| {
         let sight = TargetReport {
             clock: scene.now.boot,
-            born: LATER,
+            started_at: LATER,
             running,
             ended: Vec::new(),
         };
--- a/crates/decide/tests/work_targets.rs
+++ b/crates/decide/tests/work_targets.rs
@@ -92,13 +92,13 @@
     let older = target("t1", 2000);
     let newer = TargetEntry {
         address: older.address.clone(),
-        born: Duration::from_secs(500),
+        started_at: Duration::from_secs(500),
         ..target("t2", 2000)
     };
     scene.desk.list_target(older.clone(), scene.now);
     let sight = model::work::TargetReport {
         clock: scene.now.boot,
-        born: newer.born,
+        started_at: newer.started_at,
         ..model::work::TargetReport::default()
     };
     scene.desk.list_target(newer, scene.now);
@@ -125,7 +125,7 @@
     scene.see("t1", vec![running(&starts[0].1)], Vec::new());
     scene.add("t2", 2000);
     let order = scene.desk.look_order(&"t1".into(), scene.now);
-    assert!(order.is_some_and(|order| order.until.is_some()));
+    assert!(order.is_some_and(|order| order.lease_until.is_some()));
     scene.desk.unlist_target(&"t1".into());
     for _ in 0..30 {
         scene.pass(Duration::from_millis(200));
@@ -151,7 +151,7 @@
     let order = scene.desk.look_order(&"t1".into(), scene.now);
     assert!(order.is_some());
     let sight = TargetReport {
-        born: LATER,
+        started_at: LATER,
         ..TargetReport::default()
     };
     let seen = PollAnswer::Seen(sight);
@@ -266,7 +266,7 @@
     scene.pass(Duration::from_secs(7));
     scene.see("t1", Vec::new(), vec![end]);
     let order = scene.desk.look_order(&"t1".into(), scene.now);
-    assert_eq!(order.map_or(0, |order| order.observed), 0);
+    assert_eq!(order.map_or(0, |order| order.acked_end), 0);
 }
 
 /// A target gets more than it holds: of a gang one member's end stood for all, while the start of
@@ -308,7 +308,7 @@
     scene.see("t1", vec![running(&starts[0].1)], Vec::new());
     scene.desk.set_alone(true);
     let sight = TargetReport {
-        born: LATER,
+        started_at: LATER,
         ..TargetReport::default()
     };
     scene.now.boot += Duration::from_millis(100);
@@ -418,11 +418,11 @@
     scene.add("t1", 2000);
     scene.submit("a", &plan(vec![step(1, 1000)]));
     let (id, mut start) = scene.starts.remove(0);
-    let before = start.until;
+    let before = start.lease_until;
     let waited = Duration::from_secs(6);
     scene.now.boot += waited;
     scene.desk.renew_start(&id, &mut start, scene.now);
     // The target's clock may be 2 % slow.
-    assert!(start.until >= before + waited * 97 / 100);
+    assert!(start.lease_until >= before + waited * 97 / 100);
     assert_eq!(scene.desk.targets[&id].granted, scene.now.boot);
 }
--- a/crates/decide/tests/work_waves.rs
+++ b/crates/decide/tests/work_waves.rs
@@ -13,7 +13,7 @@
 fn lasting(count: u32, cpu: u64) -> StepPlan {
     StepPlan {
         long_running: true,
-        may_miss: 1,
+        max_unavailable: 1,
         ..step(count, cpu)
     }
 }
--- a/crates/model/src/work/fleet_host.rs
+++ b/crates/model/src/work/fleet_host.rs
@@ -12,7 +12,7 @@
     /// On its way to another pool.
     Moving,
     /// Down for maintenance.
-    Maintained,
+    UnderMaintenance,
     /// Down for another reason.
     #[default]
     Down,
--- a/crates/model/src/work/job_plan.rs
+++ b/crates/model/src/work/job_plan.rs
@@ -41,7 +41,7 @@
     /// Number of tasks.
     pub count: u32,
     /// What each task asks of a target.
-    pub need: ResourceVector,
+    pub resources: ResourceVector,
     /// Rough estimate of a task's run time.
     pub estimate: Duration,
     /// Earlier steps, all of whose tasks must be done first.
@@ -65,11 +65,11 @@
     /// What the tasks run; tasks of one image behave alike.
     pub image: CompactString,
     /// Response time that a serving task must stay below; zero if it serves nobody.
-    pub tail_target: Duration,
+    pub tail_latency_target: Duration,
     /// Whether the tasks live on processor time that others leave.
-    pub fills: bool,
+    pub best_effort: bool,
     /// How many tasks of a long-running step may be away at once by our doing.
-    pub may_miss: u32,
+    pub max_unavailable: u32,
 }
 
 /// Why a plan can't be taken.
@@ -93,14 +93,18 @@
     /// What a task takes from its target's room: tasks that fill take no processors.
     pub fn footprint(&self) -> ResourceVector {
         ResourceVector {
-            cpu: if self.fills { 0 } else { self.need.cpu },
-            ..self.need
+            cpu: if self.best_effort {
+                0
+            } else {
+                self.resources.cpu
+            },
+            ..self.resources
         }
     }
 
     /// True if its tasks serve users of their own, whose response times count.
-    pub fn serves(&self) -> bool {
-        self.long_running && !self.tail_target.is_zero()
+    pub fn serves_requests(&self) -> bool {
+        self.long_running && !self.tail_latency_target.is_zero()
     }
 }
 
@@ -130,7 +134,7 @@
     }
 
     /// Longest chain of estimated run times through the steps.
-    pub fn longest_chain(&self) -> Duration {
+    pub fn critical_path(&self) -> Duration {
         let mut ends: Vec<Duration> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
             let before = step
@@ -144,13 +148,13 @@
     }
 
     /// Estimated work of one occurrence in core-seconds, without steps that last.
-    pub fn work(&self) -> f64 {
+    pub fn core_seconds(&self) -> f64 {
         let ending = self
             .steps
             .iter()
-            .filter(|step| !step.long_running && !step.fills);
+            .filter(|step| !step.long_running && !step.best_effort);
         let work = |step: &StepPlan| {
-            let cores = f64::from(u32::try_from(step.need.cpu).unwrap_or(u32::MAX)) / 1000.0;
+            let cores = f64::from(u32::try_from(step.resources.cpu).unwrap_or(u32::MAX)) / 1000.0;
             f64::from(step.count) * cores * step.estimate.as_secs_f64()
         };
         ending.map(work).sum()
--- a/crates/model/src/work/maintenance_wave.rs
+++ b/crates/model/src/work/maintenance_wave.rs
@@ -15,5 +15,5 @@
     /// Time in which all are to be done.
     pub deadline: Duration,
     /// Most hosts that may be down for it at once.
-    pub cap: u32,
+    pub max_down: u32,
 }
--- a/crates/model/src/work/resource_vector.rs
+++ b/crates/model/src/work/resource_vector.rs
@@ -22,7 +22,7 @@
 
     /// The larger of both, of each resource by itself.
     #[must_use]
-    pub fn larger(self, other: Self) -> Self {
+    pub fn max_each(self, other: Self) -> Self {
         Self {
             cpu: self.cpu.max(other.cpu),
             memory_mb: self.memory_mb.max(other.memory_mb),
@@ -32,7 +32,7 @@
 
     /// The smaller of both, of each resource by itself.
     #[must_use]
-    pub fn smaller(self, other: Self) -> Self {
+    pub fn min_each(self, other: Self) -> Self {
         Self {
             cpu: self.cpu.min(other.cpu),
             memory_mb: self.memory_mb.min(other.memory_mb),
@@ -42,7 +42,7 @@
 
     /// What may still be taken where `used` of this limit is; zero parts of the limit mean none.
     #[must_use]
-    pub fn left_of_limit(self, used: Self) -> Self {
+    pub fn remaining_of_limit(self, used: Self) -> Self {
         let left = |limit: u64, used: u64| match limit {
             0 => u64::MAX,
             limit => limit.saturating_sub(used),
@@ -75,7 +75,7 @@
     }
 
     /// True if it goes into `room`.
-    pub fn fits(self, room: Self) -> bool {
+    pub fn fits_in(self, room: Self) -> bool {
         self.cpu <= room.cpu && self.memory_mb <= room.memory_mb && self.gpu <= room.gpu
     }
 }
--- a/crates/model/src/work/target_entry.rs
+++ b/crates/model/src/work/target_entry.rs
@@ -36,5 +36,5 @@
     /// Whether it takes new tasks.
     pub mode: TargetMode,
     /// When this life began, since the Unix epoch; a target may restart under its id.
-    pub born: Duration,
+    pub started_at: Duration,
 }
--- a/crates/model/src/work/target_order.rs
+++ b/crates/model/src/work/target_order.rs
@@ -30,7 +30,7 @@
     /// What the task is handed.
     pub payload: CompactString,
     /// Time on the target's clock until which it may run without a further renewal.
-    pub until: Duration,
+    pub lease_until: Duration,
     /// Token of the owner.
     pub token: FencingToken,
     /// Checkpoint to go on from; empty for none.
@@ -123,9 +123,9 @@
     /// Token of the owner.
     pub token: FencingToken,
     /// Ends up to this number are known and recorded; the target forgets them.
-    pub observed: u64,
+    pub acked_end: u64,
     /// Time on the target's clock until which its tasks may run; `None` renews nothing.
-    pub until: Option<Duration>,
+    pub lease_until: Option<Duration>,
     /// How long the target waits with its answer for an end; zero to answer at once.
     pub wait: Duration,
 }
--- a/crates/model/src/work/target_report.rs
+++ b/crates/model/src/work/target_report.rs
@@ -25,7 +25,7 @@
     /// The target's clock.
     pub clock: Duration,
     /// When the target's life began, since the Unix epoch; zero if it does not say.
-    pub born: Duration,
+    pub started_at: Duration,
     /// What runs.
     pub running: Vec<RunReport>,
     /// Ends that have not been observed, oldest first; a part if there are many.
@@ -73,9 +73,9 @@
     /// It was stopped.
     Stopped,
     /// Its time was not renewed.
-    Lapsed,
+    LeaseExpired,
     /// Another member of its gang ended.
-    Broken,
+    GangBroken,
     /// It waited in vain for the others of its gang.
-    Alone,
+    GangIncomplete,
 }
