--- a/crates/cell/src/log_compact.rs
+++ b/crates/cell/src/log_compact.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use decide::work::ShortLog;
+use decide::work::CompactedLog;
 use model::event as log_event;
 use ports::{StoreChange, StoreOutcome};
 use prost::Message;
@@ -30,14 +30,15 @@
     let entries = term.scheduler.borrow().board.entries();
     let (count, share) = (entries.len(), job_byte_share(&entries));
     let largest = max_page_bytes(&term.options.limits);
-    let values = match ShortLog::pack(entries, largest, pages.max_compacted_bytes(), encode_page) {
-        ShortLog::Pages(values) => values,
-        ShortLog::Long(bytes) => {
-            measure_job_bytes(term, share, bytes);
-            pages.postpone_compaction(bytes);
-            return Some(());
-        }
-    };
+    let values =
+        match CompactedLog::pack(entries, largest, pages.max_compacted_bytes(), encode_page) {
+            CompactedLog::Pages(values) => values,
+            CompactedLog::Long(bytes) => {
+                measure_job_bytes(term, share, bytes);
+                pages.postpone_compaction(bytes);
+                return Some(());
+            }
+        };
     let bytes = values.iter().map(Vec::len).sum();
     measure_job_bytes(term, share, bytes);
     let start = pages.next_page();
--- a/crates/decide/src/work/short_log.rs
+++ b/crates/decide/src/work/compacted_log.rs
@@ -3,14 +3,14 @@
 
 /// The entries of a log as pages, or that they take too many bytes for it to be worth writing.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ShortLog {
+pub enum CompactedLog {
     /// The packed pages.
     Pages(Vec<Vec<u8>>),
     /// They take more than they may: about so many bytes.
     Long(usize),
 }
 
-impl ShortLog {
+impl CompactedLog {
     /// Packs entries into pages of `page_bytes` before packing, until they take more than `most`.
     ///
     /// Packing holds back whatever else the process does. Where most of a log has to stay, the work
--- a/crates/decide/src/work/desk_admit.rs
+++ b/crates/decide/src/work/desk_admit.rs
@@ -5,7 +5,7 @@
     work::{JobPlan, QueuePolicy},
 };
 
-use super::{DeskTime, WorkDesk, job_facts::PoolBacklog, objective::longest_wait};
+use super::{DeskTime, WorkDesk, job_summary::PoolBacklog, objective::longest_wait};
 
 /// Time in which all that is accepted has to be begun, however little of it still counts; more for
 /// jobs that may wait longer.
--- a/crates/decide/src/work/desk_answer.rs
+++ b/crates/decide/src/work/desk_answer.rs
@@ -4,7 +4,7 @@
 };
 
 use super::{
-    DeskEvent, DeskOrder, DeskTime, PlacePhase, WorkDesk, WorkPhase, target_state::RunKey,
+    DeskEvent, DeskOrder, DeskTime, PlacementPhase, WorkDesk, WorkPhase, target_state::RunKey,
 };
 
 impl WorkDesk {
@@ -25,7 +25,7 @@
         }
         match answer {
             StartAnswer::Started { .. } => {
-                self.set_phase(id, &run, PlacePhase::Running, now);
+                self.set_phase(id, &run, PlacementPhase::Running, now);
                 self.board.begin_job(&task.job);
                 self.pace_new(id, &run);
                 if let Some(target) = self.targets.get_unindexed(id) {
@@ -41,7 +41,7 @@
             }
             StartAnswer::Unanswered(_) => {
                 self.note(DeskEvent::Unsure(task.clone(), attempt, id.clone()));
-                self.set_phase(id, &run, PlacePhase::Unsure, now);
+                self.set_phase(id, &run, PlacementPhase::Unsure, now);
                 if let Some(target) = self.targets.get_mut(id) {
                     target.add_doubt(run, now.boot);
                 }
@@ -92,7 +92,7 @@
             OrderAnswer::Done => {
                 self.stops.remove(&(id.clone(), run.clone()));
                 self.stopped.insert((id.clone(), run.clone()), now.boot);
-                self.set_phase(id, &run, PlacePhase::Stopping(true), now);
+                self.set_phase(id, &run, PlacementPhase::Stopping(true), now);
             }
             OrderAnswer::Fenced => self.orders.push(DeskOrder::Resign(id.clone())),
             OrderAnswer::OtherLife => self.lose_target(id, "replaced", now),
@@ -134,15 +134,15 @@
     }
 
     fn awaits_start(&self, id: &HostId, run: &RunKey) -> bool {
-        self.phase_of(id, run) == Some(PlacePhase::Starting)
+        self.phase_of(id, run) == Some(PlacementPhase::Starting)
     }
 
     /// True if a task is known to run on a target under this number.
     pub(super) fn is_running(&self, id: &HostId, run: &RunKey) -> bool {
-        self.phase_of(id, run) == Some(PlacePhase::Running)
+        self.phase_of(id, run) == Some(PlacementPhase::Running)
     }
 
-    fn phase_of(&self, id: &HostId, run: &RunKey) -> Option<PlacePhase> {
+    fn phase_of(&self, id: &HostId, run: &RunKey) -> Option<PlacementPhase> {
         self.board.place_of(id, run).map(|place| place.phase)
     }
 
--- a/crates/decide/src/work/desk_end.rs
+++ b/crates/decide/src/work/desk_end.rs
@@ -5,8 +5,8 @@
 use wire::work::{TaskEnd, log_entry::Event};
 
 use super::{
-    DeskEvent, DeskOrder, DeskTime, EndOrigin, PlacePhase, TaskPlace, WorkDesk, WorkJob, WorkPhase,
-    pick::FAILED_WAIT, target_state::RunKey,
+    DeskEvent, DeskOrder, DeskTime, EndOrigin, PlacementPhase, TaskPlacement, WorkDesk, WorkJob,
+    WorkPhase, pick::FAILED_WAIT, target_state::RunKey,
 };
 
 impl WorkDesk {
@@ -70,7 +70,7 @@
 
     /// Orders the stop of a run, also of one that may not have reached its target yet.
     pub(super) fn stop_run(&mut self, id: &HostId, run: &RunKey, now: DeskTime) {
-        self.set_phase(id, run, PlacePhase::Stopping(false), now);
+        self.set_phase(id, run, PlacementPhase::Stopping(false), now);
         let order = model::work::StopOrder {
             task: run.0.clone(),
             attempt: run.1,
@@ -85,7 +85,7 @@
         &mut self,
         id: &HostId,
         run: &RunKey,
-        phase: PlacePhase,
+        phase: PlacementPhase,
         now: DeskTime,
     ) {
         if let Some(place) = self.place_mut(id, run) {
@@ -95,7 +95,7 @@
     }
 
     /// The place of a run's task, if the task is taken to be there.
-    pub(super) fn place_mut(&mut self, id: &HostId, run: &RunKey) -> Option<&mut TaskPlace> {
+    pub(super) fn place_mut(&mut self, id: &HostId, run: &RunKey) -> Option<&mut TaskPlacement> {
         let (key, attempt) = run;
         let task = self.board.task_unindexed(key)?;
         let place = task.place.as_mut()?;
@@ -245,7 +245,7 @@
         let step = self.step_by(&key.job, key.occurrence, key.step);
         let tasks = step.into_iter().flat_map(|step| (0..).zip(&step.tasks));
         let placed = tasks.filter_map(|(index, task)| Some((index, task.place.as_ref()?)));
-        let doubtful = placed.filter(|(_, place)| place.phase != PlacePhase::Running);
+        let doubtful = placed.filter(|(_, place)| place.phase != PlacementPhase::Running);
         doubtful
             .map(|(index, place)| {
                 let member = TaskKey {
--- a/crates/decide/src/work/desk_evacuate.rs
+++ b/crates/decide/src/work/desk_evacuate.rs
@@ -7,7 +7,7 @@
 };
 
 use super::{
-    DeskTime, HostVacancy, PlacePhase, WorkDesk,
+    DeskTime, HostDrainState, PlacementPhase, WorkDesk,
     pick::may_go,
     step_key::StepKey,
     target_state::{ANSWER_FRESH, RunKey},
@@ -49,7 +49,7 @@
                 continue;
             };
             let leaving = target.entry.mode == TargetMode::Draining;
-            if !leaving && target.vacancy == HostVacancy::None {
+            if !leaving && target.vacancy == HostDrainState::None {
                 continue;
             }
             let (id, pool) = (&target.entry.target, &target.entry.pool);
@@ -173,7 +173,7 @@
         };
         let at_work = |task: &super::TaskState| {
             task.place.as_ref().is_some_and(|place| {
-                place.phase == PlacePhase::Running
+                place.phase == PlacementPhase::Running
                     && place.percent >= AT_WORK
                     && heard(&place.target)
                     && !self.may_end(place, now)
@@ -187,13 +187,13 @@
     }
 
     /// True if a stop of a task may still be carried out though it was taken back.
-    fn may_end(&self, place: &super::TaskPlace, now: DeskTime) -> bool {
+    fn may_end(&self, place: &super::TaskPlacement, now: DeskTime) -> bool {
         let passed = now.boot.saturating_sub(place.stop_sent);
         !place.stop_sent.is_zero() && passed < self.tuning.late_limit
     }
 
     /// Keeps the named targets free of new tasks, and no others.
-    pub(super) fn keep_free(&mut self, wanted: &BTreeMap<HostId, HostVacancy>) {
+    pub(super) fn keep_free(&mut self, wanted: &BTreeMap<HostId, HostDrainState>) {
         let before = std::mem::replace(&mut self.vacancies, wanted.clone());
         for id in before.keys().chain(wanted.keys()) {
             let vacancy = wanted.get(id).copied().unwrap_or_default();
--- a/crates/decide/src/work/desk_index.rs
+++ b/crates/decide/src/work/desk_index.rs
@@ -9,7 +9,7 @@
 };
 
 use super::{
-    JobBoard, TargetState, WorkDesk, job_index::JobIndex, target_index::TargetIndex,
+    JobTable, TargetState, WorkDesk, job_index::JobIndex, target_index::TargetIndex,
     tracked_map::TrackedMap,
 };
 
@@ -64,7 +64,7 @@
         }
     }
 
-    fn follow_jobs(&mut self, board: &mut JobBoard, terms: &FleetPolicy, now: BootTime) -> usize {
+    fn follow_jobs(&mut self, board: &mut JobTable, terms: &FleetPolicy, now: BootTime) -> usize {
         for id in self.jobs.take_reranked(now) {
             board.jobs.mark(&id);
         }
--- a/crates/decide/src/work/desk_life.rs
+++ b/crates/decide/src/work/desk_life.rs
@@ -3,7 +3,7 @@
 use model::{BootTime, HostId};
 
 use super::{
-    DeskEvent, DeskOrder, DeskTime, PlacePhase, WorkDesk,
+    DeskEvent, DeskOrder, DeskTime, PlacementPhase, WorkDesk,
     target_state::{ANSWER_FRESH, RunClaim, RunKey},
 };
 
@@ -133,11 +133,11 @@
             return RunFate::Over;
         };
         match place.phase {
-            PlacePhase::Starting | PlacePhase::Unsure | PlacePhase::Stopping(false) => {
+            PlacementPhase::Starting | PlacementPhase::Unsure | PlacementPhase::Stopping(false) => {
                 RunFate::Doubtful
             }
-            PlacePhase::Running if !place.seen => RunFate::Unseen,
-            PlacePhase::Running | PlacePhase::Stopping(true) => RunFate::Over,
+            PlacementPhase::Running if !place.seen => RunFate::Unseen,
+            PlacementPhase::Running | PlacementPhase::Stopping(true) => RunFate::Over,
         }
     }
 }
--- a/crates/decide/src/work/desk_miss.rs
+++ b/crates/decide/src/work/desk_miss.rs
@@ -4,7 +4,7 @@
 };
 use wire::work::{MissedRun, TargetMiss, log_entry::Event};
 
-use super::{DeskEvent, DeskTime, PlacePhase, TaskPlace, WorkDesk, target_state::RunKey};
+use super::{DeskEvent, DeskTime, PlacementPhase, TaskPlacement, WorkDesk, target_state::RunKey};
 
 /// What the log tells of targets that are not heard.
 ///
@@ -93,16 +93,16 @@
             return;
         }
         let phase = match seen {
-            true => PlacePhase::Running,
-            false => PlacePhase::Unsure,
+            true => PlacementPhase::Running,
+            false => PlacementPhase::Unsure,
         };
         step.place(
             key.index,
-            TaskPlace {
+            TaskPlacement {
                 phase,
                 seen,
                 presumed: true,
-                ..TaskPlace::new(id, attempt, now)
+                ..TaskPlacement::new(id, attempt, now)
             },
         );
     }
@@ -125,6 +125,6 @@
 
     fn is_seen(&self, id: &HostId, run: &RunKey) -> bool {
         let place = self.board.place_of(id, run);
-        place.is_some_and(|place| place.phase == PlacePhase::Running && place.seen)
+        place.is_some_and(|place| place.phase == PlacementPhase::Running && place.seen)
     }
 }
--- a/crates/decide/src/work/desk_plan.rs
+++ b/crates/decide/src/work/desk_plan.rs
@@ -4,7 +4,7 @@
 
 use super::{
     DeskEffort, DeskTime, WorkDesk,
-    job_facts::WaitingGroup,
+    job_summary::WaitingGroup,
     ranked_steps::{RankedSteps, StepFilter, StepRank, WaitingStep},
     step_key::StepKey,
 };
--- a/crates/decide/src/work/desk_sight.rs
+++ b/crates/decide/src/work/desk_sight.rs
@@ -8,7 +8,7 @@
 use crate::call_budget::CallClass;
 
 use super::{
-    DeskEvent, DeskOrder, DeskTime, PlacePhase, TargetState, TaskPlace, WorkDesk, WorkJob,
+    DeskEvent, DeskOrder, DeskTime, PlacementPhase, TargetState, TaskPlacement, WorkDesk, WorkJob,
     target_state::RunKey,
 };
 
@@ -205,8 +205,11 @@
                 place.load = run.load;
                 place.seen = true;
                 place.presumed = false;
-                if matches!(place.phase, PlacePhase::Starting | PlacePhase::Unsure) {
-                    place.phase = PlacePhase::Running;
+                if matches!(
+                    place.phase,
+                    PlacementPhase::Starting | PlacementPhase::Unsure
+                ) {
+                    place.phase = PlacementPhase::Running;
                     place.since = now.boot;
                 }
                 self.spare_late_start(id, &key, now);
@@ -237,13 +240,13 @@
         };
         step.place(
             key.index,
-            TaskPlace {
-                phase: PlacePhase::Running,
+            TaskPlacement {
+                phase: PlacementPhase::Running,
                 seen: true,
                 percent: sight.percent,
                 load: sight.load,
                 stop_sent: stopped.unwrap_or_default(),
-                ..TaskPlace::new(id, *attempt, now.boot)
+                ..TaskPlacement::new(id, *attempt, now.boot)
             },
         );
         self.note(DeskEvent::Adopted(key.clone(), *attempt, id.clone()));
@@ -290,19 +293,19 @@
             return;
         }
         match phase {
-            PlacePhase::Starting => {}
-            PlacePhase::Stopping(false) => self.close_again(id, run, now),
-            PlacePhase::Unsure => {
+            PlacementPhase::Starting => {}
+            PlacementPhase::Stopping(false) => self.close_again(id, run, now),
+            PlacementPhase::Unsure => {
                 // It is not there and may come later. A stop of this start closes it: the
                 // target refuses a start that is not newer than one stopped there.
                 self.stop_run(id, run, now);
             }
-            PlacePhase::Running => {
+            PlacementPhase::Running => {
                 self.note(DeskEvent::Vanished(key.clone(), *attempt, id.clone()));
                 self.unclaim(id, run);
                 self.vacate_place(id, run);
             }
-            PlacePhase::Stopping(true) => {
+            PlacementPhase::Stopping(true) => {
                 self.unclaim(id, run);
                 self.vacate_place(id, run);
             }
--- a/crates/decide/src/work/desk_start.rs
+++ b/crates/decide/src/work/desk_start.rs
@@ -5,7 +5,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use super::{
-    DeskEffort, DeskEvent, DeskOrder, DeskTime, PlaceInputs, RankClass, TaskPlace, WorkDesk,
+    DeskEffort, DeskEvent, DeskOrder, DeskTime, PlaceInputs, RankClass, TaskPlacement, WorkDesk,
     WorkPhase,
     pick::{pick_any, pick_target},
     ranked_steps::StepRank,
@@ -204,7 +204,7 @@
         let Some(step) = self.board.step_mut(key) else {
             return;
         };
-        step.place(key.index, TaskPlace::new(id, *attempt, now.boot));
+        step.place(key.index, TaskPlacement::new(id, *attempt, now.boot));
     }
 
     fn send_start(&mut self, id: &HostId, run: &RunKey, class: RankClass, now: DeskTime) {
--- a/crates/decide/src/work/desk_stop.rs
+++ b/crates/decide/src/work/desk_stop.rs
@@ -6,8 +6,8 @@
 };
 
 use super::{
-    DeskOrder, DeskTime, HostVacancy, PlacePhase, TaskPlace, WorkDesk, desk_evacuate::AT_WORK,
-    target_state::RunKey,
+    DeskOrder, DeskTime, HostDrainState, PlacementPhase, TaskPlacement, WorkDesk,
+    desk_evacuate::AT_WORK, target_state::RunKey,
 };
 
 /// How old an answer of a target may be to say that a start has not been carried out: the time in
@@ -41,7 +41,7 @@
     /// Closes a start of which it is not known whether it was carried out.
     pub(super) fn close_start(&mut self, id: &HostId, run: &RunKey, now: DeskTime) {
         let placed = self.place_mut(id, run).is_some();
-        self.set_phase(id, run, PlacePhase::Stopping(false), now);
+        self.set_phase(id, run, PlacementPhase::Stopping(false), now);
         if !placed || !self.may_have_started(id, run, now) {
             self.stop_run(id, run, now);
             return;
@@ -82,7 +82,7 @@
             || self
                 .targets
                 .get(id)
-                .is_some_and(|target| target.vacancy != HostVacancy::None);
+                .is_some_and(|target| target.vacancy != HostDrainState::None);
         if !emptied && self.stopping_place(id, run).is_some() && self.lasts(run) {
             self.take_back(id, run, now);
         }
@@ -103,7 +103,7 @@
 
     fn leave_at_work(&mut self, id: &HostId, run: &RunKey, now: DeskTime) {
         self.stops.remove(&(id.clone(), run.clone()));
-        self.set_phase(id, run, PlacePhase::Running, now);
+        self.set_phase(id, run, PlacementPhase::Running, now);
     }
 
     /// True if a stop would end a task that a look has shown at work, while as many others of its
@@ -134,12 +134,12 @@
     }
 
     /// The place of a task whose stop has not been answered, and that is still wanted.
-    fn stopping_place(&self, id: &HostId, run: &RunKey) -> Option<&TaskPlace> {
+    fn stopping_place(&self, id: &HostId, run: &RunKey) -> Option<&TaskPlacement> {
         self.board
             .jobs
             .get(&run.0.job)
             .filter(|job| job.is_open())?;
-        let stopping = |place: &&TaskPlace| place.phase == PlacePhase::Stopping(false);
+        let stopping = |place: &&TaskPlacement| place.phase == PlacementPhase::Stopping(false);
         self.board.place_of(id, run).filter(stopping)
     }
 }
--- a/crates/decide/src/work/desk_tick.rs
+++ b/crates/decide/src/work/desk_tick.rs
@@ -3,7 +3,7 @@
 use model::{BootTime, HostId, JobId, work::TaskKey};
 use wire::work::log_entry::Event;
 
-use super::{DeskEvent, DeskTime, PlacePhase, WorkDesk, WorkPhase, target_state::RunKey};
+use super::{DeskEvent, DeskTime, PlacementPhase, WorkDesk, WorkPhase, target_state::RunKey};
 
 /// Time without any progress after which a task counts as stalled. Looks come once a second at
 /// least, and a task that is eight times as slow as estimated still gets on by a percent or more
@@ -252,7 +252,7 @@
         };
         let limit = STALLED.max(plan.estimate / STALL_PARTS);
         let open = self.board.open.contains(&run.0.job);
-        open && place.phase == PlacePhase::Running
+        open && place.phase == PlacementPhase::Running
             && target.heard.saturating_sub(place.moved) >= limit
     }
 
--- a/crates/decide/src/work/host_moves.rs
+++ b/crates/decide/src/work/host_moves.rs
@@ -21,7 +21,7 @@
 
 /// Hosts of one pool, in cores.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct PoolRoom {
+pub(super) struct PoolCapacity {
     cores: f64,
     hosts: usize,
 }
@@ -68,7 +68,7 @@
         &mut self,
         pool: &PoolId,
         standby: Option<&PoolId>,
-        rooms: &mut BTreeMap<PoolId, PoolRoom>,
+        rooms: &mut BTreeMap<PoolId, PoolCapacity>,
         now: BootTime,
     ) {
         loop {
@@ -89,7 +89,7 @@
         &self,
         pool: &PoolId,
         standby: Option<&PoolId>,
-        rooms: &BTreeMap<PoolId, PoolRoom>,
+        rooms: &BTreeMap<PoolId, PoolCapacity>,
         now: BootTime,
         suits: impl Fn(&HostView) -> bool,
     ) -> Option<HostId> {
@@ -124,7 +124,7 @@
         &mut self,
         pools: &[PoolId],
         standby: &PoolId,
-        rooms: &mut BTreeMap<PoolId, PoolRoom>,
+        rooms: &mut BTreeMap<PoolId, PoolCapacity>,
         now: BootTime,
     ) {
         let idle = |view: &HostView| {
@@ -160,7 +160,7 @@
         &mut self,
         host: &HostId,
         to: &PoolId,
-        rooms: &mut BTreeMap<PoolId, PoolRoom>,
+        rooms: &mut BTreeMap<PoolId, PoolCapacity>,
     ) {
         let Some(view) = self.hosts.get(host) else {
             return;
@@ -176,7 +176,7 @@
         self.begin_errand(host, HostOrder::Move(host.clone(), to.clone()));
     }
 
-    fn can_lend(&self, view: &HostView, rooms: &BTreeMap<PoolId, PoolRoom>) -> bool {
+    fn can_lend(&self, view: &HostView, rooms: &BTreeMap<PoolId, PoolCapacity>) -> bool {
         let room = rooms.get(&view.fleet.pool).copied().unwrap_or_default();
         let least = self.least_hosts(&view.fleet.pool);
         room.hosts > least && self.surplus(&view.fleet.pool, rooms) >= cores(view)
@@ -195,14 +195,14 @@
         needed.max(self.kept_hosts)
     }
 
-    fn surplus(&self, pool: &PoolId, rooms: &BTreeMap<PoolId, PoolRoom>) -> f64 {
+    fn surplus(&self, pool: &PoolId, rooms: &BTreeMap<PoolId, PoolCapacity>) -> f64 {
         let room = rooms.get(pool).copied().unwrap_or_default();
         room.cores - self.meter.wanted(pool)
     }
 
     /// What each pool has or will have, moves under way included.
-    fn rooms(&self) -> BTreeMap<PoolId, PoolRoom> {
-        let mut rooms: BTreeMap<PoolId, PoolRoom> = BTreeMap::new();
+    fn rooms(&self) -> BTreeMap<PoolId, PoolCapacity> {
+        let mut rooms: BTreeMap<PoolId, PoolCapacity> = BTreeMap::new();
         for view in self.hosts.values() {
             let pool = match view.errand.as_ref().map(|errand| &errand.order) {
                 Some(HostOrder::Move(_, pool)) => pool,
--- a/crates/decide/src/work/host_planner.rs
+++ b/crates/decide/src/work/host_planner.rs
@@ -8,7 +8,7 @@
     work::{FleetHost, HostCondition, HostOrderAnswer, MaintenanceWave, WaveId},
 };
 
-use super::{DemandMeter, DeskTime, HostVacancy, JobBoard, WorkDesk};
+use super::{DemandMeter, DeskTime, HostDrainState, JobTable, WorkDesk};
 
 /// Pause after an order that was refused because the host was busy.
 const BUSY_PAUSE: Duration = Duration::from_millis(700);
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct HostView {
     pub(super) fleet: FleetHost,
-    pub(super) errand: Option<HostErrand>,
+    pub(super) errand: Option<HostOperation>,
     /// Since when nothing has run on it; `None` while something does.
     pub(super) idle_since: Option<BootTime>,
     pub(super) not_before: BootTime,
@@ -76,15 +76,15 @@
 
 /// What a host is being used for.
 #[derive(Clone, Debug)]
-pub(super) struct HostErrand {
+pub(super) struct HostOperation {
     pub(super) order: HostOrder,
-    pub(super) state: ErrandState,
+    pub(super) state: OperationState,
     /// Its life as a target before the order.
     pub(super) target: HostId,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ErrandState {
+pub(super) enum OperationState {
     /// It is being emptied.
     Emptying,
     /// The order is under way, or was not answered and may still be carried out.
@@ -105,7 +105,7 @@
 impl HostPlanner {
     /// Takes in what earlier owners accepted lately, so that a rise of demand does not go unseen for
     /// as long as it takes to measure the arrivals anew.
-    pub fn take_arrivals(&mut self, board: &JobBoard, now: BootTime) {
+    pub fn take_arrivals(&mut self, board: &JobTable, now: BootTime) {
         let jobs = board.jobs.values();
         let mut lately: Vec<_> = jobs
             .filter(|job| now.saturating_sub(job.arrived) < LATELY)
@@ -127,7 +127,7 @@
             let Some(errand) = &view.errand else {
                 continue;
             };
-            let ErrandState::Done(at) = errand.state else {
+            let OperationState::Done(at) = errand.state else {
                 continue;
             };
             // A host that is switched off has no life as a target, before and after.
@@ -211,7 +211,7 @@
         };
         match answer {
             HostOrderAnswer::Done => {
-                errand.state = ErrandState::Done(now);
+                errand.state = OperationState::Done(now);
                 if let HostOrder::Maintain(host, wave) = order
                     && let Some(view) = self.waves.get_mut(wave)
                 {
@@ -292,8 +292,8 @@
     fn keep_free(&self, desk: &mut WorkDesk) {
         let wanted = self.hosts.values().filter_map(|view| {
             let vacancy = match view.errand.as_ref()?.state {
-                ErrandState::Emptying => HostVacancy::Emptying,
-                ErrandState::Sent | ErrandState::Done(_) => HostVacancy::Ordered,
+                OperationState::Emptying => HostDrainState::Emptying,
+                OperationState::Sent | OperationState::Done(_) => HostDrainState::Ordered,
             };
             Some((view.fleet.target.clone(), vacancy))
         });
@@ -310,12 +310,12 @@
                 continue;
             };
             let due = match errand.state {
-                ErrandState::Emptying => empty,
-                ErrandState::Sent => now >= view.not_before && !view.not_before.is_zero(),
-                ErrandState::Done(_) => false,
+                OperationState::Emptying => empty,
+                OperationState::Sent => now >= view.not_before && !view.not_before.is_zero(),
+                OperationState::Done(_) => false,
             };
             if due {
-                errand.state = ErrandState::Sent;
+                errand.state = OperationState::Sent;
                 // Until the answer comes the order is not repeated.
                 view.not_before = BootTime::ZERO;
                 orders.push(errand.order.clone());
@@ -326,9 +326,9 @@
 
     pub(super) fn begin_errand(&mut self, host: &HostId, order: HostOrder) {
         if let Some(view) = self.hosts.get_mut(host) {
-            view.errand = Some(HostErrand {
+            view.errand = Some(HostOperation {
                 order,
-                state: ErrandState::Emptying,
+                state: OperationState::Emptying,
                 target: view.fleet.target.clone(),
             });
         }
--- a/crates/decide/src/work/host_spares.rs
+++ b/crates/decide/src/work/host_replacements.rs
@@ -5,8 +5,8 @@
 use super::{
     HostOrder, HostPlanner, WorkDesk,
     desk_evacuate::StrandedTask,
-    host_moves::PoolRoom,
-    host_planner::{ErrandState, HostView},
+    host_moves::PoolCapacity,
+    host_planner::{HostView, OperationState},
 };
 
 impl HostPlanner {
@@ -16,7 +16,7 @@
         &mut self,
         desk: &WorkDesk,
         standby: Option<&PoolId>,
-        rooms: &mut BTreeMap<PoolId, PoolRoom>,
+        rooms: &mut BTreeMap<PoolId, PoolCapacity>,
         now: BootTime,
     ) {
         for (pool, task) in &desk.stranded {
@@ -37,7 +37,7 @@
             Some(errand) => match &errand.order {
                 HostOrder::Move(_, to) => to == pool,
                 HostOrder::Maintain(..) => {
-                    view.fleet.pool == *pool && errand.state != ErrandState::Emptying
+                    view.fleet.pool == *pool && errand.state != OperationState::Emptying
                 }
             },
             None => {
--- a/crates/decide/src/work/host_waves.rs
+++ b/crates/decide/src/work/host_waves.rs
@@ -15,7 +15,7 @@
 
 /// Hosts of a pool during a wave.
 #[derive(Clone, Copy, Debug, Default)]
-struct OpenHosts {
+struct PoolHostCounts {
     /// Hosts that take tasks.
     open: usize,
     /// Hosts that are being emptied or maintained.
@@ -108,8 +108,8 @@
     ///
     /// While no host can be brought, the last one of a pool that takes tasks waits until another
     /// is back: the tasks that last would have nowhere to go, and no host would ever be empty.
-    fn open_hosts(&self) -> BTreeMap<PoolId, OpenHosts> {
-        let mut pools: BTreeMap<PoolId, OpenHosts> = BTreeMap::new();
+    fn open_hosts(&self) -> BTreeMap<PoolId, PoolHostCounts> {
+        let mut pools: BTreeMap<PoolId, PoolHostCounts> = BTreeMap::new();
         for view in self.hosts.values() {
             let pool = pools.entry(view.fleet.pool.clone()).or_default();
             match view.errand.as_ref().map(|errand| &errand.order) {
--- a/crates/decide/src/work/job_index.rs
+++ b/crates/decide/src/work/job_index.rs
@@ -8,7 +8,7 @@
 
 use super::{
     WorkJob,
-    job_facts::{JobFacts, PoolBacklog, PoolNeed, WaitingGroup},
+    job_summary::{CoreDemand, JobSummary, PoolBacklog, WaitingGroup},
     ranked_steps::RankedSteps,
 };
 
@@ -17,12 +17,12 @@
 /// It says nothing that the books of jobs don't: it can be made anew from them at any time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct JobIndex {
-    facts: HashMap<JobId, JobFacts>,
+    facts: HashMap<JobId, JobSummary>,
     /// What waits in each pool.
     pools: BTreeMap<PoolId, BTreeMap<WaitingGroup, RankedSteps>>,
     /// Open jobs of each queue that have not begun.
     pending: BTreeMap<CompactString, u64>,
-    needs: BTreeMap<PoolId, PoolNeed>,
+    needs: BTreeMap<PoolId, CoreDemand>,
     /// What is to be started in each pool: of predecessors' jobs, and of others.
     backlogs: BTreeMap<(PoolId, bool), PoolBacklog>,
     /// What tasks of predecessors' jobs that are not known to run would take, for each pool.
@@ -50,7 +50,7 @@
         now: BootTime,
         due: &mut BTreeSet<PoolId>,
     ) {
-        let new = job.map(|job| JobFacts::of(job, terms, now));
+        let new = job.map(|job| JobSummary::of(job, terms, now));
         if self.facts.get(id) == new.as_ref() {
             return;
         }
@@ -93,7 +93,7 @@
     }
 
     /// What open jobs of a pool need.
-    pub(super) fn need(&self, pool: &str) -> PoolNeed {
+    pub(super) fn need(&self, pool: &str) -> CoreDemand {
         self.needs.get(pool).copied().unwrap_or_default()
     }
 
@@ -144,7 +144,7 @@
         ended.map(|(_, id)| id.clone()).collect()
     }
 
-    fn put_in(&mut self, id: &JobId, facts: &JobFacts) {
+    fn put_in(&mut self, id: &JobId, facts: &JobSummary) {
         if !facts.waiting.is_empty() {
             let pool = self.pools.entry(facts.pool.clone()).or_default();
             let steps = pool.entry(facts.group.clone()).or_default();
@@ -155,7 +155,7 @@
         if let Some(queue) = &facts.pending {
             *self.pending.entry(queue.clone()).or_default() += 1;
         }
-        if facts.need != PoolNeed::default() {
+        if facts.need != CoreDemand::default() {
             let need = self.needs.entry(facts.pool.clone()).or_default();
             need.present += facts.need.present;
             need.lasting += facts.need.lasting;
@@ -188,7 +188,7 @@
         }
     }
 
-    fn take_out(&mut self, id: &JobId, facts: &JobFacts) {
+    fn take_out(&mut self, id: &JobId, facts: &JobSummary) {
         self.take_out_steps(facts);
         if let Some(queue) = &facts.pending
             && let Some(pending) = self.pending.get_mut(queue)
@@ -201,7 +201,7 @@
         if let Some(need) = self.needs.get_mut(&facts.pool) {
             need.present -= facts.need.present;
             need.lasting -= facts.need.lasting;
-            if *need == PoolNeed::default() {
+            if *need == CoreDemand::default() {
                 self.needs.remove(&facts.pool);
             }
         }
@@ -228,7 +228,7 @@
         }
     }
 
-    fn take_out_steps(&mut self, facts: &JobFacts) {
+    fn take_out_steps(&mut self, facts: &JobSummary) {
         let Some(pool) = self.pools.get_mut(&facts.pool) else {
             return;
         };
@@ -245,7 +245,7 @@
         }
     }
 
-    fn take_out_doubt(&mut self, facts: &JobFacts) {
+    fn take_out_doubt(&mut self, facts: &JobSummary) {
         let Some(pool) = self.doubts.get_mut(&facts.pool) else {
             return;
         };
@@ -260,7 +260,7 @@
         }
     }
 
-    fn take_out_backlog(&mut self, facts: &JobFacts) {
+    fn take_out_backlog(&mut self, facts: &JobSummary) {
         let key = (facts.pool.clone(), facts.group.inherited);
         let Some(backlog) = self.backlogs.get_mut(&key) else {
             return;
@@ -271,7 +271,7 @@
         }
     }
 
-    fn take_out_apart(&mut self, facts: &JobFacts) {
+    fn take_out_apart(&mut self, facts: &JobSummary) {
         let Some(apart) = self.apart.get_mut(&facts.pool) else {
             return;
         };
--- a/crates/decide/src/work/job_facts.rs
+++ b/crates/decide/src/work/job_summary.rs
@@ -22,7 +22,7 @@
 
 /// What open jobs of a pool need, in thousandths of a core.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct PoolNeed {
+pub(super) struct CoreDemand {
     /// For what runs or could start now.
     pub(super) present: u64,
     /// For tasks that last.
@@ -71,14 +71,14 @@
 
 /// What the index knows of a job.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(super) struct JobFacts {
+pub(super) struct JobSummary {
     pub(super) pool: PoolId,
     pub(super) group: WaitingGroup,
     pub(super) waiting: Vec<WaitingStep>,
     pub(super) rerank: Option<BootTime>,
     /// Its queue, if it is open and has not begun.
     pub(super) pending: Option<CompactString>,
-    pub(super) need: PoolNeed,
+    pub(super) need: CoreDemand,
     pub(super) backlog: PoolBacklog,
     pub(super) doubt: ResourceVector,
     pub(super) apart: usize,
@@ -87,7 +87,7 @@
     pub(super) ended: Option<BootTime>,
 }
 
-impl JobFacts {
+impl JobSummary {
     pub(super) fn of(job: &WorkJob, terms: &FleetPolicy, now: BootTime) -> Self {
         let mut facts = Self {
             pool: job.pool.clone(),
--- a/crates/decide/src/work/job_board.rs
+++ b/crates/decide/src/work/job_table.rs
@@ -14,7 +14,7 @@
 };
 
 use super::{
-    StepState, TaskPlace, TaskState, TrackedMap, WorkJob, WorkPhase, plan_of_record,
+    StepState, TaskPlacement, TaskState, TrackedMap, WorkJob, WorkPhase, plan_of_record,
     target_state::RunKey,
 };
 
@@ -23,7 +23,7 @@
 
 /// All jobs that the log tells of.
 #[derive(Clone, Debug, Default)]
-pub struct JobBoard {
+pub struct JobTable {
     /// The jobs.
     pub jobs: TrackedMap<WorkJob>,
     /// Jobs that have something left to do.
@@ -40,7 +40,7 @@
     pub handed_over: bool,
 }
 
-impl JobBoard {
+impl JobTable {
     /// Takes an entry of the log in, on reading it back or once it is stored.
     ///
     /// `unix` and `boot` are the present times.
@@ -144,11 +144,11 @@
     }
 
     /// Where the task of a run is; `None` if no task is taken to be that run.
-    pub(super) fn place_of(&self, id: &HostId, run: &RunKey) -> Option<&TaskPlace> {
+    pub(super) fn place_of(&self, id: &HostId, run: &RunKey) -> Option<&TaskPlacement> {
         let (key, attempt) = run;
         let job = self.jobs.get(&key.job)?;
         let task = job.task(key.occurrence, key.step, key.index)?;
-        let there = |place: &&TaskPlace| place.target == *id && place.attempt == *attempt;
+        let there = |place: &&TaskPlacement| place.target == *id && place.attempt == *attempt;
         task.place.as_ref().filter(there)
     }
 
--- a/crates/decide/src/work/mod.rs
+++ b/crates/decide/src/work/mod.rs
@@ -5,6 +5,7 @@
 //! it returns orders; the crate `cell` carries them out. Ownership, fencing and the job log
 //! are argued in `docs/design/13-platform.md`.
 
+mod compacted_log;
 mod demand_meter;
 mod desk_admit;
 mod desk_advice;
@@ -24,40 +25,39 @@
 mod desk_tuning;
 mod host_moves;
 mod host_planner;
-mod host_spares;
+mod host_replacements;
 mod host_waves;
-mod job_board;
 mod job_entries;
-mod job_facts;
 mod job_index;
 mod job_record;
+mod job_summary;
+mod job_table;
 mod objective;
-mod pace;
 mod pick;
 mod ranked_steps;
 mod share_meter;
-mod short_log;
 mod start_forecast;
 mod step_key;
 mod target_index;
 mod target_state;
+mod throttle;
 mod tracked_map;
 mod work_desk;
 mod work_job;
 
+pub use compacted_log::CompactedLog;
 pub use demand_meter::DemandMeter;
 pub use desk_index::DeskEffort;
 pub use desk_order::{DeskEvent, DeskOrder, EndOrigin, PlaceInputs, RecordOrder};
 pub use desk_tuning::DeskTuning;
 pub use host_planner::{HostOrder, HostPlanner};
-pub use job_board::JobBoard;
 pub use job_record::{plan_of_record, record_of_plan};
+pub use job_table::JobTable;
 pub use objective::RankClass;
-pub use short_log::ShortLog;
 pub use start_forecast::StartForecast;
-pub use target_state::{HostVacancy, TargetLife, TargetState};
+pub use target_state::{HostDrainState, TargetIncarnation, TargetState};
 pub use tracked_map::TrackedMap;
 pub use work_desk::{DeskTime, WorkDesk};
 pub use work_job::{
-    OccurrenceState, PlacePhase, StepState, TaskPlace, TaskState, WorkJob, WorkPhase,
+    OccurrenceState, PlacementPhase, StepState, TaskPlacement, TaskState, WorkJob, WorkPhase,
 };
--- a/crates/decide/src/work/pick.rs
+++ b/crates/decide/src/work/pick.rs
@@ -5,14 +5,14 @@
     work::{ResourceVector, StepPlan},
 };
 
-use super::{PlacePhase, StepState, TargetState, TaskState};
+use super::{PlacementPhase, StepState, TargetState, TaskState};
 
 /// How long a task that failed waits for a target on which it has not. Beyond three seconds its
 /// caller would rightly ask why it does not run where there is room.
 pub(super) const FAILED_WAIT: Duration = Duration::from_millis(2400);
 
 /// What decides for a target, best first.
-type PickScore = (bool, bool, bool, u64, u64);
+type TargetScore = (bool, bool, bool, u64, u64);
 
 /// The best target for a task among those of its pool; `None` if none will do.
 ///
@@ -41,7 +41,7 @@
         .filter(|target| target.takes_tasks(now))
         .filter(|target| !others || !failed(target))
         .filter(|target| suits(plan, step, target, now));
-    let mut best: Option<(PickScore, &TargetState)> = None;
+    let mut best: Option<(TargetScore, &TargetState)> = None;
     for target in suiting {
         let score = score(plan, step, task, target);
         if best.as_ref().is_none_or(|(least, _)| score < *least) {
@@ -87,7 +87,7 @@
     let need = plan.footprint().plus(coming);
     let away = |task: &&TaskState| {
         let place = task.place.as_ref();
-        place.is_none_or(|place| matches!(place.phase, PlacePhase::Stopping(_)))
+        place.is_none_or(|place| matches!(place.phase, PlacementPhase::Stopping(_)))
     };
     let before = match plan.anti_affinity {
         0 => 0,
@@ -129,7 +129,7 @@
     u32::try_from(step.tasks.iter().filter(there).count()).unwrap_or(u32::MAX)
 }
 
-fn score(plan: &StepPlan, step: &StepState, task: &TaskState, target: &TargetState) -> PickScore {
+fn score(plan: &StepPlan, step: &StepState, task: &TaskState, target: &TargetState) -> TargetScore {
     let failed = task.failed_on.contains(&target.entry.target);
     let far = !plan.affinity.is_empty() && plan.affinity != target.entry.rack;
     let apart = plan.same_rack && off_rack(step, target);
--- a/crates/decide/src/work/start_forecast.rs
+++ b/crates/decide/src/work/start_forecast.rs
@@ -22,14 +22,14 @@
 /// holding room when its callers have gone.
 #[derive(Clone, Debug, Default)]
 pub struct StartForecast {
-    pools: BTreeMap<PoolId, PoolPace>,
+    pools: BTreeMap<PoolId, PoolStartRate>,
     /// Most starts a second that the owner's link carries; zero if nothing is known of it.
     link: f64,
 }
 
 /// How fast a pool starts what waits for it.
 #[derive(Clone, Debug, Default)]
-struct PoolPace {
+struct PoolStartRate {
     /// Since when tasks have waited without a break.
     busy_since: Option<BootTime>,
     /// Starts since a time, the newest last.
@@ -79,7 +79,7 @@
     Duration::from_secs_f64(seconds.min(MOST_WAIT.as_secs_f64()))
 }
 
-impl PoolPace {
+impl PoolStartRate {
     fn count(&mut self, now: BootTime) {
         let old = |(begun, _): &(BootTime, u32)| now.saturating_sub(*begun) > WINDOW;
         while self.slices.front().is_some_and(old) {
--- a/crates/decide/src/work/target_index.rs
+++ b/crates/decide/src/work/target_index.rs
@@ -9,14 +9,14 @@
     work::{ResourceVector, TargetMode},
 };
 
-use super::{HostVacancy, TargetState};
+use super::{HostDrainState, TargetState};
 
 /// Targets by what decisions ask for, so that none walks over all of them.
 ///
 /// It says nothing that the books of targets don't: it can be made anew from them at any time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct TargetIndex {
-    facts: HashMap<HostId, TargetFacts>,
+    facts: HashMap<HostId, TargetSummary>,
     pools: BTreeMap<PoolId, PoolTargets>,
     addresses: BTreeMap<CompactString, BTreeSet<HostId>>,
     /// When pauses end.
@@ -50,7 +50,7 @@
 
 /// What the index knows of a target.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct TargetFacts {
+struct TargetSummary {
     pool: PoolId,
     address: CompactString,
     free: ResourceVector,
@@ -69,14 +69,14 @@
     needless: bool,
 }
 
-impl TargetFacts {
+impl TargetSummary {
     fn of(target: &TargetState) -> Self {
         let unreached = target.inherited && !target.life.raised;
         Self {
             pool: target.entry.pool.clone(),
             address: target.entry.address.clone(),
             free: target.free(),
-            open: target.can_run() && target.vacancy == HostVacancy::None,
+            open: target.can_run() && target.vacancy == HostDrainState::None,
             paused_until: target.paused_until,
             listed: target.listed,
             raised: target.life.raised,
@@ -85,7 +85,7 @@
             unknown: unreached && !target.missed,
             failed: target.failed,
             emptying: target.entry.mode == TargetMode::Draining
-                || target.vacancy != HostVacancy::None,
+                || target.vacancy != HostDrainState::None,
             needless: !target.is_needed(),
         }
     }
@@ -126,7 +126,7 @@
         now: BootTime,
         due: &mut BTreeSet<PoolId>,
     ) -> bool {
-        let Some(new) = target.map(TargetFacts::of) else {
+        let Some(new) = target.map(TargetSummary::of) else {
             if let Some(old) = self.facts.remove(id) {
                 self.take_out(id, &old);
                 due.insert(old.pool);
@@ -229,7 +229,7 @@
     }
 
     /// Takes in that the room of a target has changed, and nothing else.
-    fn move_room(&mut self, id: &HostId, old: &TargetFacts, new: &TargetFacts) {
+    fn move_room(&mut self, id: &HostId, old: &TargetSummary, new: &TargetSummary) {
         let Some(pool) = self.pools.get_mut(&old.pool).filter(|_| old.open) else {
             return;
         };
@@ -239,7 +239,7 @@
         pool.by_memory.insert((new.free.memory_mb, id.clone()));
     }
 
-    fn put_in(&mut self, id: &HostId, facts: &TargetFacts, now: BootTime) {
+    fn put_in(&mut self, id: &HostId, facts: &TargetSummary, now: BootTime) {
         let pool = self.pools.entry(facts.pool.clone()).or_default();
         pool.all.insert(id.clone());
         if facts.open {
@@ -269,7 +269,7 @@
         self.reached += usize::from(facts.listed && facts.raised);
     }
 
-    fn take_out(&mut self, id: &HostId, facts: &TargetFacts) {
+    fn take_out(&mut self, id: &HostId, facts: &TargetSummary) {
         if let Some(pool) = self.pools.get_mut(&facts.pool) {
             pool.all.remove(id);
             pool.by_cpu.remove(&(facts.free.cpu, id.clone()));
--- a/crates/decide/src/work/target_state.rs
+++ b/crates/decide/src/work/target_state.rs
@@ -41,7 +41,7 @@
 
 /// What is known of the life that a target lives.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct TargetLife {
+pub struct TargetIncarnation {
     /// Counts the lives that this desk has seen.
     pub number: u64,
     /// When it began, as the target says; zero if unknown.
@@ -77,7 +77,7 @@
     /// recorded anew.
     pub missed: bool,
     /// Its life.
-    pub life: TargetLife,
+    pub life: TargetIncarnation,
     /// What may be there.
     pub claims: BTreeMap<RunKey, RunClaim>,
     /// Room that the claims take together.
@@ -102,14 +102,14 @@
     /// long after, also by a later life of the target, which knows nothing of their stops.
     pub doubts: Vec<(RunKey, BootTime)>,
     /// What its host is wanted for, which keeps it free of new tasks.
-    pub vacancy: HostVacancy,
+    pub vacancy: HostDrainState,
     /// How many lists of hosts in a row had no host with this life.
     pub lists_missed: u32,
 }
 
 /// Whether a target's host is kept free, for its maintenance or a move.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum HostVacancy {
+pub enum HostDrainState {
     /// It takes tasks.
     #[default]
     None,
@@ -123,11 +123,11 @@
     /// A target that the host list has begun to show.
     pub fn new(entry: TargetEntry, now: BootTime) -> Self {
         Self {
-            life: TargetLife {
+            life: TargetIncarnation {
                 number: 1,
                 born: entry.started_at,
                 since: now,
-                ..TargetLife::default()
+                ..TargetIncarnation::default()
             },
             entry,
             listed: true,
@@ -143,7 +143,7 @@
 
     /// True if a task may be started there now.
     pub fn takes_tasks(&self, now: BootTime) -> bool {
-        self.can_run() && self.vacancy == HostVacancy::None && now >= self.paused_until
+        self.can_run() && self.vacancy == HostDrainState::None && now >= self.paused_until
     }
 
     /// True if a task could run there, though other things speak against starting it.
@@ -152,7 +152,7 @@
             && self.recorded
             && self.life.raised
             && !self.silent
-            && self.vacancy != HostVacancy::Ordered
+            && self.vacancy != HostDrainState::Ordered
             && self.entry.mode == TargetMode::Ready
     }
 
@@ -222,11 +222,11 @@
         // The silence was the old life's; taken for the new one's, it would end that at once.
         self.silent = false;
         self.answered = now;
-        self.life = TargetLife {
+        self.life = TargetIncarnation {
             number: self.life.number + 1,
             born,
             since: now,
-            ..TargetLife::default()
+            ..TargetIncarnation::default()
         };
         self.used = ResourceVector::default();
         std::mem::take(&mut self.claims).into_iter().collect()
--- a/crates/decide/src/work/work_desk.rs
+++ b/crates/decide/src/work/work_desk.rs
@@ -11,7 +11,7 @@
 use wire::work::{JobPhase, JobRecord, LogEntry, TargetUse, log_entry::Event};
 
 use super::{
-    DeskEffort, DeskEvent, DeskOrder, DeskTuning, EndOrigin, HostVacancy, JobBoard, RecordOrder,
+    DeskEffort, DeskEvent, DeskOrder, DeskTuning, EndOrigin, HostDrainState, JobTable, RecordOrder,
     StartForecast, TargetState, WorkJob, WorkPhase, desk_evacuate::StrandedTask,
     desk_index::DeskIndex, share_meter::ShareMeter, step_key::StepKey, target_state::RunKey,
     tracked_map::TrackedMap,
@@ -40,7 +40,7 @@
     /// What operators ask for.
     pub terms: Arc<FleetPolicy>,
     /// The jobs.
-    pub board: JobBoard,
+    pub board: JobTable,
     /// The targets.
     pub targets: TrackedMap<TargetState>,
     pub(super) index: DeskIndex,
@@ -67,7 +67,7 @@
     pub(super) starved: BTreeMap<StepKey, BootTime>,
     /// Targets that are kept free, also those that are not listed yet: the list of hosts may tell of
     /// a life first, and its host be ordered. Tasks that it were given meanwhile would end.
-    pub(super) vacancies: BTreeMap<HostId, HostVacancy>,
+    pub(super) vacancies: BTreeMap<HostId, HostDrainState>,
     /// Of each pool a task that has to leave its host and has no other to go to.
     pub(super) stranded: BTreeMap<PoolId, StrandedTask>,
     /// When waits for another target end, of tasks that failed; the earliest first.
--- a/crates/decide/src/work/work_job.rs
+++ b/crates/decide/src/work/work_job.rs
@@ -103,18 +103,18 @@
     /// Number of its last start by this owner; 0 for none.
     pub last_attempt: AttemptNumber,
     /// Where it is; `None` while it waits or when it is done.
-    pub place: Option<TaskPlace>,
+    pub place: Option<TaskPlacement>,
 }
 
 /// A task on a target.
 #[derive(Clone, Debug, Default)]
-pub struct TaskPlace {
+pub struct TaskPlacement {
     /// The target.
     pub target: HostId,
     /// Number of the start.
     pub attempt: AttemptNumber,
     /// What is known of it.
-    pub phase: PlacePhase,
+    pub phase: PlacementPhase,
     /// When that became known.
     pub since: BootTime,
     /// When a stop that may be carried out late was last under way; zero for none.
@@ -133,7 +133,7 @@
 
 /// What is known of a task on a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum PlacePhase {
+pub enum PlacementPhase {
     /// The start is under way.
     #[default]
     Starting,
@@ -145,7 +145,7 @@
     Stopping(bool),
 }
 
-impl TaskPlace {
+impl TaskPlacement {
     /// A task whose start on a target is under way.
     pub fn new(target: &HostId, attempt: AttemptNumber, now: BootTime) -> Self {
         Self {
@@ -173,7 +173,7 @@
     }
 
     /// Takes a task to be on a target.
-    pub fn place(&mut self, index: u32, place: TaskPlace) {
+    pub fn place(&mut self, index: u32, place: TaskPlacement) {
         if let Some(task) = self.tasks.get_mut(index as usize) {
             task.last_attempt = task.last_attempt.max(place.attempt);
             task.place = Some(place);
--- a/crates/decide/tests/desk/scene.rs
+++ b/crates/decide/tests/desk/scene.rs
@@ -1,6 +1,6 @@
 use std::{sync::Arc, time::Duration};
 
-use decide::work::{DeskOrder, DeskTime, DeskTuning, HostVacancy, WorkDesk, record_of_plan};
+use decide::work::{DeskOrder, DeskTime, DeskTuning, HostDrainState, WorkDesk, record_of_plan};
 use model::{
     BootTime, HostId,
     work::{
@@ -196,7 +196,7 @@
     /// Begins to empty a target's host.
     pub fn empty(&mut self, id: &str) {
         if let Some(target) = self.desk.targets.get_mut(id) {
-            target.vacancy = HostVacancy::Emptying;
+            target.vacancy = HostDrainState::Emptying;
         }
     }
 
--- a/crates/decide/tests/desk/world_call.rs
+++ b/crates/decide/tests/desk/world_call.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use decide::work::PlacePhase;
+use decide::work::PlacementPhase;
 use model::{
     BootTime, HostId,
     work::{
@@ -341,6 +341,6 @@
     let place = task.and_then(|task| task.place.as_ref());
     place.is_some_and(|place| {
         let same = place.target == *name && place.attempt == start.attempt;
-        same && place.phase == PlacePhase::Starting
+        same && place.phase == PlacementPhase::Starting
     })
 }
--- a/crates/decide/tests/work_board.rs
+++ b/crates/decide/tests/work_board.rs
@@ -4,14 +4,14 @@
 
 use std::time::Duration;
 
-use decide::work::{JobBoard, WorkPhase};
+use decide::work::{JobTable, WorkPhase};
 use desk::{DeskScene, ended, plan, step};
 use model::work::{EndKind, RepeatPlan, StepPlan};
 use rstest::rstest;
 use wire::work::LogEntry;
 
-fn board_of(entries: &[LogEntry]) -> JobBoard {
-    let mut board = JobBoard::default();
+fn board_of(entries: &[LogEntry]) -> JobTable {
+    let mut board = JobTable::default();
     for entry in entries {
         board.apply(
             entry,
@@ -23,7 +23,7 @@
 }
 
 /// What matters of a board, in a form that can be compared.
-fn summary(board: &JobBoard) -> String {
+fn summary(board: &JobTable) -> String {
     let jobs: Vec<String> = board
         .jobs
         .values()
--- a/crates/decide/tests/work_log.rs
+++ b/crates/decide/tests/work_log.rs
@@ -2,7 +2,7 @@
 
 use std::cell::Cell;
 
-use decide::work::ShortLog;
+use decide::work::CompactedLog;
 use prost::Message;
 use wire::work::{LogEntry, LogPage, log_entry::Event};
 
@@ -27,7 +27,8 @@
 /// Guards against an entry that is lost between two pages, or a page above the limit.
 #[test]
 fn pack_keeps_entries() {
-    let ShortLog::Pages(pages) = ShortLog::pack(entries(), PAGE_BYTES, usize::MAX, encode) else {
+    let CompactedLog::Pages(pages) = CompactedLog::pack(entries(), PAGE_BYTES, usize::MAX, encode)
+    else {
         panic!("too long");
     };
     let decoded = pages.iter().map(|page| LogPage::decode(page.as_slice()));
@@ -46,8 +47,8 @@
         encode(part)
     };
     let whole: usize = entries().iter().map(Message::encoded_len).sum();
-    let log = ShortLog::pack(entries(), PAGE_BYTES, 2 * PAGE_BYTES, pack);
-    let ShortLog::Long(bytes) = log else {
+    let log = CompactedLog::pack(entries(), PAGE_BYTES, 2 * PAGE_BYTES, pack);
+    let CompactedLog::Long(bytes) = log else {
         panic!("{log:?}");
     };
     assert!(packed.get() <= 3, "{} pages", packed.get());
@@ -57,8 +58,8 @@
 /// Guards against an empty page before an entry that is longer than a page.
 #[test]
 fn pack_of_long_entry_begins_with_it() {
-    let pages = ShortLog::pack(entries(), 1, usize::MAX, encode);
-    let ShortLog::Pages(pages) = pages else {
+    let pages = CompactedLog::pack(entries(), 1, usize::MAX, encode);
+    let CompactedLog::Pages(pages) = pages else {
         panic!("too long");
     };
     assert_eq!(pages.len(), entries().len());
@@ -67,6 +68,6 @@
 /// Guards against a log without entries that takes no page, so that the old pages never go.
 #[test]
 fn pack_of_nothing_is_a_page() {
-    let log = ShortLog::pack(Vec::new(), PAGE_BYTES, 0, encode);
-    assert_eq!(log, ShortLog::Pages(vec![Vec::new()]));
+    let log = CompactedLog::pack(Vec::new(), PAGE_BYTES, 0, encode);
+    assert_eq!(log, CompactedLog::Pages(vec![Vec::new()]));
 }
--- a/crates/fleet/src/held_job.rs
+++ b/crates/fleet/src/held_job.rs
@@ -46,7 +46,7 @@
 }
 
 /// The recorded states of the jobs that this entry host holds, for looking them up.
-pub(crate) type JobBoard = Arc<Mutex<BTreeMap<JobId, JobState>>>;
+pub(crate) type JobTable = Arc<Mutex<BTreeMap<JobId, JobState>>>;
 
 /// What a caller sees of a job.
 pub(crate) fn view_of(state: &JobState) -> JobView {
--- a/crates/fleet/src/job_desk.rs
+++ b/crates/fleet/src/job_desk.rs
@@ -15,7 +15,7 @@
 use crate::{
     JobLog,
     fleet_shared::FleetShared,
-    held_job::{JobBoard, view_of},
+    held_job::{JobTable, view_of},
     holder_order::{JobOrder, ReplySender},
 };
 
@@ -39,7 +39,7 @@
 pub(crate) struct JobDesk {
     pub(crate) shared: Arc<FleetShared>,
     pub(crate) routes: HolderRoutes,
-    pub(crate) board: JobBoard,
+    pub(crate) board: JobTable,
     foreign: Mutex<BTreeMap<String, ForeignLog>>,
     cancels: Mutex<BTreeMap<String, CancelWave>>,
 }
@@ -57,7 +57,7 @@
         Self {
             shared,
             routes: Mutex::default(),
-            board: JobBoard::default(),
+            board: JobTable::default(),
             foreign: Mutex::default(),
             cancels: Mutex::default(),
         }
--- a/crates/fleet/src/job_holder.rs
+++ b/crates/fleet/src/job_holder.rs
@@ -15,7 +15,7 @@
 use crate::{
     JobLog,
     fleet_shared::FleetShared,
-    held_job::{HeldJob, JobBoard},
+    held_job::{HeldJob, JobTable},
     holder_order::{JobOrder, ReplySender},
     job_call::{CallReply, WorkerCall},
     pending_flush::PendingFlush,
@@ -62,7 +62,7 @@
     pub(crate) timing: JobTiming,
     pub(crate) policy: JobPolicy,
     pub(crate) log: JobLog,
-    pub(crate) board: JobBoard,
+    pub(crate) board: JobTable,
     pub(crate) jobs: BTreeMap<JobId, HeldJob>,
     /// Waiting jobs by team, in order of acceptance.
     pub(crate) queues: BTreeMap<TeamId, BTreeSet<(Duration, JobId)>>,
@@ -94,7 +94,7 @@
     pub(crate) fn new(
         shared: Arc<FleetShared>,
         log: JobLog,
-        board: JobBoard,
+        board: JobTable,
         calls: Sender<WorkerCall>,
     ) -> Self {
         let (reply_sender, replies) = crossbeam_channel::bounded(REPLY_QUEUE);
