--- a/crates/cell/src/host_loop.rs
+++ b/crates/cell/src/host_loop.rs
@@ -1,6 +1,6 @@
 use std::{rc::Rc, time::Duration};
 
-use decide::{call_budget::ListPace, work::HostOrder};
+use decide::{call_budget::ListThrottle, work::HostOrder};
 use model::{
     BootTime, event as log_event,
     work::{HostOrderAnswer, OrderSender, WaveId},
@@ -34,7 +34,7 @@
 pub(crate) async fn manage_hosts(term: Rc<Term>) {
     let begin = term.now().boot;
     let mut listed = BootTime::ZERO;
-    let mut pace = ListPace::default();
+    let mut pace = ListThrottle::default();
     let mut ticks = interval(PLAN_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -53,7 +53,7 @@
         if now.saturating_sub(listed) >= every && pace.admits(now) {
             listed = now;
             list_hosts(&term).await;
-            pace.listed(now, term.now().boot.saturating_sub(now));
+            pace.record_list(now, term.now().boot.saturating_sub(now));
         }
         plan_hosts(&term);
         publish_wave_states(&term).await;
--- a/crates/cell/src/term.rs
+++ b/crates/cell/src/term.rs
@@ -9,7 +9,7 @@
 };
 
 use decide::{
-    link_bounds::most_starts,
+    link_bounds::max_starts_per_second,
     work::{DeskTime, HostPlanner, WorkDesk},
 };
 use link::ShutdownSignal;
@@ -121,7 +121,9 @@
             log_cache,
         } = context;
         let mut scheduler = WorkDesk::new(options.scheduler, won.token);
-        scheduler.set_link(most_starts(options.limits.link_bytes_per_second()));
+        scheduler.set_link(max_starts_per_second(
+            options.limits.link_bytes_per_second(),
+        ));
         let valid_until = won.sent + options.owner_lease - LEASE_MARGIN;
         let call_limiter = CallLimiter::new(options.limits.link_bytes_per_second());
         Rc::new(Self {
--- a/crates/decide/examples/maintenance_plan.rs
+++ b/crates/decide/examples/maintenance_plan.rs
@@ -8,7 +8,7 @@
 
 use decide::{
     budget::{FleetMap, HostFacts, HostPhase, HostState, PoolLedger},
-    wave::{FleetLimits, HealthSight, HostSighting, RoundPlan, RoundView},
+    wave::{FleetLimits, HealthStatus, HostObservation, RoundInput, RoundPlan},
 };
 use model::{HostId, HostRole, Manifest, PoolId, PoolSpec, WindowSpec};
 
@@ -105,7 +105,7 @@
     /// Time that the budgets alone allow, if a pool's next hosts go out at once.
     fn lower_bound(&self) -> Duration {
         let turns = |size: &u32| {
-            let out = PoolLedger::most_out(&self.spec(*size), self.at_once);
+            let out = PoolLedger::max_out(&self.spec(*size), self.at_once);
             size.div_ceil(out.max(1))
         };
         let turns = self.sizes.iter().map(turns).max().unwrap_or_default();
@@ -151,17 +151,17 @@
     }
 
     fn round(&mut self) -> bool {
-        let sightings: BTreeMap<HostId, HostSighting> = self
+        let observations: BTreeMap<HostId, HostObservation> = self
             .map
             .hosts
             .iter()
-            .map(|(host, state)| (host.clone(), self.sighting(state)))
+            .map(|(host, state)| (host.clone(), self.observation(state)))
             .collect();
-        let plan = RoundPlan::make(&RoundView {
+        let plan = RoundPlan::plan(&RoundInput {
             now: self.now,
             map: &self.map,
             manifest: &self.manifest,
-            sightings: &sightings,
+            observations: &observations,
             list_fresh: true,
             limits: &self.limits,
         });
@@ -175,24 +175,24 @@
         true
     }
 
-    fn sighting(&self, state: &HostState) -> HostSighting {
+    fn observation(&self, state: &HostState) -> HostObservation {
         let stay = self.now - state.since;
         let health = match state.phase {
-            HostPhase::Draining => HealthSight::Answering {
+            HostPhase::Draining => HealthStatus::Answering {
                 draining: true,
                 running: u32::from(stay < self.plan.drain),
             },
-            HostPhase::Rebooting if stay < self.plan.reboot => HealthSight::Unknown,
-            _ => HealthSight::Answering {
+            HostPhase::Rebooting if stay < self.plan.reboot => HealthStatus::Unknown,
+            _ => HealthStatus::Answering {
                 draining: false,
                 running: 1,
             },
         };
-        HostSighting {
+        HostObservation {
             facts: Some(state.facts.clone()),
             health,
-            asked_in: state.stay(),
-            ..HostSighting::default()
+            probed_in: state.phase_entry(),
+            ..HostObservation::default()
         }
     }
 
--- a/crates/decide/examples/share_bench/main.rs
+++ b/crates/decide/examples/share_bench/main.rs
@@ -12,7 +12,7 @@
 
 use decide::share::{
     BrokerOptions, HolderDemand, HolderOptions, PickOptions, PoolOffer, SlotBroker, SlotHolder,
-    TeamLoad, TeamTurn, pick,
+    TeamLoad, TeamTurn, pick_next_team,
 };
 use model::{HostId, MemberId, PoolId, TeamId};
 use outcome::{Outcome, print_row};
@@ -183,7 +183,7 @@
                 .max();
             turns.push(turn(team, used / weight, queued, urgent));
         }
-        let Some(team) = pick(&turns, &PickOptions::default()) else {
+        let Some(team) = pick_next_team(&turns, &PickOptions::default()) else {
             return;
         };
         let oldest = |host: &&mut HostModel| {
@@ -244,7 +244,7 @@
             .map(|_| SlotHolder::new(1, HolderOptions::default()))
             .collect();
         for (index, holder) in holders.iter_mut().enumerate() {
-            holder.touch(&pool);
+            holder.mark_demand_changed(&pool);
             broker.open(Duration::ZERO, &member(index), 0, HolderDemand::default());
         }
         Self {
@@ -262,7 +262,7 @@
                 continue;
             }
             let at = Duration::from_millis(now);
-            let (round, _) = self.holders[index].ask(at);
+            let (round, _) = self.holders[index].begin_round(at);
             let id = member(index);
             let teams = (0..WEIGHTS.len()).map(|team| host.load(team));
             let demand = HolderDemand {
@@ -285,7 +285,7 @@
                 outcome.send(10.0 * (offer.targets.len() + offer.teams.len()) as f64);
             }
             host.take_offer(&offer);
-            self.holders[index].apply(1, round, vec![(self.pool.clone(), offer)]);
+            self.holders[index].apply_grant(1, round, vec![(self.pool.clone(), offer)]);
         }
     }
 }
@@ -317,7 +317,7 @@
                     turn(team, self.told[team] + own, self.queues[team].len(), urgent)
                 })
                 .collect();
-            let Some(team) = pick(&turns, &PickOptions::default()) else {
+            let Some(team) = pick_next_team(&turns, &PickOptions::default()) else {
                 return;
             };
             self.start_team(team, now, outcome);
--- a/crates/decide/src/budget/host_state.rs
+++ b/crates/decide/src/budget/host_state.rs
@@ -80,7 +80,7 @@
     }
 
     /// Its stay in the phase it is in, which no other stay of it equals.
-    pub fn stay(&self) -> (HostPhase, Duration) {
+    pub fn phase_entry(&self) -> (HostPhase, Duration) {
         (self.phase, self.since)
     }
 
--- a/crates/decide/src/budget/pool_ledger.rs
+++ b/crates/decide/src/budget/pool_ledger.rs
@@ -62,7 +62,7 @@
     }
 
     /// Most hosts that `spec` and a window let out at once.
-    pub fn most_out(spec: &PoolSpec, at_once: u32) -> u32 {
+    pub fn max_out(spec: &PoolSpec, at_once: u32) -> u32 {
         let slack = spec.size.saturating_sub(spec.budget);
         at_once.min(slack.saturating_sub(Self::reserve(spec)))
     }
--- a/crates/decide/src/call_budget.rs
+++ b/crates/decide/src/call_budget.rs
@@ -9,23 +9,23 @@
 /// Bytes that a short call takes of a link together with its answer, on average.
 const CALL_BYTES: f64 = 1500.0;
 /// How long the calls under way may keep the link busy at first.
-const FIRST_FILL: Duration = Duration::from_millis(100);
+const INITIAL_FILL: Duration = Duration::from_millis(100);
 /// How long they may keep it busy at most.
-const MOST_FILL: Duration = Duration::from_millis(250);
+const MAX_FILL: Duration = Duration::from_millis(250);
 /// Least part of the first limit that is left when answers come late.
-const LEAST_PART: f64 = 0.4;
+const MIN_LIMIT_FACTOR: f64 = 0.4;
 /// Calls that may be under way on the narrowest link.
-const LEAST_CALLS: f64 = 4.0;
+const MIN_CALLS: f64 = 4.0;
 /// Answers that take longer are late: something on the way holds them back.
-const LATE: Duration = Duration::from_millis(150);
+const LATE_AFTER: Duration = Duration::from_millis(150);
 /// What is left of the limit after a late answer.
-const LATE_PART: f64 = 0.7;
+const LATE_DECREASE: f64 = 0.7;
 /// Least time between two such steps, as calls that were sent together are late together.
-const STEP_EVERY: Duration = Duration::from_millis(200);
+const DECREASE_INTERVAL: Duration = Duration::from_millis(200);
 /// Lists of hosts are under way for at most one such part of the time.
-const LIST_PARTS: u32 = 6;
+const LIST_SPACING_FACTOR: u32 = 6;
 /// Longest time that one list is counted for.
-const LONGEST_LIST: Duration = Duration::from_millis(300);
+const MAX_LIST_TIME: Duration = Duration::from_millis(300);
 
 /// What a call to a target is for, in the order in which calls go ahead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -38,18 +38,18 @@
     /// Starts a task.
     Start,
     /// Looks at a target.
-    Look,
+    Poll,
     /// Looks at a target that did not answer the last call.
     Probe,
 }
 
 impl CallClass {
     /// Part of the limit up to which calls of this class go ahead.
-    fn part(self) -> f64 {
+    fn limit_fraction(self) -> f64 {
         match self {
             Self::Stop => f64::INFINITY,
             Self::Renew | Self::Start => 1.0,
-            Self::Look => 0.75,
+            Self::Poll => 0.75,
             Self::Probe => 0.25,
         }
     }
@@ -62,11 +62,11 @@
 /// renewals of the owner's lease wait behind them.
 #[derive(Clone, Debug)]
 pub struct CallBudget {
-    first_limit: f64,
-    most_limit: f64,
+    initial_limit: f64,
+    max_limit: f64,
     limit: f64,
-    stepped: BootTime,
-    under_way: f64,
+    decreased_at: BootTime,
+    in_flight: f64,
     /// Calls under way to targets that did not answer the last. They may last until they time out
     /// and take nothing of the link, so they have a part of their own.
     probes: f64,
@@ -76,30 +76,30 @@
     /// The budget of an owner whose link carries so many bytes a second.
     pub fn new(bytes_per_second: f64) -> Self {
         let calls = |fill: Duration| bytes_per_second * fill.as_secs_f64() / CALL_BYTES;
-        let first_limit = calls(FIRST_FILL).max(LEAST_CALLS);
+        let initial_limit = calls(INITIAL_FILL).max(MIN_CALLS);
         Self {
-            first_limit,
-            most_limit: calls(MOST_FILL).max(first_limit),
-            limit: first_limit,
-            stepped: BootTime::ZERO,
-            under_way: 0.0,
+            initial_limit,
+            max_limit: calls(MAX_FILL).max(initial_limit),
+            limit: initial_limit,
+            decreased_at: BootTime::ZERO,
+            in_flight: 0.0,
             probes: 0.0,
         }
     }
 
     /// True if a call may be sent now.
     pub fn admits(&self, class: CallClass) -> bool {
-        let most = (self.limit * class.part()).max(1.0);
+        let most = (self.limit * class.limit_fraction()).max(1.0);
         let used = match class {
             CallClass::Probe => self.probes,
-            _ => self.under_way,
+            _ => self.in_flight,
         };
         used + 1.0 <= most
     }
 
     /// A call is sent.
     pub fn begin(&mut self, class: CallClass) {
-        *self.used(class) += 1.0;
+        *self.in_flight_mut(class) += 1.0;
     }
 
     /// A call was answered or given up, so long after its sending.
@@ -109,25 +109,25 @@
         if class == CallClass::Probe {
             return;
         }
-        if took < LATE {
-            self.limit = (self.limit + 1.0 / self.limit).min(self.most_limit);
-        } else if now.saturating_sub(self.stepped) >= STEP_EVERY {
-            self.stepped = now;
-            let least = (self.first_limit * LEAST_PART).max(LEAST_CALLS);
-            self.limit = (self.limit * LATE_PART).max(least);
+        if took < LATE_AFTER {
+            self.limit = (self.limit + 1.0 / self.limit).min(self.max_limit);
+        } else if now.saturating_sub(self.decreased_at) >= DECREASE_INTERVAL {
+            self.decreased_at = now;
+            let least = (self.initial_limit * MIN_LIMIT_FACTOR).max(MIN_CALLS);
+            self.limit = (self.limit * LATE_DECREASE).max(least);
         }
     }
 
     /// A call is under way whose answer comes when the target has something to tell.
     pub fn release(&mut self, class: CallClass) {
-        let used = self.used(class);
+        let used = self.in_flight_mut(class);
         *used = (*used - 1.0).max(0.0);
     }
 
-    fn used(&mut self, class: CallClass) -> &mut f64 {
+    fn in_flight_mut(&mut self, class: CallClass) -> &mut f64 {
         match class {
             CallClass::Probe => &mut self.probes,
-            _ => &mut self.under_way,
+            _ => &mut self.in_flight,
         }
     }
 }
@@ -137,23 +137,23 @@
 /// A list grows with the fleet. On a narrow link one list after the other leaves no room for the
 /// renewals of the owner's lease.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ListPace {
+pub struct ListThrottle {
     /// Up to when lists have used their part of the time.
-    used_until: BootTime,
-    /// How long before that the next list may begin: two in a row show that a life has ended.
-    ahead: Duration,
+    busy_until: BootTime,
+    /// How long before that the next list may begin: two in a row show that a incarnation has ended.
+    lead: Duration,
 }
 
-impl ListPace {
+impl ListThrottle {
     /// True if the hosts may be listed now.
     pub fn admits(&self, now: BootTime) -> bool {
-        now + self.ahead >= self.used_until
+        now + self.lead >= self.busy_until
     }
 
     /// A list that began at `begun` took so long.
-    pub fn listed(&mut self, begun: BootTime, took: Duration) {
-        let part = took.min(LONGEST_LIST) * LIST_PARTS;
-        self.used_until = self.used_until.max(begun) + part;
-        self.ahead = part;
+    pub fn record_list(&mut self, begun: BootTime, took: Duration) {
+        let part = took.min(MAX_LIST_TIME) * LIST_SPACING_FACTOR;
+        self.busy_until = self.busy_until.max(begun) + part;
+        self.lead = part;
     }
 }
--- a/crates/decide/src/claim.rs
+++ b/crates/decide/src/claim.rs
@@ -7,14 +7,14 @@
 use model::{Incarnation, MemberId, RequestId, TeamId};
 
 /// How many granted claims are remembered for a repeated question.
-const GRANT_MEMORY: usize = 1024;
+const MAX_REMEMBERED_GRANTS: usize = 1024;
 
-/// A request id taken apart: the host that minted it, which life of it, and a count.
+/// A request id taken apart: the host that minted it, which incarnation of it, and a count.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MintedId {
     /// The host that minted the id: its home.
     pub home: MemberId,
-    /// Which life of the home.
+    /// Which incarnation of the home.
     pub incarnation: Incarnation,
     /// Count of the home's ids.
     pub counter: u64,
@@ -45,10 +45,10 @@
 
 /// Who asks to run a request; a repeated question carries the same values.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ClaimAsker {
+pub struct Claimant {
     /// The entry host that asks.
     pub member: MemberId,
-    /// Which life of it.
+    /// Which incarnation of it.
     pub incarnation: Incarnation,
     /// Its count of claims.
     pub call: u64,
@@ -67,10 +67,10 @@
 struct GrantedClaim {
     counter: u64,
     team: TeamId,
-    asker: ClaimAsker,
+    asker: Claimant,
 }
 
-/// The ids that one life of an entry host minted and that may still run.
+/// The ids that one incarnation of an entry host minted and that may still run.
 ///
 /// An id runs only while it is in `open`, and claiming takes it out. Whatever the ledger
 /// does not hold, because it was claimed, pushed out by newer ids, or never minted, does
@@ -99,13 +99,13 @@
         if self.open.len() >= self.capacity {
             self.open.pop_first();
         }
-        let counter = self.mint_spent();
+        let counter = self.mint_claimed();
         self.open.insert(counter, team.clone());
         counter
     }
 
     /// A fresh id that nobody can claim: its one run is under way where it was minted.
-    pub fn mint_spent(&mut self) -> u64 {
+    pub fn mint_claimed(&mut self) -> u64 {
         let counter = self.next;
         self.next += 1;
         counter
@@ -113,7 +113,7 @@
 
     /// Claims an id. At most one asker ever gets `First` for it; that asker may repeat its
     /// question, since an answer can be lost on the way.
-    pub fn claim(&mut self, counter: u64, team: &TeamId, asker: &ClaimAsker) -> ClaimGrant {
+    pub fn claim(&mut self, counter: u64, team: &TeamId, asker: &Claimant) -> ClaimGrant {
         if self.open.get(&counter).is_some_and(|owner| owner == team) {
             self.open.remove(&counter);
             self.remember(GrantedClaim {
@@ -145,7 +145,7 @@
     }
 
     fn remember(&mut self, grant: GrantedClaim) {
-        if self.granted.len() >= GRANT_MEMORY {
+        if self.granted.len() >= MAX_REMEMBERED_GRANTS {
             self.granted.pop_front();
         }
         self.granted.push_back(grant);
--- a/crates/decide/src/config.rs
+++ b/crates/decide/src/config.rs
@@ -8,4 +8,4 @@
 mod state;
 
 pub use plan::{ChangePlan, ConfigLimits, ConfigWrite, PlanInput, plan_change};
-pub use state::{CatchUp, ConfigFault, ConfigState};
+pub use state::{CatchUp, ConfigError, ConfigState};
--- a/crates/decide/src/config/plan.rs
+++ b/crates/decide/src/config/plan.rs
@@ -105,10 +105,10 @@
     {
         return ChangePlan::Invalid(error.to_string());
     }
-    write_plan(record, change, next, limits)
+    plan_write(record, change, next, limits)
 }
 
-fn write_plan(
+fn plan_write(
     record: &ConfigRecord,
     change: Change,
     next: ConfigState,
--- a/crates/decide/src/config/state.rs
+++ b/crates/decide/src/config/state.rs
@@ -7,11 +7,11 @@
 };
 
 /// Change ids that are remembered beyond the tail.
-const MARK_LENGTH: usize = 1024;
+const MAX_MARKS: usize = 1024;
 
 /// Why a change or a record can't be taken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ConfigFault {
+pub enum ConfigError {
     /// The change does not follow on the revision held.
     #[error("change {found} does not follow revision {held}")]
     Gap {
@@ -124,17 +124,17 @@
     ///
     /// # Errors
     /// If the change does not follow, or its hash is not that of the result.
-    pub fn apply(&mut self, change: &Change) -> Result<(), ConfigFault> {
+    pub fn apply(&mut self, change: &Change) -> Result<(), ConfigError> {
         if change.revision != self.revision + 1 {
-            return Err(ConfigFault::Gap {
+            return Err(ConfigError::Gap {
                 held: self.revision,
                 found: change.revision,
             });
         }
         let mut next = self.clone();
-        next.edit(change);
+        next.apply_edits(change);
         if next.hash != change.hash {
-            return Err(ConfigFault::Diverged(change.revision));
+            return Err(ConfigError::Diverged(change.revision));
         }
         *self = next;
         Ok(())
@@ -145,7 +145,7 @@
     pub fn draft(&self, mut change: Change) -> (Change, Self) {
         let mut next = self.clone();
         change.revision = self.revision + 1;
-        next.edit(&change);
+        next.apply_edits(&change);
         change.hash = next.hash;
         (change, next)
     }
@@ -153,8 +153,8 @@
     /// Applies those of `changes` that follow, in order.
     ///
     /// # Errors
-    /// See [`ConfigFault`].
-    pub fn apply_tail(&self, changes: &[Change]) -> Result<CatchUp, ConfigFault> {
+    /// See [`ConfigError`].
+    pub fn apply_tail(&self, changes: &[Change]) -> Result<CatchUp, ConfigError> {
         let newest = changes.last().map_or(0, |change| change.revision);
         if newest <= self.revision {
             return Ok(CatchUp::Same);
@@ -175,34 +175,34 @@
     ///
     /// # Errors
     /// `BaseNeeded` if the tail does not reach back far enough.
-    pub fn follow(
+    pub fn follow_record(
         &self,
         record: &ConfigRecord,
         base: Option<&ConfigBase>,
-    ) -> Result<CatchUp, ConfigFault> {
+    ) -> Result<CatchUp, ConfigError> {
         if record.revision < self.revision {
             return Ok(CatchUp::Stale);
         }
         if record.revision == self.revision {
             if record.revision > 0 && record.hash != self.hash {
-                return Err(ConfigFault::Diverged(record.revision));
+                return Err(ConfigError::Diverged(record.revision));
             }
             return Ok(CatchUp::Same);
         }
         let next = match self.apply_tail(&record.tail) {
             Ok(CatchUp::Newer(next)) => next,
-            Ok(_) | Err(ConfigFault::Gap { .. }) => Self::from_record(record, base)?,
+            Ok(_) | Err(ConfigError::Gap { .. }) => Self::from_record(record, base)?,
             Err(fault) => return Err(fault),
         };
         if (next.revision, next.hash) != (record.revision, record.hash) {
-            return Err(ConfigFault::Diverged(record.revision));
+            return Err(ConfigError::Diverged(record.revision));
         }
         Ok(CatchUp::Newer(next))
     }
 
-    fn from_record(record: &ConfigRecord, base: Option<&ConfigBase>) -> Result<Self, ConfigFault> {
+    fn from_record(record: &ConfigRecord, base: Option<&ConfigBase>) -> Result<Self, ConfigError> {
         let Some(base) = base.filter(|base| base.revision == record.base_revision) else {
-            return Err(ConfigFault::BaseNeeded(record.base_key.clone()));
+            return Err(ConfigError::BaseNeeded(record.base_key.clone()));
         };
         let state = Self::from_base(base);
         match state.apply_tail(&record.tail)? {
@@ -211,7 +211,7 @@
         }
     }
 
-    fn edit(&mut self, change: &Change) {
+    fn apply_edits(&mut self, change: &Change) {
         for edit in &change.sections {
             if edit.text.is_empty() {
                 self.sections.remove(&edit.section);
@@ -233,7 +233,7 @@
         self.hash = self.digest();
         let id = ChangeId::from(change.change_id.as_str());
         self.marks.push_back((id, change.revision));
-        if self.marks.len() > MARK_LENGTH {
+        if self.marks.len() > MAX_MARKS {
             self.marks.pop_front();
         }
     }
@@ -242,13 +242,13 @@
     fn digest(&self) -> u64 {
         let mut hasher = Sha256::new();
         for (section, text) in &self.sections {
-            feed(&mut hasher, section.as_bytes());
-            feed(&mut hasher, text.as_bytes());
+            hash_part(&mut hasher, section.as_bytes());
+            hash_part(&mut hasher, text.as_bytes());
         }
-        feed(&mut hasher, &[]);
+        hash_part(&mut hasher, &[]);
         for (key, record) in &self.keys {
-            feed(&mut hasher, key.as_bytes());
-            feed_key(&mut hasher, record);
+            hash_part(&mut hasher, key.as_bytes());
+            hash_key(&mut hasher, record);
         }
         let digest = hasher.finalize();
         digest[..8]
@@ -258,17 +258,17 @@
 }
 
 /// Feeds the fields one by one: hosts of a later schema hash what hosts of this one see.
-fn feed_key(hasher: &mut Sha256, record: &KeyRecord) {
-    feed(hasher, record.team.as_bytes());
-    feed(hasher, &[u8::from(record.admin)]);
-    feed(hasher, &record.salt);
-    feed(hasher, &record.digest);
-    feed(hasher, &record.granted_unix_ms.to_be_bytes());
-    feed(hasher, &record.expires_unix_ms.to_be_bytes());
+fn hash_key(hasher: &mut Sha256, record: &KeyRecord) {
+    hash_part(hasher, record.team.as_bytes());
+    hash_part(hasher, &[u8::from(record.admin)]);
+    hash_part(hasher, &record.salt);
+    hash_part(hasher, &record.digest);
+    hash_part(hasher, &record.granted_unix_ms.to_be_bytes());
+    hash_part(hasher, &record.expires_unix_ms.to_be_bytes());
 }
 
 /// Feeds a part with its length, so that no two lists of parts look alike.
-fn feed(hasher: &mut Sha256, part: &[u8]) {
+fn hash_part(hasher: &mut Sha256, part: &[u8]) {
     hasher.update((part.len() as u64).to_be_bytes());
     hasher.update(part);
 }
--- a/crates/decide/src/eject.rs
+++ b/crates/decide/src/eject.rs
@@ -7,7 +7,7 @@
 use model::BootTime;
 
 /// Failures in a row after which a target counts as failing everything.
-const FAILURES: u32 = 5;
+const EJECT_AFTER_FAILURES: u32 = 5;
 /// How long the first ejection lasts; it doubles with each one in a row.
 const FIRST_EJECTION: Duration = Duration::from_secs(1);
 /// How long a failed target is tried after the others, doubling with each failure in a row.
@@ -40,7 +40,7 @@
 
 impl TargetHealth {
     /// Notes that the target answered.
-    pub fn note_success(&mut self) {
+    pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
@@ -49,15 +49,17 @@
     /// that all targets share would otherwise empty the pool.
     ///
     /// True if this failure ejected the target.
-    pub fn note_failure(&mut self, now: BootTime, may_eject: bool) -> bool {
+    pub fn record_failure(&mut self, now: BootTime, may_eject: bool) -> bool {
         self.failures = self.failures.saturating_add(1);
-        self.suspect_until = now + doubled(FIRST_SUSPICION, self.failures - 1, LONGEST_SUSPICION);
+        self.suspect_until =
+            now + exponential_backoff(FIRST_SUSPICION, self.failures - 1, LONGEST_SUSPICION);
         // A target on probe does not count as in use, so ejecting it again takes nothing out.
-        let due = self.probing || (may_eject && self.failures >= FAILURES);
+        let due = self.probing || (may_eject && self.failures >= EJECT_AFTER_FAILURES);
         if !due || now < self.ejected_until {
             return false;
         }
-        self.ejected_until = now + doubled(FIRST_EJECTION, self.ejections, LONGEST_EJECTION);
+        self.ejected_until =
+            now + exponential_backoff(FIRST_EJECTION, self.ejections, LONGEST_EJECTION);
         self.ejections += 1;
         self.probing = true;
         true
@@ -70,7 +72,7 @@
     }
 
     /// How much work the target may get now.
-    pub fn allowed(&self, now: BootTime) -> TargetUse {
+    pub fn allowed_use(&self, now: BootTime) -> TargetUse {
         if now < self.ejected_until {
             TargetUse::Ejected
         } else if self.probing {
@@ -81,7 +83,7 @@
     }
 }
 
-fn doubled(first: Duration, doublings: u32, longest: Duration) -> Duration {
+fn exponential_backoff(first: Duration, doublings: u32, longest: Duration) -> Duration {
     first.saturating_mul(1 << doublings.min(16)).min(longest)
 }
 
--- a/crates/decide/src/job/task_sight.rs
+++ b/crates/decide/src/job/attempt_report.rs
@@ -6,7 +6,7 @@
 
 /// What a worker said of an attempt, or that it said nothing.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum TaskSight {
+pub enum AttemptReport {
     /// It runs the task.
     Running,
     /// The task ended well.
@@ -20,20 +20,20 @@
     /// The worker refused the task and did not run it, or could not be connected to.
     NotRun(String),
     /// The worker did not answer.
-    Silent,
+    Unresponsive,
     /// The worker was given up: it is not in the pool map any more, or retired there.
-    Gone,
+    WorkerGone,
 }
 
-/// What is known around a sight.
+/// What is known around a report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct SightFacts {
+pub struct ReportContext {
     /// Time since the Unix epoch.
     pub now: Duration,
-    /// Which life of the worker answered; empty if it did not.
+    /// Which incarnation of the worker answered; empty if it did not.
     pub boot: String,
     /// How long the worker has not answered.
-    pub silent_for: Duration,
+    pub unresponsive_for: Duration,
     /// True if the worker itself is suspected of failing whatever it runs.
     pub worker_suspect: bool,
     /// Random number that spreads retries.
@@ -50,7 +50,7 @@
     /// Distinct healthy workers on which a job fails before it is parked.
     pub park_after: usize,
     /// Most attempts that fail or are cut off.
-    pub most_failures: u32,
+    pub max_failures: u32,
     /// First back-off; doubles with each attempt.
     pub first_backoff: Duration,
     /// Longest back-off.
@@ -63,16 +63,16 @@
             lease: Duration::from_secs(30),
             lease_guard: Duration::from_secs(10),
             park_after: 3,
-            most_failures: 10,
+            max_failures: 10,
             first_backoff: Duration::from_millis(500),
             longest_backoff: Duration::from_secs(60),
         }
     }
 }
 
-/// What to do after a sight, besides recording the new state.
+/// What to do after a report, besides recording the new state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StepAction {
+pub enum AttemptAction {
     /// Nothing.
     Wait,
     /// Send the same task to the same worker again; it does not run a task id twice.
@@ -82,39 +82,43 @@
 }
 
 impl JobState {
-    /// The job after `sight` of its current attempt, and what to do.
+    /// The job after `report` of its current attempt, and what to do.
     ///
     /// A non-idempotent job gets a new attempt only if the worker says that it did not
     /// run the one before. If nobody can say, the job ends as unknown: a second run
     /// would be worse than telling the caller that there may have been one.
-    pub fn after_sight(
+    pub fn after_report(
         &self,
-        sight: &TaskSight,
-        facts: &SightFacts,
+        report: &AttemptReport,
+        facts: &ReportContext,
         policy: &JobPolicy,
-    ) -> (Self, StepAction) {
-        match sight {
-            TaskSight::Running if self.cancelling => (self.clone(), StepAction::Stop),
-            TaskSight::Running => (self.in_phase(JobPhase::Running), StepAction::Wait),
-            TaskSight::Done => self.ended(JobPhase::Done, "", facts),
-            TaskSight::Failed(reason) => self.after_failure(reason, facts, policy),
-            TaskSight::Stopped if self.cancelling => {
-                self.ended(JobPhase::Cancelled, "cancelled", facts)
+    ) -> (Self, AttemptAction) {
+        match report {
+            AttemptReport::Running if self.cancelling => (self.clone(), AttemptAction::Stop),
+            AttemptReport::Running => (self.in_phase(JobPhase::Running), AttemptAction::Wait),
+            AttemptReport::Done => self.finish(JobPhase::Done, "", facts),
+            AttemptReport::Failed(reason) => self.after_failure(reason, facts, policy),
+            AttemptReport::Stopped if self.cancelling => {
+                self.finish(JobPhase::Cancelled, "cancelled", facts)
+            }
+            AttemptReport::Stopped => {
+                self.after_interruption("stopped by its worker", facts, policy)
+            }
+            AttemptReport::Unknown => self.after_unknown(facts, policy),
+            AttemptReport::NotRun(reason) => self.after_refusal(reason, facts, policy),
+            AttemptReport::Unresponsive => self.after_no_response(facts, policy),
+            AttemptReport::WorkerGone => {
+                self.after_interruption("its worker is gone", facts, policy)
             }
-            TaskSight::Stopped => self.after_cut("stopped by its worker", facts, policy),
-            TaskSight::Unknown => self.after_unknown(facts, policy),
-            TaskSight::NotRun(reason) => self.after_refusal(reason, facts, policy),
-            TaskSight::Silent => self.after_silence(facts, policy),
-            TaskSight::Gone => self.after_cut("its worker is gone", facts, policy),
         }
     }
 
     fn after_failure(
         &self,
         reason: &str,
-        facts: &SightFacts,
+        facts: &ReportContext,
         policy: &JobPolicy,
-    ) -> (Self, StepAction) {
+    ) -> (Self, AttemptAction) {
         let mut next = self.clone();
         next.failures += 1;
         if !facts.worker_suspect && !next.failed_on.contains(&next.worker) {
@@ -122,91 +126,95 @@
         }
         reason.clone_into(&mut next.reason);
         if self.cancelling {
-            return next.ended(JobPhase::Cancelled, "cancelled", facts);
+            return next.finish(JobPhase::Cancelled, "cancelled", facts);
         }
         if !self.spec.idempotent {
-            return next.ended(JobPhase::Failed, reason, facts);
+            return next.finish(JobPhase::Failed, reason, facts);
         }
         if next.failed_on.len() >= policy.park_after {
             let text = format!("failed on {} workers: {reason}", next.failed_on.len());
-            return next.ended(JobPhase::Parked, &text, facts);
+            return next.finish(JobPhase::Parked, &text, facts);
         }
-        next.again(facts, policy)
+        next.requeue(facts, policy)
     }
 
     /// After an attempt that may have run in part and will not run on.
-    fn after_cut(
+    fn after_interruption(
         &self,
         reason: &str,
-        facts: &SightFacts,
+        facts: &ReportContext,
         policy: &JobPolicy,
-    ) -> (Self, StepAction) {
+    ) -> (Self, AttemptAction) {
         if self.cancelling {
-            return self.ended(JobPhase::Cancelled, "cancelled", facts);
+            return self.finish(JobPhase::Cancelled, "cancelled", facts);
         }
         if !self.spec.idempotent {
             let text = format!("may have run: {reason}");
-            return self.ended(JobPhase::Unknown, &text, facts);
+            return self.finish(JobPhase::Unknown, &text, facts);
         }
         let mut next = self.clone();
         next.failures += 1;
         reason.clone_into(&mut next.reason);
-        next.again(facts, policy)
+        next.requeue(facts, policy)
     }
 
     /// After a worker said that it does not know the task.
     ///
-    /// If it is still in the life for which the start was recorded, it forgot nothing:
+    /// If it is still in the incarnation for which the start was recorded, it forgot nothing:
     /// the task never arrived, and may still be on its way. Sending the same id again is
-    /// harmless then. In another life it may have run the task and forgotten it.
-    fn after_unknown(&self, facts: &SightFacts, policy: &JobPolicy) -> (Self, StepAction) {
-        let same_life = !facts.boot.is_empty() && facts.boot == self.worker_boot;
-        if same_life && self.phase == JobPhase::Starting {
+    /// harmless then. In another incarnation it may have run the task and forgotten it.
+    fn after_unknown(&self, facts: &ReportContext, policy: &JobPolicy) -> (Self, AttemptAction) {
+        let same_incarnation = !facts.boot.is_empty() && facts.boot == self.worker_boot;
+        if same_incarnation && self.phase == JobPhase::Starting {
             let action = if self.cancelling {
-                StepAction::Stop
+                AttemptAction::Stop
             } else {
-                StepAction::Resend
+                AttemptAction::Resend
             };
             return (self.clone(), action);
         }
-        self.after_cut("its worker restarted", facts, policy)
+        self.after_interruption("its worker restarted", facts, policy)
     }
 
     fn after_refusal(
         &self,
         reason: &str,
-        facts: &SightFacts,
+        facts: &ReportContext,
         policy: &JobPolicy,
-    ) -> (Self, StepAction) {
+    ) -> (Self, AttemptAction) {
         if self.cancelling {
-            return self.ended(JobPhase::Cancelled, "cancelled", facts);
+            return self.finish(JobPhase::Cancelled, "cancelled", facts);
         }
         let mut next = self.clone();
         reason.clone_into(&mut next.reason);
-        next.again(facts, policy)
+        next.requeue(facts, policy)
     }
 
     /// After a worker did not answer.
     ///
     /// Its tasks end with their leases, as nobody renews them; until then one may run.
-    fn after_silence(&self, facts: &SightFacts, policy: &JobPolicy) -> (Self, StepAction) {
-        let must_have_ended = facts.silent_for >= policy.lease + policy.lease_guard;
+    fn after_no_response(
+        &self,
+        facts: &ReportContext,
+        policy: &JobPolicy,
+    ) -> (Self, AttemptAction) {
+        let must_have_ended = facts.unresponsive_for >= policy.lease + policy.lease_guard;
         if must_have_ended && self.spec.idempotent {
-            return self.after_cut("its worker does not answer", facts, policy);
+            return self.after_interruption("its worker does not answer", facts, policy);
         }
-        (self.clone(), StepAction::Wait)
+        (self.clone(), AttemptAction::Wait)
     }
 
-    fn again(&self, facts: &SightFacts, policy: &JobPolicy) -> (Self, StepAction) {
-        if self.failures >= policy.most_failures {
+    fn requeue(&self, facts: &ReportContext, policy: &JobPolicy) -> (Self, AttemptAction) {
+        if self.failures >= policy.max_failures {
             let text = format!("{} failures, the last: {}", self.failures, self.reason);
-            return self.ended(JobPhase::Failed, &text, facts);
+            return self.finish(JobPhase::Failed, &text, facts);
         }
         let mut next = self.in_phase(JobPhase::Queued);
         next.worker.clear();
         next.worker_boot.clear();
         next.next_try = facts.now + self.backoff(facts.jitter, policy);
-        (next, StepAction::Wait)
+        (next, AttemptAction::Wait)
     }
 
     /// Full jitter: anything up to the back-off, so that retries spread out.
@@ -217,8 +225,13 @@
         Duration::from_millis(jitter % millis.max(1))
     }
 
-    fn ended(&self, phase: JobPhase, reason: &str, facts: &SightFacts) -> (Self, StepAction) {
-        (self.ending(phase, reason, facts.now), StepAction::Wait)
+    fn finish(
+        &self,
+        phase: JobPhase,
+        reason: &str,
+        facts: &ReportContext,
+    ) -> (Self, AttemptAction) {
+        (self.ended_as(phase, reason, facts.now), AttemptAction::Wait)
     }
 
     fn in_phase(&self, phase: JobPhase) -> Self {
--- a/crates/decide/src/job/job_state.rs
+++ b/crates/decide/src/job/job_state.rs
@@ -45,7 +45,7 @@
     pub failures: u32,
     /// Worker of the current attempt; empty while none has it.
     pub worker: HostId,
-    /// Which life of the worker the attempt was recorded for.
+    /// Which incarnation of the worker the attempt was recorded for.
     pub worker_boot: String,
     /// Distinct healthy workers that it failed on.
     pub failed_on: Vec<HostId>,
@@ -111,7 +111,7 @@
     /// runs any more.
     pub fn cancelled(&self, now: Duration) -> Self {
         match self.kind() {
-            PhaseKind::Waiting => self.ending(JobPhase::Cancelled, "cancelled", now),
+            PhaseKind::Waiting => self.ended_as(JobPhase::Cancelled, "cancelled", now),
             PhaseKind::Placed => Self {
                 cancelling: true,
                 ..self.clone()
@@ -121,7 +121,7 @@
     }
 
     /// The job once it ended in `phase`.
-    pub fn ending(&self, phase: JobPhase, reason: &str, now: Duration) -> Self {
+    pub fn ended_as(&self, phase: JobPhase, reason: &str, now: Duration) -> Self {
         Self {
             phase,
             reason: reason.to_owned(),
--- a/crates/decide/src/lease.rs
+++ b/crates/decide/src/lease.rs
@@ -14,10 +14,10 @@
 
 pub use peer_view::PeerView;
 
-use peer_view::PeerVouch;
+use peer_view::PeerAck;
 
 /// Senders of beats that are kept in view, against strays that make up names.
-const PEER_LIMIT: usize = 256;
+const MAX_TRACKED_PEERS: usize = 256;
 
 /// A guard that a test takes away, to show that its checker notices. Sources use `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -31,7 +31,7 @@
     SkipRevision,
     /// A majority's word counts even if the majority knows a newer member list.
     SkipList,
-    /// Beats of any life of a member count, not only of the listed one.
+    /// Beats of any incarnation of a member count, not only of the listed one.
     AnyLife,
 }
 
@@ -41,7 +41,7 @@
     /// How long a lease lasts from the sending of the question that renewed it.
     pub length: Duration,
     /// A member unheard for this long may leave the list, if a majority agrees.
-    pub silent_after: Duration,
+    pub unresponsive_after: Duration,
     /// Which guard a test takes away.
     pub mutation: LeaseMutation,
 }
@@ -50,7 +50,7 @@
     fn default() -> Self {
         Self {
             length: Duration::from_secs(2),
-            silent_after: Duration::from_secs(10),
+            unresponsive_after: Duration::from_secs(10),
             mutation: LeaseMutation::None,
         }
     }
@@ -59,7 +59,7 @@
 /// Why no new work may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseRefusal {
-    /// This life of the host is not in the member list.
+    /// This incarnation of the host is not in the member list.
     NotListed,
     /// Neither the store nor a majority was heard within the lease length.
     Lapsed,
@@ -78,7 +78,7 @@
     config_hash: u64,
     leaving: bool,
     was_listed: bool,
-    ticked: Option<BootTime>,
+    last_tick: Option<BootTime>,
     store_read: Option<BootTime>,
     peers: BTreeMap<MemberId, PeerView>,
 }
@@ -96,14 +96,14 @@
             config_hash: 0,
             leaving: false,
             was_listed: false,
-            ticked: None,
+            last_tick: None,
             store_read: None,
             peers: BTreeMap::new(),
         }
     }
 
-    /// Begins another life: what was heard as answers to the life before counts no more.
-    pub fn begin_life(&mut self, incarnation: Incarnation) {
+    /// Begins another incarnation: what was heard as answers to the incarnation before counts no more.
+    pub fn begin_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
         self.was_listed = false;
         self.store_read = None;
@@ -117,7 +117,7 @@
             self.was_listed |= self.is_listed();
             let list = &self.list;
             self.peers.retain(|member, _| list.find(member).is_some());
-            self.promote_vouches();
+            self.promote_acks();
         }
     }
 
@@ -126,7 +126,7 @@
         if revision >= self.config_revision {
             self.config_revision = revision;
             self.config_hash = hash;
-            self.promote_vouches();
+            self.promote_acks();
         }
     }
 
@@ -149,16 +149,16 @@
 
     /// Notes that the duty that sends beats runs.
     pub fn tick(&mut self, now: BootTime) {
-        self.ticked = Some(now);
+        self.last_tick = Some(now);
     }
 
     /// The next beat for `to`, sent at `now`.
     pub fn next_beat(&mut self, to: &MemberId, now: BootTime) -> Beat {
-        let silent = self.silent_members(now);
+        let silent = self.unresponsive_members(now);
         let view = self.peers.entry(to.clone()).or_default();
         Beat {
-            beat: view.count_beat(now),
-            echo: view.heard_beat(),
+            beat: view.begin_beat(now),
+            echo: view.last_beat(),
             echo_incarnation: view.incarnation,
             member_revision: self.list.revision(),
             config_revision: self.config_revision,
@@ -169,40 +169,46 @@
     }
 
     /// Takes a beat of `incarnation` of `from` that arrived at `now`.
-    pub fn hear(&mut self, from: &MemberId, incarnation: Incarnation, beat: &Beat, now: BootTime) {
+    pub fn handle_beat(
+        &mut self,
+        from: &MemberId,
+        incarnation: Incarnation,
+        beat: &Beat,
+        now: BootTime,
+    ) {
         let mutation = self.options.mutation;
-        if self.peers.len() >= PEER_LIMIT && !self.peers.contains_key(from) {
+        if self.peers.len() >= MAX_TRACKED_PEERS && !self.peers.contains_key(from) {
             return;
         }
-        let own_life = beat.echo_incarnation == self.incarnation;
+        let own_incarnation = beat.echo_incarnation == self.incarnation;
         let view = self.peers.entry(from.clone()).or_default();
         if incarnation < view.incarnation {
             return;
         }
         if incarnation > view.incarnation {
-            view.restart(incarnation);
+            view.reset(incarnation);
         }
-        if !view.take_beat(beat, now) {
+        if !view.apply_beat(beat, now) {
             return;
         }
-        if !own_life && mutation != LeaseMutation::AnyLife {
+        if !own_incarnation && mutation != LeaseMutation::AnyLife {
             return;
         }
         let Some(sent) = view.sent_at(beat.echo) else {
             return;
         };
         let receipt = mutation == LeaseMutation::CountFromReceipt;
-        view.vouch(PeerVouch {
+        view.record_ack(PeerAck {
             at: if receipt { now } else { sent },
             config: beat.config_revision,
             members: beat.member_revision,
         });
-        self.promote_vouches();
+        self.promote_acks();
     }
 
     /// Notes a read of configuration and member list from the store: sent at `sent`, and
     /// everything that it showed is held by now.
-    pub fn read_store(&mut self, sent: BootTime) {
+    pub fn record_store_read(&mut self, sent: BootTime) {
         self.store_read = self.store_read.max(Some(sent));
     }
 
@@ -212,23 +218,24 @@
         if !self.is_listed() {
             return None;
         }
-        let renewed = self.quorum_at().max(self.store_read)?;
+        let renewed = self.quorum_acked_at().max(self.store_read)?;
         Some(renewed + self.options.length)
     }
 
     /// When the question was sent that a quorum answered last.
     #[must_use]
-    pub fn quorum_at(&self) -> Option<BootTime> {
+    pub fn quorum_acked_at(&self) -> Option<BootTime> {
         let any_life = self.options.mutation == LeaseMutation::AnyLife;
         self.list.quorum_value(|member| {
             if member.id == self.own.as_str() {
                 return self
-                    .ticked
+                    .last_tick
                     .filter(|_| member.incarnation == self.incarnation);
             }
             let view = self.peers.get(member.id.as_str())?;
-            let same_life = view.incarnation == member.incarnation;
-            view.counted().filter(|_| same_life || any_life)
+            let same_incarnation = view.incarnation == member.incarnation;
+            view.counted_ack_at()
+                .filter(|_| same_incarnation || any_life)
         })
     }
 
@@ -260,13 +267,13 @@
         self.peers.values().any(newer_list) || self.listed_peers().any(|(_, v)| newer_config(v))
     }
 
-    /// True if this life of the host is in the list.
+    /// True if this incarnation of the host is in the list.
     #[must_use]
     pub fn is_listed(&self) -> bool {
         self.list.contains(&self.own, self.incarnation)
     }
 
-    /// True if this life of the host has been in the list at some time.
+    /// True if this incarnation of the host has been in the list at some time.
     #[must_use]
     pub fn was_listed(&self) -> bool {
         self.was_listed
@@ -288,14 +295,14 @@
 
     /// Listed members that this host has not heard for long.
     #[must_use]
-    pub fn silent_members(&self, now: BootTime) -> Vec<String> {
-        let after = self.options.silent_after;
+    pub fn unresponsive_members(&self, now: BootTime) -> Vec<String> {
+        let after = self.options.unresponsive_after;
         let members = self.list.members().iter().map(|m| &m.id);
         members
             .filter(|id| id.as_str() != self.own.as_str())
             .filter(|id| {
                 let view = self.peers.get(id.as_str());
-                view.is_some_and(|view| view.is_silent(now, after))
+                view.is_some_and(|view| view.is_unresponsive(now, after))
             })
             .cloned()
             .collect()
@@ -308,10 +315,11 @@
     #[must_use]
     pub fn lost_members(&self, now: BootTime) -> Vec<String> {
         let needed = majority(self.list.members().len());
-        let mut lost = self.silent_members(now);
+        let mut lost = self.unresponsive_members(now);
         lost.retain(|member| {
             let agrees = |view: &PeerView| {
-                !view.is_silent(now, self.options.length) && view.silent.contains(member)
+                !view.is_unresponsive(now, self.options.length)
+                    && view.reports_unresponsive.contains(member)
             };
             1 + self.listed_peers().filter(|(_, v)| agrees(v)).count() >= needed
         });
@@ -330,17 +338,17 @@
     /// host that missed it goes on accepting the key, because a majority keeps renewing its
     /// lease. Any majority holds a member that knows the withdrawal; its word does not count
     /// here until this host knows it too.
-    fn promote_vouches(&mut self) {
+    fn promote_acks(&mut self) {
         let (config, members) = (self.config_revision, self.list.revision());
         let mutation = self.options.mutation;
         for view in self.peers.values_mut() {
-            let Some(vouch) = view.newest() else {
+            let Some(vouch) = view.newest_ack() else {
                 continue;
             };
             let behind = vouch.config > config && mutation != LeaseMutation::SkipRevision
                 || vouch.members > members && mutation != LeaseMutation::SkipList;
             if !behind {
-                view.count(vouch);
+                view.count_ack(vouch);
             }
         }
     }
--- a/crates/decide/src/member.rs
+++ b/crates/decide/src/member.rs
@@ -28,9 +28,9 @@
 /// Why the list may not be changed now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ListRefusal {
-    /// A newer life of the member is listed.
+    /// A newer incarnation of the member is listed.
     #[error("a newer life {0} is listed")]
-    NewerLife(Incarnation),
+    NewerIncarnation(Incarnation),
     /// The change is already in the list.
     #[error("nothing to change")]
     Unchanged,
@@ -76,7 +76,7 @@
         self.record.members.iter().find(|m| m.id == member)
     }
 
-    /// True if this very life of the member is listed.
+    /// True if this very incarnation of the member is listed.
     #[must_use]
     pub fn contains(&self, member: &str, incarnation: Incarnation) -> bool {
         self.find(member)
@@ -92,13 +92,13 @@
 
 /// Quorums.
 impl MemberList {
-    /// True if the lives for which `agrees` holds make a quorum.
+    /// True if the incarnations for which `agrees` holds make a quorum.
     pub fn has_quorum(&self, agrees: impl Fn(&Member) -> bool) -> bool {
         let stamp = |member: &Member| agrees(member).then_some(());
         self.quorum_value(stamp).is_some()
     }
 
-    /// The largest value that a quorum reaches, where `value` gives that of one life.
+    /// The largest value that a quorum reaches, where `value` gives that of one incarnation.
     pub fn quorum_value<V: Ord>(&self, value: impl Fn(&Member) -> Option<V>) -> Option<V> {
         let members = majority_value(self.members().iter(), &value)?;
         if self.is_settled() {
@@ -108,22 +108,22 @@
         Some(members.min(settled))
     }
 
-    /// The list without the lives that are known to have ended. They vouch for nobody, so a
+    /// The list without the incarnations that are known to have ended. They vouch for nobody, so a
     /// majority of the others shares a member with every quorum that may still form.
     #[must_use]
-    pub fn without_gone(&self, acks: &ListAcks) -> Self {
+    pub fn without_ended(&self, acks: &ListAcks) -> Self {
         let mut living = self.clone();
-        living.record.members.retain(|m| !acks.is_gone(m));
+        living.record.members.retain(|m| !acks.has_ended(m));
         if !self.is_settled() {
-            living.record.settled.retain(|m| !acks.is_gone(m));
+            living.record.settled.retain(|m| !acks.has_ended(m));
         }
         living
     }
 
     /// True once a quorum holds at least this revision of the list.
     #[must_use]
-    pub fn is_known(&self, acks: &ListAcks) -> bool {
-        let living = self.without_gone(acks);
+    pub fn is_held_by_quorum(&self, acks: &ListAcks) -> bool {
+        let living = self.without_ended(acks);
         living.has_quorum(|member| acks.revision_of(member) >= self.revision())
     }
 }
@@ -142,14 +142,14 @@
         (next, incarnation)
     }
 
-    /// Adds a member, or replaces an older life of it.
+    /// Adds a member, or replaces an older incarnation of it.
     ///
     /// # Errors
     /// See [`ListRefusal`].
     pub fn join(&self, member: Member, floor: Revision) -> Result<Self, ListRefusal> {
         match self.find(&member.id) {
             Some(listed) if listed.incarnation > member.incarnation => {
-                return Err(ListRefusal::NewerLife(listed.incarnation));
+                return Err(ListRefusal::NewerIncarnation(listed.incarnation));
             }
             Some(listed) if *listed == member => return Err(ListRefusal::Unchanged),
             _ => {}
@@ -163,7 +163,7 @@
         Ok(next)
     }
 
-    /// Removes this life of a member.
+    /// Removes this incarnation of a member.
     ///
     /// # Errors
     /// If it is not listed.
@@ -189,7 +189,7 @@
         if self.is_settled() {
             return Err(ListRefusal::Unchanged);
         }
-        if !self.is_known(acks) {
+        if !self.is_held_by_quorum(acks) {
             return Err(ListRefusal::NoQuorum(self.revision()));
         }
         let mut next = self.successor(floor);
@@ -197,7 +197,7 @@
         Ok(next)
     }
 
-    /// Hands `member` the votes of settled lives whose id or address it has taken over. They
+    /// Hands `member` the votes of settled incarnations whose id or address it has taken over. They
     /// have ended, since both belong to one process at a time.
     ///
     /// A vote must not just lapse. The failure this guards against: the only settled member
@@ -225,7 +225,7 @@
     }
 }
 
-/// Which revision each life of a member is known to hold, and which lives have ended.
+/// Which revision each incarnation of a member is known to hold, and which incarnations have ended.
 #[derive(Clone, Debug, Default)]
 pub struct ListAcks {
     held: BTreeMap<(MemberId, Incarnation), Revision>,
@@ -233,40 +233,41 @@
 }
 
 impl ListAcks {
-    /// Notes that this life of `member` holds at least `revision`.
-    pub fn note_held(&mut self, member: &MemberId, incarnation: Incarnation, revision: Revision) {
+    /// Notes that this incarnation of `member` holds at least `revision`.
+    pub fn record_held(&mut self, member: &MemberId, incarnation: Incarnation, revision: Revision) {
         let held = self.held.entry((member.clone(), incarnation)).or_default();
         *held = (*held).max(revision);
     }
 
-    /// Notes that this life of `member` and those before it have ended: they neither serve
+    /// Notes that this incarnation of `member` and those before it have ended: they neither serve
     /// nor vouch any more.
-    pub fn note_gone(&mut self, member: &MemberId, incarnation: Incarnation) {
+    pub fn record_ended(&mut self, member: &MemberId, incarnation: Incarnation) {
         let gone = self.gone.entry(member.clone()).or_default();
         *gone = (*gone).max(incarnation);
     }
 
-    /// True if this life has ended for certain.
+    /// True if this incarnation has ended for certain.
     #[must_use]
-    pub fn is_gone(&self, member: &Member) -> bool {
+    pub fn has_ended(&self, member: &Member) -> bool {
         let gone = self.gone.get(member.id.as_str());
         gone.is_some_and(|incarnation| *incarnation >= member.incarnation)
     }
 
-    /// Forgets lives that `list` does not name, so that memory stays bounded.
-    pub fn forget_unlisted(&mut self, list: &MemberList) {
+    /// Forgets incarnations that `list` does not name, so that memory stays bounded.
+    pub fn prune_unlisted(&mut self, list: &MemberList) {
         let names = |id: &str, incarnation| {
             let settled = list.record().settled.iter();
-            let mut lives = list.members().iter().chain(settled);
-            lives.any(|m| m.id == id && m.incarnation == incarnation)
+            let mut incarnations = list.members().iter().chain(settled);
+            incarnations.any(|m| m.id == id && m.incarnation == incarnation)
         };
-        self.held.retain(|(id, life), _| names(id, *life));
-        self.gone.retain(|id, life| names(id, *life));
+        self.held
+            .retain(|(id, incarnation), _| names(id, *incarnation));
+        self.gone.retain(|id, incarnation| names(id, *incarnation));
     }
 
     fn revision_of(&self, member: &Member) -> Revision {
-        let life = (MemberId::from(member.id.as_str()), member.incarnation);
-        self.held.get(&life).copied().unwrap_or_default()
+        let incarnation = (MemberId::from(member.id.as_str()), member.incarnation);
+        self.held.get(&incarnation).copied().unwrap_or_default()
     }
 }
 
--- a/crates/decide/src/moves.rs
+++ b/crates/decide/src/moves.rs
@@ -6,7 +6,7 @@
 //! `docs/design/10-moves.md`.
 
 mod move_planner;
-mod turn_forecast;
+mod peak_forecast;
 
 pub use move_planner::{HostMove, MovePlanner, MovePolicy, PoolLoad};
-pub use turn_forecast::TurnForecast;
+pub use peak_forecast::PeakForecast;
--- a/crates/decide/src/moves/move_planner.rs
+++ b/crates/decide/src/moves/move_planner.rs
@@ -2,7 +2,7 @@
 
 use model::PoolId;
 
-use super::TurnForecast;
+use super::PeakForecast;
 
 /// The load of one pool.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -40,35 +40,35 @@
     /// Time from the decision until a host serves in its new pool.
     pub move_time: Duration,
     /// Host-seconds that a move must save; its own time out of service is among them.
-    pub price: f64,
+    pub min_saving: f64,
     /// Demand above this multiple of a pool's mean is a peak.
     pub peak_factor: f64,
     /// Part of its demand that a pool keeps as room before it gives hosts away.
-    pub keep: f64,
+    pub headroom: f64,
     /// Time in which a backlog should be worked off.
-    pub catch_up: Duration,
+    pub backlog_time: Duration,
     /// How sure the forecast must be to move hosts ahead of a peak, from 0 to 1.
-    pub sure: f64,
+    pub min_confidence: f64,
 }
 
 impl Default for MovePolicy {
     fn default() -> Self {
         Self {
             move_time: Duration::from_secs(4),
-            price: 6.0,
+            min_saving: 6.0,
             peak_factor: 1.8,
-            keep: 0.15,
-            catch_up: Duration::from_secs(4),
-            sure: 0.6,
+            headroom: 0.15,
+            backlog_time: Duration::from_secs(4),
+            min_confidence: 0.6,
         }
     }
 }
 
-/// Decides moves from loads and from what it learnt of earlier turns.
+/// Decides moves from loads and from what it learnt of earlier peaks.
 #[derive(Clone, Debug, Default)]
 pub struct MovePlanner {
     policy: MovePolicy,
-    forecast: TurnForecast,
+    forecast: PeakForecast,
 }
 
 impl MovePlanner {
@@ -76,7 +76,7 @@
     pub fn new(policy: MovePolicy) -> Self {
         Self {
             policy,
-            forecast: TurnForecast::default(),
+            forecast: PeakForecast::default(),
         }
     }
 
@@ -89,10 +89,10 @@
         }
         let mut free = self.free_hosts(loads);
         let mut moves = Vec::new();
-        for (pool, wanted) in self.urgent_wants(loads, now) {
+        for (pool, wanted) in self.urgent_shortfalls(loads, now) {
             take_hosts(&mut free, &pool, wanted, &mut moves);
         }
-        if let Some((pool, wanted)) = self.early_want(loads) {
+        if let Some((pool, wanted)) = self.forecast_shortfall(loads) {
             take_hosts(&mut free, &pool, wanted, &mut moves);
         }
         moves
@@ -103,15 +103,19 @@
     /// Hosts that each pool can give without falling below its need or its budget.
     fn free_hosts(&self, loads: &[PoolLoad]) -> BTreeMap<PoolId, u32> {
         let free = loads.iter().map(|load| {
-            let kept = if load.spare { 0 } else { self.kept_hosts(load) };
+            let kept = if load.spare {
+                0
+            } else {
+                self.retained_hosts(load)
+            };
             (load.pool.clone(), load.serving.saturating_sub(kept))
         });
         free.filter(|(_, count)| *count > 0).collect()
     }
 
-    fn kept_hosts(&self, load: &PoolLoad) -> u32 {
-        let room = 1.0 + self.policy.keep;
-        let need = whole(load.demand * room + self.backlog_hosts(load));
+    fn retained_hosts(&self, load: &PoolLoad) -> u32 {
+        let room = 1.0 + self.policy.headroom;
+        let need = whole_hosts(load.demand * room + self.backlog_hosts(load));
         need.max(load.budget)
     }
 
@@ -120,15 +124,17 @@
     /// A lack that will be over before hosts have arrived and paid for their way is left
     /// alone: moving for each second's demand would keep hosts on the way and out of
     /// service most of the time.
-    fn urgent_wants(&self, loads: &[PoolLoad], now: Duration) -> Vec<(PoolId, u32)> {
+    fn urgent_shortfalls(&self, loads: &[PoolLoad], now: Duration) -> Vec<(PoolId, u32)> {
         let mut wants: Vec<(PoolId, u32)> = loads
             .iter()
             .filter(|load| !load.spare)
             .filter_map(|load| {
                 let need = load.demand + self.backlog_hosts(load);
                 let held = load.serving + load.incoming;
-                let lack = whole(need).checked_sub(held).filter(|lack| *lack > 0)?;
-                self.pays(load, lack, now)
+                let lack = whole_hosts(need)
+                    .checked_sub(held)
+                    .filter(|lack| *lack > 0)?;
+                self.is_worthwhile(load, lack, now)
                     .then(|| (load.pool.clone(), lack))
             })
             .collect();
@@ -137,28 +143,28 @@
     }
 
     /// True if hosts that set out now save more than their price.
-    fn pays(&self, load: &PoolLoad, lack: u32, now: Duration) -> bool {
-        let left = self.forecast.peak_left(&load.pool, now);
-        let known = self.forecast.peak_left(&load.pool, Duration::ZERO) > Duration::ZERO;
+    fn is_worthwhile(&self, load: &PoolLoad, lack: u32, now: Duration) -> bool {
+        let left = self.forecast.remaining_peak(&load.pool, now);
+        let known = self.forecast.remaining_peak(&load.pool, Duration::ZERO) > Duration::ZERO;
         let useful = left.saturating_sub(self.policy.move_time).as_secs_f64();
         let saved_each = useful + load.backlog / f64::from(lack.max(1));
-        !known || saved_each >= self.policy.price
+        !known || saved_each >= self.policy.min_saving
     }
 
     /// Hosts for the pool whose peak is expected next, from those that are free anyway.
-    fn early_want(&self, loads: &[PoolLoad]) -> Option<(PoolId, u32)> {
+    fn forecast_shortfall(&self, loads: &[PoolLoad]) -> Option<(PoolId, u32)> {
         let (next, sure) = self.forecast.next_pool()?;
-        if sure < self.policy.sure || self.forecast.in_peak(next) {
+        if sure < self.policy.min_confidence || self.forecast.in_peak(next) {
             return None;
         }
         let load = loads.iter().find(|load| load.pool == *next)?;
-        let level = whole(self.forecast.peak_level(next));
+        let level = whole_hosts(self.forecast.peak_level(next));
         let lack = level.saturating_sub(load.serving + load.incoming);
         (lack > 0).then(|| (next.clone(), lack))
     }
 
     fn backlog_hosts(&self, load: &PoolLoad) -> f64 {
-        load.backlog / self.policy.catch_up.as_secs_f64().max(1.0)
+        load.backlog / self.policy.backlog_time.as_secs_f64().max(1.0)
     }
 }
 
@@ -198,6 +204,6 @@
     clippy::cast_sign_loss,
     reason = "loads are positive and far below 2^32 hosts"
 )]
-fn whole(hosts: f64) -> u32 {
+fn whole_hosts(hosts: f64) -> u32 {
     hosts.max(0.0).ceil() as u32
 }
--- a/crates/decide/src/moves/turn_forecast.rs
+++ b/crates/decide/src/moves/peak_forecast.rs
@@ -5,45 +5,45 @@
 /// Part that a new observation has in an estimate.
 const WEIGHT: f64 = 0.3;
 
-/// What is learnt of the turns that pools take at their peak.
+/// What is learnt of the peaks that pools take at their peak.
 ///
 /// A peak begins when a pool's demand is above its running mean by a factor. For each
 /// pool the forecast keeps how high and how long its peaks were, and which pool peaked
 /// next.
 #[derive(Clone, Debug, Default)]
-pub struct TurnForecast {
-    pools: BTreeMap<PoolId, PoolTurns>,
-    peaking: Option<(PoolId, Duration)>,
-    followers: BTreeMap<PoolId, BTreeMap<PoolId, f64>>,
+pub struct PeakForecast {
+    pools: BTreeMap<PoolId, PoolPeaks>,
+    current_peak: Option<(PoolId, Duration)>,
+    successors: BTreeMap<PoolId, BTreeMap<PoolId, f64>>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct PoolTurns {
+struct PoolPeaks {
     mean: f64,
-    level: f64,
-    length: f64,
+    peak_height: f64,
+    peak_length: f64,
     in_peak: bool,
 }
 
-impl TurnForecast {
+impl PeakForecast {
     /// Learns the demand of a pool, in hosts, at a time.
     pub fn observe(&mut self, pool: &PoolId, demand: f64, now: Duration, factor: f64) {
-        let turns = self.pools.entry(pool.clone()).or_insert_with(|| PoolTurns {
+        let peaks = self.pools.entry(pool.clone()).or_insert_with(|| PoolPeaks {
             mean: demand,
-            ..PoolTurns::default()
+            ..PoolPeaks::default()
         });
-        turns.mean += (demand - turns.mean) * 0.005;
-        let high = demand > turns.mean.max(0.1) * factor;
+        peaks.mean += (demand - peaks.mean) * 0.005;
+        let high = demand > peaks.mean.max(0.1) * factor;
         if high {
-            turns.level = if turns.in_peak {
-                turns.level.max(demand)
+            peaks.peak_height = if peaks.in_peak {
+                peaks.peak_height.max(demand)
             } else {
-                demand.max(turns.level * 0.9)
+                demand.max(peaks.peak_height * 0.9)
             };
         }
-        let began = high && !turns.in_peak;
-        let ended = !high && turns.in_peak;
-        turns.in_peak = high;
+        let began = high && !peaks.in_peak;
+        let ended = !high && peaks.in_peak;
+        peaks.in_peak = high;
         if began {
             self.begin_peak(pool, now);
         }
@@ -54,56 +54,56 @@
 
     /// True while a pool is at its peak.
     pub fn in_peak(&self, pool: &PoolId) -> bool {
-        self.pools.get(pool).is_some_and(|turns| turns.in_peak)
+        self.pools.get(pool).is_some_and(|peaks| peaks.in_peak)
     }
 
     /// Demand of a pool at its peaks, in hosts; zero before the first.
     pub fn peak_level(&self, pool: &PoolId) -> f64 {
-        self.pools.get(pool).map_or(0.0, |turns| turns.level)
+        self.pools.get(pool).map_or(0.0, |peaks| peaks.peak_height)
     }
 
     /// Time that the peak of a pool is expected to go on from `now`.
-    pub fn peak_left(&self, pool: &PoolId, now: Duration) -> Duration {
-        let Some((peaking, began)) = &self.peaking else {
+    pub fn remaining_peak(&self, pool: &PoolId, now: Duration) -> Duration {
+        let Some((peaking, began)) = &self.current_peak else {
             return Duration::ZERO;
         };
-        let turns = self.pools.get(pool).filter(|_| peaking == pool);
-        let length = turns.map_or(0.0, |turns| turns.length);
+        let peaks = self.pools.get(pool).filter(|_| peaking == pool);
+        let length = peaks.map_or(0.0, |peaks| peaks.peak_length);
         Duration::from_secs_f64(length).saturating_sub(now.saturating_sub(*began))
     }
 
     /// The pool that will most probably peak next, and how sure that is, from 0 to 1.
     pub fn next_pool(&self) -> Option<(&PoolId, f64)> {
-        let (peaking, _) = self.peaking.as_ref()?;
-        let followers = self.followers.get(peaking)?;
+        let (peaking, _) = self.current_peak.as_ref()?;
+        let followers = self.successors.get(peaking)?;
         let total: f64 = followers.values().sum();
         let best = followers.iter().max_by(|a, b| a.1.total_cmp(b.1))?;
-        // With one sighting nothing is sure yet.
+        // With one observation nothing is sure yet.
         Some((best.0, best.1 / (total + 0.5)))
     }
 
     fn begin_peak(&mut self, pool: &PoolId, now: Duration) {
-        if let Some((before, _)) = &self.peaking {
-            let followers = self.followers.entry(before.clone()).or_default();
+        if let Some((before, _)) = &self.current_peak {
+            let followers = self.successors.entry(before.clone()).or_default();
             for count in followers.values_mut() {
                 *count *= 1.0 - WEIGHT;
             }
             *followers.entry(pool.clone()).or_default() += 1.0;
         }
-        self.peaking = Some((pool.clone(), now));
+        self.current_peak = Some((pool.clone(), now));
     }
 
     fn end_peak(&mut self, pool: &PoolId, now: Duration) {
-        let Some((peaking, began)) = &self.peaking else {
+        let Some((peaking, began)) = &self.current_peak else {
             return;
         };
         if peaking != pool {
             return;
         }
         let length = now.saturating_sub(*began).as_secs_f64();
-        if let Some(turns) = self.pools.get_mut(pool) {
-            turns.length = if turns.length > 0.0 {
-                turns.length * (1.0 - WEIGHT) + length * WEIGHT
+        if let Some(peaks) = self.pools.get_mut(pool) {
+            peaks.peak_length = if peaks.peak_length > 0.0 {
+                peaks.peak_length * (1.0 - WEIGHT) + length * WEIGHT
             } else {
                 length
             };
--- a/crates/decide/src/placement/size_book.rs
+++ b/crates/decide/src/placement/size_estimates.rs
@@ -14,11 +14,11 @@
 /// Teams declare sizes that are often wrong, and wrong in the same way. Memory is taken
 /// as declared or larger, since a task that runs out of it fails; processors go both ways.
 #[derive(Clone, Debug, Default)]
-pub struct SizeBook {
+pub struct SizeEstimates {
     ratios: BTreeMap<(TeamId, ServiceId), (f64, f64)>,
 }
 
-impl SizeBook {
+impl SizeEstimates {
     /// Learns that a job declared as `declared` was seen to use `seen`.
     pub fn observe(
         &mut self,
@@ -38,7 +38,7 @@
     }
 
     /// The size to place a job by.
-    pub fn corrected(&self, team: &TeamId, service: &ServiceId, declared: JobSize) -> JobSize {
+    pub fn corrected_size(&self, team: &TeamId, service: &ServiceId, declared: JobSize) -> JobSize {
         let key = (team.clone(), service.clone());
         let Some((cores, memory)) = self.ratios.get(&key) else {
             return declared;
--- a/crates/decide/src/placement/worker_book.rs
+++ b/crates/decide/src/placement/worker_table.rs
@@ -28,7 +28,7 @@
 /// What a worker reported of its use.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WorkerUsage {
-    /// Which life of the worker reported.
+    /// Which incarnation of the worker reported.
     pub boot: String,
     /// What its tasks use, whoever sent them.
     pub used: JobSize,
@@ -38,7 +38,7 @@
 
 /// Why no worker takes a job now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum PlaceRefusal {
+pub enum PlacementRefusal {
     /// No worker of the pool is large enough, full or not.
     #[error("no worker is large enough")]
     NeverFits,
@@ -49,7 +49,7 @@
 
 /// One worker of a pool, as seen from this entry host.
 #[derive(Clone, Debug, Default)]
-struct WorkerNote {
+struct PoolWorker {
     facts: HostFacts,
     serving: bool,
     usage: Option<WorkerUsage>,
@@ -61,11 +61,11 @@
 
 /// The workers of one pool.
 #[derive(Clone, Debug, Default)]
-pub struct WorkerBook {
-    workers: BTreeMap<HostId, WorkerNote>,
+pub struct WorkerTable {
+    workers: BTreeMap<HostId, PoolWorker>,
 }
 
-impl WorkerBook {
+impl WorkerTable {
     /// Takes over which workers the pool has, and which of them take new work.
     pub fn set_workers(&mut self, workers: impl IntoIterator<Item = (HostId, HostFacts, bool)>) {
         let mut kept = BTreeMap::new();
@@ -79,28 +79,28 @@
     }
 
     /// Takes over what a worker reported.
-    pub fn note_usage(&mut self, worker: &HostId, usage: WorkerUsage) {
+    pub fn record_usage(&mut self, worker: &HostId, usage: WorkerUsage) {
         if let Some(note) = self.workers.get_mut(worker) {
             note.usage = Some(usage);
         }
     }
 
     /// Counts a job that was placed at `now`.
-    pub fn note_placed(&mut self, worker: &HostId, job: &JobId, size: JobSize, now: Duration) {
+    pub fn record_placed(&mut self, worker: &HostId, job: &JobId, size: JobSize, now: Duration) {
         if let Some(note) = self.workers.get_mut(worker) {
             note.placed.insert(job.clone(), (size, now));
         }
     }
 
     /// Forgets a job that a worker no longer has.
-    pub fn note_released(&mut self, worker: &HostId, job: &JobId) {
+    pub fn record_released(&mut self, worker: &HostId, job: &JobId) {
         if let Some(note) = self.workers.get_mut(worker) {
             note.placed.remove(job);
         }
     }
 
     /// Clears a worker's failures after a job ended well on it.
-    pub fn note_success(&mut self, worker: &HostId) {
+    pub fn record_success(&mut self, worker: &HostId) {
         if let Some(note) = self.workers.get_mut(worker) {
             note.failed.clear();
             note.suspensions = 0;
@@ -112,7 +112,7 @@
     /// A job that fails on several workers is bad itself, and its failures no longer
     /// speak against any of them. Without this, one team's bad jobs would have worker
     /// after worker suspected.
-    pub fn note_failure(
+    pub fn record_failure(
         &mut self,
         worker: &HostId,
         job: &JobId,
@@ -151,7 +151,7 @@
         suspects.cloned().collect()
     }
 
-    /// The life of a worker that last reported.
+    /// The incarnation of a worker that last reported.
     pub fn boot_of(&self, worker: &HostId) -> Option<&str> {
         let usage = self.workers.get(worker)?.usage.as_ref()?;
         Some(&usage.boot)
@@ -163,14 +163,14 @@
     ///
     /// # Errors
     /// `NeverFits` if no worker of the pool would have room if it were empty.
-    pub fn choose(
+    pub fn choose_worker(
         &self,
         size: JobSize,
         avoid: &[HostId],
         now: Duration,
-    ) -> Result<HostId, PlaceRefusal> {
+    ) -> Result<HostId, PlacementRefusal> {
         if !self.workers.values().any(|note| note.capacity_fits(size)) {
-            return Err(PlaceRefusal::NeverFits);
+            return Err(PlacementRefusal::NeverFits);
         }
         let suspended = self.suspended(now);
         let choice = |avoid: &[HostId]| {
@@ -178,13 +178,13 @@
                 .iter()
                 .filter(|(host, _)| !avoid.contains(host) && !suspended.contains(host))
                 .filter(|(_, note)| note.serving && note.usage.is_some())
-                .filter_map(|(host, note)| Some((note.room_left(size)?, host)))
+                .filter_map(|(host, note)| Some((note.remaining_capacity(size)?, host)))
                 .min()
                 .map(|(_, host)| host.clone())
         };
         choice(avoid)
             .or_else(|| choice(&[]))
-            .ok_or(PlaceRefusal::NoRoom)
+            .ok_or(PlacementRefusal::NoRoom)
     }
 
     /// Workers that get no jobs now: suspects, but at most half of the pool, or bad jobs
@@ -201,7 +201,7 @@
     }
 }
 
-impl WorkerNote {
+impl PoolWorker {
     fn capacity_fits(&self, size: JobSize) -> bool {
         size.cores <= self.facts.cores
             && size.memory_mb <= self.facts.memory_mb
@@ -212,7 +212,7 @@
     /// does not fit.
     ///
     /// Reported use lags, so jobs placed since the report was asked for are added to it.
-    fn room_left(&self, size: JobSize) -> Option<(u32, u64)> {
+    fn remaining_capacity(&self, size: JobSize) -> Option<(u32, u64)> {
         let used = self.used();
         let cores = self.facts.cores.checked_sub(used.cores)?;
         let memory = self.facts.memory_mb.checked_sub(used.memory_mb)?;
--- a/crates/decide/src/quota.rs
+++ b/crates/decide/src/quota.rs
@@ -8,10 +8,10 @@
 mod ends;
 mod grant_record;
 mod machine;
+mod messages;
 mod next_record;
 mod options;
 mod round;
-mod talk;
 mod team;
 mod token_bucket;
 
--- a/crates/decide/src/quota/action.rs
+++ b/crates/decide/src/quota/action.rs
@@ -7,18 +7,18 @@
 /// What the caller of the machine has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum QuotaAction {
-    /// Read the team's record and hand it to `take_record`.
+    /// Read the team's record and hand it to `apply_record`.
     Read(TeamId),
-    /// Write the team's record and hand the outcome to `end_write`.
+    /// Write the team's record and hand the outcome to `handle_write_outcome`.
     Write(QuotaWrite),
     /// Send a question.
     Ask(MemberId, QuotaAsk),
     /// Send units that are no longer used here.
     Release(MemberId, QuotaRelease),
     /// Send the record that the store holds.
-    Note(MemberId, QuotaNote),
-    /// Send how long ago lives ended that hold units.
-    Ends(MemberId, Vec<QuotaEnd>),
+    SendRecord(MemberId, QuotaNote),
+    /// Send how long ago incarnations ended that hold units.
+    SendEnds(MemberId, Vec<QuotaEnd>),
 }
 
 /// A write of a team's record by compare-and-swap.
--- a/crates/decide/src/quota/ends.rs
+++ b/crates/decide/src/quota/ends.rs
@@ -1,4 +1,4 @@
-//! What entry hosts tell each other about lives that ended and still hold units.
+//! What entry hosts tell each other about incarnations that ended and still hold units.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -12,40 +12,43 @@
     /// and hosts replaced in turn would never see the units free.
     ///
     /// An age only grows on its way here, so that this host never counts from too early.
-    pub fn hear_ends(&mut self, ends: &[QuotaEnd], now: BootTime) {
+    pub fn handle_ends(&mut self, ends: &[QuotaEnd], now: BootTime) {
         for end in ends {
-            let life = (MemberId::from(end.member.as_str()), end.incarnation);
+            let incarnation = (MemberId::from(end.member.as_str()), end.incarnation);
             let seen = now.saturating_sub(Duration::from_millis(end.ended_ms));
-            let at = self.ended.entry(life).or_insert(seen);
+            let at = self.ended.entry(incarnation).or_insert(seen);
             *at = seen.min(*at);
         }
     }
 
-    /// Tells the others, while there is a life to tell of.
-    pub(super) fn tell_ends(&mut self, now: BootTime) -> Vec<QuotaAction> {
-        let distance = self.options.tell_distance;
-        if self.ended.is_empty() || self.ends_told_at.is_some_and(|at| now < at + distance) {
+    /// Tells the others, while there is a incarnation to tell of.
+    pub(super) fn report_ends(&mut self, now: BootTime) -> Vec<QuotaAction> {
+        let distance = self.options.end_report_interval;
+        if self.ended.is_empty() || self.ends_reported_at.is_some_and(|at| now < at + distance) {
             return Vec::new();
         }
-        self.ends_told_at = Some(now);
-        let ends = self.open_ends(now);
+        self.ends_reported_at = Some(now);
+        let ends = self.unreclaimed_ends(now);
         if ends.is_empty() {
             return Vec::new();
         }
         let members = self.list.members().iter();
         let others = members.filter(|member| member.id != self.own.as_str());
         others
-            .map(|member| QuotaAction::Ends(member.id.as_str().into(), ends.clone()))
+            .map(|member| QuotaAction::SendEnds(member.id.as_str().into(), ends.clone()))
             .collect()
     }
 
-    /// The ended lives that records known here still name.
-    fn open_ends(&self, now: BootTime) -> Vec<QuotaEnd> {
+    /// The ended incarnations that records known here still name.
+    fn unreclaimed_ends(&self, now: BootTime) -> Vec<QuotaEnd> {
         let grants = self.teams.values().flat_map(|team| &team.record.grants);
-        let lives: BTreeSet<_> = grants
+        let incarnations: BTreeSet<_> = grants
             .map(|grant| (MemberId::from(grant.member.as_str()), grant.incarnation))
             .collect();
-        let open = self.ended.iter().filter(|(life, _)| lives.contains(*life));
+        let open = self
+            .ended
+            .iter()
+            .filter(|(incarnation, _)| incarnations.contains(*incarnation));
         open.map(|((member, incarnation), at)| {
             let age = now.saturating_sub(*at).as_millis();
             QuotaEnd {
--- a/crates/decide/src/quota/grant_record.rs
+++ b/crates/decide/src/quota/grant_record.rs
@@ -16,12 +16,12 @@
     record.limit.saturating_sub(granted_sum(record))
 }
 
-/// Units of one life of a member.
+/// Units of one incarnation of a member.
 pub(crate) fn units_of(record: &QuotaRecord, member: &str, incarnation: Incarnation) -> u32 {
     grant_of(record, member, incarnation).map_or(0, |grant| grant.units)
 }
 
-/// Sets the units of one life, which the member list names at `revision`; zero removes its
+/// Sets the units of one incarnation, which the member list names at `revision`; zero removes its
 /// grant.
 pub(crate) fn set_units(
     record: &mut QuotaRecord,
@@ -49,8 +49,8 @@
     record.grants.sort_by(|a, b| a.member.cmp(&b.member));
 }
 
-/// How long work may run under the grant of one life, 0 for the longest; `None` without a grant.
-pub(crate) fn longest_of(
+/// How long work may run under the grant of one incarnation, 0 for the longest; `None` without a grant.
+pub(crate) fn max_run_ms(
     record: &QuotaRecord,
     member: &str,
     incarnation: Incarnation,
@@ -58,8 +58,8 @@
     grant_of(record, member, incarnation).map(|grant| grant.longest_ms)
 }
 
-/// Sets how long work may run under the grant of one life; true if that changes it.
-pub(crate) fn set_longest(
+/// Sets how long work may run under the grant of one incarnation; true if that changes it.
+pub(crate) fn set_max_run_ms(
     record: &mut QuotaRecord,
     member: &str,
     incarnation: Incarnation,
--- a/crates/decide/src/quota/machine.rs
+++ b/crates/decide/src/quota/machine.rs
@@ -23,10 +23,10 @@
     pub(super) incarnation: Incarnation,
     pub(super) config_revision: Revision,
     pub(super) list: MemberList,
-    /// When lives that records still name were first seen out of a settled list.
+    /// When incarnations that records still name were first seen out of a settled list.
     pub(super) ended: BTreeMap<(MemberId, Incarnation), BootTime>,
     /// When the other hosts were last told of them.
-    pub(super) ends_told_at: Option<BootTime>,
+    pub(super) ends_reported_at: Option<BootTime>,
     pub(super) teams: BTreeMap<TeamId, TeamQuota>,
     pub(super) writes: TokenBucket,
     pub(super) asks: TokenBucket,
@@ -44,7 +44,7 @@
             config_revision: 0,
             list: MemberList::default(),
             ended: BTreeMap::new(),
-            ends_told_at: None,
+            ends_reported_at: None,
             teams: BTreeMap::new(),
             writes: TokenBucket::new(options.writes_per_second, options.write_burst),
             asks: TokenBucket::new(options.asks_per_second, options.ask_burst),
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Begins another life, which holds no grants; what runs goes on being counted.
-    pub fn begin_life(&mut self, incarnation: Incarnation) {
+    /// Begins another incarnation, which holds no grants; what runs goes on being counted.
+    pub fn begin_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
         for team in self.teams.values_mut() {
             team.release = None;
@@ -88,16 +88,16 @@
             team.config_revision = revision;
         }
         self.teams
-            .retain(|_, team| team.limit.limit > 0 || team.running > 0 || team.known);
+            .retain(|_, team| team.limit.limit > 0 || team.running > 0 || team.record_known);
     }
 
     /// Takes a newer member list at `now`.
     ///
-    /// A life counts as ended only once a settled list lacks it: then a quorum holds that
-    /// list, and the life can't renew its serving lease on members that don't.
+    /// A incarnation counts as ended only once a settled list lacks it: then a quorum holds that
+    /// list, and the incarnation can't renew its serving lease on members that don't.
     pub fn set_members(&mut self, list: &MemberList, now: BootTime) {
         self.list = list.clone();
-        self.note_ended(now);
+        self.mark_ended(now);
     }
 
     /// From now on unused grants are handed back.
@@ -116,17 +116,17 @@
     }
 
     fn take_unit(&mut self, team: &TeamId, is_long: bool) -> bool {
-        let (own, life, mutation) = (&self.own, self.incarnation, self.options.mutation);
+        let (own, incarnation, mutation) = (&self.own, self.incarnation, self.options.mutation);
         let Some(quota) = self.teams.get_mut(team) else {
             return false;
         };
-        if quota.running >= quota.ceiling(own, life, mutation) {
-            quota.missed = true;
+        if quota.running >= quota.ceiling(own, incarnation, mutation) {
+            quota.start_refused = true;
             return false;
         }
-        let allows = quota.allows_long(own, life) || mutation == QuotaMutation::StartLong;
+        let allows = quota.allows_long(own, incarnation) || mutation == QuotaMutation::StartLong;
         if is_long && !allows {
-            quota.missed = true;
+            quota.start_refused = true;
             quota.long_waits = true;
             return false;
         }
@@ -138,7 +138,7 @@
 
     /// True if units for work of this length are taken and given back as those for long work.
     pub fn is_long(&self, length: Duration) -> bool {
-        self.options.short_ms() > 0 && length > self.options.short_deadline
+        self.options.short_deadline_ms() > 0 && length > self.options.short_deadline
     }
 
     /// Gives one unit back that long work used.
@@ -157,7 +157,7 @@
     }
 
     /// Notes how many starts wait.
-    pub fn note_waiting(&mut self, team: &TeamId, waiting: u32) {
+    pub fn set_waiting(&mut self, team: &TeamId, waiting: u32) {
         if let Some(quota) = self.teams.get_mut(team) {
             quota.waiting = waiting;
         }
@@ -174,7 +174,7 @@
     }
 
     /// Takes a record read from the store; version 0 and an empty record if it is absent.
-    pub fn take_read(
+    pub fn apply_read(
         &mut self,
         team: &TeamId,
         version: Revision,
@@ -183,16 +183,16 @@
     ) {
         if let Some(quota) = self.teams.get_mut(team) {
             quota.read_due = false;
-            quota.take_record(version, record);
-            self.note_ended(now);
+            quota.apply_record(version, record);
+            self.mark_ended(now);
         }
     }
 
-    /// Notes lives that records name and a settled list lacks.
+    /// Notes incarnations that records name and a settled list lacks.
     ///
-    /// A list older than the grant proves nothing: the life may have joined since, and its
+    /// A list older than the grant proves nothing: the incarnation may have joined since, and its
     /// grant would be given away while it still runs work.
-    pub(super) fn note_ended(&mut self, now: BootTime) {
+    pub(super) fn mark_ended(&mut self, now: BootTime) {
         if !self.list.is_settled() {
             return;
         }
@@ -202,8 +202,8 @@
                 continue;
             }
             if !self.list.contains(&grant.member, grant.incarnation) {
-                let life = (MemberId::from(grant.member.as_str()), grant.incarnation);
-                self.ended.entry(life).or_insert(now);
+                let incarnation = (MemberId::from(grant.member.as_str()), grant.incarnation);
+                self.ended.entry(incarnation).or_insert(now);
             }
         }
     }
--- a/crates/decide/src/quota/talk.rs
+++ b/crates/decide/src/quota/messages.rs
@@ -9,30 +9,35 @@
 
 use super::{
     QuotaAction, QuotaMachine, QuotaMutation,
-    team::{TeamQuota, UnitRelease, UnitWish},
+    team::{PendingAsk, TeamQuota, UnitRelease},
 };
 
 impl QuotaMachine {
     /// Takes a note of another host.
-    pub fn hear_note(&mut self, note: &QuotaNote, now: BootTime) {
+    pub fn handle_record(&mut self, note: &QuotaNote, now: BootTime) {
         let team = TeamId::from(note.team.as_str());
         let Ok(record) = QuotaRecord::decode(note.record.as_slice()) else {
             return;
         };
         if let Some(quota) = self.teams.get_mut(&team) {
-            quota.take_record(note.version, record);
-            self.note_ended(now);
+            quota.apply_record(note.version, record);
+            self.mark_ended(now);
         }
     }
 
     /// Takes units that another host put aside for this one.
-    pub fn hear_release(&mut self, from: &MemberId, life: Incarnation, release: &QuotaRelease) {
+    pub fn handle_release(
+        &mut self,
+        from: &MemberId,
+        incarnation: Incarnation,
+        release: &QuotaRelease,
+    ) {
         let mutation = self.options.mutation;
         let Some(quota) = self.teams.get_mut(release.team.as_str()) else {
             return;
         };
         if release.version == quota.version || mutation == QuotaMutation::IgnoreVersion {
-            let offer = (life, release.version, release.units);
+            let offer = (incarnation, release.version, release.units);
             quota.offers.insert(from.clone(), offer);
         } else if release.version > quota.version {
             quota.read_due = true;
@@ -40,29 +45,38 @@
     }
 
     /// Answers a question of another host.
-    pub fn hear_ask(&mut self, from: &MemberId, ask: &QuotaAsk, now: BootTime) -> Vec<QuotaAction> {
-        let (own, life, mutation) = (self.own.clone(), self.incarnation, self.options.mutation);
+    pub fn handle_ask(
+        &mut self,
+        from: &MemberId,
+        ask: &QuotaAsk,
+        now: BootTime,
+    ) -> Vec<QuotaAction> {
+        let (own, incarnation, mutation) =
+            (self.own.clone(), self.incarnation, self.options.mutation);
         let Some(quota) = self.teams.get_mut(ask.team.as_str()) else {
             return Vec::new();
         };
-        if !quota.known || quota.version < ask.version {
+        if !quota.record_known || quota.version < ask.version {
             quota.read_due = true;
             return Vec::new();
         }
         if quota.version > ask.version {
-            return vec![QuotaAction::Note(from.clone(), note_of(&ask.team, quota))];
+            return vec![QuotaAction::SendRecord(
+                from.clone(),
+                record_update(&ask.team, quota),
+            )];
         }
-        quota.note_peak(now);
-        let ceiling = quota.ceiling(&own, life, mutation);
-        put_aside(quota, ceiling, from, ask, now);
+        quota.update_peak(now);
+        let ceiling = quota.ceiling(&own, incarnation, mutation);
+        reserve_units(quota, ceiling, from, ask, now);
         if let Some(release) = quota.release.as_mut().filter(|r| r.to == *from) {
             // Asked again: the promise was lost, or the asker forgot it.
             release.sent = false;
         }
-        if let Some(action) = send_release(quota, &ask.team, &own, life) {
+        if let Some(action) = send_release(quota, &ask.team, &own, incarnation) {
             return vec![action];
         }
-        quota.wish = Some(UnitWish {
+        quota.pending_ask = Some(PendingAsk {
             from: from.clone(),
             ask: ask.clone(),
             at: now,
@@ -95,21 +109,21 @@
 }
 
 /// Puts units aside for `to`, if any can be spared. From here on they are not used here.
-pub(super) fn put_aside(
+pub(super) fn reserve_units(
     quota: &mut TeamQuota,
     ceiling: u32,
     to: &MemberId,
     ask: &QuotaAsk,
     now: BootTime,
 ) {
-    if quota.release.is_some() || quota.open_write.is_some() || quota.is_unsettled() {
+    if quota.release.is_some() || quota.pending_write.is_some() || quota.record_lags_limit() {
         return;
     }
     let units = units_to_give(quota, ceiling, ask);
     if units == 0 {
         return;
     }
-    quota.wish = None;
+    quota.pending_ask = None;
     quota.release = Some(UnitRelease {
         to: to.clone(),
         version: quota.version,
@@ -124,9 +138,9 @@
     quota: &mut TeamQuota,
     team: &str,
     own: &str,
-    life: Incarnation,
+    incarnation: Incarnation,
 ) -> Option<QuotaAction> {
-    let granted = quota.granted(own, life);
+    let granted = quota.granted(own, incarnation);
     let running = quota.running;
     let release = quota.release.as_mut()?;
     if release.sent || running > granted.saturating_sub(release.units) {
@@ -142,7 +156,7 @@
 }
 
 /// The note that tells another host what the store holds.
-pub(super) fn note_of(team: &str, quota: &TeamQuota) -> QuotaNote {
+pub(super) fn record_update(team: &str, quota: &TeamQuota) -> QuotaNote {
     QuotaNote {
         team: team.to_owned(),
         version: quota.version,
--- a/crates/decide/src/quota/next_record.rs
+++ b/crates/decide/src/quota/next_record.rs
@@ -10,7 +10,7 @@
 };
 
 /// A release that nobody took is fenced off after this many question distances.
-const RELEASE_PATIENCE: u32 = 10;
+const RELEASE_TIMEOUT: u32 = 10;
 
 /// Part of the limit that is asked for beyond the need, or an eighth of the need if that is
 /// more, so that a rising need does not cost a write for each unit.
@@ -24,21 +24,21 @@
         now: BootTime,
         actions: &mut Vec<QuotaAction>,
     ) -> Option<QuotaRecord> {
-        let (own, life) = (self.own.clone(), self.incarnation);
+        let (own, incarnation) = (self.own.clone(), self.incarnation);
         let quota = self.teams.get(name)?;
         let mut record = quota.record.clone();
-        if self.is_leaving && quota.need() == 0 && quota.granted(&own, life) > 0 {
-            set_units(&mut record, &own, life, 0, 0);
+        if self.is_leaving && quota.need() == 0 && quota.granted(&own, incarnation) > 0 {
+            set_units(&mut record, &own, incarnation, 0, 0);
             return Some(record);
         }
         if quota.version == 0 {
             let is_wanted = quota.need() > 0 && quota.limit.limit > 0;
-            return is_wanted.then(|| self.first_record(name, quota));
+            return is_wanted.then(|| self.initial_record(name, quota));
         }
-        self.drop_ended(&mut record, now);
-        if quota.is_unsettled() {
-            let is_settled = self.settle_limit(quota, &mut record);
-            let gives_up = units_of(&record, &own, life) < quota.granted(&own, life);
+        self.reclaim_ended(&mut record, now);
+        if quota.record_lags_limit() {
+            let is_settled = self.apply_limit(quota, &mut record);
+            let gives_up = units_of(&record, &own, incarnation) < quota.granted(&own, incarnation);
             if !is_settled || quota.need() == 0 {
                 return gives_up.then_some(record);
             }
@@ -48,7 +48,7 @@
 
     /// Has the record follow the limit in force; false if the grants don't fit into it yet.
     /// Then this host keeps only what runs.
-    fn settle_limit(&self, quota: &TeamQuota, record: &mut QuotaRecord) -> bool {
+    fn apply_limit(&self, quota: &TeamQuota, record: &mut QuotaRecord) -> bool {
         if granted_sum(record) > quota.limit.limit {
             let held = units_of(record, &self.own, self.incarnation);
             let kept = quota.running.min(held);
@@ -58,7 +58,7 @@
         record.config_revision >= quota.limit.since
     }
 
-    /// The record with more units for this host: from those that nobody holds, from lives
+    /// The record with more units for this host: from those that nobody holds, from incarnations
     /// that ended long ago, and from what other hosts put aside.
     fn raised_record(
         &mut self,
@@ -75,10 +75,10 @@
         let is_needed = quota.need() > usable && quota.limit.limit > 0;
         if let Some(release) = &quota.release {
             // Never taken, and needed here or elsewhere: a write of the same record voids it.
-            let patience = self.options.ask_distance * RELEASE_PATIENCE;
+            let patience = self.options.ask_interval * RELEASE_TIMEOUT;
             let is_unclaimed = now.saturating_sub(release.since) > patience;
             let is_wished = quota
-                .open_wish(now)
+                .current_ask(now)
                 .is_some_and(|wish| wish.from != release.to);
             let is_voided = is_unclaimed && (is_needed || is_wished);
             return (is_voided || follows_limit).then_some(record);
@@ -91,7 +91,7 @@
         let mut wanted = (quota.need() - usable).saturating_add(slack);
         let mut taken = wanted.min(free_units(&record));
         wanted -= taken;
-        if wanted > 0 && self.is_collected(name, now) {
+        if wanted > 0 && self.has_collected_offers(name, now) {
             taken += self.take_offers(name, wanted, &mut record);
         }
         if taken == 0 {
@@ -110,7 +110,7 @@
     }
 
     /// The first record of a team: equal parts for all members, the rest for this host.
-    fn first_record(&self, name: &TeamId, quota: &TeamQuota) -> QuotaRecord {
+    fn initial_record(&self, name: &TeamId, quota: &TeamQuota) -> QuotaRecord {
         let members = self.list.members();
         let revision = self.list.revision();
         let count = u32::try_from(members.len()).unwrap_or(u32::MAX).max(1);
@@ -136,24 +136,24 @@
         record
     }
 
-    /// Frees the grants of lives that ended so long ago that nothing of theirs runs.
-    fn drop_ended(&self, record: &mut QuotaRecord, now: BootTime) {
+    /// Frees the grants of incarnations that ended so long ago that nothing of theirs runs.
+    fn reclaim_ended(&self, record: &mut QuotaRecord, now: BootTime) {
         record.grants.retain(|grant| {
             let after = self.options.reclaim_grant_after(grant);
-            let life = (MemberId::from(grant.member.as_str()), grant.incarnation);
+            let incarnation = (MemberId::from(grant.member.as_str()), grant.incarnation);
             let is_listed = self.list.contains(&grant.member, grant.incarnation);
-            let ended_at = self.ended.get(&life).filter(|_| !is_listed);
+            let ended_at = self.ended.get(&incarnation).filter(|_| !is_listed);
             ended_at.is_none_or(|at| now.saturating_sub(*at) < after)
         });
     }
 
     /// True once the others answered the last question, or had the time to.
-    fn is_collected(&self, name: &TeamId, now: BootTime) -> bool {
+    fn has_collected_offers(&self, name: &TeamId, now: BootTime) -> bool {
         self.teams.get(name).is_some_and(|quota| {
             let Some(asked_at) = quota.asked_at else {
                 return false;
             };
-            let answered = quota.offers.len() >= quota.asked;
+            let answered = quota.offers.len() >= quota.asked_count;
             let waited = now.saturating_sub(asked_at) >= self.options.collect;
             (answered || waited) && quota.offers.values().any(|(_, _, units)| *units > 0)
         })
@@ -165,13 +165,13 @@
             return 0;
         };
         let mut taken = 0;
-        for (member, (life, version, units)) in std::mem::take(&mut quota.offers) {
+        for (member, (incarnation, version, units)) in std::mem::take(&mut quota.offers) {
             if version != quota.version && mutation != QuotaMutation::IgnoreVersion {
                 continue;
             }
-            let held = units_of(record, &member, life);
+            let held = units_of(record, &member, incarnation);
             let part = units.min(wanted - taken).min(held);
-            set_units(record, &member, life, held - part, 0);
+            set_units(record, &member, incarnation, held - part, 0);
             taken += part;
         }
         taken
@@ -184,27 +184,27 @@
         now: BootTime,
         actions: &mut Vec<QuotaAction>,
     ) {
-        let (own, life, options) = (self.own.clone(), self.incarnation, self.options);
+        let (own, incarnation, options) = (self.own.clone(), self.incarnation, self.options);
         let Some(quota) = self.teams.get_mut(name) else {
             return;
         };
-        let distance = quota.ask_distance.max(options.ask_distance);
+        let distance = quota.ask_interval.max(options.ask_interval);
         if quota.asked_at.is_some_and(|at| now < at + distance) || !self.asks.take(now) {
             return;
         }
         if quota.asked_at.is_some() {
-            quota.ask_distance = (distance * 2).min(options.ask_distance_max);
+            quota.ask_interval = (distance * 2).min(options.ask_interval_max);
         }
         quota.offers.clear();
         quota.asked_at = Some(now);
-        quota.asked = 0;
-        let ceiling = quota.ceiling(&own, life, options.mutation);
+        quota.asked_count = 0;
+        let ceiling = quota.ceiling(&own, incarnation, options.mutation);
         for grant in &quota.record.grants {
             let is_other = grant.member != own.as_str();
             if !is_other || !self.list.contains(&grant.member, grant.incarnation) {
                 continue;
             }
-            quota.asked += 1;
+            quota.asked_count += 1;
             let ask = QuotaAsk {
                 team: name.to_string(),
                 version: quota.version,
--- a/crates/decide/src/quota/options.rs
+++ b/crates/decide/src/quota/options.rs
@@ -37,9 +37,9 @@
     /// again the sooner. Without effect if it is not below `max_deadline`.
     pub short_deadline: Duration,
     /// Distance of questions for the same team; it doubles while they bring nothing.
-    pub ask_distance: Duration,
+    pub ask_interval: Duration,
     /// The longest such distance.
-    pub ask_distance_max: Duration,
+    pub ask_interval_max: Duration,
     /// How long answers to a question are collected before the record is written.
     pub collect: Duration,
     /// Writes a second that this host may do over time.
@@ -50,9 +50,9 @@
     pub asks_per_second: u32,
     /// Teams that it may ask about at once.
     pub ask_burst: u32,
-    /// Distance of the messages that tell the others of ended lives; the next one makes up
+    /// Distance of the messages that tell the others of ended incarnations; the next one makes up
     /// for one that was lost.
-    pub tell_distance: Duration,
+    pub end_report_interval: Duration,
     /// Which guard a test takes away.
     pub mutation: QuotaMutation,
 }
@@ -64,14 +64,14 @@
             guard: Duration::from_millis(500),
             max_deadline: Duration::from_secs(60),
             short_deadline: Duration::from_secs(10),
-            ask_distance: Duration::from_millis(100),
-            ask_distance_max: Duration::from_millis(800),
+            ask_interval: Duration::from_millis(100),
+            ask_interval_max: Duration::from_millis(800),
             collect: Duration::from_millis(50),
             writes_per_second: 4,
             write_burst: 32,
             asks_per_second: 8,
             ask_burst: 32,
-            tell_distance: Duration::from_secs(5),
+            end_report_interval: Duration::from_secs(5),
             mutation: QuotaMutation::None,
         }
     }
@@ -100,7 +100,7 @@
     }
 
     /// What a grant says under which only short work is started; 0 if there is no such grant.
-    pub(super) fn short_ms(&self) -> u64 {
+    pub(super) fn short_deadline_ms(&self) -> u64 {
         if self.short_deadline >= self.max_deadline {
             return 0;
         }
--- a/crates/decide/src/quota/round.rs
+++ b/crates/decide/src/quota/round.rs
@@ -5,13 +5,13 @@
 
 use super::{
     QuotaAction, QuotaMachine, QuotaOptions, QuotaWrite, WriteOutcome,
-    grant_record::{granted_sum, is_within_limit, set_longest, units_of},
-    talk::{note_of, put_aside, send_release},
-    team::{OpenWrite, TeamQuota},
+    grant_record::{granted_sum, is_within_limit, set_max_run_ms, units_of},
+    messages::{record_update, reserve_units, send_release},
+    team::{PendingWrite, TeamQuota},
 };
 
 /// Distance of reads of one team's record, in question distances.
-const READ_DISTANCE: u32 = 2;
+const READ_INTERVAL: u32 = 2;
 
 impl QuotaMachine {
     /// What is to be done at `now`; called every few tens of milliseconds.
@@ -22,7 +22,7 @@
             .iter()
             .filter(|(_, t)| is_leaving || !t.is_idle());
         let names: Vec<TeamId> = busy.map(|(name, _)| name.clone()).collect();
-        let mut actions = self.tell_ends(now);
+        let mut actions = self.report_ends(now);
         for name in names {
             self.tick_team(&name, now, &mut actions);
         }
@@ -30,7 +30,7 @@
     }
 
     /// Takes the outcome of a write; the notes to send are returned.
-    pub fn end_write(
+    pub fn handle_write_outcome(
         &mut self,
         team: &TeamId,
         outcome: WriteOutcome,
@@ -39,41 +39,41 @@
         let Some(quota) = self.teams.get_mut(team) else {
             return Vec::new();
         };
-        let Some(write) = quota.open_write.take() else {
+        let Some(write) = quota.pending_write.take() else {
             return Vec::new();
         };
         match outcome {
             WriteOutcome::Done(version) => {
                 let before = quota.record.clone();
-                quota.take_record(version, write.record);
-                quota.ask_distance = self.options.ask_distance;
-                quota.write_after = now + self.options.ask_distance * READ_DISTANCE;
-                self.note_ended(now);
-                self.notes_after(team, &before)
+                quota.apply_record(version, write.record);
+                quota.ask_interval = self.options.ask_interval;
+                quota.write_after = now + self.options.ask_interval * READ_INTERVAL;
+                self.mark_ended(now);
+                self.record_updates(team, &before)
             }
             WriteOutcome::Conflict => {
                 quota.read_due = true;
                 Vec::new()
             }
             WriteOutcome::NotDone => {
-                quota.write_after = now + self.options.ask_distance * READ_DISTANCE;
+                quota.write_after = now + self.options.ask_interval * READ_INTERVAL;
                 Vec::new()
             }
             WriteOutcome::Unknown => {
                 if quota.version <= write.expect {
-                    quota.open_write = Some(OpenWrite {
+                    quota.pending_write = Some(PendingWrite {
                         in_flight: false,
                         ..write
                     });
                 }
                 quota.read_due = true;
-                quota.write_after = now + self.options.ask_distance * READ_DISTANCE;
+                quota.write_after = now + self.options.ask_interval * READ_INTERVAL;
                 Vec::new()
             }
         }
     }
 
-    fn notes_after(&self, team: &TeamId, before: &QuotaRecord) -> Vec<QuotaAction> {
+    fn record_updates(&self, team: &TeamId, before: &QuotaRecord) -> Vec<QuotaAction> {
         let Some(quota) = self.teams.get(team) else {
             return Vec::new();
         };
@@ -85,24 +85,26 @@
                     != units_of(&quota.record, &m.id, m.incarnation)
         });
         concerned
-            .map(|m| QuotaAction::Note(MemberId::from(m.id.as_str()), note_of(team, quota)))
+            .map(|m| {
+                QuotaAction::SendRecord(MemberId::from(m.id.as_str()), record_update(team, quota))
+            })
             .collect()
     }
 
     fn tick_team(&mut self, name: &TeamId, now: BootTime, actions: &mut Vec<QuotaAction>) {
-        let (own, life, options) = (self.own.clone(), self.incarnation, self.options);
+        let (own, incarnation, options) = (self.own.clone(), self.incarnation, self.options);
         let Some(quota) = self.teams.get_mut(name) else {
             return;
         };
-        quota.note_peak(now);
-        quota.note_long(now);
-        quota.drop_old_wish(now);
-        if let Some(wish) = quota.open_wish(now).cloned() {
-            let ceiling = quota.ceiling(&own, life, options.mutation);
-            put_aside(quota, ceiling, &wish.from, &wish.ask, now);
+        quota.update_peak(now);
+        quota.update_long_seen(now);
+        quota.drop_stale_ask(now);
+        if let Some(wish) = quota.current_ask(now).cloned() {
+            let ceiling = quota.ceiling(&own, incarnation, options.mutation);
+            reserve_units(quota, ceiling, &wish.from, &wish.ask, now);
         }
-        actions.extend(send_release(quota, name, &own, life));
-        if quota.open_write.as_ref().is_some_and(|w| w.in_flight) {
+        actions.extend(send_release(quota, name, &own, incarnation));
+        if quota.pending_write.as_ref().is_some_and(|w| w.in_flight) {
             return;
         }
         if is_read_due(quota, now, &options) {
@@ -110,10 +112,10 @@
             actions.push(QuotaAction::Read(name.clone()));
             return;
         }
-        if !quota.known || now < quota.write_after {
+        if !quota.record_known || now < quota.write_after {
             return;
         }
-        if let Some(write) = &mut quota.open_write {
+        if let Some(write) = &mut quota.pending_write {
             // The answer was lost; the same write again settles it either way.
             write.in_flight = true;
             actions.push(QuotaAction::Write(QuotaWrite {
@@ -123,14 +125,14 @@
             }));
             return;
         }
-        if self.list.contains(&own, life) {
+        if self.list.contains(&own, incarnation) {
             let next = self.next_record(name, now, actions);
-            if let Some(record) = self.with_longest(name, next, now) {
+            if let Some(record) = self.with_max_run_time(name, next, now) {
                 self.write(name, record, now, actions);
             }
         }
         if let Some(quota) = self.teams.get_mut(name) {
-            quota.missed = false;
+            quota.start_refused = false;
             quota.long_waits = false;
         }
     }
@@ -140,7 +142,7 @@
     ///
     /// A grant is for short work only while nothing long has run here for long, and allows long work
     /// as soon as some waits.
-    fn with_longest(
+    fn with_max_run_time(
         &self,
         name: &TeamId,
         next: Option<QuotaRecord>,
@@ -148,19 +150,19 @@
     ) -> Option<QuotaRecord> {
         let quota = self.teams.get(name)?;
         let longest = match quota.is_short(now, self.options.max_deadline) {
-            true => self.options.short_ms(),
+            true => self.options.short_deadline_ms(),
             false => 0,
         };
         if let Some(mut record) = next {
-            set_longest(&mut record, &self.own, self.incarnation, longest);
+            set_max_run_ms(&mut record, &self.own, self.incarnation, longest);
             return Some(record);
         }
         // Any other version of the record voids what was put aside.
-        if quota.release.is_some() || quota.is_unsettled() || quota.need() == 0 {
+        if quota.release.is_some() || quota.record_lags_limit() || quota.need() == 0 {
             return None;
         }
         let mut record = quota.record.clone();
-        set_longest(&mut record, &self.own, self.incarnation, longest).then_some(record)
+        set_max_run_ms(&mut record, &self.own, self.incarnation, longest).then_some(record)
     }
 
     fn write(
@@ -178,7 +180,7 @@
         if !fits || !self.is_leaving && !self.writes.take(now) {
             return;
         }
-        quota.open_write = Some(OpenWrite {
+        quota.pending_write = Some(PendingWrite {
             expect: quota.version,
             record: record.clone(),
             in_flight: true,
@@ -194,13 +196,13 @@
 /// True if the team's record should be read from the store now.
 fn is_read_due(quota: &TeamQuota, now: BootTime, options: &QuotaOptions) -> bool {
     let read_within = |distance| quota.read_at.is_some_and(|at| now < at + distance);
-    let distance = options.ask_distance * READ_DISTANCE;
+    let distance = options.ask_interval * READ_INTERVAL;
     if read_within(distance) {
         return false;
     }
-    let is_unknown = !quota.known && quota.need() > 0;
+    let is_unknown = !quota.record_known && quota.need() > 0;
     // Whoever waits for others to fit into a lowered limit may miss that they did.
-    let waits_for_limit = quota.is_unsettled() && quota.need() > 0;
-    let is_polled = waits_for_limit && !read_within(distance.max(options.ask_distance_max));
+    let waits_for_limit = quota.record_lags_limit() && quota.need() > 0;
+    let is_polled = waits_for_limit && !read_within(distance.max(options.ask_interval_max));
     quota.read_due || is_unknown || is_polled
 }
--- a/crates/decide/src/quota/team.rs
+++ b/crates/decide/src/quota/team.rs
@@ -5,19 +5,19 @@
 
 use super::{
     QuotaMutation, TeamLimit,
-    grant_record::{longest_of, units_of},
+    grant_record::{max_run_ms, units_of},
 };
 
 /// How long a peak of need is remembered, at least: a giver keeps what it used just now, so
 /// that units don't go to and fro with every gap between requests.
-const PEAK_SPAN: Duration = Duration::from_millis(200);
+const PEAK_WINDOW: Duration = Duration::from_millis(200);
 
 /// How long a host's question is remembered that could not be met at once.
-const WISH_SPAN: Duration = Duration::from_secs(4);
+const PENDING_ASK_TTL: Duration = Duration::from_secs(4);
 
 /// A question of another host that could not be met in full.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct UnitWish {
+pub(crate) struct PendingAsk {
     /// Who asked.
     pub from: MemberId,
     /// What it asked.
@@ -43,7 +43,7 @@
 
 /// A write of this host whose outcome is not known.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct OpenWrite {
+pub(crate) struct PendingWrite {
     /// Version that it expects.
     pub expect: Revision,
     /// What it writes.
@@ -60,7 +60,7 @@
     /// Revision of that configuration.
     pub config_revision: Revision,
     /// True once the record was read, or known to be absent.
-    pub known: bool,
+    pub record_known: bool,
     /// Version of the record; 0 if it is absent.
     pub version: Revision,
     /// The record.
@@ -70,8 +70,8 @@
     /// Starts that wait.
     pub waiting: u32,
     /// True if a start was refused since the last round; it counts as one that waits.
-    pub missed: bool,
-    /// True if short work has been started in this life of the host.
+    pub start_refused: bool,
+    /// True if short work has been started in this incarnation of the host.
     pub short_started: bool,
     /// Units in use by long work.
     pub long_running: u32,
@@ -82,17 +82,17 @@
     /// Units put aside for another host.
     pub release: Option<UnitRelease>,
     /// The last question that could not be met; units that fall free go there unasked.
-    pub wish: Option<UnitWish>,
+    pub pending_ask: Option<PendingAsk>,
     /// What other hosts put aside for this one, by member; zero says that there is nothing.
     pub offers: BTreeMap<MemberId, (Incarnation, Revision, u32)>,
     /// The write whose outcome is not known.
-    pub open_write: Option<OpenWrite>,
+    pub pending_write: Option<PendingWrite>,
     /// When the other hosts were asked last.
     pub asked_at: Option<BootTime>,
     /// How many were asked then.
-    pub asked: usize,
+    pub asked_count: usize,
     /// Distance of the next question.
-    pub ask_distance: Duration,
+    pub ask_interval: Duration,
     /// True if the record must be read again.
     pub read_due: bool,
     /// When it was read last.
@@ -104,9 +104,9 @@
 }
 
 impl TeamQuota {
-    /// Units that this life holds in the record.
-    pub(crate) fn granted(&self, own: &str, life: Incarnation) -> u32 {
-        units_of(&self.record, own, life)
+    /// Units that this incarnation holds in the record.
+    pub(crate) fn granted(&self, own: &str, incarnation: Incarnation) -> u32 {
+        units_of(&self.record, own, incarnation)
     }
 
     /// Units that may be in use here now.
@@ -114,22 +114,27 @@
     /// It is never more than the store's record gives, and less as soon as this host wants
     /// to lower its grant: what it lowers may be used elsewhere from the moment that its
     /// write or its promise is out, whether or not an answer comes back.
-    pub(crate) fn ceiling(&self, own: &str, life: Incarnation, mutation: QuotaMutation) -> u32 {
-        if self.limit.limit == 0 || !self.known {
+    pub(crate) fn ceiling(
+        &self,
+        own: &str,
+        incarnation: Incarnation,
+        mutation: QuotaMutation,
+    ) -> u32 {
+        if self.limit.limit == 0 || !self.record_known {
             return 0;
         }
-        if self.is_unsettled() && mutation != QuotaMutation::IgnoreLowered {
+        if self.record_lags_limit() && mutation != QuotaMutation::IgnoreLowered {
             return 0;
         }
-        let mut ceiling = self.granted(own, life);
+        let mut ceiling = self.granted(own, incarnation);
         let aside = self.release.as_ref().map_or(0, |release| release.units);
         if mutation != QuotaMutation::RaiseBeforeLower {
             ceiling = ceiling.saturating_sub(aside);
         }
-        let Some(write) = &self.open_write else {
+        let Some(write) = &self.pending_write else {
             return ceiling;
         };
-        let written = units_of(&write.record, own, life);
+        let written = units_of(&write.record, own, incarnation);
         if mutation == QuotaMutation::TrustUnanswered {
             return written;
         }
@@ -138,17 +143,17 @@
 
     /// Whether long work may be started: by the grant that the store holds, and by the one that this
     /// host wants to write, which others may see before its answer is back.
-    pub(crate) fn allows_long(&self, own: &str, life: Incarnation) -> bool {
-        let long = |record: &QuotaRecord| longest_of(record, own, life) == Some(0);
+    pub(crate) fn allows_long(&self, own: &str, incarnation: Incarnation) -> bool {
+        let long = |record: &QuotaRecord| max_run_ms(record, own, incarnation) == Some(0);
         long(&self.record)
             && self
-                .open_write
+                .pending_write
                 .as_ref()
                 .is_none_or(|write| long(&write.record))
     }
 
     /// Notes at `now` whether long work runs or waits.
-    pub(crate) fn note_long(&mut self, now: BootTime) {
+    pub(crate) fn update_long_seen(&mut self, now: BootTime) {
         if self.long_waits || self.long_running > 0 {
             self.long_seen = Some(now);
         }
@@ -167,14 +172,14 @@
     /// would each use what the other must still give up. Or a higher limit was in force for
     /// a moment in between: the record that follows the newest one fences off writes that
     /// still go by the one before.
-    pub(crate) fn is_unsettled(&self) -> bool {
+    pub(crate) fn record_lags_limit(&self) -> bool {
         self.record.config_revision < self.limit.since
     }
 
     /// Units that running and waiting work would use.
     pub(crate) fn need(&self) -> u32 {
         self.running
-            .saturating_add(self.waiting.max(u32::from(self.missed)))
+            .saturating_add(self.waiting.max(u32::from(self.start_refused)))
     }
 
     /// The largest need of the last second or two.
@@ -183,8 +188,8 @@
     }
 
     /// Notes the need at `now` for [`TeamQuota::peak`].
-    pub(crate) fn note_peak(&mut self, now: BootTime) {
-        if now.saturating_sub(self.peak_at) >= PEAK_SPAN {
+    pub(crate) fn update_peak(&mut self, now: BootTime) {
+        if now.saturating_sub(self.peak_at) >= PEAK_WINDOW {
             self.peaks = [self.need(), self.peaks[0]];
             self.peak_at = now;
         }
@@ -193,22 +198,24 @@
 
     /// True if a round has nothing to do for the team.
     pub(crate) fn is_idle(&self) -> bool {
-        let holds_nothing = self.release.is_none() && self.open_write.is_none();
-        let is_asked = self.read_due || self.wish.is_some() || self.known && self.is_unsettled();
+        let holds_nothing = self.release.is_none() && self.pending_write.is_none();
+        let is_asked = self.read_due
+            || self.pending_ask.is_some()
+            || self.record_known && self.record_lags_limit();
         self.peak() == 0 && holds_nothing && !is_asked
     }
 
     /// Forgets a wish that is no longer of interest.
-    pub(crate) fn drop_old_wish(&mut self, now: BootTime) {
-        if self.open_wish(now).is_none() {
-            self.wish = None;
+    pub(crate) fn drop_stale_ask(&mut self, now: BootTime) {
+        if self.current_ask(now).is_none() {
+            self.pending_ask = None;
         }
     }
 
     /// The wish to look at again at `now`, if it is still of interest.
-    pub(crate) fn open_wish(&self, now: BootTime) -> Option<&UnitWish> {
-        let wish = self.wish.as_ref()?;
-        let is_fresh = now.saturating_sub(wish.at) < WISH_SPAN;
+    pub(crate) fn current_ask(&self, now: BootTime) -> Option<&PendingAsk> {
+        let wish = self.pending_ask.as_ref()?;
+        let is_fresh = now.saturating_sub(wish.at) < PENDING_ASK_TTL;
         (is_fresh && wish.ask.version == self.version).then_some(wish)
     }
 
@@ -216,11 +223,11 @@
     ///
     /// A newer version settles what was open at older ones: a write that expected the older
     /// version is either in it or can't happen any more, and so it is with a release.
-    pub(crate) fn take_record(&mut self, version: Revision, record: QuotaRecord) -> bool {
-        if self.known && version <= self.version {
+    pub(crate) fn apply_record(&mut self, version: Revision, record: QuotaRecord) -> bool {
+        if self.record_known && version <= self.version {
             return false;
         }
-        self.known = true;
+        self.record_known = true;
         self.version = version;
         self.record = record;
         self.offers.retain(|_, (_, at, _)| *at >= version);
@@ -228,9 +235,9 @@
         if self.release.as_ref().is_some_and(|r| r.version < version) {
             self.release = None;
         }
-        let settled = |write: &OpenWrite| !write.in_flight && write.expect < version;
-        if self.open_write.as_ref().is_some_and(settled) {
-            self.open_write = None;
+        let settled = |write: &PendingWrite| !write.in_flight && write.expect < version;
+        if self.pending_write.as_ref().is_some_and(settled) {
+            self.pending_write = None;
         }
         true
     }
--- a/crates/decide/src/rendezvous.rs
+++ b/crates/decide/src/rendezvous.rs
@@ -24,11 +24,11 @@
     for byte in duty.bytes().chain([0]).chain(member.bytes()) {
         hash = (hash ^ u64::from(byte)).wrapping_mul(PRIME);
     }
-    finish(hash)
+    mix(hash)
 }
 
 // FNV alone leaves the scores of similar names correlated; this spreads them.
-fn finish(mut hash: u64) -> u64 {
+fn mix(mut hash: u64) -> u64 {
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     hash ^ (hash >> 31)
--- a/crates/decide/src/retry.rs
+++ b/crates/decide/src/retry.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Hundredths of a retry that one retry costs.
-const COST: u32 = 100;
+const RETRY_COST: u32 = 100;
 
 /// Keeps the retries of one pool below a part of its first attempts.
 ///
@@ -15,8 +15,8 @@
 /// time, so an idle pool saves up no storm.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RetryBudget {
-    earned: u32,
-    each: u32,
+    balance: u32,
+    gain_percent: u32,
     most: u32,
 }
 
@@ -24,25 +24,28 @@
     /// A budget that earns `percent` of a retry with each first attempt, saves up at most
     /// `burst` retries, and begins full.
     pub fn new(percent: u32, burst: u32) -> Self {
-        let most = burst.max(1).saturating_mul(COST);
+        let most = burst.max(1).saturating_mul(RETRY_COST);
         Self {
-            earned: most,
-            each: percent,
+            balance: most,
+            gain_percent: percent,
             most,
         }
     }
 
     /// Notes a first attempt.
-    pub fn note_first(&mut self) {
-        self.earned = self.earned.saturating_add(self.each).min(self.most);
+    pub fn record_first_attempt(&mut self) {
+        self.balance = self
+            .balance
+            .saturating_add(self.gain_percent)
+            .min(self.most);
     }
 
     /// Takes one retry; false if there is none left.
     pub fn take(&mut self) -> bool {
-        if self.earned < COST {
+        if self.balance < RETRY_COST {
             return false;
         }
-        self.earned -= COST;
+        self.balance -= RETRY_COST;
         true
     }
 }
--- a/crates/decide/src/share/broker.rs
+++ b/crates/decide/src/share/broker.rs
@@ -7,7 +7,7 @@
 
 use super::{
     ShareClaim, apportion, fair_split,
-    holder_state::{HolderState, LoadState, TeamDue, reshape},
+    holder_state::{HolderState, LoadState, TeamShare, adjust_offer},
     terms::{BrokerOptions, BrokerSwitch, HolderDemand, PoolOffer, SlotMap, TeamLoad},
 };
 
@@ -23,7 +23,7 @@
 pub struct SlotBroker {
     pool: PoolId,
     options: BrokerOptions,
-    cautious_until: BootTime,
+    recovering_until: BootTime,
     targets: SlotMap,
     weights: BTreeMap<TeamId, f64>,
     members: BTreeSet<MemberId>,
@@ -41,7 +41,7 @@
         Self {
             pool,
             options,
-            cautious_until: now + options.lease + options.guard,
+            recovering_until: now + options.lease + options.guard,
             targets: SlotMap::new(),
             weights: BTreeMap::new(),
             members: BTreeSet::new(),
@@ -91,7 +91,7 @@
         // session; a later report without it does not mean that it let go.
         let offers = VecDeque::from([(0, demand.held.clone())]);
         let state = HolderState {
-            heard: now,
+            last_report_at: now,
             round,
             offers,
             ..HolderState::default()
@@ -113,14 +113,14 @@
             return false;
         }
         state.round = round;
-        state.heard = now;
+        state.last_report_at = now;
         while let Some((round, _)) = state.offers.get(1)
             && *round <= applied
         {
             state.offers.pop_front();
             self.epoch += 1;
         }
-        if state.fade() {
+        if state.decay_demand() {
             self.epoch += 1;
         }
         true
@@ -172,7 +172,8 @@
     /// slots before this.
     pub fn expire(&mut self, now: BootTime) {
         let limit = self.options.lease + self.options.guard;
-        self.holders.retain(|_, state| now < state.heard + limit);
+        self.holders
+            .retain(|_, state| now < state.last_report_at + limit);
     }
 }
 
@@ -180,37 +181,37 @@
 impl SlotBroker {
     /// The offer to `holder` in `round`; `None` for an unknown holder.
     pub fn offer(&mut self, now: BootTime, holder: &MemberId, round: u64) -> Option<PoolOffer> {
-        let dues = self.dues();
-        let wanted = self.wanted_slots(holder, &dues);
+        let team_shares = self.team_shares();
+        let wanted = self.entitled_slots(holder, &team_shares);
         let headroom = self.headroom(now, holder);
         let state = self.holders.get_mut(holder)?;
         if state.closed || UNCONFIRMED_MAX <= state.offers.len() {
             return None;
         }
-        state.seen_epoch = self.epoch;
+        state.offered_epoch = self.epoch;
         let (_, last) = state.offers.back()?;
-        let next = reshape(last, wanted, &headroom);
+        let next = adjust_offer(last, wanted, &headroom);
         // The first offer of a session is told even if it changes nothing: it is what
         // renews the slots that the holder brought along.
-        if *last != next || state.is_fresh() {
+        if *last != next || state.has_made_no_offer() {
             state.offers.push_back((round, next.clone()));
         }
         Some(PoolOffer {
             targets: next,
-            teams: self.team_uses(holder, &dues),
+            teams: self.team_offers(holder, &team_shares),
         })
     }
 
     /// True if an offer to `holder` could differ from the last one made to it.
-    pub fn has_news(&self, now: BootTime, holder: &MemberId) -> bool {
+    pub fn offer_may_change(&self, now: BootTime, holder: &MemberId) -> bool {
         let Some(state) = self.holders.get(holder) else {
             return false;
         };
-        state.seen_epoch < self.epoch || self.is_cautious(now)
+        state.offered_epoch < self.epoch || self.is_recovering(now)
     }
 
     /// True if the last offer to `holder` was made after round `applied`.
-    pub fn unconfirmed(&self, holder: &MemberId, applied: u64) -> bool {
+    pub fn has_unconfirmed_offer(&self, holder: &MemberId, applied: u64) -> bool {
         let last = self
             .holders
             .get(holder)
@@ -227,15 +228,15 @@
     /// Holders other than `holder` that were offered more than they are due now.
     ///
     /// They give slots back only when they ask again, which an idle one does rarely.
-    pub fn over_served(&self, holder: &MemberId) -> Vec<MemberId> {
-        let dues = self.dues();
+    pub fn holders_above_share(&self, holder: &MemberId) -> Vec<MemberId> {
+        let team_shares = self.team_shares();
         let offered = |state: &HolderState| -> u32 {
             let last = state.offers.back();
             last.map_or(0, |(_, targets)| targets.values().sum())
         };
         let others = self.holders.iter().filter(|(id, _)| *id != holder);
         others
-            .filter(|(id, state)| self.wanted_slots(id, &dues) < offered(state))
+            .filter(|(id, state)| self.entitled_slots(id, &team_shares) < offered(state))
             .map(|(id, _)| id.clone())
             .collect()
     }
@@ -246,7 +247,7 @@
     }
 
     /// Slots of `target` that holders may believe in now; for checks.
-    pub fn believed(&self, target: &HostId) -> u32 {
+    pub fn outstanding_slots(&self, target: &HostId) -> u32 {
         self.holders
             .values()
             .map(|state| state.outstanding(target, self.options.switch))
@@ -254,7 +255,7 @@
     }
 
     // Per team: the slots due across all holders.
-    fn dues(&self) -> BTreeMap<TeamId, TeamDue> {
+    fn team_shares(&self) -> BTreeMap<TeamId, TeamShare> {
         let mut totals: BTreeMap<&TeamId, f64> = BTreeMap::new();
         for state in self.holders.values() {
             for (team, load) in &state.loads {
@@ -269,19 +270,26 @@
             })
             .collect();
         let parts = fair_split(f64::from(self.capacity()), &claims);
-        let dues = totals.into_iter().zip(parts);
-        dues.map(|((team, demand), slots)| (team.clone(), TeamDue { demand, slots }))
+        let team_shares = totals.into_iter().zip(parts);
+        team_shares
+            .map(|((team, demand), slots)| (team.clone(), TeamShare { demand, slots }))
             .collect()
     }
 
-    fn wanted_slots(&self, holder: &MemberId, dues: &BTreeMap<TeamId, TeamDue>) -> u32 {
-        let used: f64 = dues.values().map(|due| due.slots).sum();
+    fn entitled_slots(&self, holder: &MemberId, team_shares: &BTreeMap<TeamId, TeamShare>) -> u32 {
+        let used: f64 = team_shares.values().map(|due| due.slots).sum();
         let spare = (f64::from(self.capacity()) - used).max(0.0);
         let spare_each = spare / self.holders.len().max(1) as f64;
         let parts: Vec<f64> = self
             .holders
             .values()
-            .map(|state| state.due_slots(dues).map(|(_, slots)| slots).sum::<f64>() + spare_each)
+            .map(|state| {
+                state
+                    .share_by_team(team_shares)
+                    .map(|(_, slots)| slots)
+                    .sum::<f64>()
+                    + spare_each
+            })
             .collect();
         let whole = apportion(&parts, 0);
         let place = self.holders.keys().position(|other| other == holder);
@@ -290,7 +298,7 @@
 
     // Per target: the most that the holder may be offered beside what others believe in.
     fn headroom(&self, now: BootTime, holder: &MemberId) -> SlotMap {
-        let cautious = self.is_cautious(now);
+        let cautious = self.is_recovering(now);
         let free = |target: &HostId, slots: u32| {
             let others: u32 = self
                 .holders
@@ -317,17 +325,17 @@
     // A new broker does not know what holders were granted by the one before. Until every
     // member reported what it holds, or all grants from before have lapsed, an offer could
     // hand out a slot twice; so it only renews what holders report.
-    fn is_cautious(&self, now: BootTime) -> bool {
-        if self.options.switch == BrokerSwitch::SkipCaution || self.cautious_until <= now {
+    fn is_recovering(&self, now: BootTime) -> bool {
+        if self.options.switch == BrokerSwitch::SkipCaution || self.recovering_until <= now {
             return false;
         }
         self.members.is_empty() || self.members.iter().any(|id| !self.holders.contains_key(id))
     }
 
-    fn team_uses(
+    fn team_offers(
         &self,
         holder: &MemberId,
-        dues: &BTreeMap<TeamId, TeamDue>,
+        team_shares: &BTreeMap<TeamId, TeamShare>,
     ) -> Vec<(TeamId, u32, Duration)> {
         let Some(state) = self.holders.get(holder) else {
             return Vec::new();
@@ -344,7 +352,7 @@
                 Duration::from_secs_f64(time),
             )
         };
-        state.due_slots(dues).map(use_of).collect()
+        state.share_by_team(team_shares).map(use_of).collect()
     }
 }
 
--- a/crates/decide/src/share/holder.rs
+++ b/crates/decide/src/share/holder.rs
@@ -8,7 +8,7 @@
 use super::{PoolOffer, SlotMap};
 
 // Rounds in flight whose sending time is remembered; older answers are useless anyway.
-const ROUNDS_KEPT: usize = 64;
+const MAX_ROUNDS_IN_FLIGHT: usize = 64;
 
 /// Times of a holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
     /// The grant applied last.
     pub offer: PoolOffer,
     // Round in which the demand last changed.
-    changed: u64,
+    demand_changed_in: u64,
     // Until when slots of an earlier session may be used; none once this one made an offer.
     adopted_until: Option<BootTime>,
 }
@@ -89,44 +89,54 @@
     }
 
     /// Slots of all targets of all pools.
-    pub fn slot_sum(&self) -> u32 {
+    pub fn total_slots(&self) -> u32 {
         let pools = self.pools.values();
         pools.flat_map(|held| held.offer.targets.values()).sum()
     }
 
     /// True if the broker may lack the demand of a pool.
-    pub fn has_fresh(&self) -> bool {
-        self.pools.values().any(|held| self.applied < held.changed)
+    pub fn has_unsent_demand(&self) -> bool {
+        self.pools
+            .values()
+            .any(|held| self.applied < held.demand_changed_in)
     }
 
     /// Takes a pool into the session, or notes that its demand changed.
-    pub fn touch(&mut self, pool: &PoolId) {
+    pub fn mark_demand_changed(&mut self, pool: &PoolId) {
         let next = self.round + 1;
-        self.pools.entry(pool.clone()).or_default().changed = next;
+        self.pools
+            .entry(pool.clone())
+            .or_default()
+            .demand_changed_in = next;
     }
 
     /// Drops a pool that another broker has now.
-    pub fn release(&mut self, pool: &PoolId) {
+    pub fn remove_pool(&mut self, pool: &PoolId) {
         self.pools.remove(pool);
     }
 
     /// Begins a round at `now`: its number, and the pools whose demand the broker may lack.
-    pub fn ask(&mut self, now: BootTime) -> (u64, Vec<PoolId>) {
+    pub fn begin_round(&mut self, now: BootTime) -> (u64, Vec<PoolId>) {
         self.round += 1;
         self.sent.push_back((self.round, now));
-        if ROUNDS_KEPT < self.sent.len() {
+        if MAX_ROUNDS_IN_FLIGHT < self.sent.len() {
             self.sent.pop_front();
         }
         let fresh = self
             .pools
             .iter()
-            .filter(|(_, held)| self.applied < held.changed);
+            .filter(|(_, held)| self.applied < held.demand_changed_in);
         let pools = fresh.map(|(pool, _)| pool.clone()).collect();
         (self.round, pools)
     }
 
     /// Applies the grant of `round`; false if it is stale or of another session.
-    pub fn apply(&mut self, session: u64, round: u64, offers: Vec<(PoolId, PoolOffer)>) -> bool {
+    pub fn apply_grant(
+        &mut self,
+        session: u64,
+        round: u64,
+        offers: Vec<(PoolId, PoolOffer)>,
+    ) -> bool {
         if session != self.session || round <= self.applied {
             return false;
         }
@@ -160,7 +170,7 @@
     /// The first demand of this session reports these slots, so that the new broker counts
     /// them; without this each change of broker would stop the pool for a moment. They
     /// lapse on their own: a grant of this session for other pools does not renew them.
-    pub fn adopt(&mut self, expires: BootTime, pool: &PoolId, targets: SlotMap) {
+    pub fn adopt_slots(&mut self, expires: BootTime, pool: &PoolId, targets: SlotMap) {
         let held = self.pools.entry(pool.clone()).or_default();
         held.offer.targets = targets;
         held.adopted_until = Some(expires);
--- a/crates/decide/src/share/holder_state.rs
+++ b/crates/decide/src/share/holder_state.rs
@@ -13,9 +13,9 @@
 
 #[derive(Debug, Default)]
 pub(super) struct HolderState {
-    pub(super) heard: BootTime,
+    pub(super) last_report_at: BootTime,
     // The epoch that the last offer was made in.
-    pub(super) seen_epoch: u64,
+    pub(super) offered_epoch: u64,
     // The holder's session goes on without this pool.
     pub(super) closed: bool,
     // The newest round that was answered.
@@ -30,13 +30,13 @@
 pub(super) struct LoadState {
     pub(super) queued: u32,
     // Running and queued, as last reported.
-    pub(super) fresh: f64,
+    pub(super) reported: f64,
     pub(super) demand: f64,
     pub(super) used: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(super) struct TeamDue {
+pub(super) struct TeamShare {
     pub(super) demand: f64,
     pub(super) slots: f64,
 }
@@ -57,12 +57,12 @@
             .max(held)
     }
 
-    pub(super) fn due_slots<'a>(
+    pub(super) fn share_by_team<'a>(
         &'a self,
-        dues: &'a BTreeMap<TeamId, TeamDue>,
+        team_shares: &'a BTreeMap<TeamId, TeamShare>,
     ) -> impl Iterator<Item = (&'a TeamId, f64)> {
         self.loads.iter().filter_map(|(team, load)| {
-            let due = dues.get(team)?;
+            let due = team_shares.get(team)?;
             let part = if 0.0 < due.demand {
                 load.demand / due.demand
             } else {
@@ -75,44 +75,44 @@
 
 impl HolderState {
     // True before the first offer of the session.
-    pub(super) fn is_fresh(&self) -> bool {
+    pub(super) fn has_made_no_offer(&self) -> bool {
         self.offers.iter().all(|(round, _)| *round == 0)
     }
 
     // Lets the memory of past demand fade; true if any did.
-    pub(super) fn fade(&mut self) -> bool {
-        let mut faded = false;
+    pub(super) fn decay_demand(&mut self) -> bool {
+        let mut decayed = false;
         for load in self.loads.values_mut() {
-            let floor = load.fresh;
+            let floor = load.reported;
             if floor < load.demand {
-                load.demand = faded_demand(load.demand).max(floor);
-                faded = true;
+                load.demand = decayed_demand(load.demand).max(floor);
+                decayed = true;
             }
         }
-        faded
+        decayed
     }
 }
 
 impl LoadState {
     pub(super) fn next(load: &TeamLoad, last: &Self) -> Self {
-        let fresh = f64::from(load.running) + f64::from(load.queued);
+        let reported = f64::from(load.running) + f64::from(load.queued);
         Self {
             queued: load.queued,
-            fresh,
-            demand: fresh.max(faded_demand(last.demand)),
+            reported,
+            demand: reported.max(decayed_demand(last.demand)),
             used: load.used.max(last.used),
         }
     }
 }
 
-fn faded_demand(demand: f64) -> f64 {
-    let faded = demand * DEMAND_DECAY;
-    if faded < DEMAND_FLOOR { 0.0 } else { faded }
+fn decayed_demand(demand: f64) -> f64 {
+    let decayed = demand * DEMAND_DECAY;
+    if decayed < DEMAND_FLOOR { 0.0 } else { decayed }
 }
 
 // Moves `last` towards `wanted` slots in total within `headroom`, with few changes: takes
 // from where the holder has most, adds where most is free.
-pub(super) fn reshape(last: &SlotMap, wanted: u32, headroom: &SlotMap) -> SlotMap {
+pub(super) fn adjust_offer(last: &SlotMap, wanted: u32, headroom: &SlotMap) -> SlotMap {
     let mut next: SlotMap = headroom
         .iter()
         .map(|(target, &room)| {
@@ -131,14 +131,14 @@
         total -= 1;
     }
     while total < wanted {
-        let room_left = |target: &HostId, slots: u32| headroom[target] - slots;
+        let remaining_capacity = |target: &HostId, slots: u32| headroom[target] - slots;
         let best = next
             .iter_mut()
-            .max_by_key(|(target, slots)| room_left(target, **slots));
+            .max_by_key(|(target, slots)| remaining_capacity(target, **slots));
         let Some((target, slots)) = best else {
             break;
         };
-        if room_left(target, *slots) == 0 {
+        if remaining_capacity(target, *slots) == 0 {
             break;
         }
         *slots += 1;
--- a/crates/decide/src/share/mod.rs
+++ b/crates/decide/src/share/mod.rs
@@ -15,6 +15,6 @@
 pub use broker::SlotBroker;
 pub use byte_budget::ByteBudget;
 pub use holder::{HeldPool, HolderOptions, SlotHolder};
-pub use pick::{PickOptions, TeamTurn, pick};
+pub use pick::{PickOptions, TeamTurn, pick_next_team};
 pub use split::{ShareClaim, apportion, fair_split};
 pub use terms::{BrokerOptions, BrokerSwitch, HolderDemand, PoolOffer, SlotMap, TeamLoad};
--- a/crates/decide/src/share/pick.rs
+++ b/crates/decide/src/share/pick.rs
@@ -39,7 +39,7 @@
 ///
 /// Urgent requests go first, the longest waiting before others, while their team's debt
 /// is bounded; then the team with the least virtual time.
-pub fn pick(turns: &[TeamTurn], options: &PickOptions) -> Option<usize> {
+pub fn pick_next_team(turns: &[TeamTurn], options: &PickOptions) -> Option<usize> {
     let ready = || turns.iter().enumerate().filter(|(_, turn)| turn.is_ready());
     let least = ready().map(|(_, turn)| turn.virtual_time).min()?;
     let urgent = ready()
--- a/crates/decide/src/share/split.rs
+++ b/crates/decide/src/share/split.rs
@@ -18,7 +18,7 @@
         .filter(|&index| 0.0 < claims[index].weight && 0.0 < claims[index].demand)
         .collect();
     // In order of the level at which each claim is filled, one pass settles them all.
-    open.sort_by(|&left, &right| level(&claims[left]).total_cmp(&level(&claims[right])));
+    open.sort_by(|&left, &right| saturation(&claims[left]).total_cmp(&saturation(&claims[right])));
     let mut weight_left: f64 = open.iter().map(|&index| claims[index].weight).sum();
     let mut capacity_left = capacity.max(0.0);
     for index in open {
@@ -50,7 +50,7 @@
     whole
 }
 
-fn level(claim: &ShareClaim) -> f64 {
+fn saturation(claim: &ShareClaim) -> f64 {
     claim.demand / claim.weight
 }
 
--- a/crates/decide/src/wave/sighting.rs
+++ b/crates/decide/src/wave/observation.rs
@@ -4,7 +4,7 @@
 
 /// What this entry host has lately seen of one host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct HostSighting {
+pub struct HostObservation {
     /// What the host list says of it; `None` if the list does not show it.
     pub facts: Option<HostFacts>,
     /// True if the list shows that the platform takes the host away.
@@ -12,15 +12,15 @@
     /// How long the list has not shown it; zero while it does.
     pub missing_for: Duration,
     /// What its health endpoint answered.
-    pub health: HealthSight,
-    /// The stay in which it was asked, see [`HostSighting::health_in`].
-    pub asked_in: PhaseStay,
+    pub health: HealthStatus,
+    /// The stay in which it was asked, see [`HostObservation::health_in_phase`].
+    pub probed_in: PhaseEntry,
 }
 
 /// One stay of a host in a phase: the phase and when it began.
-pub type PhaseStay = (HostPhase, Duration);
+pub type PhaseEntry = (HostPhase, Duration);
 
-impl HostSighting {
+impl HostObservation {
     /// True if the list shows the host and does not say that it leaves.
     pub fn is_staying(&self) -> bool {
         self.facts.is_some() && !self.leaving
@@ -31,17 +31,17 @@
     /// An answer from before proves nothing: a host about to reboot that said it serves
     /// a second ago, before it was told to drain, would pass for one that is back, and
     /// its maintenance would count as done without a reboot.
-    pub fn health_in(&self, state: &HostState) -> HealthSight {
-        if self.asked_in == state.stay() {
+    pub fn health_in_phase(&self, state: &HostState) -> HealthStatus {
+        if self.probed_in == state.phase_entry() {
             return self.health;
         }
-        HealthSight::Unknown
+        HealthStatus::Unknown
     }
 }
 
 /// What the health endpoint of a host showed, unless that is long ago.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum HealthSight {
+pub enum HealthStatus {
     /// Not asked lately.
     #[default]
     Unknown,
@@ -56,7 +56,7 @@
     Failing,
 }
 
-impl HealthSight {
+impl HealthStatus {
     /// True if the host answered that it takes new work.
     pub fn is_serving(self) -> bool {
         matches!(
@@ -88,21 +88,21 @@
     /// How long a lost host keeps its place in its pool.
     pub forget_after: Duration,
     /// How long the map remembers a host that was given up.
-    pub keep_retired: Duration,
+    pub retired_retention: Duration,
     /// Longest time from reboot to a passed health check.
     pub return_limit: Duration,
     /// Shortest time between coming back and serving.
-    pub settle: Duration,
+    pub settle_time: Duration,
     /// Hosts of the whole fleet that may fail to return before no more go out.
     pub failed_returns: u32,
     /// Fewest hosts of the whole fleet that go out first; see [`FleetLimits::allowance`].
-    pub first_out: u32,
+    pub min_first_out: u32,
     /// The fleet divided by this is the number that go out first, if that is more.
-    pub first_part: u32,
+    pub first_divisor: u32,
     /// How long a host that returned counts as a proof that hosts do.
-    pub proof_age: Duration,
+    pub return_evidence_age: Duration,
     /// The fleet divided by this is the most that may be out for maintenance at once.
-    pub fleet_part: u32,
+    pub fleet_divisor: u32,
     /// Time a host is expected to be out, used to end waves within the window.
     pub expected_outage: Duration,
 }
@@ -112,14 +112,14 @@
         Self {
             list_lag: Duration::from_secs(15),
             forget_after: Duration::from_secs(3600),
-            keep_retired: Duration::from_secs(24 * 3600),
+            retired_retention: Duration::from_secs(24 * 3600),
             return_limit: Duration::from_secs(600),
-            settle: Duration::from_secs(2),
+            settle_time: Duration::from_secs(2),
             failed_returns: 2,
-            first_out: 2,
-            first_part: 100,
-            proof_age: Duration::from_secs(26 * 3600),
-            fleet_part: 4,
+            min_first_out: 2,
+            first_divisor: 100,
+            return_evidence_age: Duration::from_secs(26 * 3600),
+            fleet_divisor: 4,
             expected_outage: Duration::from_secs(300),
         }
     }
@@ -135,8 +135,8 @@
     /// a little longer than a day, or a nightly window of an hour would start anew each
     /// night and 1,200 hosts would not be through in eight weeks.
     pub fn allowance(&self, fleet: u32, returned_lately: u32) -> u32 {
-        let first = (fleet / self.first_part.max(1)).max(self.first_out);
-        let most = (fleet / self.fleet_part.max(1)).max(first);
+        let first = (fleet / self.first_divisor.max(1)).max(self.min_first_out);
+        let most = (fleet / self.fleet_divisor.max(1)).max(first);
         most.min(first.saturating_add(returned_lately.saturating_mul(2)))
     }
 }
--- a/crates/decide/src/wave/permit.rs
+++ b/crates/decide/src/wave/outage_planner.rs
@@ -2,12 +2,12 @@
 
 use model::{HostId, PoolId, PoolSpec, RackId, WindowSpec};
 
-use super::{FleetLimits, HealthSight, RoundView, WindowClock};
+use super::{FleetLimits, HealthStatus, RoundInput, WindowClock};
 use crate::budget::{FleetMap, HostPhase, HostState, OutCause, PoolHosts, PoolLedger};
 
 /// Grants outages for maintenance, pool by pool, on the map that the round will write.
-pub(super) struct PermitDesk<'a> {
-    view: &'a RoundView<'a>,
+pub(super) struct OutagePlanner<'a> {
+    view: &'a RoundInput<'a>,
     map: &'a FleetMap,
     pools: BTreeMap<&'a PoolId, PoolHosts<'a>>,
 }
@@ -21,8 +21,8 @@
     pub(super) probes: Vec<HostId>,
 }
 
-impl<'a> PermitDesk<'a> {
-    pub(super) fn new(view: &'a RoundView<'a>, map: &'a FleetMap) -> Self {
+impl<'a> OutagePlanner<'a> {
+    pub(super) fn new(view: &'a RoundInput<'a>, map: &'a FleetMap) -> Self {
         let pools = map.by_pool();
         Self { view, map, pools }
     }
@@ -44,9 +44,12 @@
     /// Hosts that may go out in this round, over all pools.
     ///
     /// A host that never returned counts as out for as long as the map remembers it.
-    pub(super) fn fleet_left(&self) -> u32 {
+    pub(super) fn remaining_outages(&self) -> u32 {
         let (mut fleet, mut out, mut returned) = (0, 0, 0);
-        let proof_since = self.view.now.saturating_sub(self.view.limits.proof_age);
+        let proof_since = self
+            .view
+            .now
+            .saturating_sub(self.view.limits.return_evidence_age);
         for state in self.map.hosts.values() {
             let serving = state.in_service();
             let retired = state.phase == HostPhase::Retired;
@@ -74,7 +77,7 @@
         if !candidates.iter().any(|(_, state)| allowed(state)) {
             return permits;
         }
-        permits.probes = self.unproved_hosts(pool);
+        permits.probes = self.unconfirmed_hosts(pool);
         if !permits.probes.is_empty() {
             return permits;
         }
@@ -125,12 +128,13 @@
     ///
     /// The map learns of a loss late. A permit granted on the map alone could take the
     /// last spare host while another is down already.
-    fn unproved_hosts(&self, pool: &PoolId) -> Vec<HostId> {
+    fn unconfirmed_hosts(&self, pool: &PoolId) -> Vec<HostId> {
         self.pool_hosts(pool)
             .iter()
             .filter(|(host, state)| {
-                let sighting = self.view.sightings.get(*host);
-                let health = sighting.map_or(HealthSight::Unknown, |seen| seen.health_in(state));
+                let observation = self.view.observations.get(*host);
+                let health =
+                    observation.map_or(HealthStatus::Unknown, |seen| seen.health_in_phase(state));
                 state.in_service() && !health.is_serving()
             })
             .map(|(host, _)| (*host).clone())
@@ -142,7 +146,7 @@
 ///
 /// A host that has not been rebooted yet goes back to work. One that has finishes, as
 /// nothing is gained by stopping half-way.
-pub(super) fn recall(view: &RoundView<'_>, state: &HostState) -> Option<HostState> {
+pub(super) fn cancel_drain(view: &RoundInput<'_>, state: &HostState) -> Option<HostState> {
     if state.phase != HostPhase::Draining || state.cause != OutCause::Maintenance {
         return None;
     }
@@ -154,7 +158,7 @@
 
 impl FleetLimits {
     /// True if a retired host may be forgotten.
-    pub(super) fn retired_long_ago(&self, state: &HostState, now: Duration) -> bool {
-        state.phase == HostPhase::Retired && now >= state.since + self.keep_retired
+    pub(super) fn retention_expired(&self, state: &HostState, now: Duration) -> bool {
+        state.phase == HostPhase::Retired && now >= state.since + self.retired_retention
     }
 }
--- a/crates/decide/src/wave/pool_choice.rs
+++ b/crates/decide/src/wave/pool_choice.rs
@@ -64,10 +64,10 @@
             .iter()
             .filter(|(_, spec)| spec.role == facts.role && !spec.spare)
             .filter_map(|(pool, spec)| {
-                let lacking = self.lacking(pool, spec)?;
+                let shortfall = self.shortfall(pool, spec)?;
                 let rack = (pool.clone(), facts.rack.clone());
                 let mates = self.rack_mates.get(&rack).copied().unwrap_or_default();
-                Some((lacking, Reverse(mates), Reverse(pool)))
+                Some((shortfall, Reverse(mates), Reverse(pool)))
             })
             .max()
             .map(|(_, _, Reverse(pool))| pool.clone())
@@ -81,8 +81,10 @@
             .map(|(pool, _)| pool.clone())
     }
 
-    fn lacking(&self, pool: &PoolId, spec: &PoolSpec) -> Option<u32> {
+    fn shortfall(&self, pool: &PoolId, spec: &PoolSpec) -> Option<u32> {
         let held = self.held.get(pool).copied().unwrap_or_default();
-        spec.size.checked_sub(held).filter(|lacking| *lacking > 0)
+        spec.size
+            .checked_sub(held)
+            .filter(|shortfall| *shortfall > 0)
     }
 }
--- a/crates/decide/src/wave/progress.rs
+++ b/crates/decide/src/wave/progress.rs
@@ -2,7 +2,7 @@
 
 use model::PoolId;
 
-use super::{FleetLimits, HealthSight, HostSighting};
+use super::{FleetLimits, HealthStatus, HostObservation};
 use crate::budget::{HostPhase, HostState, OutCause};
 
 /// The next state of one host by what was seen of it; `None` if it stays as it is.
@@ -11,13 +11,13 @@
 /// leavings, and the way of a host that is out already.
 pub(super) fn next_state(
     state: &HostState,
-    sighting: &HostSighting,
+    observation: &HostObservation,
     limits: &FleetLimits,
     now: Duration,
 ) -> Option<HostState> {
-    let seen = Seen {
+    let seen = HostTransition {
         state,
-        sighting,
+        observation,
         limits,
         now,
     };
@@ -26,23 +26,23 @@
         .or_else(|| seen.after_progress())
 }
 
-struct Seen<'a> {
+struct HostTransition<'a> {
     state: &'a HostState,
-    sighting: &'a HostSighting,
+    observation: &'a HostObservation,
     limits: &'a FleetLimits,
     now: Duration,
 }
 
-impl Seen<'_> {
+impl HostTransition<'_> {
     fn after_leaving(&self) -> Option<HostState> {
-        let leaving = self.sighting.leaving;
+        let leaving = self.observation.leaving;
         let known = self.state.cause == OutCause::Leaving;
         match self.state.phase {
             HostPhase::Retired => None,
             HostPhase::Draining if known && self.gone() => {
                 self.enter(HostPhase::Retired, OutCause::Leaving)
             }
-            HostPhase::Draining if known && self.sighting.is_staying() => {
+            HostPhase::Draining if known && self.observation.is_staying() => {
                 self.enter(HostPhase::Checking, OutCause::Joining)
             }
             _ if leaving && !known => {
@@ -120,8 +120,8 @@
         Some(next)
     }
 
-    fn health(&self) -> HealthSight {
-        self.sighting.health_in(self.state)
+    fn health(&self) -> HealthStatus {
+        self.observation.health_in_phase(self.state)
     }
 
     fn forgotten(&self) -> bool {
@@ -129,11 +129,11 @@
     }
 
     fn gone(&self) -> bool {
-        self.sighting.missing_for >= self.limits.list_lag
+        self.observation.missing_for >= self.limits.list_lag
     }
 
     fn failing(&self) -> bool {
-        self.health() == HealthSight::Failing
+        self.health() == HealthStatus::Failing
     }
 
     fn overdue(&self) -> bool {
@@ -141,10 +141,10 @@
     }
 
     fn settled(&self) -> bool {
-        self.now >= self.state.since + self.limits.settle
+        self.now >= self.state.since + self.limits.settle_time
     }
 
     fn is_back(&self) -> bool {
-        self.sighting.is_staying() && matches!(self.health(), HealthSight::Answering { .. })
+        self.observation.is_staying() && matches!(self.health(), HealthStatus::Answering { .. })
     }
 }
--- a/crates/decide/src/wave/rehome.rs
+++ b/crates/decide/src/wave/rehome.rs
@@ -2,7 +2,7 @@
 
 use model::{HostId, HostRole, PoolId};
 
-use super::{PoolChoice, RoundView};
+use super::{PoolChoice, RoundInput};
 use crate::budget::{FleetMap, HostPhase, HostState, OutCause, PoolLedger};
 
 /// Hosts that the manifest no longer leaves in their pool, as they set out for another.
@@ -10,7 +10,7 @@
 /// The pool may have been removed, or the service that an executor answers may have been
 /// given another pool. While the old pool is in the manifest its budget holds, so its
 /// hosts go one after the other; once it is gone nobody counts on it.
-pub(super) fn rehome_hosts(view: &RoundView<'_>, map: &FleetMap) -> BTreeMap<HostId, HostState> {
+pub(super) fn rehome_hosts(view: &RoundInput<'_>, map: &FleetMap) -> BTreeMap<HostId, HostState> {
     let mut choice = PoolChoice::new(view.manifest, map);
     let mut ledgers: BTreeMap<&PoolId, PoolLedger> = BTreeMap::new();
     let mut moved = BTreeMap::new();
@@ -36,7 +36,7 @@
 }
 
 /// The pool that a host in service has to go to; `None` if it stays.
-fn next_pool(view: &RoundView<'_>, choice: &PoolChoice<'_>, state: &HostState) -> Option<PoolId> {
+fn next_pool(view: &RoundInput<'_>, choice: &PoolChoice<'_>, state: &HostState) -> Option<PoolId> {
     if !state.in_service() {
         return None;
     }
--- a/crates/decide/src/wave/round_plan.rs
+++ b/crates/decide/src/wave/round_plan.rs
@@ -3,15 +3,15 @@
 use model::{HostId, Manifest};
 
 use super::{
-    FleetLimits, HostSighting, PoolChoice, lend,
-    permit::{PermitDesk, recall},
+    FleetLimits, HostObservation, PoolChoice, lend,
+    outage_planner::{OutagePlanner, cancel_drain},
     progress, rehome,
 };
 use crate::budget::{FleetMap, HostState, MapChange};
 
 /// What a planning round knows.
 #[derive(Clone, Copy, Debug)]
-pub struct RoundView<'a> {
+pub struct RoundInput<'a> {
     /// Time since the Unix epoch.
     pub now: Duration,
     /// The pool map that the round's change will be written against.
@@ -19,7 +19,7 @@
     /// The manifest in force.
     pub manifest: &'a Manifest,
     /// What was seen of each host.
-    pub sightings: &'a BTreeMap<HostId, HostSighting>,
+    pub observations: &'a BTreeMap<HostId, HostObservation>,
     /// True if the host list was read lately.
     pub list_fresh: bool,
     /// Times and counts by which hosts are judged.
@@ -42,7 +42,7 @@
     ///
     /// The order matters: outages are granted on the map that holds the losses of the
     /// same round, so a loss and a permit can't both use the last spare host.
-    pub fn make(view: &RoundView<'_>) -> Self {
+    pub fn plan(view: &RoundInput<'_>) -> Self {
         if view.manifest.pools.is_empty() {
             return Self::default();
         }
@@ -54,33 +54,33 @@
         plan
     }
 
-    fn follow_hosts(&mut self, view: &RoundView<'_>) {
-        let unseen = HostSighting::default();
+    fn follow_hosts(&mut self, view: &RoundInput<'_>) {
+        let unseen = HostObservation::default();
         for (host, state) in &view.map.hosts {
-            let sighting = view.sightings.get(host).unwrap_or(&unseen);
-            if sighting.facts.is_none() && view.limits.retired_long_ago(state, view.now) {
+            let observation = view.observations.get(host).unwrap_or(&unseen);
+            if observation.facts.is_none() && view.limits.retention_expired(state, view.now) {
                 self.change.removed.push(host.clone());
                 continue;
             }
             if !state.in_service() {
                 self.probes.push(host.clone());
             }
-            let next = progress::next_state(state, sighting, view.limits, view.now)
-                .or_else(|| recall(view, state));
-            let next = with_facts(next, state, sighting);
+            let next = progress::next_state(state, observation, view.limits, view.now)
+                .or_else(|| cancel_drain(view, state));
+            let next = with_facts(next, state, observation);
             if let Some(next) = next {
                 self.change.hosts.insert(host.clone(), next);
             }
         }
     }
 
-    fn join_hosts(&mut self, view: &RoundView<'_>) {
+    fn join_hosts(&mut self, view: &RoundInput<'_>) {
         let mut choice = PoolChoice::new(view.manifest, &view.map.with_change(&self.change));
-        for (host, sighting) in view.sightings {
-            let Some(facts) = &sighting.facts else {
+        for (host, observation) in view.observations {
+            let Some(facts) = &observation.facts else {
                 continue;
             };
-            if sighting.leaving || view.map.hosts.contains_key(host) {
+            if observation.leaving || view.map.hosts.contains_key(host) {
                 continue;
             }
             let Some(pool) = choice.pool_for(facts) else {
@@ -92,25 +92,25 @@
         }
     }
 
-    fn rehome_hosts(&mut self, view: &RoundView<'_>) {
+    fn rehome_hosts(&mut self, view: &RoundInput<'_>) {
         let map = view.map.with_change(&self.change);
         self.change.hosts.extend(rehome::rehome_hosts(view, &map));
         if view.list_fresh {
             let map = view.map.with_change(&self.change);
-            self.change.hosts.extend(lend::lend_spares(view, &map));
+            self.change.hosts.extend(lend::reassign_spares(view, &map));
         }
     }
 
-    fn grant_permits(&mut self, view: &RoundView<'_>) {
+    fn grant_permits(&mut self, view: &RoundInput<'_>) {
         let map = view.map.with_change(&self.change);
-        let desk = PermitDesk::new(view, &map);
-        self.halted = desk.halted();
+        let planner = OutagePlanner::new(view, &map);
+        self.halted = planner.halted();
         if self.halted || !view.list_fresh {
             return;
         }
-        let mut left = desk.fleet_left();
+        let mut left = planner.remaining_outages();
         for (pool, spec) in &view.manifest.pools {
-            let permits = desk.grant_pool(pool, spec, left);
+            let permits = planner.grant_pool(pool, spec, left);
             left = left.saturating_sub(u32::try_from(permits.granted.len()).unwrap_or(left));
             self.change.hosts.extend(permits.granted);
             self.probes.extend(permits.probes);
@@ -122,9 +122,9 @@
 fn with_facts(
     next: Option<HostState>,
     state: &HostState,
-    sighting: &HostSighting,
+    observation: &HostObservation,
 ) -> Option<HostState> {
-    let Some(facts) = &sighting.facts else {
+    let Some(facts) = &observation.facts else {
         return next;
     };
     if next.is_none() && *facts == state.facts {
--- a/crates/decide/src/work/desk_sight.rs
+++ b/crates/decide/src/work/desk_sight.rs
@@ -41,7 +41,7 @@
         Some(if unreached {
             CallClass::Renew
         } else {
-            CallClass::Look
+            CallClass::Poll
         })
     }
 
--- a/crates/decide/tests/call_budget.rs
+++ b/crates/decide/tests/call_budget.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use decide::call_budget::{CallBudget, CallClass, ListPace};
+use decide::call_budget::{CallBudget, CallClass, ListThrottle};
 
 /// 2 Mbit/s.
 const NARROW: f64 = 250_000.0;
@@ -42,20 +42,20 @@
 #[test]
 fn call_budget_follows_late_answers() {
     let mut budget = CallBudget::new(NARROW);
-    let before = fill(&mut budget, CallClass::Look);
+    let before = fill(&mut budget, CallClass::Poll);
     for round in 1..=20_u64 {
-        budget.end(CallClass::Look, ms(400), ms(300 * round));
-        budget.begin(CallClass::Look);
+        budget.end(CallClass::Poll, ms(400), ms(300 * round));
+        budget.begin(CallClass::Poll);
     }
-    (0..before).for_each(|_| budget.release(CallClass::Look));
-    let after = fill(&mut budget, CallClass::Look);
+    (0..before).for_each(|_| budget.release(CallClass::Poll));
+    let after = fill(&mut budget, CallClass::Poll);
     assert!(after * 2 < before, "{before} became {after}");
-    (0..after).for_each(|_| budget.release(CallClass::Look));
+    (0..after).for_each(|_| budget.release(CallClass::Poll));
     for round in 0..2000_u64 {
-        budget.begin(CallClass::Look);
-        budget.end(CallClass::Look, ms(10), ms(7000 + round));
+        budget.begin(CallClass::Poll);
+        budget.end(CallClass::Poll, ms(10), ms(7000 + round));
     }
-    let recovered = fill(&mut budget, CallClass::Look);
+    let recovered = fill(&mut budget, CallClass::Poll);
     assert!(recovered >= before, "{after} became {recovered}");
 }
 
@@ -63,10 +63,10 @@
 #[test]
 fn call_budget_keeps_order() {
     let mut budget = CallBudget::new(NARROW);
-    fill(&mut budget, CallClass::Look);
+    fill(&mut budget, CallClass::Poll);
     assert!(budget.admits(CallClass::Start));
     fill(&mut budget, CallClass::Start);
-    assert!(!budget.admits(CallClass::Look));
+    assert!(!budget.admits(CallClass::Poll));
     assert!(budget.admits(CallClass::Stop));
     assert!(CallClass::Stop < CallClass::Renew && CallClass::Renew < CallClass::Start);
 }
@@ -76,13 +76,13 @@
 #[test]
 fn call_budget_spares_others_from_probes() {
     let mut budget = CallBudget::new(NARROW);
-    let before = fill(&mut budget.clone(), CallClass::Look);
+    let before = fill(&mut budget.clone(), CallClass::Poll);
     fill(&mut budget, CallClass::Probe);
     for round in 1..=100_u64 {
         budget.end(CallClass::Probe, ms(500), ms(500 * round));
         budget.begin(CallClass::Probe);
     }
-    assert_eq!(fill(&mut budget, CallClass::Look), before);
+    assert_eq!(fill(&mut budget, CallClass::Poll), before);
 }
 
 /// Guards against a bound that binds where the link is wide: 300 targets with three starts and a
@@ -91,9 +91,9 @@
 fn call_budget_is_ample_on_wide_link() {
     let mut budget = CallBudget::new(WIDE);
     for round in 1..=100_u64 {
-        budget.begin(CallClass::Look);
+        budget.begin(CallClass::Poll);
         let took = if round % 2 == 0 { 400 } else { 5 };
-        budget.end(CallClass::Look, ms(took), ms(300 * round));
+        budget.end(CallClass::Poll, ms(took), ms(300 * round));
     }
     assert!(fill(&mut budget, CallClass::Start) >= 400);
 }
@@ -102,13 +102,13 @@
 /// waits between the two that show which lives have ended.
 #[test]
 fn list_pace_bounds_slow_lists() {
-    let mut pace = ListPace::default();
+    let mut pace = ListThrottle::default();
     let mut lists = Vec::new();
     let mut now = ms(1000);
     while now < ms(4000) {
         if pace.admits(now) {
             lists.push(now);
-            pace.listed(now, ms(200));
+            pace.record_list(now, ms(200));
             now += ms(200);
         } else {
             now += ms(10);
@@ -121,10 +121,10 @@
 /// Guards against lists that are held back though they take no time.
 #[test]
 fn list_pace_allows_fast_lists() {
-    let mut pace = ListPace::default();
+    let mut pace = ListThrottle::default();
     for round in 1..100 {
         let now = ms(100 * round);
         assert!(pace.admits(now));
-        pace.listed(now, ms(8));
+        pace.record_list(now, ms(8));
     }
 }
--- a/crates/decide/tests/claim.rs
+++ b/crates/decide/tests/claim.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use decide::claim::{ClaimAsker, ClaimGrant, ClaimLedger, MintedId};
+use decide::claim::{ClaimGrant, ClaimLedger, Claimant, MintedId};
 use model::{RequestId, TeamId};
 use proptest::prelude::*;
 use rstest::rstest;
@@ -31,8 +31,8 @@
     ]
 }
 
-fn asker(member: u8, call: u64) -> ClaimAsker {
-    ClaimAsker {
+fn asker(member: u8, call: u64) -> Claimant {
+    Claimant {
         member: format!("e{member}").into(),
         incarnation: 1,
         call,
@@ -47,7 +47,7 @@
         let mut ledger = ClaimLedger::new(capacity);
         let mut owners: BTreeMap<u64, TeamId> = BTreeMap::new();
         let mut spent = BTreeSet::new();
-        let mut granted: BTreeMap<u64, ClaimAsker> = BTreeMap::new();
+        let mut granted: BTreeMap<u64, Claimant> = BTreeMap::new();
         for step in steps {
             match step {
                 Step::Mint { team } => {
@@ -56,7 +56,7 @@
                     prop_assert!(owners.insert(counter, team).is_none());
                 }
                 Step::MintSpent => {
-                    spent.insert(ledger.mint_spent());
+                    spent.insert(ledger.mint_claimed());
                 }
                 Step::Claim { counter, team, member, call } => {
                     let team = TeamId::from(format!("team{team}"));
@@ -112,7 +112,7 @@
         ledger.claim(counter, &team, &asker(1, 8)),
         ClaimGrant::Taken
     );
-    let reborn = ClaimAsker {
+    let reborn = Claimant {
         incarnation: 2,
         ..asker(1, 7)
     };
--- a/crates/decide/tests/common/fleet_world.rs
+++ b/crates/decide/tests/common/fleet_world.rs
@@ -2,7 +2,7 @@
 
 use decide::{
     budget::{FleetMap, HostFacts, HostPhase, HostState, MapChange, OutCause},
-    wave::{FleetLimits, HealthSight, HostSighting, PhaseStay, RoundPlan, RoundView},
+    wave::{FleetLimits, HealthStatus, HostObservation, PhaseEntry, RoundInput, RoundPlan},
 };
 use model::{HostId, HostRole, Manifest, PoolId, PoolSpec, WindowSpec};
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -79,9 +79,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct ProbeNote {
     at: Duration,
-    health: HealthSight,
+    health: HealthStatus,
     failures: u32,
-    stay: PhaseStay,
+    stay: PhaseEntry,
 }
 
 /// Hosts, a list that lags, and two planners that both believe to have the duty.
@@ -205,14 +205,14 @@
         let store_up = self.now >= self.store_down_until;
         let mut planner = std::mem::take(&mut self.planners[index]);
         self.probe(&mut planner);
-        let sightings = self.sightings(&planner);
+        let observations = self.observations(&planner);
         let view_map = self.view_map(&planner.map);
         let manifest = self.view_manifest();
-        let plan = RoundPlan::make(&RoundView {
+        let plan = RoundPlan::plan(&RoundInput {
             now: self.now,
             map: &view_map,
             manifest: &manifest,
-            sightings: &sightings,
+            observations: &observations,
             list_fresh: true,
             limits: &self.limits,
         });
@@ -249,17 +249,17 @@
         self.manifest.clone()
     }
 
-    fn sightings(&self, planner: &PlannerState) -> BTreeMap<HostId, HostSighting> {
+    fn observations(&self, planner: &PlannerState) -> BTreeMap<HostId, HostObservation> {
         let age = match self.options.fault {
             GuardFault::OldHealth => Duration::from_secs(3600),
             _ => HEALTH_AGE,
         };
-        let sighting = |host: &HostId, machine: &Machine| {
+        let observation = |host: &HostId, machine: &Machine| {
             let missing = self.missing_since.get(host);
             let mut health = planner.health(host, self.now, age);
             if self.options.fault == GuardFault::LossesIgnored {
                 health = match health {
-                    HealthSight::Failing | HealthSight::Unknown => HealthSight::Answering {
+                    HealthStatus::Failing | HealthStatus::Unknown => HealthStatus::Answering {
                         draining: false,
                         running: 0,
                     },
@@ -268,7 +268,7 @@
             }
             if self.options.fault == GuardFault::RebootUndrained {
                 health = match health {
-                    HealthSight::Answering { draining, .. } => HealthSight::Answering {
+                    HealthStatus::Answering { draining, .. } => HealthStatus::Answering {
                         draining,
                         running: 0,
                     },
@@ -279,17 +279,17 @@
             if self.options.fault == GuardFault::OneDomain {
                 facts.rack = "one".into();
             }
-            HostSighting {
+            HostObservation {
                 facts: missing.is_none().then_some(facts),
                 leaving: false,
                 missing_for: missing.map_or(Duration::ZERO, |since| self.now - *since),
                 health,
-                asked_in: planner.asked_in(host, self.options.fault),
+                probed_in: planner.asked_in(host, self.options.fault),
             }
         };
         let machines = self.machines.iter();
         machines
-            .map(|(host, machine)| (host.clone(), sighting(host, machine)))
+            .map(|(host, machine)| (host.clone(), observation(host, machine)))
             .collect()
     }
 
@@ -303,18 +303,18 @@
                 continue;
             };
             let note = planner.probed.entry(host.clone()).or_default();
-            if note.stay != state.stay() {
+            if note.stay != state.phase_entry() {
                 *note = ProbeNote::default();
             }
-            note.stay = state.stay();
+            note.stay = state.phase_entry();
             note.at = self.now;
             if machine.down_since.is_some() {
-                note.health = HealthSight::Unknown;
+                note.health = HealthStatus::Unknown;
                 note.failures += 1;
                 continue;
             }
             note.failures = 0;
-            note.health = HealthSight::Answering {
+            note.health = HealthStatus::Answering {
                 draining: machine.draining,
                 running: machine.running,
             };
@@ -412,18 +412,18 @@
 }
 
 impl PlannerState {
-    fn health(&self, host: &HostId, now: Duration, age: Duration) -> HealthSight {
+    fn health(&self, host: &HostId, now: Duration, age: Duration) -> HealthStatus {
         match self.probed.get(host) {
-            Some(note) if note.failures >= 3 => HealthSight::Failing,
+            Some(note) if note.failures >= 3 => HealthStatus::Failing,
             Some(note) if now - note.at <= age => note.health,
-            _ => HealthSight::Unknown,
+            _ => HealthStatus::Unknown,
         }
     }
 
     /// The stay in which a host was asked; with the guard away, whatever the map says.
-    fn asked_in(&self, host: &HostId, fault: GuardFault) -> PhaseStay {
+    fn asked_in(&self, host: &HostId, fault: GuardFault) -> PhaseEntry {
         let state = self.map.hosts.get(host);
-        let held = state.map(HostState::stay).unwrap_or_default();
+        let held = state.map(HostState::phase_entry).unwrap_or_default();
         match fault {
             GuardFault::HealthOfOtherPhase => return held,
             GuardFault::LossesIgnored if held.0 == HostPhase::Lost => {
--- a/crates/decide/tests/config_state.rs
+++ b/crates/decide/tests/config_state.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use decide::config::{
-    CatchUp, ChangePlan, ConfigFault, ConfigLimits, ConfigState, PlanInput, plan_change,
+    CatchUp, ChangePlan, ConfigError, ConfigLimits, ConfigState, PlanInput, plan_change,
 };
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -72,9 +72,9 @@
         plan
     }
 
-    fn follow(&self, state: &ConfigState, record: &ConfigRecord) -> Result<CatchUp, ConfigFault> {
-        match state.follow(record, None) {
-            Err(ConfigFault::BaseNeeded(key)) => state.follow(record, self.bases.get(&key)),
+    fn follow(&self, state: &ConfigState, record: &ConfigRecord) -> Result<CatchUp, ConfigError> {
+        match state.follow_record(record, None) {
+            Err(ConfigError::BaseNeeded(key)) => state.follow_record(record, self.bases.get(&key)),
             outcome => outcome,
         }
     }
@@ -131,8 +131,8 @@
     store.submit(&input("c1", None, &[grant("k1", 1)]));
     let mut other = SimStore::default();
     other.submit(&input("c1", None, &[grant("k1", 2)]));
-    let outcome = store.state.follow(&other.record, None);
-    assert_eq!(outcome, Err(ConfigFault::Diverged(1)));
+    let outcome = store.state.follow_record(&other.record, None);
+    assert_eq!(outcome, Err(ConfigError::Diverged(1)));
 }
 
 #[test]
--- a/crates/decide/tests/job.rs
+++ b/crates/decide/tests/job.rs
@@ -5,7 +5,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use decide::job::{
-    JobPhase, JobPolicy, JobSpec, JobState, PhaseKind, SightFacts, StepAction, TaskSight,
+    AttemptAction, AttemptReport, JobPhase, JobPolicy, JobSpec, JobState, PhaseKind, ReportContext,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use rstest::rstest;
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, Default)]
 struct WorkerModel {
     boot: u64,
-    tasks: BTreeMap<String, TaskSight>,
+    tasks: BTreeMap<String, AttemptReport>,
 }
 
 #[derive(Clone, Debug)]
@@ -165,22 +165,22 @@
         }
         let worker: usize = holder.state.worker.parse().expect("an index");
         let model = &self.workers[worker];
-        let sight = if self.random.random_bool(0.2) {
-            TaskSight::Silent
+        let report = if self.random.random_bool(0.2) {
+            AttemptReport::Unresponsive
         } else {
             let task = model.tasks.get(&holder.state.task_id());
-            task.cloned().unwrap_or(TaskSight::Unknown)
+            task.cloned().unwrap_or(AttemptReport::Unknown)
         };
-        let facts = SightFacts {
+        let facts = ReportContext {
             now: self.now,
             boot: model.boot.to_string(),
-            ..SightFacts::default()
+            ..ReportContext::default()
         };
         let (next, action) = holder
             .state
-            .after_sight(&sight, &facts, &JobPolicy::default());
+            .after_report(&report, &facts, &JobPolicy::default());
         holder.state = next;
-        if action == StepAction::Resend {
+        if action == AttemptAction::Resend {
             self.send(&holder.state.clone());
         }
     }
@@ -222,7 +222,7 @@
         }
         let index = self.random.random_range(0..self.flying.len());
         let message = self.flying.swap_remove(index);
-        // Some arrive twice, as a retry below the holder's sight.
+        // Some arrive twice, as a retry below the holder's report.
         if self.random.random_bool(0.2) {
             self.flying.push(message.clone());
         }
@@ -230,7 +230,7 @@
         let worker = &mut self.workers[message.worker];
         let known = worker.tasks.contains_key(&message.task);
         if known && self.fault != GuardFault::RepeatsRun {
-            let refused = matches!(worker.tasks[&message.task], TaskSight::NotRun(_));
+            let refused = matches!(worker.tasks[&message.task], AttemptReport::NotRun(_));
             if !(refused && self.fault == GuardFault::RefusalForgotten) {
                 return;
             }
@@ -242,12 +242,12 @@
             return;
         }
         if (other_life && self.fault != GuardFault::BootIgnored) || refuses {
-            let refused = TaskSight::NotRun("refused".to_owned());
+            let refused = AttemptReport::NotRun("refused".to_owned());
             worker.tasks.insert(message.task, refused);
             return;
         }
         self.runs += 1;
-        worker.tasks.insert(message.task, TaskSight::Done);
+        worker.tasks.insert(message.task, AttemptReport::Done);
     }
 }
 
--- a/crates/decide/tests/lease_machine.rs
+++ b/crates/decide/tests/lease_machine.rs
@@ -29,7 +29,9 @@
 }
 
 fn list(revision: u64, members: &[(&str, u64)]) -> MemberList {
-    let members = members.iter().map(|(id, life)| member(id, *life));
+    let members = members
+        .iter()
+        .map(|(id, incarnation)| member(id, *incarnation));
     MemberList::new(MemberRecord {
         revision,
         members: members.collect(),
@@ -59,7 +61,7 @@
         echo_incarnation: 1,
         ..answer.clone()
     };
-    lease.hear(&b, 2, &answer, at(heard));
+    lease.handle_beat(&b, 2, &answer, at(heard));
 }
 
 fn beat(count: u64, members: u64, config: u64) -> Beat {
@@ -124,7 +126,7 @@
     assert_eq!(lease.check(at(20)), Err(LeaseRefusal::NotListed));
 }
 
-// A peer answers a beat of this host's last life, whose count happens to be in use again.
+// A peer answers a beat of this host's last incarnation, whose count happens to be in use again.
 // The answer says nothing about now.
 #[rstest]
 #[case::guarded(LeaseMutation::None, false)]
@@ -139,7 +141,7 @@
         echo_incarnation: 0,
         ..beat(1, 7, 5)
     };
-    lease.hear(&b, 2, &answer, at(10));
+    lease.handle_beat(&b, 2, &answer, at(10));
     assert_eq!(lease.check(at(20)).is_ok(), serves);
 }
 
@@ -155,7 +157,7 @@
         echo_incarnation: 1,
         ..beat(2, 7, 5)
     };
-    lease.hear(&b, 2, &waiting, at(9001));
+    lease.handle_beat(&b, 2, &waiting, at(9001));
     lease.tick(at(9001));
     assert_eq!(lease.check(at(9001)), Err(LeaseRefusal::Lapsed));
 }
@@ -177,7 +179,7 @@
 #[test]
 fn check_store_read_renews() {
     let mut lease = machine(LeaseMutation::None);
-    lease.read_store(at(0));
+    lease.record_store_read(at(0));
     assert_eq!(lease.check(at(1999)), Ok(()));
     assert_eq!(lease.check(at(2000)), Err(LeaseRefusal::Lapsed));
 }
@@ -190,7 +192,7 @@
     let c = MemberId::from("c");
     lease.next_beat(&c, at(0));
     answered(&mut lease, 20_000, 20_010, &beat(1, 7, 5));
-    assert_eq!(lease.silent_members(at(20_020)), ["c"]);
+    assert_eq!(lease.unresponsive_members(at(20_020)), ["c"]);
     assert!(lease.lost_members(at(20_020)).is_empty());
     let agreeing = Beat {
         silent: vec!["c".to_owned()],
@@ -215,10 +217,10 @@
 fn quorum_gone_members_leave_the_count() {
     let full = list(1, &[("a", 1), ("b", 2), ("c", 3), ("d", 4), ("e", 5)]);
     let mut acks = ListAcks::default();
-    for (id, life) in [("a", 1), ("b", 2), ("c", 3)] {
-        acks.note_gone(&id.into(), life);
+    for (id, incarnation) in [("a", 1), ("b", 2), ("c", 3)] {
+        acks.record_ended(&id.into(), incarnation);
     }
-    let living = full.without_gone(&acks);
+    let living = full.without_ended(&acks);
     assert!(living.has_quorum(|m| m.id == "d" || m.id == "e"));
     assert!(!full.has_quorum(|m| m.id == "d" || m.id == "e"));
 }
@@ -229,12 +231,12 @@
     let grown = first.join(member("b", 2), 9).unwrap();
     assert_eq!((grown.config_floor(), grown.is_settled()), (9, false));
     let mut acks = ListAcks::default();
-    acks.note_held(&"a".into(), 1, grown.revision());
+    acks.record_held(&"a".into(), 1, grown.revision());
     assert_eq!(
         grown.settle(&acks, 9),
         Err(ListRefusal::NoQuorum(grown.revision()))
     );
-    acks.note_held(&"b".into(), 2, grown.revision());
+    acks.record_held(&"b".into(), 2, grown.revision());
     assert!(grown.settle(&acks, 9).unwrap().is_settled());
 }
 
@@ -243,12 +245,12 @@
     let first = list(1, &[("a", 4)]);
     assert_eq!(
         first.join(member("a", 3), 0),
-        Err(ListRefusal::NewerLife(4))
+        Err(ListRefusal::NewerIncarnation(4))
     );
 }
 
 // The only settled member restarts, and two others join. If its vote had lapsed with its old
-// life, the two would make a quorum without it, and it would go on serving alone, cut off,
+// incarnation, the two would make a quorum without it, and it would go on serving alone, cut off,
 // with a key that the two withdrew.
 #[test]
 fn join_inherits_vote_of_old_life() {
@@ -259,7 +261,7 @@
     assert!(!grown.has_quorum(|m| m.id == "b" || m.id == "c"));
     assert!(grown.has_quorum(|m| m.id == "a" || m.id == "c"));
     let mut acks = ListAcks::default();
-    acks.note_gone(&"a".into(), 1);
-    let living = grown.without_gone(&acks);
+    acks.record_ended(&"a".into(), 1);
+    let living = grown.without_ended(&acks);
     assert!(!living.has_quorum(|m| m.id == "b" || m.id == "c"));
 }
--- a/crates/decide/tests/lease_schedule.rs
+++ b/crates/decide/tests/lease_schedule.rs
@@ -60,7 +60,7 @@
 
 struct SimHost {
     name: MemberId,
-    life: u64,
+    incarnation: u64,
     lease: LeaseMachine,
     acks: ListAcks,
     config: u64,
@@ -109,13 +109,13 @@
         simulation
     }
 
-    /// A new host, or a new life of one; it takes its incarnation from the store.
+    /// A new host, or a new incarnation of one; it takes its incarnation from the store.
     fn start_host(&mut self, name: Option<MemberId>) {
         let name = name.unwrap_or_else(|| {
             self.next_name += 1;
             MemberId::from(format!("e{}", self.next_name))
         });
-        let (list, life) = self.store_list.1.with_next_incarnation(&[]);
+        let (list, incarnation) = self.store_list.1.with_next_incarnation(&[]);
         self.store_list = (self.store_list.0 + 1, list);
         let mutation = match self.mutation {
             Mutation::Lease(mutation) => mutation,
@@ -123,15 +123,15 @@
         };
         let options = LeaseOptions {
             length: LEASE,
-            silent_after: Duration::from_millis(400),
+            unresponsive_after: Duration::from_millis(400),
             mutation,
         };
         self.hosts
-            .retain(|host| host.name != name || host.is_dead && host.life != life);
+            .retain(|host| host.name != name || host.is_dead && host.incarnation != incarnation);
         self.hosts.push(SimHost {
-            lease: LeaseMachine::new(options, name.clone(), life),
+            lease: LeaseMachine::new(options, name.clone(), incarnation),
             name,
-            life,
+            incarnation,
             acks: ListAcks::default(),
             config: 0,
             is_dead: false,
@@ -237,7 +237,7 @@
         }
         Err(format!(
             "{}#{} serves at {:?} with revision {}, {due} was accepted",
-            host.name, host.life, self.now, host.config
+            host.name, host.incarnation, self.now, host.config
         ))
     }
 
@@ -250,10 +250,11 @@
             *inbox = rest;
             due.into_iter().collect()
         };
-        for (_, from, life, beat) in due {
+        for (_, from, incarnation, beat) in due {
             let host = &mut self.hosts[index];
-            host.lease.hear(&from, life, &beat, now);
-            host.acks.note_held(&from, life, beat.member_revision);
+            host.lease.handle_beat(&from, incarnation, &beat, now);
+            host.acks
+                .record_held(&from, incarnation, beat.member_revision);
             // A peer that is ahead sends what is lacking, sometimes.
             if beat.config_revision > host.config && self.rng.random_bool(0.2) {
                 host.follow_config(beat.config_revision);
@@ -261,17 +262,17 @@
         }
     }
 
-    /// Dead lives are found out some time after their end, by a refused connection.
+    /// Dead incarnations are found out some time after their end, by a refused connection.
     fn probe(&mut self, index: usize) {
         let dead: Vec<_> = self
             .hosts
             .iter()
             .filter(|host| host.is_dead)
-            .map(|host| (host.name.clone(), host.life))
+            .map(|host| (host.name.clone(), host.incarnation))
             .collect();
-        for (name, life) in dead {
+        for (name, incarnation) in dead {
             if self.rng.random_bool(0.01) {
-                self.hosts[index].acks.note_gone(&name, life);
+                self.hosts[index].acks.record_ended(&name, incarnation);
             }
         }
     }
@@ -284,7 +285,7 @@
         if !host.lease.is_listed() {
             return;
         }
-        let (from, life) = (host.name.clone(), host.life);
+        let (from, incarnation) = (host.name.clone(), host.incarnation);
         let members = host.lease.list().members().iter();
         let peers: Vec<MemberId> = members
             .map(|member| MemberId::from(member.id.as_str()))
@@ -301,7 +302,9 @@
             let target = self.hosts.iter_mut();
             let mut target = target.filter(|host| host.name == peer && !host.is_dead);
             if let Some(target) = target.next() {
-                target.inbox.push_back((at, from.clone(), life, beat));
+                target
+                    .inbox
+                    .push_back((at, from.clone(), incarnation, beat));
             }
         }
     }
@@ -372,12 +375,12 @@
         host.follow_config(floor);
         host.follow_list(&list);
         if host.lease.list().revision() >= list.revision() {
-            host.lease.read_store(sent);
+            host.lease.record_store_read(sent);
         }
         let floor = host.config;
-        let next = if !list.contains(&host.name, host.life) {
+        let next = if !list.contains(&host.name, host.incarnation) {
             if host.lease.was_listed() {
-                // Its life is over; another begins.
+                // Its incarnation is over; another begins.
                 let (name, config) = (host.name.clone(), host.config);
                 host.is_dead = true;
                 self.start_host(Some(name));
@@ -416,7 +419,7 @@
         }
         let host = &mut self.hosts[index];
         let is_accepted = submit.list.as_ref().is_some_and(|list| {
-            let mut living = list.without_gone(&host.acks);
+            let mut living = list.without_ended(&host.acks);
             if self.mutation == Mutation::AcceptMembersOnly {
                 let mut record = living.record().clone();
                 record.settled.clear();
@@ -436,7 +439,7 @@
     fn member(&self) -> Member {
         Member {
             id: self.name.to_string(),
-            incarnation: self.life,
+            incarnation: self.incarnation,
             peer_address: self.name.to_string(),
             ..Member::default()
         }
@@ -452,15 +455,16 @@
     fn follow_list(&mut self, list: &MemberList) {
         if list.config_floor() <= self.config && list.revision() > self.lease.list().revision() {
             self.lease.set_list(list.clone());
-            self.acks.forget_unlisted(list);
-            self.acks.note_held(&self.name, self.life, list.revision());
+            self.acks.prune_unlisted(list);
+            self.acks
+                .record_held(&self.name, self.incarnation, list.revision());
         }
     }
 
     fn wants_store(&self, now: Duration) -> bool {
         let renewed = self
             .lease
-            .quorum_at()
+            .quorum_acked_at()
             .is_some_and(|at| now < at + LEASE / 2);
         !self.lease.is_listed() || self.lease.is_behind() || !renewed
     }
@@ -468,7 +472,7 @@
     fn lost(&self, list: &MemberList, now: Duration) -> Option<Member> {
         let lost = self.lease.lost_members(now);
         let members = list.members().iter();
-        let mut lost = members.filter(|m| lost.contains(&m.id) || self.acks.is_gone(m));
+        let mut lost = members.filter(|m| lost.contains(&m.id) || self.acks.has_ended(m));
         lost.next().cloned()
     }
 }
--- a/crates/decide/tests/lend.rs
+++ b/crates/decide/tests/lend.rs
@@ -4,7 +4,7 @@
 
 use decide::{
     budget::{FleetMap, HostFacts, HostPhase, HostState, OutCause},
-    wave::{FleetLimits, HealthSight, HostSighting, RoundPlan, RoundView},
+    wave::{FleetLimits, HealthStatus, HostObservation, RoundInput, RoundPlan},
 };
 use model::{HostId, HostRole, Manifest, PoolId, PoolSpec};
 
@@ -57,12 +57,12 @@
     fn run(&mut self, rounds: u32) {
         for _ in 0..rounds {
             self.now += Duration::from_secs(1);
-            let sightings = self.sightings();
-            let plan = RoundPlan::make(&RoundView {
+            let observations = self.observations();
+            let plan = RoundPlan::plan(&RoundInput {
                 now: self.now,
                 map: &self.map,
                 manifest: &self.manifest,
-                sightings: &sightings,
+                observations: &observations,
                 list_fresh: true,
                 limits: &FleetLimits::default(),
             });
@@ -70,20 +70,20 @@
         }
     }
 
-    fn sightings(&self) -> BTreeMap<HostId, HostSighting> {
-        let sighting = |host: &HostId, state: &HostState| HostSighting {
+    fn observations(&self) -> BTreeMap<HostId, HostObservation> {
+        let observation = |host: &HostId, state: &HostState| HostObservation {
             facts: (!self.dead.contains(host)).then(|| state.facts.clone()),
             missing_for: Duration::from_secs(if self.dead.contains(host) { 60 } else { 0 }),
-            health: HealthSight::Answering {
+            health: HealthStatus::Answering {
                 draining: state.phase == HostPhase::Draining,
                 running: 0,
             },
-            asked_in: state.stay(),
-            ..HostSighting::default()
+            probed_in: state.phase_entry(),
+            ..HostObservation::default()
         };
         let hosts = self.map.hosts.iter();
         hosts
-            .map(|(host, state)| (host.clone(), sighting(host, state)))
+            .map(|(host, state)| (host.clone(), observation(host, state)))
             .collect()
     }
 
--- a/crates/decide/tests/link_bounds.rs
+++ b/crates/decide/tests/link_bounds.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use decide::link_bounds::{
-    largest_backlog, largest_write, lease_length, most_starts, renewals_ahead,
+    largest_backlog, largest_write, lease_length, max_starts_per_second, renewals_ahead,
 };
 
 /// 2 Mbit/s.
@@ -61,7 +61,7 @@
 /// Guards against a bound on starts that refuses work where the link is wide.
 #[test]
 fn most_starts_follows_link() {
-    assert!((100.0..200.0).contains(&most_starts(NARROW)));
-    assert!(most_starts(WIDE) >= 10_000.0);
-    assert!(most_starts(0.0) >= 1.0);
+    assert!((100.0..200.0).contains(&max_starts_per_second(NARROW)));
+    assert!(max_starts_per_second(WIDE) >= 10_000.0);
+    assert!(max_starts_per_second(0.0) >= 1.0);
 }
