--- a/crates/decide/tests/quota_ends.rs
+++ b/crates/decide/tests/quota_ends.rs
@@ -1,5 +1,5 @@
 //! Units of dead holders while hosts are killed in turn, each before it could itself wait
-//! until a dead life's units are free.
+//! until a dead incarnation's units are free.
 //!
 //! What a user would see if this failed: after a few kills a team is refused everywhere with
 //! `team-limit` though nothing of it runs, for as long as hosts go on being replaced.
@@ -21,7 +21,7 @@
     since: 1,
 };
 const STEP: Duration = Duration::from_millis(25);
-/// Each of three hosts is killed every 60 s, before a life's units are free after 62.5 s.
+/// Each of three hosts is killed every 60 s, before a incarnation's units are free after 62.5 s.
 const KILL_DISTANCE: Duration = Duration::from_secs(20);
 const KILLS: usize = 20;
 /// Time for a write after units are free.
@@ -29,7 +29,7 @@
 
 struct Host {
     name: MemberId,
-    life: u64,
+    incarnation: u64,
     machine: QuotaMachine,
 }
 
@@ -57,25 +57,25 @@
         fleet
     }
 
-    /// Starts a host, in place of its former life.
+    /// Starts a host, in place of its former incarnation.
     fn start(&mut self, name: &str) {
         self.list.revision += 1;
-        let life = self.list.revision;
+        let incarnation = self.list.revision;
         for host in self.hosts.extract_if(.., |host| host.name == *name) {
-            self.ended.insert(host.life, self.now);
+            self.ended.insert(host.incarnation, self.now);
         }
         self.list.members.retain(|member| member.id != name);
         self.list.members.push(Member {
             id: name.to_owned(),
-            incarnation: life,
+            incarnation: incarnation,
             peer_address: name.to_owned(),
             ..Member::default()
         });
-        let mut machine = QuotaMachine::new(QuotaOptions::default(), name.into(), life);
+        let mut machine = QuotaMachine::new(QuotaOptions::default(), name.into(), incarnation);
         machine.set_limits(1, &BTreeMap::from([(TeamId::from(TEAM), LIMIT)]));
         self.hosts.push(Host {
             name: name.into(),
-            life,
+            incarnation,
             machine,
         });
         let list = MemberList::new(self.list.clone());
@@ -90,7 +90,7 @@
             self.now += STEP;
             for index in 0..self.hosts.len() {
                 let machine = &mut self.hosts[index].machine;
-                machine.note_waiting(&TEAM.into(), 20);
+                machine.set_waiting(&TEAM.into(), 20);
                 let actions = machine.tick(self.now);
                 self.perform(index, actions);
             }
@@ -108,34 +108,42 @@
     }
 
     fn perform_one(&mut self, index: usize, action: QuotaAction) -> Vec<(usize, Vec<QuotaAction>)> {
-        let (from, life) = (self.hosts[index].name.clone(), self.hosts[index].life);
+        let (from, incarnation) = (
+            self.hosts[index].name.clone(),
+            self.hosts[index].incarnation,
+        );
         let now = self.now;
         match action {
             QuotaAction::Read(team) => {
                 let (version, record) = self.store.clone();
                 let machine = &mut self.hosts[index].machine;
-                machine.take_read(&team, version, record, now);
+                machine.apply_read(&team, version, record, now);
                 Vec::new()
             }
             QuotaAction::Write(write) => {
                 let outcome = self.swap(&write);
                 let machine = &mut self.hosts[index].machine;
-                vec![(index, machine.end_write(&write.team, outcome, now))]
+                vec![(
+                    index,
+                    machine.handle_write_outcome(&write.team, outcome, now),
+                )]
             }
             QuotaAction::Ask(to, ask) => {
                 let (index, machine) = self.find(&to);
-                vec![(index, machine.hear_ask(&from, &ask, now))]
+                vec![(index, machine.handle_ask(&from, &ask, now))]
             }
             QuotaAction::Release(to, release) => {
-                self.find(&to).1.hear_release(&from, life, &release);
+                self.find(&to)
+                    .1
+                    .handle_release(&from, incarnation, &release);
                 Vec::new()
             }
-            QuotaAction::Note(to, note) => {
-                self.find(&to).1.hear_note(&note, now);
+            QuotaAction::SendRecord(to, note) => {
+                self.find(&to).1.handle_record(&note, now);
                 Vec::new()
             }
-            QuotaAction::Ends(to, ends) => {
-                self.find(&to).1.hear_ends(&ends, now);
+            QuotaAction::SendEnds(to, ends) => {
+                self.find(&to).1.handle_ends(&ends, now);
                 Vec::new()
             }
         }
@@ -147,7 +155,7 @@
         (index, &mut self.hosts[index].machine)
     }
 
-    /// Writes the record; nothing of a dead life may be taken too early.
+    /// Writes the record; nothing of a dead incarnation may be taken too early.
     fn swap(&mut self, write: &QuotaWrite) -> WriteOutcome {
         if self.store.0 != write.expect {
             return WriteOutcome::Conflict;
@@ -164,7 +172,7 @@
         WriteOutcome::Done(self.store.0)
     }
 
-    /// Nothing of a dead life may stay taken for longer than its work can run.
+    /// Nothing of a dead incarnation may stay taken for longer than its work can run.
     fn expect_units_in_time(&self) {
         let latest = QuotaOptions::default().reclaim_after() + TAKE_WITHIN;
         for grant in &self.store.1.grants {
@@ -176,8 +184,8 @@
     }
 }
 
-// A host that starts anew does not know when the lives ended that are long gone. If it
-// counted from its own start, hosts replaced in turn would never see a dead life's units
+// A host that starts anew does not know when the incarnations ended that are long gone. If it
+// counted from its own start, hosts replaced in turn would never see a dead incarnation's units
 // free, and kill by kill the whole limit would be lost.
 #[test]
 fn units_free_while_hosts_are_killed_in_turn() {
--- a/crates/decide/tests/quota_machine.rs
+++ b/crates/decide/tests/quota_machine.rs
@@ -38,13 +38,15 @@
 }
 
 fn record(limit: u32, config: u64, grants: &[(&str, u64, u32, u64)]) -> QuotaRecord {
-    let grants = grants.iter().map(|(id, life, units, revision)| QuotaGrant {
-        member: (*id).to_owned(),
-        incarnation: *life,
-        units: *units,
-        member_revision: *revision,
-        ..QuotaGrant::default()
-    });
+    let grants = grants
+        .iter()
+        .map(|(id, incarnation, units, revision)| QuotaGrant {
+            member: (*id).to_owned(),
+            incarnation: *incarnation,
+            units: *units,
+            member_revision: *revision,
+            ..QuotaGrant::default()
+        });
     QuotaRecord {
         team: TEAM.to_owned(),
         limit,
@@ -88,7 +90,7 @@
     let mut machine = machine(QuotaMutation::None);
     assert_eq!(take(&mut machine, 5), 0);
     let held = record(10, 1, &[("a", 1, 4, 1), ("b", 2, 6, 1)]);
-    machine.take_read(&TEAM.into(), 1, held, at(0));
+    machine.apply_read(&TEAM.into(), 1, held, at(0));
     assert_eq!(take(&mut machine, 9), 4);
     machine.give_back(&TEAM.into());
     assert_eq!(take(&mut machine, 9), 1);
@@ -97,14 +99,14 @@
 #[test]
 fn tick_first_use_writes_equal_parts() {
     let mut machine = machine(QuotaMutation::None);
-    machine.note_waiting(&TEAM.into(), 1);
+    machine.set_waiting(&TEAM.into(), 1);
     assert_eq!(machine.tick(at(0)), vec![QuotaAction::Read(TEAM.into())],);
-    machine.take_read(&TEAM.into(), 0, QuotaRecord::default(), at(1));
+    machine.apply_read(&TEAM.into(), 0, QuotaRecord::default(), at(1));
     let write = written(machine.tick(at(2))).unwrap();
     let equal = record(10, 1, &[("a", 1, 5, 1), ("b", 2, 5, 1)]);
     assert_eq!((write.expect, write.record), (0, equal));
     assert_eq!(take(&mut machine, 9), 0);
-    machine.end_write(&TEAM.into(), WriteOutcome::Done(1), at(3));
+    machine.handle_write_outcome(&TEAM.into(), WriteOutcome::Done(1), at(3));
     assert_eq!(take(&mut machine, 9), 5);
 }
 
@@ -114,7 +116,7 @@
 fn hear_ask_puts_units_aside_first() {
     let mut machine = machine(QuotaMutation::None);
     let held = record(10, 1, &[("a", 1, 10, 1)]);
-    machine.take_read(&TEAM.into(), 1, held, at(0));
+    machine.apply_read(&TEAM.into(), 1, held, at(0));
     assert_eq!(take(&mut machine, 4), 4);
     let ask = QuotaAsk {
         team: TEAM.to_owned(),
@@ -123,7 +125,7 @@
         need: 8,
         ceiling: 0,
     };
-    let actions = machine.hear_ask(&"b".into(), &ask, at(10));
+    let actions = machine.handle_ask(&"b".into(), &ask, at(10));
     let [QuotaAction::Release(to, release)] = actions.as_slice() else {
         panic!("no promise: {actions:?}");
     };
@@ -142,7 +144,7 @@
 fn try_take_missed_limit_waits(#[case] mutation: QuotaMutation, #[case] started: usize) {
     let mut machine = machine(mutation);
     let held = record(10, 1, &[("a", 1, 4, 1), ("b", 2, 6, 1)]);
-    machine.take_read(&TEAM.into(), 1, held, at(0));
+    machine.apply_read(&TEAM.into(), 1, held, at(0));
     set_limit(&mut machine, 10, 3);
     assert_eq!(take(&mut machine, 9), started);
 }
@@ -156,10 +158,10 @@
 fn tick_unseen_holder_keeps_units(#[case] mutation: QuotaMutation, #[case] raised: Option<u32>) {
     let mut machine = machine(mutation);
     let held = record(10, 1, &[("a", 1, 5, 1), ("c", 3, 5, 2)]);
-    machine.take_read(&TEAM.into(), 1, held, at(0));
+    machine.apply_read(&TEAM.into(), 1, held, at(0));
     machine.set_members(&list(3, &[("a", 1), ("b", 2)]), at(70_000));
     assert_eq!(take(&mut machine, 5), 5);
-    machine.note_waiting(&TEAM.into(), 5);
+    machine.set_waiting(&TEAM.into(), 5);
     let write = written(machine.tick(at(70_001)));
     let units = write.map(|write| write.record.grants[0].units);
     assert_eq!(units, raised);
@@ -170,7 +172,7 @@
 }
 
 /// The record with another longest time of work for one grant.
-fn with_longest(mut record: QuotaRecord, member: &str, longest_ms: u64) -> QuotaRecord {
+fn with_max_run_time(mut record: QuotaRecord, member: &str, longest_ms: u64) -> QuotaRecord {
     let mut grants = record.grants.iter_mut();
     let grant = grants.find(|grant| grant.member == member).unwrap();
     grant.longest_ms = longest_ms;
@@ -185,10 +187,15 @@
 fn tick_lost_holder_frees_units_by_its_work(#[case] longest_ms: u64, #[case] free_ms: u64) {
     let mut machine = machine(QuotaMutation::None);
     let held = record(10, 1, &[("a", 1, 5, 1), ("b", 2, 5, 1)]);
-    machine.take_read(&TEAM.into(), 1, with_longest(held, "b", longest_ms), at(0));
+    machine.apply_read(
+        &TEAM.into(),
+        1,
+        with_max_run_time(held, "b", longest_ms),
+        at(0),
+    );
     machine.set_members(&list(2, &[("a", 1)]), at(1000));
     assert_eq!(take(&mut machine, 5), 5);
-    machine.note_waiting(&TEAM.into(), 5);
+    machine.set_waiting(&TEAM.into(), 5);
     assert_eq!(written(machine.tick(at(999 + free_ms))), None);
     let write = written(machine.tick(at(1000 + free_ms))).unwrap();
     assert_eq!(write.record.grants[0].units, 10);
@@ -200,17 +207,17 @@
     let (mut machine, team) = (machine(QuotaMutation::None), TeamId::from(TEAM));
     let (short, long) = (Duration::from_secs(5), Duration::from_secs(30));
     let held = record(10, 1, &[("a", 1, 5, 1), ("b", 2, 5, 1)]);
-    machine.take_read(&team, 1, held.clone(), at(0));
+    machine.apply_read(&team, 1, held.clone(), at(0));
     assert!(machine.try_take_for(&team, short));
     let write = written(machine.tick(at(1000))).unwrap();
-    assert_eq!(write.record, with_longest(held.clone(), "a", 10_000));
+    assert_eq!(write.record, with_max_run_time(held.clone(), "a", 10_000));
     assert!(!machine.try_take_for(&team, long), "others may see it");
-    machine.end_write(&team, WriteOutcome::Done(2), at(1010));
+    machine.handle_write_outcome(&team, WriteOutcome::Done(2), at(1010));
     assert!(!machine.try_take_for(&team, long));
     let write = written(machine.tick(at(2000))).unwrap();
     assert_eq!(write.record, held);
     assert!(!machine.try_take_for(&team, long), "it may not be written");
-    machine.end_write(&team, WriteOutcome::Done(3), at(2010));
+    machine.handle_write_outcome(&team, WriteOutcome::Done(3), at(2010));
     assert!(machine.try_take_for(&team, long));
     assert_eq!(written(machine.tick(at(3000))), None);
     machine.give_back_long(&team);
@@ -222,7 +229,7 @@
 fn tick_idle_does_nothing() {
     let mut machine = machine(QuotaMutation::None);
     let held = record(10, 1, &[("a", 1, 4, 1), ("b", 2, 6, 1)]);
-    machine.take_read(&TEAM.into(), 1, held, at(0));
+    machine.apply_read(&TEAM.into(), 1, held, at(0));
     for round in 0..1000 {
         assert_eq!(machine.tick(at(round * 25)), Vec::new());
     }
--- a/crates/decide/tests/quota_schedule.rs
+++ b/crates/decide/tests/quota_schedule.rs
@@ -40,7 +40,7 @@
 
 struct SimHost {
     name: MemberId,
-    life: u64,
+    incarnation: u64,
     machine: QuotaMachine,
     condition: Condition,
     /// While it is cut off or paused it believes in its serving lease until then.
@@ -72,7 +72,7 @@
     options: QuotaOptions,
     hosts: Vec<SimHost>,
     list: MemberList,
-    next_life: u64,
+    next_incarnation: u64,
     store: (u64, QuotaRecord),
     late: Vec<LateWrite>,
     /// Limits by revision, with the time at which each came in force.
@@ -105,7 +105,7 @@
             write_burst: 1000,
             asks_per_second: 1000,
             ask_burst: 1000,
-            tell_distance: Duration::from_millis(100),
+            end_report_interval: Duration::from_millis(100),
             mutation,
             ..QuotaOptions::default()
         };
@@ -116,7 +116,7 @@
             options,
             hosts: Vec::new(),
             list: MemberList::new(MemberRecord::default()),
-            next_life: 1,
+            next_incarnation: 1,
             store: (0, QuotaRecord::default()),
             late: Vec::new(),
             limits: vec![(Duration::ZERO, limit)],
@@ -131,16 +131,16 @@
     }
 
     fn add_host(&mut self, name: &str) {
-        let life = self.next_life;
-        self.next_life += 1;
+        let incarnation = self.next_incarnation;
+        self.next_incarnation += 1;
         let name = MemberId::from(name);
-        let mut machine = QuotaMachine::new(self.options, name.clone(), life);
-        self.change_list(&name, Some(life));
+        let mut machine = QuotaMachine::new(self.options, name.clone(), incarnation);
+        self.change_list(&name, Some(incarnation));
         machine.set_members(&self.list, self.now);
         self.hosts.retain(|host| host.name != name);
         self.hosts.push(SimHost {
             name,
-            life,
+            incarnation,
             machine,
             condition: Condition::Well,
             serves_until: Duration::ZERO,
@@ -154,11 +154,11 @@
         });
     }
 
-    fn change_list(&mut self, name: &str, life: Option<u64>) {
+    fn change_list(&mut self, name: &str, incarnation: Option<u64>) {
         let mut record = self.list.record().clone();
         record.revision += 1;
         record.members.retain(|member| member.id != name);
-        if let Some(incarnation) = life {
+        if let Some(incarnation) = incarnation {
             record.members.push(Member {
                 id: name.to_owned(),
                 incarnation,
@@ -225,12 +225,12 @@
             host.condition = Condition::Well;
         }
         let is_lapsed = host.condition == Condition::Well && now >= host.serves_until;
-        if is_lapsed && !newest.contains(&host.name, host.life) {
-            host.life = self.next_life;
-            self.next_life += 1;
-            host.machine.begin_life(host.life);
-            let (name, life) = (host.name.clone(), host.life);
-            self.change_list(&name, Some(life));
+        if is_lapsed && !newest.contains(&host.name, host.incarnation) {
+            host.incarnation = self.next_incarnation;
+            self.next_incarnation += 1;
+            host.machine.begin_incarnation(host.incarnation);
+            let (name, incarnation) = (host.name.clone(), host.incarnation);
+            self.change_list(&name, Some(incarnation));
         }
         if self.hosts[index].condition == Condition::Paused {
             return Ok(());
@@ -280,10 +280,12 @@
             let host = &mut self.hosts[index];
             match answer {
                 StoreAnswer::Read(version, record) => {
-                    host.machine.take_read(&TEAM.into(), version, record, now);
+                    host.machine.apply_read(&TEAM.into(), version, record, now);
                 }
                 StoreAnswer::Written(outcome) => {
-                    let actions = host.machine.end_write(&TEAM.into(), outcome, now);
+                    let actions = host
+                        .machine
+                        .handle_write_outcome(&TEAM.into(), outcome, now);
                     self.send(index, actions);
                 }
             }
@@ -294,20 +296,20 @@
             *inbox = rest;
             due
         };
-        for (_, from, life, action) in due {
+        for (_, from, incarnation, action) in due {
             let machine = &mut self.hosts[index].machine;
             let actions = match action {
-                QuotaAction::Ask(_, ask) => machine.hear_ask(&from, &ask, now),
+                QuotaAction::Ask(_, ask) => machine.handle_ask(&from, &ask, now),
                 QuotaAction::Release(_, release) => {
-                    machine.hear_release(&from, life, &release);
+                    machine.handle_release(&from, incarnation, &release);
                     Vec::new()
                 }
-                QuotaAction::Note(_, note) => {
-                    machine.hear_note(&note, now);
+                QuotaAction::SendRecord(_, note) => {
+                    machine.handle_record(&note, now);
                     Vec::new()
                 }
-                QuotaAction::Ends(_, ends) => {
-                    machine.hear_ends(&ends, now);
+                QuotaAction::SendEnds(_, ends) => {
+                    machine.handle_ends(&ends, now);
                     Vec::new()
                 }
                 _ => Vec::new(),
@@ -334,7 +336,8 @@
     fn start_work(&mut self, index: usize) -> Result<(), String> {
         let now = self.now;
         let host = &mut self.hosts[index];
-        let renews = host.condition == Condition::Well && self.list.contains(&host.name, host.life);
+        let renews =
+            host.condition == Condition::Well && self.list.contains(&host.name, host.incarnation);
         if !renews && now >= host.serves_until || host.config == 0 {
             return Ok(());
         }
@@ -372,12 +375,12 @@
                     "{} runs, {allowed} allowed at {now:?}, started by {}#{}, record {:?}",
                     self.running.len(),
                     host.name,
-                    host.life,
+                    host.incarnation,
                     self.store
                 ));
             }
         }
-        host.machine.note_waiting(&TEAM.into(), waiting);
+        host.machine.set_waiting(&TEAM.into(), waiting);
         Ok(())
     }
 
@@ -456,12 +459,15 @@
 
     /// Delays, loses and repeats messages.
     fn send(&mut self, index: usize, actions: Vec<QuotaAction>) {
-        let (from, life) = (self.hosts[index].name.clone(), self.hosts[index].life);
+        let (from, incarnation) = (
+            self.hosts[index].name.clone(),
+            self.hosts[index].incarnation,
+        );
         for action in actions {
             let (QuotaAction::Ask(to, _)
             | QuotaAction::Release(to, _)
-            | QuotaAction::Note(to, _)
-            | QuotaAction::Ends(to, _)) = &action
+            | QuotaAction::SendRecord(to, _)
+            | QuotaAction::SendEnds(to, _)) = &action
             else {
                 continue;
             };
@@ -481,7 +487,7 @@
                 let at = self.now + lag;
                 target
                     .inbox
-                    .push_back((at, from.clone(), life, action.clone()));
+                    .push_back((at, from.clone(), incarnation, action.clone()));
             }
         }
     }
--- a/crates/decide/tests/retry.rs
+++ b/crates/decide/tests/retry.rs
@@ -16,7 +16,7 @@
         let mut budget = RetryBudget::new(percent, burst);
         let (mut first, mut retries) = (0_u32, 0_u32);
         for failed in outcomes {
-            budget.note_first();
+            budget.record_first_attempt();
             first += 1;
             while failed && budget.take() {
                 retries += 1;
@@ -45,9 +45,9 @@
             now += Duration::from_millis(pause);
             let in_use = count_full(&healths, now);
             if success {
-                healths[index].note_success();
+                healths[index].record_success();
             } else {
-                healths[index].note_failure(now, can_spare(in_use, budget));
+                healths[index].record_failure(now, can_spare(in_use, budget));
             }
             prop_assert!(count_full(&healths, now) >= usize::try_from(budget).unwrap());
         }
@@ -57,7 +57,7 @@
 fn count_full(healths: &[TargetHealth], now: Duration) -> usize {
     healths
         .iter()
-        .filter(|health| health.allowed(now) == TargetUse::Full)
+        .filter(|health| health.allowed_use(now) == TargetUse::Full)
         .count()
 }
 
@@ -66,29 +66,29 @@
     let mut health = TargetHealth::default();
     let mut now = Duration::from_secs(100);
     for _ in 0..4 {
-        assert!(!health.note_failure(now, true));
+        assert!(!health.record_failure(now, true));
     }
-    assert_eq!(health.allowed(now), TargetUse::Full);
-    assert!(!health.clone().note_failure(now, false));
-    assert!(health.note_failure(now, true));
+    assert_eq!(health.allowed_use(now), TargetUse::Full);
+    assert!(!health.clone().record_failure(now, false));
+    assert!(health.record_failure(now, true));
     let mut last = Duration::ZERO;
     for _ in 0..4 {
-        assert_eq!(health.allowed(now), TargetUse::Ejected);
+        assert_eq!(health.allowed_use(now), TargetUse::Ejected);
         let begun = now;
-        while health.allowed(now) == TargetUse::Ejected {
+        while health.allowed_use(now) == TargetUse::Ejected {
             now += Duration::from_millis(10);
         }
         assert!(now - begun > last);
         last = now - begun;
-        assert_eq!(health.allowed(now), TargetUse::Probe);
+        assert_eq!(health.allowed_use(now), TargetUse::Probe);
         assert!(
-            health.note_failure(now, false),
+            health.record_failure(now, false),
             "a probe that fails ejects again"
         );
     }
-    while health.allowed(now) == TargetUse::Ejected {
+    while health.allowed_use(now) == TargetUse::Ejected {
         now += Duration::from_millis(10);
     }
-    health.note_success();
-    assert_eq!(health.allowed(now), TargetUse::Full);
+    health.record_success();
+    assert_eq!(health.allowed_use(now), TargetUse::Full);
 }
--- a/crates/decide/tests/share.rs
+++ b/crates/decide/tests/share.rs
@@ -4,7 +4,7 @@
 
 use decide::share::{
     BrokerOptions, BrokerSwitch, HolderDemand, HolderOptions, PickOptions, PoolOffer, ShareClaim,
-    SlotBroker, SlotHolder, TeamLoad, TeamTurn, apportion, fair_split, pick,
+    SlotBroker, SlotHolder, TeamLoad, TeamTurn, apportion, fair_split, pick_next_team,
 };
 use model::{BootTime, HostId, MemberId, PoolId, TeamId};
 use proptest::prelude::*;
@@ -73,7 +73,7 @@
 #[case::blocked_is_passed(vec![TeamTurn { blocked: true, ..turn("a", 1, None) }, turn("b", 3, None)], Some(1))]
 #[case::none(vec![], None)]
 fn pick_cases(#[case] turns: Vec<TeamTurn>, #[case] expected: Option<usize>) {
-    assert_eq!(pick(&turns, &PickOptions::default()), expected);
+    assert_eq!(pick_next_team(&turns, &PickOptions::default()), expected);
 }
 
 // One holder with its links to a broker that loses, delays and reorders messages.
@@ -122,7 +122,7 @@
         })
         .collect();
     for model in &mut models {
-        model.holder.touch(&pool);
+        model.holder.mark_demand_changed(&pool);
     }
     let mut sessions = BTreeMap::new();
     let mut questions: Vec<Question> = Vec::new();
@@ -139,8 +139,8 @@
                 let expires = model.holder.expires(&pool);
                 let session = model.holder.session() + 1;
                 model.holder = SlotHolder::new(session, HolderOptions::default());
-                model.holder.touch(&pool);
-                model.holder.adopt(expires, &pool, held);
+                model.holder.mark_demand_changed(&pool);
+                model.holder.adopt_slots(expires, &pool, held);
             }
         }
         for (index, model) in models.iter_mut().enumerate() {
@@ -155,8 +155,8 @@
             } else {
                 model.demand
             };
-            model.holder.touch(&pool);
-            let (round, pools) = model.holder.ask(now);
+            model.holder.mark_demand_changed(&pool);
+            let (round, pools) = model.holder.begin_round(now);
             if random.random_ratio(1, 6) {
                 continue;
             }
@@ -210,7 +210,7 @@
         for answer in answers.extract_if(.., |answer| answer.due <= now) {
             let model = &mut models[answer.to];
             if model.paused_until <= now {
-                model.holder.apply(
+                model.holder.apply_grant(
                     answer.session,
                     answer.round,
                     vec![(pool.clone(), answer.offer)],
--- a/crates/decide/tests/work_takeover.rs
+++ b/crates/decide/tests/work_takeover.rs
@@ -37,7 +37,7 @@
     second.list("new", 4000);
     let class = |scene: &DeskScene, id: &str| scene.desk.look_class(&id.into(), scene.now);
     assert!(class(&second, "t1").is_some_and(|class| class < CallClass::Start));
-    assert_eq!(class(&second, "new"), Some(CallClass::Look));
+    assert_eq!(class(&second, "new"), Some(CallClass::Poll));
     second.miss("t1");
     assert_eq!(class(&second, "t1"), Some(CallClass::Probe));
 }
--- a/crates/entry/src/admission/admission_loop.rs
+++ b/crates/entry/src/admission/admission_loop.rs
@@ -188,7 +188,7 @@
             return;
         }
         desk.meter.note_queue();
-        desk.retries.note_first();
+        desk.retries.record_first_attempt();
         if let Some(mut surplus) = desk.queue.push(work, self.config.max_queue) {
             let wait = desk.drain_time(&lease).max(Duration::from_millis(200));
             let problem = CallerProblem::not_run(
--- a/crates/entry/src/admission/start_work.rs
+++ b/crates/entry/src/admission/start_work.rs
@@ -1,6 +1,6 @@
 use std::collections::{BTreeSet, HashMap};
 
-use decide::share::{PickOptions, pick};
+use decide::share::{PickOptions, pick_next_team};
 use model::{BootTime, PoolId, TeamId};
 
 use super::{
@@ -53,7 +53,7 @@
             let Some(target) = self.table.choose(&view, self.turn, now) else {
                 return;
             };
-            let Some(index) = pick(&turns, &PickOptions::default()) else {
+            let Some(index) = pick_next_team(&turns, &PickOptions::default()) else {
                 return;
             };
             let turn = &mut turns[index];
--- a/crates/entry/src/admission/target_table.rs
+++ b/crates/entry/src/admission/target_table.rs
@@ -179,7 +179,7 @@
     /// Notes that a target answered.
     pub fn note_success(&mut self, host: &HostId) {
         let entry = self.entries.entry(host.clone()).or_default();
-        entry.health.note_success();
+        entry.health.record_success();
         entry.rest = Duration::ZERO;
     }
 
@@ -202,7 +202,7 @@
             // The connections may lead to a life of the target that is gone.
             entry.lanes.clear();
         }
-        if entry.health.note_failure(now, may_eject) {
+        if entry.health.record_failure(now, may_eject) {
             metrics::counter!("lws_targets_ejected").increment(1);
             warn(&event::TARGET_EJECTED, format_args!("host={host}"));
         }
@@ -246,7 +246,7 @@
         if now < entry.rests_until {
             return 0;
         }
-        match entry.health.allowed(now) {
+        match entry.health.allowed_use(now) {
             TargetUse::Full => leased,
             TargetUse::Probe => leased.min(1),
             TargetUse::Ejected => 0,
@@ -262,7 +262,7 @@
     fn is_ejected(&self, target: &TargetHost, now: BootTime) -> bool {
         self.entries
             .get(&target.host)
-            .is_some_and(|entry| entry.health.allowed(now) != TargetUse::Full)
+            .is_some_and(|entry| entry.health.allowed_use(now) != TargetUse::Full)
     }
 }
 
--- a/crates/entry/src/claim/claim_desk.rs
+++ b/crates/entry/src/claim/claim_desk.rs
@@ -9,7 +9,7 @@
 };
 
 use crossbeam_channel::{Receiver, Sender, bounded};
-use decide::claim::{ClaimAsker, ClaimGrant, ClaimLedger, MintedId};
+use decide::claim::{ClaimGrant, ClaimLedger, Claimant, MintedId};
 use model::{ProblemKind, RequestId, RunFate, StepError, TeamId};
 use parking_lot::Mutex;
 use ports::{ClaimSource, ClaimVerdict, InboundMessage, MemberSource, PeerLink};
@@ -76,8 +76,8 @@
     }
 
     /// A fresh id whose only run is the one under way here.
-    pub(crate) fn mint_spent(&self) -> RequestId {
-        let counter = self.ledger.lock().mint_spent();
+    pub(crate) fn mint_claimed(&self) -> RequestId {
+        let counter = self.ledger.lock().mint_claimed();
         self.own_id(counter)
     }
 
@@ -91,7 +91,7 @@
         idempotent: bool,
     ) -> Result<(RequestId, bool), CallerProblem> {
         let Some(request) = given else {
-            return Ok((self.mint_spent(), false));
+            return Ok((self.mint_claimed(), false));
         };
         if idempotent {
             return Ok((request, false));
@@ -148,15 +148,15 @@
             .any(|info| info.member == minted.home && info.incarnation == minted.incarnation)
     }
 
-    fn next_asker(&self) -> ClaimAsker {
-        ClaimAsker {
+    fn next_asker(&self) -> Claimant {
+        Claimant {
             member: self.members.own_id(),
             incarnation: self.members.own_incarnation(),
             call: self.calls.fetch_add(1, Ordering::Relaxed),
         }
     }
 
-    fn claim_here(&self, counter: u64, team: &TeamId, asker: &ClaimAsker) -> ClaimVerdict {
+    fn claim_here(&self, counter: u64, team: &TeamId, asker: &Claimant) -> ClaimVerdict {
         match self.ledger.lock().claim(counter, team, asker) {
             ClaimGrant::First => ClaimVerdict::First,
             ClaimGrant::Taken => ClaimVerdict::Taken,
@@ -219,7 +219,7 @@
     }
 
     fn answer_claim(&self, message: &InboundMessage, request: &ClaimRequest) {
-        let asker = ClaimAsker {
+        let asker = Claimant {
             member: message.from.clone(),
             incarnation: message.incarnation,
             call: request.call,
--- a/crates/fleet/src/fleet_shared.rs
+++ b/crates/fleet/src/fleet_shared.rs
@@ -12,7 +12,7 @@
 use decide::{
     budget::{HostFacts, HostPhase},
     job::JobPolicy,
-    wave::{FleetLimits, HostSighting},
+    wave::{FleetLimits, HostObservation},
 };
 use model::{BootTime, HostId, PoolId};
 use parking_lot::Mutex;
@@ -133,17 +133,17 @@
     }
 
     /// What the host list says of each host of the map and of hosts that are new.
-    pub(crate) fn sightings(&self) -> BTreeMap<HostId, HostSighting> {
+    pub(crate) fn observations(&self) -> BTreeMap<HostId, HostObservation> {
         let now = self.clock.boot_now();
         let list = self.list.load();
         let held = self.snapshot.lock();
-        let mut sightings = BTreeMap::new();
+        let mut observations = BTreeMap::new();
         for host in held.map.hosts.keys().chain(list.entries.keys()) {
-            sightings
+            observations
                 .entry(host.clone())
-                .or_insert_with(|| list.sighting(host, now));
+                .or_insert_with(|| list.observation(host, now));
         }
-        sightings
+        observations
     }
 }
 
--- a/crates/fleet/src/host_watch.rs
+++ b/crates/fleet/src/host_watch.rs
@@ -1,6 +1,6 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-use decide::{budget::HostFacts, wave::HostSighting};
+use decide::{budget::HostFacts, wave::HostObservation};
 use model::{BootTime, HostId};
 use store::HostEntry;
 
@@ -73,13 +73,13 @@
     }
 
     /// What the list says of `host`.
-    pub(crate) fn sighting(&self, host: &HostId, now: BootTime) -> HostSighting {
+    pub(crate) fn observation(&self, host: &HostId, now: BootTime) -> HostObservation {
         let entry = self.entries.get(host);
-        HostSighting {
+        HostObservation {
             facts: entry.map(facts_of),
             leaving: entry.is_some_and(|entry| entry.leaving),
             missing_for: self.missing_for(host, now),
-            ..HostSighting::default()
+            ..HostObservation::default()
         }
     }
 
--- a/crates/fleet/src/job_call.rs
+++ b/crates/fleet/src/job_call.rs
@@ -2,7 +2,7 @@
 
 use crossbeam_channel::{Receiver, Sender};
 use decide::{
-    job::{JobState, TaskSight},
+    job::{AttemptReport, JobState},
     placement::{JobSize, WorkerUsage},
 };
 use model::{BootTime, HostId};
@@ -38,7 +38,7 @@
     /// What a worker said to a start or to a stop.
     Task {
         task: String,
-        sight: TaskSight,
+        attempt_report: AttemptReport,
     },
     /// What it said to a renewal of these tasks, or to the question for them; `None` if it did not answer.
     Renewed {
@@ -77,7 +77,7 @@
     match &call.kind {
         CallKind::Start { job, first } => ReplyKind::Task {
             task: job.task_id(),
-            sight: port.start(&call.address, job, lease, *first),
+            attempt_report: port.start(&call.address, job, lease, *first),
         },
         CallKind::Renew { tasks } => ReplyKind::Renewed {
             tasks: tasks.clone(),
@@ -89,7 +89,9 @@
         },
         CallKind::Stop { task } => ReplyKind::Task {
             task: task.clone(),
-            sight: port.stop(&call.address, task).unwrap_or(TaskSight::Silent),
+            attempt_report: port
+                .stop(&call.address, task)
+                .unwrap_or(AttemptReport::Unresponsive),
         },
         CallKind::Usage => {
             let usage = port.usage(&call.address).ok();
--- a/crates/fleet/src/job_holder.rs
+++ b/crates/fleet/src/job_holder.rs
@@ -7,7 +7,7 @@
 use crossbeam_channel::{Receiver, Sender};
 use decide::{
     job::{JobPolicy, JobState, PhaseKind},
-    placement::{SizeBook, WorkerBook},
+    placement::{SizeEstimates, WorkerTable},
 };
 use model::{BootTime, JobId, PoolId, TeamId};
 use ports::JobError;
@@ -75,8 +75,8 @@
     pub(crate) answers: Vec<(JobId, ReplySender)>,
     pub(crate) pending: Option<PendingFlush>,
     pub(crate) flushed_at: BootTime,
-    pub(crate) books: BTreeMap<PoolId, WorkerBook>,
-    pub(crate) sizes: SizeBook,
+    pub(crate) books: BTreeMap<PoolId, WorkerTable>,
+    pub(crate) sizes: SizeEstimates,
     pub(crate) calls: Sender<WorkerCall>,
     pub(crate) reply_sender: Sender<CallReply>,
     pub(crate) replies: Receiver<CallReply>,
@@ -114,7 +114,7 @@
             pending: None,
             flushed_at: BootTime::ZERO,
             books: BTreeMap::new(),
-            sizes: SizeBook::default(),
+            sizes: SizeEstimates::default(),
             calls,
             reply_sender,
             replies,
@@ -190,7 +190,7 @@
 
     pub(crate) fn release(&mut self, was: &JobState) {
         if let Some(book) = self.books.get_mut(&was.spec.pool) {
-            book.note_released(&was.worker, &was.spec.job);
+            book.record_released(&was.worker, &was.spec.job);
         }
     }
 
--- a/crates/fleet/src/job_settle.rs
+++ b/crates/fleet/src/job_settle.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeMap;
 
-use decide::job::{JobPhase, JobState, PhaseKind, SightFacts, StepAction, TaskSight};
+use decide::job::{AttemptAction, AttemptReport, JobPhase, JobState, PhaseKind, ReportContext};
 use model::{BootTime, HostId, JobId};
 
 use crate::{
@@ -26,15 +26,18 @@
                 kind,
             } = reply;
             match kind {
-                ReplyKind::Task { task, sight } => {
-                    self.settle(&worker, &task, &sight, "", asked_at);
+                ReplyKind::Task {
+                    task,
+                    attempt_report,
+                } => {
+                    self.settle(&worker, &task, &attempt_report, "", asked_at);
                 }
                 ReplyKind::Renewed { tasks, report } => {
                     self.settle_report(&worker, &tasks, report, asked_at);
                 }
                 ReplyKind::Usage(Some(usage)) => {
                     for book in self.books.values_mut() {
-                        book.note_usage(&worker, usage.clone());
+                        book.record_usage(&worker, usage.clone());
                     }
                 }
                 ReplyKind::Usage(None) => {}
@@ -51,12 +54,12 @@
     ) {
         let Some(report) = report else {
             for task in tasks {
-                self.settle(worker, task, &TaskSight::Silent, "", asked_at);
+                self.settle(worker, task, &AttemptReport::Unresponsive, "", asked_at);
             }
             return;
         };
-        for (task, sight) in &report.tasks {
-            self.settle(worker, task, sight, &report.boot, asked_at);
+        for (task, attempt_report) in &report.tasks {
+            self.settle(worker, task, attempt_report, &report.boot, asked_at);
         }
     }
 
@@ -66,7 +69,7 @@
         &mut self,
         worker: &HostId,
         task: &str,
-        sight: &TaskSight,
+        attempt_report: &AttemptReport,
         boot: &str,
         asked_at: BootTime,
     ) {
@@ -81,45 +84,45 @@
             && held.state.task_id() == task
             && held.state.worker == *worker;
         // A renewal that went out before the start proves nothing of it.
-        if !current || asked_at < held.asked_at && *sight == TaskSight::Unknown {
+        if !current || asked_at < held.asked_at && *attempt_report == AttemptReport::Unknown {
             return;
         }
-        if *sight == TaskSight::Silent {
+        if *attempt_report == AttemptReport::Unresponsive {
             held.silent_since.get_or_insert(asked_at);
         } else {
             held.silent_since = None;
         }
-        let sight = self.gone_or(worker, sight);
-        self.apply(&job, &sight, boot);
+        let attempt_report = self.gone_or(worker, attempt_report);
+        self.apply(&job, &attempt_report, boot);
     }
 
     /// Silence of a worker that is not in the pool map any more is for good.
-    fn gone_or(&self, worker: &HostId, sight: &TaskSight) -> TaskSight {
-        if *sight != TaskSight::Silent {
-            return sight.clone();
+    fn gone_or(&self, worker: &HostId, attempt_report: &AttemptReport) -> AttemptReport {
+        if *attempt_report != AttemptReport::Unresponsive {
+            return attempt_report.clone();
         }
         if self.shared.is_host_gone(worker) {
-            return TaskSight::Gone;
+            return AttemptReport::WorkerGone;
         }
-        TaskSight::Silent
+        AttemptReport::Unresponsive
     }
 
-    fn apply(&mut self, job: &JobId, sight: &TaskSight, boot: &str) {
+    fn apply(&mut self, job: &JobId, attempt_report: &AttemptReport, boot: &str) {
         let Some(held) = self.jobs.get(job) else {
             return;
         };
         let before = held.state.clone();
         let facts = self.sight_facts(job, &before, boot);
-        let (next, action) = before.after_sight(sight, &facts, &self.policy);
-        self.note_outcome(&before, &next, sight);
+        let (next, action) = before.after_report(attempt_report, &facts, &self.policy);
+        self.note_outcome(&before, &next, attempt_report);
         if next != before {
             let record = next.phase != JobPhase::Running;
             self.set_state(job, next.clone(), record);
         }
         match action {
-            StepAction::Wait => {}
-            StepAction::Resend => self.resend(job, &next),
-            StepAction::Stop => {
+            AttemptAction::Wait => {}
+            AttemptAction::Resend => self.resend(job, &next),
+            AttemptAction::Stop => {
                 let kind = CallKind::Stop {
                     task: next.task_id(),
                 };
@@ -137,7 +140,7 @@
         }
     }
 
-    fn sight_facts(&mut self, job: &JobId, state: &JobState, boot: &str) -> SightFacts {
+    fn sight_facts(&mut self, job: &JobId, state: &JobState, boot: &str) -> ReportContext {
         self.jitter = self
             .jitter
             .wrapping_mul(6_364_136_223_846_793_005)
@@ -145,27 +148,28 @@
         let now = self.shared.clock.boot_now();
         let silent_since = self.jobs.get(job).and_then(|held| held.silent_since);
         let book = self.books.get(&state.spec.pool);
-        SightFacts {
+        ReportContext {
             now: self.shared.clock.unix_now(),
             boot: boot.to_owned(),
-            silent_for: silent_since.map_or_else(Default::default, |at| now.saturating_sub(at)),
+            unresponsive_for: silent_since
+                .map_or_else(Default::default, |at| now.saturating_sub(at)),
             worker_suspect: book.is_some_and(|book| book.is_suspect(&state.worker)),
             jitter: self.jitter >> 33,
         }
     }
 
     /// Learns about workers from how an attempt ended.
-    fn note_outcome(&mut self, before: &JobState, next: &JobState, sight: &TaskSight) {
+    fn note_outcome(&mut self, before: &JobState, next: &JobState, attempt_report: &AttemptReport) {
         let now = self.shared.clock.boot_now();
         let Some(book) = self.books.get_mut(&before.spec.pool) else {
             return;
         };
-        match sight {
-            TaskSight::Done => book.note_success(&before.worker),
-            TaskSight::Failed(_) => {
+        match attempt_report {
+            AttemptReport::Done => book.record_success(&before.worker),
+            AttemptReport::Failed(_) => {
                 let was_suspect = book.is_suspect(&before.worker);
                 let job = &before.spec.job;
-                book.note_failure(&before.worker, job, &before.failed_on, now);
+                book.record_failure(&before.worker, job, &before.failed_on, now);
                 if !was_suspect && book.is_suspect(&before.worker) {
                     model::event::warn(
                         &event::WORKER_SUSPECT,
--- a/crates/fleet/src/job_start.rs
+++ b/crates/fleet/src/job_start.rs
@@ -3,7 +3,7 @@
 use crossbeam_channel::TrySendError;
 use decide::{
     job::{JobPhase, JobState, PhaseKind},
-    placement::{JobSize, PlaceRefusal},
+    placement::{JobSize, PlacementRefusal},
 };
 use model::{HostId, HostRole, JobId, PoolId, TeamId};
 use prost::Message;
@@ -63,11 +63,11 @@
             }
             let worker = match self.choose_worker(&state) {
                 Ok(worker) => worker,
-                Err(PlaceRefusal::NoRoom) => {
+                Err(PlacementRefusal::NoRoom) => {
                     full.insert(state.spec.pool.clone());
                     continue;
                 }
-                Err(PlaceRefusal::NeverFits) => {
+                Err(PlacementRefusal::NeverFits) => {
                     self.park_unfit(&job, &state);
                     continue;
                 }
@@ -86,16 +86,16 @@
         }
     }
 
-    fn choose_worker(&self, state: &JobState) -> Result<HostId, PlaceRefusal> {
+    fn choose_worker(&self, state: &JobState) -> Result<HostId, PlacementRefusal> {
         let Some(book) = self.books.get(&state.spec.pool) else {
-            return Err(PlaceRefusal::NoRoom);
+            return Err(PlacementRefusal::NoRoom);
         };
         let now = self.shared.clock.boot_now();
         // The declared size decides whether it can ever fit, the corrected one where.
         let corrected = self.corrected_size(state);
-        match book.choose(corrected, &state.failed_on, now) {
-            Err(PlaceRefusal::NeverFits) => {
-                book.choose(declared_size(state), &state.failed_on, now)
+        match book.choose_worker(corrected, &state.failed_on, now) {
+            Err(PlacementRefusal::NeverFits) => {
+                book.choose_worker(declared_size(state), &state.failed_on, now)
             }
             other => other,
         }
@@ -104,7 +104,7 @@
     fn corrected_size(&self, state: &JobState) -> JobSize {
         let spec = &state.spec;
         self.sizes
-            .corrected(&spec.team, &spec.service, declared_size(state))
+            .corrected_size(&spec.team, &spec.service, declared_size(state))
     }
 
     fn place(&mut self, job: &JobId, state: &JobState, worker: &HostId) {
@@ -113,7 +113,7 @@
         let Some(book) = self.books.get_mut(&state.spec.pool) else {
             return;
         };
-        book.note_placed(worker, job, size, now);
+        book.record_placed(worker, job, size, now);
         let boot = book.boot_of(worker).unwrap_or_default().to_owned();
         self.set_state(job, state.starting(worker, &boot), true);
     }
@@ -133,7 +133,7 @@
             &event::JOB_PARKED,
             format_args!("job={job} reason={reason}"),
         );
-        self.set_state(job, state.ending(JobPhase::Parked, &reason, now), true);
+        self.set_state(job, state.ended_as(JobPhase::Parked, &reason, now), true);
     }
 
     /// Sends what is recorded as starting.
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -6,7 +6,7 @@
 use crossbeam_channel::Sender;
 use decide::{
     budget::MapChange,
-    wave::{HostSighting, RoundPlan, RoundView},
+    wave::{HostObservation, RoundInput, RoundPlan},
 };
 use model::{BootTime, HostId};
 
@@ -85,8 +85,8 @@
             self.probe_hosts(Vec::new());
             return;
         }
-        let sightings = self.sightings();
-        let plan = self.make_plan(&sightings);
+        let observations = self.observations();
+        let plan = self.make_plan(&observations);
         if plan.halted {
             log::warn!(target: "E0607", "maintenance-halted hosts failed to return");
         }
@@ -97,27 +97,27 @@
         self.probe_hosts(plan.probes);
     }
 
-    fn make_plan(&self, sightings: &BTreeMap<HostId, HostSighting>) -> RoundPlan {
+    fn make_plan(&self, observations: &BTreeMap<HostId, HostObservation>) -> RoundPlan {
         let config = self.shared.config.current();
         let map = self.shared.snapshot.lock().map.clone();
-        RoundPlan::make(&RoundView {
+        RoundPlan::plan(&RoundInput {
             now: self.shared.clock.unix_now(),
             map: &map,
             manifest: &config.manifest,
-            sightings,
+            observations,
             list_fresh: self.shared.list_fresh(),
             limits: &self.shared.limits,
         })
     }
 
-    fn sightings(&self) -> BTreeMap<HostId, HostSighting> {
+    fn observations(&self) -> BTreeMap<HostId, HostObservation> {
         let now = self.shared.clock.boot_now();
-        let mut sightings = self.shared.sightings();
-        for (host, sighting) in &mut sightings {
+        let mut observations = self.shared.observations();
+        for (host, observation) in &mut observations {
             let health_age = self.shared.timing.health_age;
-            (sighting.health, sighting.asked_in) = self.book.health(host, now, health_age);
+            (observation.health, observation.probed_in) = self.book.health(host, now, health_age);
         }
-        sightings
+        observations
     }
 
     /// Reads the map before anything is written; false if the store does not answer.
--- a/crates/fleet/src/probe_pool.rs
+++ b/crates/fleet/src/probe_pool.rs
@@ -7,7 +7,7 @@
 use crossbeam_channel::{Receiver, Sender, TrySendError};
 use decide::{
     budget::{HostPhase, HostState},
-    wave::{HealthSight, PhaseStay},
+    wave::{HealthStatus, PhaseEntry},
 };
 use model::{BootTime, HostId, HostRole};
 use parking_lot::Mutex;
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct ProbeNote {
     asked_at: BootTime,
-    asked_in: PhaseStay,
+    asked_in: PhaseEntry,
     report: Option<HealthReport>,
     failures: u32,
     queued: bool,
@@ -61,7 +61,7 @@
         host: &HostId,
         now: BootTime,
         age: Duration,
-    ) -> (HealthSight, PhaseStay) {
+    ) -> (HealthStatus, PhaseEntry) {
         let notes = self.notes.lock();
         let Some(note) = notes.get(host) else {
             return Default::default();
@@ -106,7 +106,7 @@
     fn note_answer(&self, task: &ProbeTask, asked_at: BootTime, report: Option<HealthReport>) {
         let mut notes = self.notes.lock();
         let note = notes.entry(task.host.clone()).or_default();
-        let stay = task.state.stay();
+        let stay = task.state.phase_entry();
         if note.asked_in != stay {
             note.failures = 0;
         }
@@ -138,17 +138,17 @@
 }
 
 impl ProbeNote {
-    fn health(&self, now: BootTime, age: Duration) -> HealthSight {
+    fn health(&self, now: BootTime, age: Duration) -> HealthStatus {
         if self.failures >= FAILING_AFTER {
-            return HealthSight::Failing;
+            return HealthStatus::Failing;
         }
         let fresh = now.saturating_sub(self.asked_at) <= age;
         match self.report {
-            Some(report) if fresh => HealthSight::Answering {
+            Some(report) if fresh => HealthStatus::Answering {
                 draining: report.draining,
                 running: report.running,
             },
-            _ => HealthSight::Unknown,
+            _ => HealthStatus::Unknown,
         }
     }
 }
--- a/crates/fleet/src/target_view.rs
+++ b/crates/fleet/src/target_view.rs
@@ -2,7 +2,7 @@
 
 use decide::{
     budget::{FleetMap, HostPhase, HostState, OutCause},
-    wave::{FleetLimits, HostSighting},
+    wave::{FleetLimits, HostObservation},
 };
 use model::{BootTime, HostId, PoolId};
 use ports::{HostStatus, TargetHost, TargetState};
@@ -31,8 +31,8 @@
             if state.phase == HostPhase::Retired {
                 continue;
             }
-            let sighting = list.sighting(host, now);
-            let target = target_of(host, state, &sighting, limits);
+            let observation = list.observation(host, now);
+            let target = target_of(host, state, &observation, limits);
             pools.entry(state.pool.clone()).or_default().push(target);
         }
         let pools = pools
@@ -67,17 +67,17 @@
 fn target_of(
     host: &HostId,
     state: &HostState,
-    sighting: &HostSighting,
+    observation: &HostObservation,
     limits: &FleetLimits,
 ) -> TargetHost {
-    let facts = sighting.facts.as_ref().unwrap_or(&state.facts);
+    let facts = observation.facts.as_ref().unwrap_or(&state.facts);
     TargetHost {
         host: host.clone(),
         address: facts.address.clone(),
         pool: state.pool.clone(),
         data_centre: facts.data_centre.clone(),
         rack: facts.rack.clone(),
-        state: target_state(state, sighting, limits),
+        state: target_state(state, observation, limits),
     }
 }
 
@@ -88,15 +88,19 @@
 /// A host that only the planner lost sight of is still offered. The planner may be the
 /// one that is cut off, and a whole data centre would go out of service everywhere;
 /// whoever can't reach the host notices when dispatching.
-fn target_state(state: &HostState, sighting: &HostSighting, limits: &FleetLimits) -> TargetState {
-    if sighting.missing_for >= limits.list_lag {
+fn target_state(
+    state: &HostState,
+    observation: &HostObservation,
+    limits: &FleetLimits,
+) -> TargetState {
+    if observation.missing_for >= limits.list_lag {
         return TargetState::Out;
     }
     match state.phase {
-        HostPhase::Serving if sighting.leaving => TargetState::Draining,
+        HostPhase::Serving if observation.leaving => TargetState::Draining,
         HostPhase::Serving => TargetState::Serving,
         HostPhase::Lost | HostPhase::Checking
-            if state.cause == OutCause::Loss && sighting.is_staying() =>
+            if state.cause == OutCause::Loss && observation.is_staying() =>
         {
             TargetState::Serving
         }
--- a/crates/fleet/src/worker_port.rs
+++ b/crates/fleet/src/worker_port.rs
@@ -1,7 +1,7 @@
 use std::{fmt::Write, io::ErrorKind, time::Duration};
 
 use decide::{
-    job::{JobState, TaskSight},
+    job::{AttemptReport, JobState},
     placement::JobSize,
 };
 use model::StepError;
@@ -16,14 +16,14 @@
     /// Which life of the worker answered.
     pub boot: String,
     /// State of each task.
-    pub tasks: Vec<(String, TaskSight)>,
+    pub tasks: Vec<(String, AttemptReport)>,
 }
 
 /// Calls to workers that concern tasks.
 pub trait WorkerPort: Send + Sync {
     /// Sends the task of the current attempt. `first` says that it was not sent before;
     /// only then does a refused connection prove that the worker does not have it.
-    fn start(&self, address: &str, job: &JobState, lease: Duration, first: bool) -> TaskSight;
+    fn start(&self, address: &str, job: &JobState, lease: Duration, first: bool) -> AttemptReport;
     /// Renews the leases of tasks and asks for their states.
     ///
     /// # Errors
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     /// As for [`WorkerPort::renew`].
-    fn stop(&self, address: &str, task: &str) -> Result<TaskSight, StepError>;
+    fn stop(&self, address: &str, task: &str) -> Result<AttemptReport, StepError>;
     /// Reads what the worker's tasks use, and which life of it this is.
     ///
     /// # Errors
@@ -161,7 +161,7 @@
 }
 
 impl WorkerPort for HttpWorker {
-    fn start(&self, address: &str, job: &JobState, lease: Duration, first: bool) -> TaskSight {
+    fn start(&self, address: &str, job: &JobState, lease: Duration, first: bool) -> AttemptReport {
         let body = StartBody {
             task: job.task_id(),
             boot: &job.worker_boot,
@@ -175,14 +175,18 @@
         };
         match self.post(address, "/v1/tasks", &body) {
             Ok((200, _, text)) => serde_json::from_str::<TaskAnswer>(&text)
-                .map_or(TaskSight::Silent, |answer| answer.sight()),
-            Ok((_, true, reason)) => TaskSight::NotRun(reason),
+                .map_or(AttemptReport::Unresponsive, |answer| {
+                    answer.attempt_report()
+                }),
+            Ok((_, true, reason)) => AttemptReport::NotRun(reason),
             // Another life answers. Only if the task was never sent before is it sure
             // that the life it was meant for did not run it either.
-            Ok((409, ..)) if first => TaskSight::NotRun("its worker restarted".to_owned()),
-            Ok((409, ..)) => TaskSight::Unknown,
-            Err(CallError::Refused) if first => TaskSight::NotRun("connection refused".to_owned()),
-            _ => TaskSight::Silent,
+            Ok((409, ..)) if first => AttemptReport::NotRun("its worker restarted".to_owned()),
+            Ok((409, ..)) => AttemptReport::Unknown,
+            Err(CallError::Refused) if first => {
+                AttemptReport::NotRun("connection refused".to_owned())
+            }
+            _ => AttemptReport::Unresponsive,
         }
     }
 
@@ -201,7 +205,7 @@
         Ok(WorkerReport {
             boot: answer.boot,
             tasks: tasks
-                .map(|task| (task.task.clone(), task.sight()))
+                .map(|task| (task.task.clone(), task.attempt_report()))
                 .collect(),
         })
     }
@@ -213,21 +217,21 @@
         let text = answer.body_mut().read_to_string().map_err(wrap)?;
         let known: RenewAnswer =
             serde_json::from_str(&text).map_err(|e| StepError::new("read tasks", address, e))?;
-        let sight = |task: &String| {
+        let attempt_report = |task: &String| {
             let found = known.tasks.iter().find(|known| known.task == *task);
-            let sight = found.map_or(TaskSight::Unknown, TaskAnswer::sight);
-            (task.clone(), sight)
+            let attempt_report = found.map_or(AttemptReport::Unknown, TaskAnswer::attempt_report);
+            (task.clone(), attempt_report)
         };
         Ok(WorkerReport {
-            tasks: tasks.iter().map(sight).collect(),
+            tasks: tasks.iter().map(attempt_report).collect(),
             boot: known.boot,
         })
     }
 
-    fn stop(&self, address: &str, task: &str) -> Result<TaskSight, StepError> {
+    fn stop(&self, address: &str, task: &str) -> Result<AttemptReport, StepError> {
         let body = TaskBody { task };
         let answer: TaskAnswer = self.post_json("stop task", address, "/v1/stop", &body)?;
-        Ok(answer.sight())
+        Ok(answer.attempt_report())
     }
 
     fn usage(&self, address: &str) -> Result<(String, JobSize), StepError> {
@@ -247,15 +251,15 @@
 }
 
 impl TaskAnswer {
-    fn sight(&self) -> TaskSight {
+    fn attempt_report(&self) -> AttemptReport {
         match self.state.as_str() {
-            "running" => TaskSight::Running,
-            "done" => TaskSight::Done,
-            "failed" => TaskSight::Failed(self.reason.clone()),
-            "stopped" => TaskSight::Stopped,
-            "unknown" => TaskSight::Unknown,
-            "refused" => TaskSight::NotRun(self.reason.clone()),
-            _ => TaskSight::Silent,
+            "running" => AttemptReport::Running,
+            "done" => AttemptReport::Done,
+            "failed" => AttemptReport::Failed(self.reason.clone()),
+            "stopped" => AttemptReport::Stopped,
+            "unknown" => AttemptReport::Unknown,
+            "refused" => AttemptReport::NotRun(self.reason.clone()),
+            _ => AttemptReport::Unresponsive,
         }
     }
 }
--- a/crates/fleet/tests/common/fleet_scene.rs
+++ b/crates/fleet/tests/common/fleet_scene.rs
@@ -53,7 +53,7 @@
 
 pub fn short_limits() -> FleetLimits {
     FleetLimits {
-        settle: Duration::from_millis(200),
+        settle_time: Duration::from_millis(200),
         ..FleetLimits::default()
     }
 }
--- a/crates/fleet/tests/common/job_scene.rs
+++ b/crates/fleet/tests/common/job_scene.rs
@@ -110,7 +110,7 @@
             ..FleetTiming::default()
         })
         .with_limits(FleetLimits {
-            settle: Duration::ZERO,
+            settle_time: Duration::ZERO,
             ..FleetLimits::default()
         })
         .with_jobs(self.timing, self.policy);
--- a/crates/member/src/beat_duty.rs
+++ b/crates/member/src/beat_duty.rs
@@ -112,14 +112,15 @@
         };
         let now = self.shared.now();
         let mut lease = self.shared.lease.lock();
-        lease.hear(&message.from, message.incarnation, beat, now);
+        lease.handle_beat(&message.from, message.incarnation, beat, now);
         let behind = lease.is_behind();
         let list_revision = lease.list().revision();
         drop(lease);
-        self.shared
-            .acks
-            .lock()
-            .note_held(&message.from, message.incarnation, beat.member_revision);
+        self.shared.acks.lock().record_held(
+            &message.from,
+            message.incarnation,
+            beat.member_revision,
+        );
         self.compare_hash(message, beat);
         if !behind {
             self.behind_since = None;
--- a/crates/member/src/change_submit.rs
+++ b/crates/member/src/change_submit.rs
@@ -186,7 +186,7 @@
     }
 
     fn is_accepted(&self, list: &MemberList, revision: Revision) -> bool {
-        let living = list.without_gone(&self.shared.acks.lock());
+        let living = list.without_ended(&self.shared.acks.lock());
         self.shared.lease.lock().quorum_holds(&living, revision)
     }
 
--- a/crates/member/src/config_holder.rs
+++ b/crates/member/src/config_holder.rs
@@ -2,7 +2,7 @@
 
 use arc_swap::ArcSwap;
 use decide::{
-    config::{CatchUp, ConfigFault, ConfigState},
+    config::{CatchUp, ConfigError, ConfigState},
     quota::TeamLimit,
 };
 use model::{Manifest, Revision, TeamId, event as log_event};
@@ -75,10 +75,10 @@
         record: &ConfigRecord,
     ) -> Result<bool, StoreError> {
         let held = self.state();
-        let outcome = match held.follow(record, None) {
-            Err(ConfigFault::BaseNeeded(key)) => {
+        let outcome = match held.follow_record(record, None) {
+            Err(ConfigError::BaseNeeded(key)) => {
                 let (_, base) = read_record::<ConfigBase>(store, &key)?;
-                held.follow(record, Some(&base))
+                held.follow_record(record, Some(&base))
             }
             outcome => outcome,
         };
@@ -94,7 +94,7 @@
                 Ok(false)
             }
             // The base went away between the two reads: a newer record names another.
-            Err(ConfigFault::BaseNeeded(key)) => {
+            Err(ConfigError::BaseNeeded(key)) => {
                 Err(StoreError::Unavailable(format!("the base {key} is gone")))
             }
             Err(fault) => Err(self.reject(&fault)),
@@ -187,7 +187,7 @@
         }
     }
 
-    fn reject(&self, fault: &ConfigFault) -> StoreError {
+    fn reject(&self, fault: &ConfigError) -> StoreError {
         metrics::counter!("lws_config_faults").increment(1);
         log_event::error(&event::CONFIG_FAULT, format_args!("cause={fault}"));
         StoreError::Rejected(fault.to_string())
--- a/crates/member/src/probe_duty.rs
+++ b/crates/member/src/probe_duty.rs
@@ -70,7 +70,7 @@
                 &event::MEMBER_GONE,
                 format_args!("member={} incarnation={}", member.id, member.incarnation),
             );
-            self.shared.acks.lock().note_gone(&life.0, life.1);
+            self.shared.acks.lock().record_ended(&life.0, life.1);
             self.shared.wake_store();
         }
     }
--- a/crates/member/src/quota_book.rs
+++ b/crates/member/src/quota_book.rs
@@ -33,8 +33,8 @@
         &self.machine
     }
 
-    pub(crate) fn begin_life(&self, incarnation: Incarnation) {
-        self.machine.lock().begin_life(incarnation);
+    pub(crate) fn begin_incarnation(&self, incarnation: Incarnation) {
+        self.machine.lock().begin_incarnation(incarnation);
     }
 
     pub(crate) fn set_members(&self, list: &MemberList, now: BootTime) {
@@ -62,7 +62,7 @@
     }
 
     pub(crate) fn note_waiting(&self, team: &TeamId, waiting: u32) {
-        self.machine.lock().note_waiting(team, waiting);
+        self.machine.lock().set_waiting(team, waiting);
         if waiting > 0 {
             self.wake();
         }
--- a/crates/member/src/quota_call.rs
+++ b/crates/member/src/quota_call.rs
@@ -28,8 +28,8 @@
         QuotaAction::Release(to, release) => {
             talks.entry(to).or_default().releases.push(release);
         }
-        QuotaAction::Note(to, note) => talks.entry(to).or_default().notes.push(note),
-        QuotaAction::Ends(to, ends) => talks.entry(to).or_default().ends.extend(ends),
+        QuotaAction::SendRecord(to, note) => talks.entry(to).or_default().notes.push(note),
+        QuotaAction::SendEnds(to, ends) => talks.entry(to).or_default().ends.extend(ends),
     }
     None
 }
--- a/crates/member/src/quota_duty.rs
+++ b/crates/member/src/quota_duty.rs
@@ -76,16 +76,16 @@
         }
         let now = self.shared.now();
         let mut machine = self.shared.quota.machine().lock();
-        machine.hear_ends(&talk.ends, now);
+        machine.handle_ends(&talk.ends, now);
         for note in &talk.notes {
-            machine.hear_note(note, now);
+            machine.handle_record(note, now);
         }
         for release in &talk.releases {
-            machine.hear_release(&message.from, message.incarnation, release);
+            machine.handle_release(&message.from, message.incarnation, release);
         }
         let asks = talk.asks.iter();
         let mut actions: Vec<QuotaAction> = asks
-            .flat_map(|ask| machine.hear_ask(&message.from, ask, now))
+            .flat_map(|ask| machine.handle_ask(&message.from, ask, now))
             .collect();
         actions.extend(machine.tick(now));
         drop(machine);
@@ -111,7 +111,7 @@
         if let QuotaCall::Write(write) = refused.into_inner() {
             let now = self.shared.now();
             let mut machine = self.shared.quota.machine().lock();
-            machine.end_write(&write.team, WriteOutcome::NotDone, now);
+            machine.handle_write_outcome(&write.team, WriteOutcome::NotDone, now);
         }
     }
 }
--- a/crates/member/src/quota_store_duty.rs
+++ b/crates/member/src/quota_store_duty.rs
@@ -74,7 +74,7 @@
         Ok((version, record)) => {
             let now = shared.now();
             let mut machine = shared.quota.machine().lock();
-            machine.take_read(team, version, record, now);
+            machine.apply_read(team, version, record, now);
         }
         Err(error) => log_event::debug(
             &event::QUOTA_CALL_FAILED,
@@ -107,7 +107,7 @@
     let now = shared.now();
     let actions = {
         let mut machine = shared.quota.machine().lock();
-        machine.end_write(&write.team, outcome, now)
+        machine.handle_write_outcome(&write.team, outcome, now)
     };
     let mut talks = BTreeMap::new();
     for action in actions {
--- a/crates/member/src/shared_state.rs
+++ b/crates/member/src/shared_state.rs
@@ -169,7 +169,7 @@
                 list.members().len()
             ),
         );
-        self.acks.lock().forget_unlisted(list);
+        self.acks.lock().prune_unlisted(list);
         self.link_peers(list);
         self.quota.set_members(list, self.now());
         self.publish_members();
@@ -184,7 +184,7 @@
         let infos = lease.list().members().iter().map(|member| {
             let view = lease.peers().get(member.id.as_str());
             let view = view.filter(|view| view.incarnation == member.incarnation);
-            let heard_at = view.and_then(|view| view.heard_at);
+            let heard_at = view.and_then(|view| view.last_beat_at);
             let is_own = member.id == self.own.as_str();
             MemberInfo {
                 member: MemberId::from(member.id.as_str()),
@@ -217,10 +217,10 @@
         let silent = lives.filter(|member| {
             let view = lease.peers().get(member.id.as_str());
             let view = view.filter(|view| view.incarnation == member.incarnation);
-            let heard_at = view.and_then(|view| view.heard_at).unwrap_or_default();
+            let heard_at = view.and_then(|view| view.last_beat_at).unwrap_or_default();
             member.id != self.own.as_str()
                 && now.saturating_sub(heard_at) > length
-                && !acks.is_gone(member)
+                && !acks.has_ended(member)
         });
         silent.cloned().collect()
     }
--- a/crates/member/src/store_duty.rs
+++ b/crates/member/src/store_duty.rs
@@ -72,7 +72,7 @@
         }
         let lease = self.shared.lease.lock();
         let length = self.shared.options.settings.lease_length;
-        let quorum_age = lease.quorum_at().map(|at| now.saturating_sub(at));
+        let quorum_age = lease.quorum_acked_at().map(|at| now.saturating_sub(at));
         let renewed = quorum_age.is_some_and(|age| age < length / 2);
         !lease.is_listed()
             || lease.is_behind()
@@ -85,7 +85,7 @@
     fn has_lost(&self, lease: &LeaseMachine, now: BootTime) -> bool {
         let acks = self.shared.acks.lock();
         !lease.lost_members(now).is_empty()
-            || lease.list().members().iter().any(|m| acks.is_gone(m))
+            || lease.list().members().iter().any(|m| acks.has_ended(m))
     }
 
     /// How long this host waits between attempts to settle the list: its place in the list
@@ -138,7 +138,7 @@
         self.note_own_list();
         let mut lease = self.shared.lease.lock();
         if lease.list().revision() >= list.revision() {
-            lease.read_store(sent);
+            lease.record_store_read(sent);
         }
         Ok((version, list))
     }
@@ -148,7 +148,7 @@
         self.shared
             .acks
             .lock()
-            .note_held(&self.shared.own, self.shared.incarnation(), revision);
+            .record_held(&self.shared.own, self.shared.incarnation(), revision);
     }
 
     /// Joins the list. A listed newer life means that another process has this id; an older
@@ -159,13 +159,13 @@
             return Ok(());
         }
         if self.shared.lease.lock().was_listed() {
-            self.begin_life()?;
+            self.begin_incarnation()?;
             return Ok(());
         }
         let floor = self.shared.holder.force().revision;
         let next = match list.join(self.shared.own_member(), floor) {
             Ok(next) => next,
-            Err(ListRefusal::NewerLife(incarnation)) => {
+            Err(ListRefusal::NewerIncarnation(incarnation)) => {
                 log_event::error(
                     &event::MEMBER_ID_TAKEN,
                     format_args!("incarnation={incarnation}"),
@@ -192,15 +192,15 @@
         Ok(())
     }
 
-    fn begin_life(&self) -> Result<(), StepError> {
+    fn begin_incarnation(&self) -> Result<(), StepError> {
         let incarnation = claim_incarnation(self.shared.store())?;
         log_event::warn(
             &event::MEMBER_LIFE_BEGAN,
             format_args!("incarnation={incarnation}"),
         );
         self.shared.options.node.set_incarnation(incarnation);
-        self.shared.lease.lock().begin_life(incarnation);
-        self.shared.quota.begin_life(incarnation);
+        self.shared.lease.lock().begin_incarnation(incarnation);
+        self.shared.quota.begin_incarnation(incarnation);
         Ok(())
     }
 
@@ -210,7 +210,7 @@
         let lost = self.shared.lease.lock().lost_members(now);
         let acks = self.shared.acks.lock().clone();
         let mut members = list.members().iter();
-        let Some(member) = members.find(|m| acks.is_gone(m) || lost.contains(&m.id)) else {
+        let Some(member) = members.find(|m| acks.has_ended(m) || lost.contains(&m.id)) else {
             return Ok(false);
         };
         let (id, incarnation) = (MemberId::from(member.id.as_str()), member.incarnation);
@@ -234,7 +234,7 @@
     fn leave_list(&self) -> Result<(), StepError> {
         let own = &self.shared.own;
         let incarnation = self.shared.incarnation();
-        self.shared.acks.lock().note_gone(own, incarnation);
+        self.shared.acks.lock().record_ended(own, incarnation);
         for _ in 0..5 {
             let (version, list) = self.read_all(BootTime::ZERO)?;
             if !list.contains(own, incarnation) {
--- a/crates/share/src/broker_desk.rs
+++ b/crates/share/src/broker_desk.rs
@@ -111,7 +111,7 @@
             .brokers
             .values()
             .filter(|broker| broker.is_backlogged(from));
-        let holders = backlogged.flat_map(|broker| broker.over_served(from));
+        let holders = backlogged.flat_map(|broker| broker.holders_above_share(from));
         holders
             .filter_map(|holder| {
                 let session = *self.sessions.get(&holder)?;
@@ -178,14 +178,15 @@
     fn grant(&mut self, now: BootTime, from: &MemberId, demand: &SlotDemand) -> SlotGrant {
         let mut pools = Vec::new();
         for (pool, broker) in &mut self.brokers {
-            let fresh = broker.has_news(now, from) || broker.unconfirmed(from, demand.applied);
+            let fresh = broker.offer_may_change(now, from)
+                || broker.has_unconfirmed_offer(from, demand.applied);
             if !fresh && !broker.is_backlogged(from) {
                 continue;
             }
             let Some(offer) = broker.offer(now, from, demand.round) else {
                 continue;
             };
-            if broker.unconfirmed(from, demand.applied) || broker.is_backlogged(from) {
+            if broker.has_unconfirmed_offer(from, demand.applied) || broker.is_backlogged(from) {
                 pools.push(offer_to_wire(pool, &offer));
             }
         }
--- a/crates/share/src/session_book.rs
+++ b/crates/share/src/session_book.rs
@@ -73,7 +73,7 @@
             if owners.get(pool) != Some(owner)
                 && let Some(session) = session
             {
-                session.holder.release(pool);
+                session.holder.remove_pool(pool);
             }
         }
         self.owners = owners;
@@ -101,7 +101,7 @@
             && let Some(session) = self.sessions.get_mut(owner)
             && changed
         {
-            session.holder.touch(&demand.pool);
+            session.holder.mark_demand_changed(&demand.pool);
             session.urgent |= begins;
         }
         self.demands.insert(demand.pool.clone(), demand);
@@ -114,7 +114,7 @@
         let is_due = |broker: &MemberId, session: &SessionState| {
             let wait = if session.urgent {
                 times.gap
-            } else if session.holder.has_fresh() || self.is_backlogged(broker) {
+            } else if session.holder.has_unsent_demand() || self.is_backlogged(broker) {
                 times.interval
             } else {
                 times.idle_interval
@@ -151,19 +151,19 @@
             return Vec::new();
         }
         self.budget.spend(grant.encoded_len() + MESSAGE_HEADER);
-        let slots_before = session.holder.slot_sum();
+        let slots_before = session.holder.total_slots();
         let offers = grant
             .pools
             .iter()
             .map(|pool| (pool.pool.as_str().into(), offer_from_wire(pool)));
         if !session
             .holder
-            .apply(grant.session, grant.round, offers.collect())
+            .apply_grant(grant.session, grant.round, offers.collect())
         {
             return Vec::new();
         }
         // Others wait for slots that were given back until this is confirmed.
-        session.urgent |= session.holder.slot_sum() < slots_before;
+        session.urgent |= session.holder.total_slots() < slots_before;
         session
             .holder
             .pools()
@@ -208,12 +208,12 @@
         let session = self.sessions.get_mut(broker)?;
         session.asked = now;
         session.urgent = false;
-        let (round, mut fresh) = session.holder.ask(now);
+        let (round, mut fresh) = session.holder.begin_round(now);
         let applied = session.holder.applied();
         let number = session.holder.session();
         if !is_within && 0 < applied {
             for pool in fresh.drain(..) {
-                session.holder.touch(&pool);
+                session.holder.mark_demand_changed(&pool);
             }
         }
         let pools = fresh.iter().map(|pool| self.pool_demand(broker, pool));
@@ -273,10 +273,10 @@
             if owner != broker {
                 continue;
             }
-            holder.touch(pool);
+            holder.mark_demand_changed(pool);
             self.used.retain(|(used_pool, _), _| used_pool != pool);
             if let Some((expires, targets)) = held.get(pool) {
-                holder.adopt(*expires, pool, targets.clone());
+                holder.adopt_slots(*expires, pool, targets.clone());
             }
         }
         let state = SessionState {
