--- a/crates/cell/src/host_loop.rs
+++ b/crates/cell/src/host_loop.rs
@@ -99,8 +99,8 @@
     let orders = {
         let mut scheduler = term.scheduler.borrow_mut();
         let mut hosts = term.hosts.borrow_mut();
-        hosts.take_waves(&waves, &scheduler.board.maintained, now);
-        hosts.take_ordered(&scheduler.board.ordered, pause, least, time);
+        hosts.take_waves(&waves, &scheduler.board.maintained_hosts, now);
+        hosts.take_ordered(&scheduler.board.last_host_orders, pause, least, time);
         hosts.plan(&mut scheduler, now)
     };
     for order in orders {
--- a/crates/cell/src/log_compact.rs
+++ b/crates/cell/src/log_compact.rs
@@ -27,13 +27,13 @@
 /// left says, with the new ones after it, the same as the new ones alone. So whenever the owner
 /// dies, its successor reads what is true.
 pub(crate) async fn compact_log(term: &Term, pages: &mut LogPages) -> Option<()> {
-    let entries = term.scheduler.borrow().board.entries();
+    let entries = term.scheduler.borrow().board.compacted_entries();
     let (count, share) = (entries.len(), job_byte_share(&entries));
     let largest = max_page_bytes(&term.options.limits);
     let values =
         match CompactedLog::pack(entries, largest, pages.max_compacted_bytes(), encode_page) {
             CompactedLog::Pages(values) => values,
-            CompactedLog::Long(bytes) => {
+            CompactedLog::TooLong(bytes) => {
                 measure_job_bytes(term, share, bytes);
                 pages.postpone_compaction(bytes);
                 return Some(());
--- a/crates/cell/src/target_poll.rs
+++ b/crates/cell/src/target_poll.rs
@@ -95,7 +95,7 @@
             .borrow()
             .targets
             .get(id)
-            .is_none_or(|target| target.observable() > observed);
+            .is_none_or(|target| target.ackable_end() > observed);
         if acked || timeout_at(limit, stored).await.is_err() {
             return;
         }
--- a/crates/cell/src/term_run.rs
+++ b/crates/cell/src/term_run.rs
@@ -120,8 +120,8 @@
             summary.bytes,
             scheduler.board.jobs.len(),
             scheduler.board.open.len(),
-            scheduler.board.cancelled(),
-            scheduler.board.used.len(),
+            scheduler.board.cancelled_count(),
+            scheduler.board.used_targets.len(),
             took.as_millis()
         ),
     );
@@ -130,7 +130,7 @@
     // Calls that wait for the log are answered at once after it, and some are to be refused.
     measure_job_bytes(
         &term,
-        job_byte_share(&scheduler.board.entries()),
+        job_byte_share(&scheduler.board.compacted_entries()),
         summary.bytes,
     );
     *term.scheduler.borrow_mut() = scheduler;
--- a/crates/decide/src/work/compacted_log.rs
+++ b/crates/decide/src/work/compacted_log.rs
@@ -7,7 +7,7 @@
     /// The packed pages.
     Pages(Vec<Vec<u8>>),
     /// They take more than they may: about so many bytes.
-    Long(usize),
+    TooLong(usize),
 }
 
 impl CompactedLog {
@@ -24,12 +24,12 @@
         let all: usize = entries.iter().map(Message::encoded_len).sum();
         let (mut plain, mut packed) = (0, 0);
         let mut pages = Vec::new();
-        for part in parts_of(entries, page_bytes) {
+        for part in split_pages(entries, page_bytes) {
             plain += part.iter().map(Message::encoded_len).sum::<usize>();
             let page = pack(part);
             packed += page.len();
             if packed > most {
-                return Self::Long(packed * all.max(1) / plain.max(1));
+                return Self::TooLong(packed * all.max(1) / plain.max(1));
             }
             pages.push(page);
         }
@@ -37,7 +37,7 @@
     }
 }
 
-fn parts_of(entries: Vec<LogEntry>, page_bytes: usize) -> Vec<Vec<LogEntry>> {
+fn split_pages(entries: Vec<LogEntry>, page_bytes: usize) -> Vec<Vec<LogEntry>> {
     let mut parts = vec![Vec::new()];
     let mut bytes = 0;
     for entry in entries {
--- a/crates/decide/src/work/desk_advice.rs
+++ b/crates/decide/src/work/desk_advice.rs
@@ -38,7 +38,7 @@
     fn set_asked(&mut self, key: &TaskKey, now: DeskTime) {
         if let Some(step) = self.board.step_mut(key) {
             step.tickets.clear();
-            step.asked = now.boot;
+            step.advice_requested_at = now.boot;
         }
     }
 
@@ -59,13 +59,14 @@
         }
         // A step is not asked about again before the answer to its last question is overdue.
         let patience = advice.fixed + advice.per_target * ADVISED_AT_ONCE * 4;
-        let asked = !state.asked.is_zero();
-        if asked && now.boot.saturating_sub(state.asked) < patience.max(ADVICE_PAUSE) {
+        let asked = !state.advice_requested_at.is_zero();
+        if asked && now.boot.saturating_sub(state.advice_requested_at) < patience.max(ADVICE_PAUSE)
+        {
             return true;
         }
         let of_pool = self.index.targets.of_pool(&pool);
         let of_pool = of_pool.filter_map(|id| self.targets.get(id));
-        let usable = of_pool.filter(|target| target.takes_tasks(now.boot));
+        let usable = of_pool.filter(|target| target.accepts_tasks(now.boot));
         let mut usable: Vec<_> = usable.collect();
         usable.sort_by_key(|target| Reverse(target.free().cpu));
         let ids: Vec<HostId> = usable
--- a/crates/decide/src/work/desk_answer.rs
+++ b/crates/decide/src/work/desk_answer.rs
@@ -26,10 +26,10 @@
         match answer {
             StartAnswer::Started { .. } => {
                 self.set_phase(id, &run, PlacementPhase::Running, now);
-                self.board.begin_job(&task.job);
+                self.board.mark_started(&task.job);
                 self.pace_new(id, &run);
-                if let Some(target) = self.targets.get_unindexed(id) {
-                    target.answered = target.answered.max(now.boot);
+                if let Some(target) = self.targets.get_mut_untracked(id) {
+                    target.last_answered_call = target.last_answered_call.max(now.boot);
                 }
             }
             StartAnswer::Refused(refusal) => self.start_refused(id, &run, *refusal, now),
@@ -41,9 +41,9 @@
             }
             StartAnswer::Unanswered(_) => {
                 self.note(DeskEvent::Unsure(task.clone(), attempt, id.clone()));
-                self.set_phase(id, &run, PlacementPhase::Unsure, now);
+                self.set_phase(id, &run, PlacementPhase::Unconfirmed, now);
                 if let Some(target) = self.targets.get_mut(id) {
-                    target.add_doubt(run, now.boot);
+                    target.add_unconfirmed(run, now.boot);
                 }
                 self.pause_target(id, now);
                 self.note_silence(id, now);
@@ -69,7 +69,7 @@
             return;
         }
         if let Some(target) = self.targets.get_mut(id) {
-            target.add_doubt(run, now.boot);
+            target.add_unconfirmed(run, now.boot);
         }
     }
 
@@ -107,14 +107,14 @@
     /// True if the present life of a target was not known when a call was sent.
     pub(super) fn is_outlived(&self, id: &HostId, sent: BootTime) -> bool {
         let target = self.targets.get(id);
-        target.is_some_and(|target| sent < target.life.since)
+        target.is_some_and(|target| sent < target.incarnation.since)
     }
 
     /// True if a start that was ordered is still to be sent: its job may have ended or be held, or
     /// the target be lost, while it waited for a connection.
     pub fn wants_start(&self, id: &HostId, task: &TaskKey, attempt: AttemptNumber) -> bool {
         let job = self.board.jobs.get(&task.job);
-        let held = job.is_some_and(|job| job.phase == WorkPhase::Held);
+        let held = job.is_some_and(|job| job.phase == WorkPhase::CancelPending);
         !held && self.awaits_start(id, &(task.clone(), attempt))
     }
 
@@ -122,14 +122,14 @@
     /// decided may be over, and the target would refuse it.
     pub fn renew_start(&mut self, id: &HostId, order: &mut StartOrder, now: DeskTime) {
         let grant = self.tuning.grant;
-        let target = self.targets.get_unindexed(id);
-        let Some(target) = target.filter(|target| !target.silent) else {
+        let target = self.targets.get_mut_untracked(id);
+        let Some(target) = target.filter(|target| !target.unresponsive) else {
             return;
         };
         let Some(clock) = target.clock_at(now.boot) else {
             return;
         };
-        target.granted = now.boot;
+        target.last_grant = now.boot;
         order.lease_until = clock + grant;
     }
 
@@ -143,7 +143,7 @@
     }
 
     fn phase_of(&self, id: &HostId, run: &RunKey) -> Option<PlacementPhase> {
-        self.board.place_of(id, run).map(|place| place.phase)
+        self.board.placement_of(id, run).map(|place| place.phase)
     }
 
     fn start_refused(&mut self, id: &HostId, run: &RunKey, refusal: StartRefusal, now: DeskTime) {
@@ -166,8 +166,8 @@
             StartRefusal::Late => {
                 // The clock is not what it was taken for; the next look reads it anew.
                 if let Some(target) = self.targets.get_mut(id) {
-                    target.life.clock = None;
-                    target.life.raised = false;
+                    target.incarnation.clock = None;
+                    target.incarnation.token_seen = false;
                 }
                 self.orders.push(DeskOrder::Look(id.clone()));
             }
--- a/crates/decide/src/work/desk_claim.rs
+++ b/crates/decide/src/work/desk_claim.rs
@@ -18,7 +18,7 @@
         }
         self.index.runs.insert((run.0.clone(), run.1, id.clone()));
         let usage = self.usage.entry(claim.workspace.clone()).or_default();
-        *usage = usage.plus(claim.need);
+        *usage = usage.plus(claim.charged);
         target.claim(run, claim);
     }
 
@@ -27,7 +27,7 @@
         let Some(claim) = self
             .targets
             .get_mut(id)
-            .and_then(|target| target.unclaim(run))
+            .and_then(|target| target.release_claim(run))
         else {
             return;
         };
@@ -57,7 +57,7 @@
     pub(super) fn forget_run(&mut self, id: &HostId, run: &RunKey, claim: &RunClaim) {
         self.index.runs.remove(&(run.0.clone(), run.1, id.clone()));
         if let Some(usage) = self.usage.get_mut(&claim.workspace) {
-            *usage = usage.minus(claim.need);
+            *usage = usage.minus(claim.charged);
         }
         if let Some(pools) = self.index.capped.remove(&claim.workspace) {
             self.index.due.extend(pools);
@@ -73,14 +73,14 @@
             // carried out late. Counted as nothing, they would let the target be filled beyond
             // its room.
             return RunClaim {
-                room: job.closed_need,
-                need: job.closed_need,
+                resources: job.closed_resources,
+                charged: job.closed_resources,
                 workspace: job.workspace.clone(),
             };
         };
         RunClaim {
-            room: step.footprint(),
-            need: step.resources,
+            resources: step.footprint(),
+            charged: step.resources,
             workspace: job.workspace.clone(),
         }
     }
--- a/crates/decide/src/work/desk_end.rs
+++ b/crates/decide/src/work/desk_end.rs
@@ -16,8 +16,9 @@
         self.unclaim(id, &run);
         let job = &end.task.job;
         // As for a run: what a predecessor found due is due.
-        self.board.open_until(job, end.task.occurrence, now.boot);
-        self.board.begin_job(job);
+        self.board
+            .open_occurrences_until(job, end.task.occurrence, now.boot);
+        self.board.mark_started(job);
         self.vacate_place(id, &run);
         let name = match end.kind {
             EndKind::Done => "done",
@@ -34,7 +35,7 @@
             name,
         ));
         self.keep_checkpoint(end);
-        let Some(life) = self.targets.get(id).map(|target| target.life.number) else {
+        let Some(life) = self.targets.get(id).map(|target| target.incarnation.number) else {
             return;
         };
         let origin = EndOrigin {
@@ -54,10 +55,10 @@
 
     /// An entry about an end has been stored, so the target may forget the end.
     pub(super) fn settle_end(&mut self, origin: &EndOrigin) {
-        if let Some(target) = self.targets.get_unindexed(&origin.target)
-            && target.life.number == origin.life
+        if let Some(target) = self.targets.get_mut_untracked(&origin.target)
+            && target.incarnation.number == origin.life
         {
-            target.life.unstored.remove(&origin.number);
+            target.incarnation.unstored_ends.remove(&origin.number);
         }
     }
 
@@ -97,7 +98,7 @@
     /// The place of a run's task, if the task is taken to be there.
     pub(super) fn place_mut(&mut self, id: &HostId, run: &RunKey) -> Option<&mut TaskPlacement> {
         let (key, attempt) = run;
-        let task = self.board.task_unindexed(key)?;
+        let task = self.board.task_mut_unindexed(key)?;
         let place = task.place.as_mut()?;
         (place.target == *id && place.attempt == *attempt).then_some(place)
     }
@@ -106,7 +107,7 @@
     pub(super) fn vacate_place(&mut self, id: &HostId, run: &RunKey) {
         let (key, _) = run;
         self.stops.remove(&(id.clone(), run.clone()));
-        if self.board.place_of(id, run).is_none() {
+        if self.board.placement_of(id, run).is_none() {
             return;
         }
         if let Some(step) = self.board.step_mut(key)
@@ -133,8 +134,8 @@
             self.record_again(end, true, origin);
             return;
         }
-        if let Some(target) = self.targets.get_unindexed(&origin.target) {
-            target.faults = 0;
+        if let Some(target) = self.targets.get_mut_untracked(&origin.target) {
+            target.consecutive_failures = 0;
         }
         self.record_end(end, true, origin);
         self.stop_copies(&end.task, now);
@@ -191,7 +192,7 @@
             .queue(&job.queue)
             .map_or(u32::MAX, |queue| queue.max_attempts);
         if let Some(target) = self.targets.get_mut(&target) {
-            target.note_failure(&tuning, now.boot);
+            target.count_failure(&tuning, now.boot);
         }
         self.record_end(end, false, origin);
         if failures >= most as usize {
@@ -219,8 +220,8 @@
     }
 
     fn record_end(&mut self, end: &EndReport, done: bool, origin: EndOrigin) {
-        if let Some(target) = self.targets.get_unindexed(&origin.target) {
-            target.life.unstored.insert(origin.number);
+        if let Some(target) = self.targets.get_mut_untracked(&origin.target) {
+            target.incarnation.unstored_ends.insert(origin.number);
         }
         let job = end.task.job.clone();
         let ended = TaskEnd {
@@ -286,7 +287,7 @@
     ) {
         let gang = self.step_of(key).is_some_and(|step| step.gang);
         if !gang {
-            if let Some(task) = self.board.task_unindexed(key) {
+            if let Some(task) = self.board.task_mut_unindexed(key) {
                 task.checkpoint = checkpoint.clone();
             }
             return;
--- a/crates/decide/src/work/desk_evacuate.rs
+++ b/crates/decide/src/work/desk_evacuate.rs
@@ -10,7 +10,7 @@
     DeskTime, HostDrainState, PlacementPhase, WorkDesk,
     pick::may_go,
     step_key::StepKey,
-    target_state::{ANSWER_FRESH, RunKey},
+    target_state::{RESPONSE_MAX_AGE, RunKey},
 };
 
 /// Time after which a predecessor's last stops have taken effect: a target takes 0.2 s at most,
@@ -44,12 +44,12 @@
         let before = std::mem::take(&mut self.stranded);
         let mut stops = Vec::new();
         let mut coming: BTreeMap<PoolId, ResourceVector> = BTreeMap::new();
-        for id in &self.index.targets.emptying {
+        for id in &self.index.targets.draining {
             let Some(target) = self.targets.get(id) else {
                 continue;
             };
             let leaving = target.entry.mode == TargetMode::Draining;
-            if !leaving && target.vacancy == HostDrainState::None {
+            if !leaving && target.drain == HostDrainState::None {
                 continue;
             }
             let (id, pool) = (&target.entry.target, &target.entry.pool);
@@ -58,10 +58,16 @@
                     continue;
                 }
                 if self.is_running(id, run) {
-                    stops.push((id.clone(), pool.clone(), run.clone(), claim.room, leaving));
+                    stops.push((
+                        id.clone(),
+                        pool.clone(),
+                        run.clone(),
+                        claim.resources,
+                        leaving,
+                    ));
                 } else {
                     let room = coming.entry(pool.clone()).or_default();
-                    *room = room.plus(claim.room);
+                    *room = room.plus(claim.resources);
                 }
             }
         }
@@ -105,7 +111,7 @@
             return true;
         };
         let need = plan.footprint().plus(coming);
-        let with_room = self.index.targets.with_room(pool, need.cpu);
+        let with_room = self.index.targets.with_capacity(pool, need.cpu);
         let with_room = with_room.filter_map(|id| self.targets.get(id));
         may_go(plan, state, with_room, coming, now.boot)
     }
@@ -169,7 +175,9 @@
         // last look is old, though the desk still takes it to be at work.
         let heard = |id: &HostId| {
             let target = self.targets.get(id);
-            target.is_some_and(|target| now.boot.saturating_sub(target.heard) < ANSWER_FRESH)
+            target.is_some_and(|target| {
+                now.boot.saturating_sub(target.last_response) < RESPONSE_MAX_AGE
+            })
         };
         let at_work = |task: &super::TaskState| {
             task.place.as_ref().is_some_and(|place| {
@@ -197,11 +205,11 @@
         let before = std::mem::replace(&mut self.vacancies, wanted.clone());
         for id in before.keys().chain(wanted.keys()) {
             let vacancy = wanted.get(id).copied().unwrap_or_default();
-            let changed = |target: &super::TargetState| target.vacancy != vacancy;
+            let changed = |target: &super::TargetState| target.drain != vacancy;
             if self.targets.get(id).is_some_and(changed)
                 && let Some(target) = self.targets.get_mut(id)
             {
-                target.vacancy = vacancy;
+                target.drain = vacancy;
             }
         }
     }
--- a/crates/decide/src/work/desk_index.rs
+++ b/crates/decide/src/work/desk_index.rs
@@ -66,7 +66,7 @@
 
     fn follow_jobs(&mut self, board: &mut JobTable, terms: &FleetPolicy, now: BootTime) -> usize {
         for id in self.jobs.take_reranked(now) {
-            board.jobs.mark(&id);
+            board.jobs.mark_changed(&id);
         }
         let changed = board.jobs.take_changed();
         for id in &changed {
@@ -115,7 +115,7 @@
         let checks = [
             (
                 "targets",
-                anew.targets.lasting() == self.index.targets.lasting(),
+                anew.targets.without_pauses() == self.index.targets.without_pauses(),
             ),
             ("jobs", anew.jobs == self.index.jobs),
             ("runs", anew.runs == self.index.runs),
--- a/crates/decide/src/work/desk_life.rs
+++ b/crates/decide/src/work/desk_life.rs
@@ -4,7 +4,7 @@
 
 use super::{
     DeskEvent, DeskOrder, DeskTime, PlacementPhase, WorkDesk,
-    target_state::{ANSWER_FRESH, RunClaim, RunKey},
+    target_state::{RESPONSE_MAX_AGE, RunClaim, RunKey},
 };
 
 /// Lists of hosts in a row that have to lack a life before it counts as ended. A list comes in
@@ -24,14 +24,14 @@
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
-        let doubts = target.take_doubts(&tuning, now.boot);
-        let renewed = born > target.life.born;
-        let held = target.reborn(born, now.boot);
+        let doubts = target.take_unconfirmed(&tuning, now.boot);
+        let renewed = born > target.incarnation.started_at;
+        let held = target.begin_incarnation(born, now.boot);
         self.release_runs(id, held, renewed, cause, now);
         for run in doubts {
             // The start may still reach the new life: it is closed there by a stop.
             if let Some(target) = self.targets.get_mut(id) {
-                target.add_doubt(run.clone(), now.boot);
+                target.add_unconfirmed(run.clone(), now.boot);
             }
             self.claim(id, run.clone());
             self.close_start(id, &run, now);
@@ -43,9 +43,9 @@
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
-        let held = target.reborn(Duration::ZERO, now.boot);
+        let held = target.begin_incarnation(Duration::ZERO, now.boot);
         // What was granted ended with it.
-        target.granted = BootTime::ZERO;
+        target.last_grant = BootTime::ZERO;
         target.listed = false;
         self.release_runs(id, held, false, cause, now);
     }
@@ -65,9 +65,10 @@
         let mut missed = Vec::new();
         for (id, target) in &self.targets {
             // A life that answered shortly before the list was asked for is at work, whatever that says.
-            let answers = !target.heard.is_zero() && target.heard + ANSWER_FRESH >= asked;
+            let answers =
+                !target.last_response.is_zero() && target.last_response + RESPONSE_MAX_AGE >= asked;
             let lives = target.listed || answers || lives.contains(id);
-            if !lives || target.lists_missed > 0 {
+            if !lives || target.lists_absent > 0 {
                 missed.push((id.clone(), lives));
             }
         }
@@ -75,8 +76,8 @@
             let Some(target) = self.targets.get_mut(&id) else {
                 continue;
             };
-            target.lists_missed = if lives { 0 } else { target.lists_missed + 1 };
-            if target.lists_missed >= LISTS_MISSED {
+            target.lists_absent = if lives { 0 } else { target.lists_absent + 1 };
+            if target.lists_absent >= LISTS_MISSED {
                 gone.push(id);
             }
         }
@@ -91,7 +92,7 @@
     /// True while tasks may run on lives that no look has reached and the host list lacks.
     pub fn has_unknown_lives(&self) -> bool {
         let mut targets = self.targets.values();
-        targets.any(|target| !target.is_known() && !target.listed)
+        targets.any(|target| !target.is_state_known() && !target.listed)
     }
 
     /// Gives up the runs of a life that is over, but for those that the next may have: `renewed`
@@ -129,13 +130,13 @@
     }
 
     fn fate_of(&self, id: &HostId, run: &RunKey) -> RunFate {
-        let Some(place) = self.board.place_of(id, run) else {
+        let Some(place) = self.board.placement_of(id, run) else {
             return RunFate::Over;
         };
         match place.phase {
-            PlacementPhase::Starting | PlacementPhase::Unsure | PlacementPhase::Stopping(false) => {
-                RunFate::Doubtful
-            }
+            PlacementPhase::Starting
+            | PlacementPhase::Unconfirmed
+            | PlacementPhase::Stopping(false) => RunFate::Doubtful,
             PlacementPhase::Running if !place.seen => RunFate::Unseen,
             PlacementPhase::Running | PlacementPhase::Stopping(true) => RunFate::Over,
         }
--- a/crates/decide/src/work/desk_miss.rs
+++ b/crates/decide/src/work/desk_miss.rs
@@ -24,7 +24,7 @@
         let Some(target) = self.targets.get(id) else {
             return;
         };
-        if !target.recorded || target.missed || !target.is_known() {
+        if !target.recorded || target.unreachable_recorded || !target.is_state_known() {
             return;
         }
         let runs = target.claims.keys().map(|run| MissedRun {
@@ -41,7 +41,7 @@
         };
         if let Some(target) = self.targets.get_mut(id) {
             target.recorded = false;
-            target.missed = true;
+            target.unreachable_recorded = true;
         }
         self.note(DeskEvent::TargetMissed(id.clone(), miss.runs.len()));
         self.record(Event::Missed(miss), None, None);
@@ -49,10 +49,13 @@
 
     /// Records a target as used that is heard again.
     pub(super) fn use_again(&mut self, id: &HostId) {
-        if self.targets.get(id).is_some_and(|target| target.missed)
+        if self
+            .targets
+            .get(id)
+            .is_some_and(|target| target.unreachable_recorded)
             && let Some(target) = self.targets.get_mut(id)
         {
-            target.missed = false;
+            target.unreachable_recorded = false;
             self.record_use(id);
         }
     }
@@ -65,7 +68,7 @@
             let Some(target) = self.targets.get_mut(&id) else {
                 continue;
             };
-            target.missed = true;
+            target.unreachable_recorded = true;
             target.recorded = false;
             for run in &miss.runs {
                 let key = TaskKey {
@@ -82,8 +85,9 @@
     fn take_missed_run(&mut self, id: &HostId, run: RunKey, seen: bool, now: BootTime) {
         self.claim(id, run.clone());
         let (key, attempt): (TaskKey, AttemptNumber) = run;
-        self.board.begin_job(&key.job);
-        self.board.open_until(&key.job, key.occurrence, now);
+        self.board.mark_started(&key.job);
+        self.board
+            .open_occurrences_until(&key.job, key.occurrence, now);
         let open = self.board.open.contains(&key.job);
         let Some(step) = self.board.step_mut(&key).filter(|_| open) else {
             return;
@@ -94,14 +98,14 @@
         }
         let phase = match seen {
             true => PlacementPhase::Running,
-            false => PlacementPhase::Unsure,
+            false => PlacementPhase::Unconfirmed,
         };
         step.place(
             key.index,
             TaskPlacement {
                 phase,
                 seen,
-                presumed: true,
+                from_record: true,
                 ..TaskPlacement::new(id, attempt, now)
             },
         );
@@ -116,7 +120,7 @@
         let Some(place) = task.and_then(|task| task.place.as_ref()) else {
             return;
         };
-        if !place.presumed || place.target == *id || place.attempt >= *attempt {
+        if !place.from_record || place.target == *id || place.attempt >= *attempt {
             return;
         }
         let (older, run) = (place.target.clone(), (key.clone(), place.attempt));
@@ -124,7 +128,7 @@
     }
 
     fn is_seen(&self, id: &HostId, run: &RunKey) -> bool {
-        let place = self.board.place_of(id, run);
+        let place = self.board.placement_of(id, run);
         place.is_some_and(|place| place.phase == PlacementPhase::Running && place.seen)
     }
 }
--- a/crates/decide/src/work/desk_plan.rs
+++ b/crates/decide/src/work/desk_plan.rs
@@ -142,18 +142,18 @@
         group: &WaitingGroup,
         ranked: &'a RankedSteps,
     ) -> Option<(Option<&'a WaitingStep>, bool)> {
-        let refused = plan.refused.get(pool).map_or(&[][..], Vec::as_slice);
+        let unplaceable = plan.refused.get(pool).map_or(&[][..], Vec::as_slice);
         let tried = plan.tried.get(pool).and_then(|tried| tried.get(group));
         let mut filter = StepFilter {
             room: plan.rooms.get(pool).copied().unwrap_or_default(),
-            left: NO_LIMIT,
-            refused,
+            workspace_left: NO_LIMIT,
+            unplaceable,
         };
         let (found, looked) = ranked.next(tried, &filter);
         DeskEffort::add(&self.effort.steps, looked);
         let found = found?;
-        filter.left = self.left_of_limit(&group.workspace, &plan.doubt);
-        if found.need.fits_in(filter.left) {
+        filter.workspace_left = self.left_of_limit(&group.workspace, &plan.doubt);
+        if found.charged.fits_in(filter.workspace_left) {
             return Some((Some(found), false));
         }
         let (found, looked) = ranked.next(tried, &filter);
--- a/crates/decide/src/work/desk_sight.rs
+++ b/crates/decide/src/work/desk_sight.rs
@@ -23,21 +23,24 @@
     pub fn look_class(&self, id: &HostId, now: DeskTime) -> Option<CallClass> {
         let target = self.targets.get(id)?;
         let busy = !target.claims.is_empty();
-        if self.alone && !target.life.raised {
+        if self.alone && !target.incarnation.token_seen {
             return None;
         }
-        if target.life.raised && !busy && target.observable() <= target.life.told {
+        if target.incarnation.token_seen
+            && !busy
+            && target.ackable_end() <= target.incarnation.last_acked_end
+        {
             return None;
         }
-        let granted = now.boot.saturating_sub(target.granted);
-        if busy && !target.silent && granted >= self.tuning.grant / RENEW_PART {
+        let granted = now.boot.saturating_sub(target.last_grant);
+        if busy && !target.unresponsive && granted >= self.tuning.grant / RENEW_PART {
             return Some(CallClass::Renew);
         }
-        if target.failed > target.heard {
+        if target.last_failure > target.last_response {
             return Some(CallClass::Probe);
         }
         // What it runs lapses, what has ended there is not known, and older jobs of its pool wait.
-        let unreached = target.inherited && !target.life.raised;
+        let unreached = target.inherited && !target.incarnation.token_seen;
         Some(if unreached {
             CallClass::Renew
         } else {
@@ -50,19 +53,22 @@
         self.look_class(id, now)?;
         let tuning = self.tuning;
         let both = self.serves_and_fills(id);
-        let target = self.targets.get_unindexed(id)?;
+        let target = self.targets.get_mut_untracked(id)?;
         let busy = !target.claims.is_empty();
-        let acked_end = target.observed_at(now.boot);
+        let acked_end = target.acked_end_at(now.boot);
         // A target that doesn't answer gets no more time: what it runs has to lapse, so that it
         // can start elsewhere.
         let lease_until = target
             .clock_at(now.boot)
-            .filter(|_| busy && !target.silent)
+            .filter(|_| busy && !target.unresponsive)
             .map(|clock| clock + tuning.grant);
         if lease_until.is_some() {
-            target.granted = now.boot;
+            target.last_grant = now.boot;
         }
-        let wait = match (target.life.raised && busy && !target.silent, both) {
+        let wait = match (
+            target.incarnation.token_seen && busy && !target.unresponsive,
+            both,
+        ) {
             (false, _) => Duration::ZERO,
             (true, false) => tuning.look_wait,
             (true, true) => tuning.watch_wait,
@@ -104,7 +110,7 @@
         let Some(target) = self.targets.get(id) else {
             return;
         };
-        let known = target.life.born;
+        let known = target.incarnation.started_at;
         if !sight.started_at.is_zero() && !known.is_zero() && sight.started_at < known {
             // An answer of the life before, which was under way for long.
             return;
@@ -117,12 +123,16 @@
         }
         self.greet(id, sent, observed, sight, now);
         let ends: Vec<_> = {
-            let seen = self.targets.get(id).map_or(0, |target| target.life.seen);
+            let seen = self
+                .targets
+                .get(id)
+                .map_or(0, |target| target.incarnation.last_handled_end);
             sight.ended.iter().filter(|end| end.number > seen).collect()
         };
         for end in ends {
-            if let Some(target) = self.targets.get_unindexed(id) {
-                target.life.seen = target.life.seen.max(end.number);
+            if let Some(target) = self.targets.get_mut_untracked(id) {
+                target.incarnation.last_handled_end =
+                    target.incarnation.last_handled_end.max(end.number);
             }
             self.apply_end(id, end, now);
         }
@@ -148,24 +158,24 @@
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
-        if target.life.born.is_zero() {
-            target.life.born = sight.started_at;
+        if target.incarnation.started_at.is_zero() {
+            target.incarnation.started_at = sight.started_at;
         }
         // Of two readings the one that promises the later time is the better lower bound.
         let known = target.clock_at(now.boot).unwrap_or_default();
         if sight.clock >= known {
-            target.life.clock = Some((sight.clock, now.boot));
+            target.incarnation.clock = Some((sight.clock, now.boot));
         }
-        target.answered = target.answered.max(sent);
-        target.heard = now.boot;
-        target.looked = target.looked.max(sent);
-        target.life.told = target.life.told.max(observed);
-        if self.alone && !target.life.raised {
+        target.last_answered_call = target.last_answered_call.max(sent);
+        target.last_response = now.boot;
+        target.last_answered_poll = target.last_answered_poll.max(sent);
+        target.incarnation.last_acked_end = target.incarnation.last_acked_end.max(observed);
+        if self.alone && !target.incarnation.token_seen {
             return;
         }
-        let missed = target.missed;
-        let returned = std::mem::take(&mut target.silent);
-        let raised = !std::mem::replace(&mut target.life.raised, true);
+        let missed = target.unreachable_recorded;
+        let returned = std::mem::take(&mut target.unresponsive);
+        let raised = !std::mem::replace(&mut target.incarnation.token_seen, true);
         if returned || raised {
             self.note(DeskEvent::TargetRaised(id.clone()));
         }
@@ -183,15 +193,15 @@
             self.stop_unwanted(id, &key, now);
             return;
         }
-        self.board.begin_job(&run.task.job);
+        self.board.mark_started(&run.task.job);
         // A predecessor found the occurrence due, perhaps by a clock that is ahead of this one;
         // taking its run for a stray one would stop work that is wanted.
         self.board
-            .open_until(&run.task.job, run.task.occurrence, now.boot);
+            .open_occurrences_until(&run.task.job, run.task.occurrence, now.boot);
         self.drop_older_miss(id, &key);
         let job = self.board.jobs.get(&run.task.job);
         let open = job.is_some_and(WorkJob::is_open);
-        let task = self.board.task_unindexed(&run.task);
+        let task = self.board.task_mut_unindexed(&run.task);
         let Some(task) = task.filter(|task| open && !task.done) else {
             self.stop_unwanted(id, &key, now);
             return;
@@ -199,15 +209,15 @@
         match &mut task.place {
             Some(place) if place.target == *id && place.attempt == run.attempt => {
                 if place.percent != run.percent {
-                    place.moved = now.boot;
+                    place.last_progress = now.boot;
                 }
                 place.percent = run.percent;
                 place.load = run.load;
                 place.seen = true;
-                place.presumed = false;
+                place.from_record = false;
                 if matches!(
                     place.phase,
-                    PlacementPhase::Starting | PlacementPhase::Unsure
+                    PlacementPhase::Starting | PlacementPhase::Unconfirmed
                 ) {
                     place.phase = PlacementPhase::Running;
                     place.since = now.boot;
@@ -280,7 +290,7 @@
 
     fn miss_run(&mut self, id: &HostId, run: &RunKey, sent: BootTime, now: DeskTime) {
         let (key, attempt) = run;
-        let place = self.board.place_of(id, run);
+        let place = self.board.placement_of(id, run);
         let Some((phase, since)) = place.map(|place| (place.phase, place.since)) else {
             // A run without a task: it is gone once its stop was answered before the look.
             let stopped = self.stops.contains_key(&(id.clone(), run.clone()));
@@ -295,7 +305,7 @@
         match phase {
             PlacementPhase::Starting => {}
             PlacementPhase::Stopping(false) => self.close_again(id, run, now),
-            PlacementPhase::Unsure => {
+            PlacementPhase::Unconfirmed => {
                 // It is not there and may come later. A stop of this start closes it: the
                 // target refuses a start that is not newer than one stopped there.
                 self.stop_run(id, run, now);
@@ -318,9 +328,9 @@
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
-        target.failed = now.boot;
-        if !target.silent && now.boot.saturating_sub(target.answered) >= silence {
-            target.silent = true;
+        target.last_failure = now.boot;
+        if !target.unresponsive && now.boot.saturating_sub(target.last_answered_call) >= silence {
+            target.unresponsive = true;
             self.note(DeskEvent::TargetSilent(id.clone()));
         }
         self.record_miss(id, now);
@@ -343,6 +353,6 @@
 impl TargetState {
     /// True if the desk still has a reason to keep it.
     pub(super) fn is_needed(&self) -> bool {
-        self.listed || !self.claims.is_empty() || (self.inherited && !self.life.raised)
+        self.listed || !self.claims.is_empty() || (self.inherited && !self.incarnation.token_seen)
     }
 }
--- a/crates/decide/src/work/desk_start.rs
+++ b/crates/decide/src/work/desk_start.rs
@@ -184,7 +184,7 @@
             self.targets.get(id)
         };
         let of_pool = self.index.targets.of_pool(pool).filter_map(target);
-        let with_room = self.index.targets.with_room(pool, plan.footprint().cpu);
+        let with_room = self.index.targets.with_capacity(pool, plan.footprint().cpu);
         let with_room = with_room.filter_map(target);
         if let Some(best) = pick_target(plan, state, task, with_room, of_pool.clone(), now.boot) {
             return Some(best.entry.target.clone());
@@ -225,10 +225,10 @@
             .and_then(|step| step.tickets.get(id))
             .map(|(ticket, _)| ticket.clone())
             .unwrap_or_default();
-        let Some(target) = self.targets.get_unindexed(id) else {
+        let Some(target) = self.targets.get_mut_untracked(id) else {
             return;
         };
-        target.granted = now.boot;
+        target.last_grant = now.boot;
         let clock = target.clock_at(now.boot).unwrap_or_default();
         let order = StartOrder {
             task: key.clone(),
@@ -241,7 +241,7 @@
         };
         let inputs = PlaceInputs {
             class,
-            heard_ago: now.boot.saturating_sub(target.heard),
+            heard_ago: now.boot.saturating_sub(target.last_response),
             free_cpu: target.free().cpu,
         };
         let placed = DeskEvent::Placed(key.clone(), *attempt, id.clone(), inputs);
--- a/crates/decide/src/work/desk_stop.rs
+++ b/crates/decide/src/work/desk_stop.rs
@@ -82,7 +82,7 @@
             || self
                 .targets
                 .get(id)
-                .is_some_and(|target| target.vacancy != HostDrainState::None);
+                .is_some_and(|target| target.drain != HostDrainState::None);
         if !emptied && self.stopping_place(id, run).is_some() && self.lasts(run) {
             self.take_back(id, run, now);
         }
@@ -118,7 +118,8 @@
     /// last, while as many others of its step are away as may be. Its stop would end a task at work.
     fn may_have_started(&self, id: &HostId, run: &RunKey, now: DeskTime) -> bool {
         let target = self.targets.get(id);
-        let fresh = target.is_some_and(|target| now.boot.saturating_sub(target.heard) < JUST_HEARD);
+        let fresh =
+            target.is_some_and(|target| now.boot.saturating_sub(target.last_response) < JUST_HEARD);
         let closing = self.stopping_place(id, run).is_some() && self.lasts(run);
         closing && !fresh && !self.is_draining(id) && !self.may_stop(run, now)
     }
@@ -140,6 +141,6 @@
             .get(&run.0.job)
             .filter(|job| job.is_open())?;
         let stopping = |place: &&TaskPlacement| place.phase == PlacementPhase::Stopping(false);
-        self.board.place_of(id, run).filter(stopping)
+        self.board.placement_of(id, run).filter(stopping)
     }
 }
--- a/crates/decide/src/work/desk_tick.rs
+++ b/crates/decide/src/work/desk_tick.rs
@@ -66,20 +66,20 @@
         let Some(job) = job.filter(|job| job.phase == WorkPhase::Open) else {
             return false;
         };
-        job.phase = WorkPhase::Held;
+        job.phase = WorkPhase::CancelPending;
         true
     }
 
     pub(super) fn open_occurrences(&mut self, now: DeskTime) {
         let early = self.tuning.early;
         for id in &self.index.jobs.repeating {
-            let Some(job) = self.board.jobs.get_unindexed(id) else {
+            let Some(job) = self.board.jobs.get_mut_untracked(id) else {
                 continue;
             };
             let before = job.opened;
-            job.open_due(now.unix, now.boot, early);
+            job.open_due_occurrences(now.unix, now.boot, early);
             if job.opened != before {
-                self.board.jobs.mark(id);
+                self.board.jobs.mark_changed(id);
             }
         }
     }
@@ -114,7 +114,7 @@
             let target = self.targets.get(&id);
             if !target.is_some_and(|target| target.claims.contains_key(&run)) {
                 self.stops.remove(&(id, run));
-            } else if target.is_some_and(|target| !target.silent) {
+            } else if target.is_some_and(|target| !target.unresponsive) {
                 self.stop_again(&id, &run, now);
             }
         }
@@ -132,7 +132,7 @@
         if self.awaits_many(now) {
             return;
         }
-        let lapsing = &self.index.targets.lapsing;
+        let lapsing = &self.index.targets.expiring;
         let lapsing = lapsing.iter().filter_map(|id| self.targets.get(id));
         let lapsed: Vec<HostId> = lapsing
             .filter(|target| now.boot >= self.lapse_of(target))
@@ -143,12 +143,12 @@
                 continue;
             };
             target.inherited = false;
-            target.life.raised = false;
+            target.incarnation.token_seen = false;
             if target.claims.is_empty() {
                 self.stale = true;
                 continue;
             }
-            let born = target.life.born;
+            let born = target.incarnation.started_at;
             self.end_life(&id, born, "lapsed", now);
         }
     }
@@ -187,7 +187,7 @@
     fn unheard_exceeds(&self, share: usize, now: DeskTime) -> bool {
         let targets = &self.index.targets;
         let recently = now.boot.saturating_sub(FAILED_RECENTLY) + Duration::from_nanos(1);
-        let unheard = targets.unheard + targets.failed_since(recently);
+        let unheard = targets.not_responding + targets.failed_since(recently);
         unheard >= UNHEARD_LEAST && unheard * share >= targets.listed
     }
 
@@ -220,7 +220,7 @@
     /// True if some of a step's tasks are on targets while others wait.
     fn is_broken(&self, key: &TaskKey) -> bool {
         let step = self.step_by(&key.job, key.occurrence, key.step);
-        step.is_some_and(|step| !step.is_done() && step.placed > 0 && step.waiting() > 0)
+        step.is_some_and(|step| !step.is_done() && step.placed > 0 && step.waiting_tasks() > 0)
     }
 
     /// Stops tasks that have stood still for some time, to start them elsewhere. Some targets
@@ -246,14 +246,14 @@
         else {
             return false;
         };
-        let (Some(place), Some(target)) = (self.board.place_of(id, run), self.targets.get(id))
+        let (Some(place), Some(target)) = (self.board.placement_of(id, run), self.targets.get(id))
         else {
             return false;
         };
         let limit = STALLED.max(plan.estimate / STALL_PARTS);
         let open = self.board.open.contains(&run.0.job);
         open && place.phase == PlacementPhase::Running
-            && target.heard.saturating_sub(place.moved) >= limit
+            && target.last_response.saturating_sub(place.last_progress) >= limit
     }
 
     /// When all that was granted on a target has lapsed.
@@ -263,8 +263,8 @@
     /// while few have been reached has the whole of that time to pass. Targets that the host
     /// list no longer has don't count: after some moves of hosts there are many of them.
     fn lapse_of(&self, target: &super::TargetState) -> BootTime {
-        let lapse = target.lapses(&self.tuning);
-        if !target.inherited || target.life.raised || self.board.handed_over {
+        let lapse = target.leases_expired_at(&self.tuning);
+        if !target.inherited || target.incarnation.token_seen || self.board.handed_over {
             return lapse;
         }
         if self.index.targets.reached * 2 >= self.index.targets.listed {
@@ -276,10 +276,10 @@
 
     fn drop_targets(&mut self, now: DeskTime) {
         self.sync(now.boot);
-        for id in self.index.targets.needless.clone() {
+        for id in self.index.targets.forgettable.clone() {
             self.targets.remove(&id);
             self.paces.remove(&id);
-            if self.board.used.remove(id.as_str()).is_some() {
+            if self.board.used_targets.remove(id.as_str()).is_some() {
                 self.record(Event::Released(id.to_string()), None, None);
             }
         }
--- a/crates/decide/src/work/host_planner.rs
+++ b/crates/decide/src/work/host_planner.rs
@@ -86,7 +86,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OperationState {
     /// It is being emptied.
-    Emptying,
+    Draining,
     /// The order is under way, or was not answered and may still be carried out.
     Sent,
     /// The order was carried out at this time.
@@ -292,7 +292,7 @@
     fn keep_free(&self, desk: &mut WorkDesk) {
         let wanted = self.hosts.values().filter_map(|view| {
             let vacancy = match view.errand.as_ref()?.state {
-                OperationState::Emptying => HostDrainState::Emptying,
+                OperationState::Draining => HostDrainState::Draining,
                 OperationState::Sent | OperationState::Done(_) => HostDrainState::Ordered,
             };
             Some((view.fleet.target.clone(), vacancy))
@@ -310,7 +310,7 @@
                 continue;
             };
             let due = match errand.state {
-                OperationState::Emptying => empty,
+                OperationState::Draining => empty,
                 OperationState::Sent => now >= view.not_before && !view.not_before.is_zero(),
                 OperationState::Done(_) => false,
             };
@@ -328,7 +328,7 @@
         if let Some(view) = self.hosts.get_mut(host) {
             view.errand = Some(HostOperation {
                 order,
-                state: OperationState::Emptying,
+                state: OperationState::Draining,
                 target: view.fleet.target.clone(),
             });
         }
--- a/crates/decide/src/work/host_replacements.rs
+++ b/crates/decide/src/work/host_replacements.rs
@@ -37,7 +37,7 @@
             Some(errand) => match &errand.order {
                 HostOrder::Move(_, to) => to == pool,
                 HostOrder::Maintain(..) => {
-                    view.fleet.pool == *pool && errand.state != OperationState::Emptying
+                    view.fleet.pool == *pool && errand.state != OperationState::Draining
                 }
             },
             None => {
--- a/crates/decide/src/work/host_waves.rs
+++ b/crates/decide/src/work/host_waves.rs
@@ -138,7 +138,7 @@
             return None;
         }
         let target = desk.targets.get(&view.fleet.target);
-        if target.is_some_and(|target| !target.is_known()) {
+        if target.is_some_and(|target| !target.is_state_known()) {
             return None;
         }
         let used = target.map_or(0, |target| target.used.cpu);
--- a/crates/decide/src/work/job_entries.rs
+++ b/crates/decide/src/work/job_entries.rs
@@ -8,7 +8,7 @@
     /// How the job ended; `None` while it is open.
     pub(super) fn closed_phase(&self) -> Option<JobPhase> {
         match self.phase {
-            WorkPhase::Open | WorkPhase::Held => None,
+            WorkPhase::Open | WorkPhase::CancelPending => None,
             WorkPhase::Completed => Some(JobPhase::Completed),
             WorkPhase::Failed => Some(JobPhase::Failed),
             WorkPhase::Cancelled | WorkPhase::Unsubmitted => Some(JobPhase::Cancelled),
@@ -18,7 +18,7 @@
     /// The most that a task of it takes.
     fn largest_need(&self) -> ResourceVector {
         let needs = self.plan.steps.iter().map(|step| step.resources);
-        needs.fold(self.closed_need, ResourceVector::max_each)
+        needs.fold(self.closed_resources, ResourceVector::max_each)
     }
 
     /// What is kept of it once it has ended.
--- a/crates/decide/src/work/job_index.rs
+++ b/crates/decide/src/work/job_index.rs
@@ -59,7 +59,7 @@
         let Some(new) = new else {
             return;
         };
-        if new.brings_work(&old) {
+        if new.has_new_work(&old) {
             due.insert(new.pool.clone());
         }
         self.put_in(id, &new);
@@ -174,7 +174,7 @@
             let apart = self.apart.entry(facts.pool.clone()).or_default();
             *apart.entry(facts.apart).or_default() += 1;
         }
-        if let Some(until) = facts.rerank {
+        if let Some(until) = facts.rerank_at {
             self.reranks.insert((until, id.clone()));
         }
         if facts.repeats {
@@ -214,7 +214,7 @@
         if facts.apart > 0 {
             self.take_out_apart(facts);
         }
-        if let Some(until) = facts.rerank {
+        if let Some(until) = facts.rerank_at {
             self.reranks.remove(&(until, id.clone()));
         }
         if facts.repeats {
--- a/crates/decide/src/work/job_summary.rs
+++ b/crates/decide/src/work/job_summary.rs
@@ -75,7 +75,7 @@
     pub(super) pool: PoolId,
     pub(super) group: WaitingGroup,
     pub(super) waiting: Vec<WaitingStep>,
-    pub(super) rerank: Option<BootTime>,
+    pub(super) rerank_at: Option<BootTime>,
     /// Its queue, if it is open and has not begun.
     pub(super) pending: Option<CompactString>,
     pub(super) need: CoreDemand,
@@ -105,26 +105,26 @@
             facts.ended = (job.unstored == 0).then_some(job.ended);
             return facts;
         }
-        facts.pending = (!job.begun).then(|| job.queue.clone());
+        facts.pending = (!job.started).then(|| job.queue.clone());
         facts.repeats = job.opened < job.plan.occurrences();
         facts.gang = job.plan.steps.iter().any(|step| step.gang);
         let apart = job.plan.steps.iter().filter(|step| step.anti_affinity > 0);
         let hosts = apart.map(|step| step.count.div_ceil(step.anti_affinity));
         facts.apart = hosts.max().unwrap_or_default() as usize;
-        facts.take_steps(job, terms, now);
+        facts.add_steps(job, terms, now);
         facts
     }
 
-    fn take_steps(&mut self, job: &WorkJob, terms: &FleetPolicy, now: BootTime) {
+    fn add_steps(&mut self, job: &WorkJob, terms: &FleetPolicy, now: BootTime) {
         let queue = terms.queue(&job.queue);
         let advised = queue.is_some_and(|queue| queue.advice.is_some());
         for (&number, occurrence) in &job.occurrences {
             let mut ranked = None;
             let unstarted = unstarted(job, occurrence);
-            if unstarted > 0 && job.phase != WorkPhase::Held {
+            if unstarted > 0 && job.phase != WorkPhase::CancelPending {
                 let (rank, until) =
                     *ranked.get_or_insert_with(|| rank(job, occurrence, queue, now));
-                self.rerank = until.into_iter().chain(self.rerank).min();
+                self.rerank_at = until.into_iter().chain(self.rerank_at).min();
                 match rank.class {
                     _ if job.beyond_share => self.backlog.beyond += unstarted,
                     RankClass::Overdue => self.backlog.overdue += unstarted,
@@ -132,7 +132,7 @@
                 }
             }
             for (step, state) in occurrence.steps.iter().enumerate() {
-                if state.is_done() || !occurrence.is_ready(&job.plan, step) {
+                if state.is_done() || !occurrence.is_step_ready(&job.plan, step) {
                     continue;
                 }
                 let plan = &job.plan.steps[step];
@@ -144,16 +144,16 @@
                     self.need.present += cpu;
                 }
                 let busy = (state.done + state.placed) as usize >= state.tasks.len();
-                if busy || job.phase == WorkPhase::Held {
+                if busy || job.phase == WorkPhase::CancelPending {
                     continue;
                 }
                 let (rank, until) =
                     *ranked.get_or_insert_with(|| rank(job, occurrence, queue, now));
-                self.rerank = until.into_iter().chain(self.rerank).min();
+                self.rerank_at = until.into_iter().chain(self.rerank_at).min();
                 // Tasks that last may take a target that is being emptied or pauses, and advice is
                 // asked for early: they are looked at whatever room there is.
                 let needs_room = !plan.long_running && !advised;
-                let (room, need) = match needs_room {
+                let (resources, charged) = match needs_room {
                     true => (plan.footprint(), plan.resources),
                     false => Default::default(),
                 };
@@ -164,15 +164,15 @@
                         occurrence: number,
                         step: u32::try_from(step).unwrap_or(u32::MAX),
                     },
-                    room,
-                    need,
+                    resources,
+                    charged,
                 });
             }
         }
     }
 
     /// True if something may be started by what has changed since `before`.
-    pub(super) fn brings_work(&self, before: &Self) -> bool {
+    pub(super) fn has_new_work(&self, before: &Self) -> bool {
         let new = |step: &WaitingStep| !before.waiting.contains(step);
         self.waiting.iter().any(new)
             || before.pool != self.pool
@@ -197,6 +197,6 @@
         .occurrences
         .values()
         .flat_map(|occurrence| occurrence.steps.iter().zip(&job.plan.steps));
-    let rooms = steps.map(|(state, plan)| plan.resources.times(u64::from(state.waiting())));
+    let rooms = steps.map(|(state, plan)| plan.resources.times(u64::from(state.waiting_tasks())));
     rooms.fold(ResourceVector::default(), ResourceVector::plus)
 }
--- a/crates/decide/src/work/job_table.rs
+++ b/crates/decide/src/work/job_table.rs
@@ -19,7 +19,7 @@
 };
 
 /// Oldest age that a job read from the log is given; clocks of day may be far apart.
-const OLDEST: Duration = Duration::from_secs(3600);
+const MAX_REPLAYED_AGE: Duration = Duration::from_secs(3600);
 
 /// All jobs that the log tells of.
 #[derive(Clone, Debug, Default)]
@@ -29,13 +29,13 @@
     /// Jobs that have something left to do.
     pub open: BTreeSet<JobId>,
     /// Targets on which tasks may run.
-    pub used: BTreeMap<String, TargetUse>,
+    pub used_targets: BTreeMap<String, TargetUse>,
     /// Targets of these that were not heard, with what may run there.
     pub missed: BTreeMap<String, TargetMiss>,
     /// Hosts of waves whose maintenance began.
-    pub maintained: BTreeSet<(u64, String)>,
+    pub maintained_hosts: BTreeSet<(u64, String)>,
     /// When hosts were ordered last, since the Unix epoch.
-    pub ordered: BTreeMap<String, Duration>,
+    pub last_host_orders: BTreeMap<String, Duration>,
     /// Whether the last owner gave the cell up by itself and ordered no host after that.
     pub handed_over: bool,
 }
@@ -47,33 +47,33 @@
     pub fn apply(&mut self, entry: &LogEntry, unix: Duration, boot: BootTime) {
         match &entry.event {
             Some(Event::Accepted(record)) => self.accept(record, unix, boot),
-            Some(Event::Ended(end)) => self.end_task(end, boot),
+            Some(Event::Ended(end)) => self.apply_task_end(end, boot),
             Some(Event::Cancelled(job)) => self.cancel(job, boot),
             Some(Event::Failed(job)) => self.end_job(job, WorkPhase::Failed, boot),
             Some(Event::Used(used)) => {
                 self.missed.remove(&used.target);
-                self.used.insert(used.target.clone(), used.clone());
+                self.used_targets.insert(used.target.clone(), used.clone());
             }
             Some(Event::Missed(miss)) => {
                 self.missed.insert(miss.target.clone(), miss.clone());
             }
             Some(Event::Released(target)) => {
                 self.missed.remove(target);
-                self.used.remove(target);
+                self.used_targets.remove(target);
             }
             Some(Event::Wave(progress)) => {
-                self.maintained
+                self.maintained_hosts
                     .insert((progress.wave, progress.host.clone()));
             }
             Some(Event::Occurrence(end)) => self.end_occurrence(&end.job, end.occurrence, boot),
             Some(Event::Ordered(order)) => {
                 let at = Duration::from_millis(order.unix_ms);
-                self.ordered.insert(order.host.clone(), at);
+                self.last_host_orders.insert(order.host.clone(), at);
                 self.handed_over = false;
             }
             Some(Event::HandedOver(_)) => self.handed_over = true,
-            Some(Event::Closed(end)) => self.close(end, boot),
-            Some(Event::StepEnds(ends)) => self.end_tasks(ends, boot),
+            Some(Event::Closed(end)) => self.apply_job_end(end, boot),
+            Some(Event::StepEnds(ends)) => self.apply_step_ends(ends, boot),
             // An entry of a newer version.
             None => {}
         }
@@ -86,7 +86,7 @@
             return;
         }
         let accepted = Duration::from_millis(record.accepted_unix_ms);
-        let age = unix.saturating_sub(accepted).min(OLDEST);
+        let age = unix.saturating_sub(accepted).min(MAX_REPLAYED_AGE);
         let job = WorkJob {
             id: id.clone(),
             plan: Arc::new(plan_of_record(record)),
@@ -144,7 +144,7 @@
     }
 
     /// Where the task of a run is; `None` if no task is taken to be that run.
-    pub(super) fn place_of(&self, id: &HostId, run: &RunKey) -> Option<&TaskPlacement> {
+    pub(super) fn placement_of(&self, id: &HostId, run: &RunKey) -> Option<&TaskPlacement> {
         let (key, attempt) = run;
         let job = self.jobs.get(&key.job)?;
         let task = job.task(key.occurrence, key.step, key.index)?;
@@ -187,9 +187,9 @@
     ///
     /// Of jobs that have ended only the outcome is kept. Replayed after some or all of the
     /// entries that they replace they change nothing.
-    pub fn entries(&self) -> Vec<LogEntry> {
+    pub fn compacted_entries(&self) -> Vec<LogEntry> {
         let mut events: Vec<Event> = Vec::new();
-        events.extend(self.used.values().cloned().map(Event::Used));
+        events.extend(self.used_targets.values().cloned().map(Event::Used));
         events.extend(self.missed.values().cloned().map(Event::Missed));
         let begun = |(wave, host): &(u64, String)| {
             Event::Wave(WaveProgress {
@@ -197,14 +197,14 @@
                 host: host.clone(),
             })
         };
-        events.extend(self.maintained.iter().map(begun));
+        events.extend(self.maintained_hosts.iter().map(begun));
         let ordered = |(host, at): (&String, &Duration)| {
             Event::Ordered(HostOrdered {
                 host: host.clone(),
                 unix_ms: u64::try_from(at.as_millis()).unwrap_or(u64::MAX),
             })
         };
-        events.extend(self.ordered.iter().map(ordered));
+        events.extend(self.last_host_orders.iter().map(ordered));
         for job in self.jobs.values() {
             match job.closed_phase() {
                 Some(phase) => events.push(Event::Closed(job.end_record(phase))),
@@ -219,51 +219,51 @@
     }
 
     /// How many jobs their callers have cancelled.
-    pub fn cancelled(&self) -> usize {
+    pub fn cancelled_count(&self) -> usize {
         let jobs = self.jobs.values();
         jobs.filter(|job| job.is_cancelled()).count()
     }
 
     /// Counts entries of a job anew that are not stored.
-    pub(super) fn count_unstored(&mut self, id: &str, count: impl FnOnce(u32) -> u32) {
-        let Some(job) = self.jobs.get_unindexed(id) else {
+    pub(super) fn update_unstored_entries(&mut self, id: &str, count: impl FnOnce(u32) -> u32) {
+        let Some(job) = self.jobs.get_mut_untracked(id) else {
             return;
         };
         job.unstored = count(job.unstored);
         if !job.is_open() {
-            self.jobs.mark(id);
+            self.jobs.mark_changed(id);
         }
     }
 
     /// A task, of which nothing is to be changed but what is known of its run.
-    pub(super) fn task_unindexed(&mut self, key: &TaskKey) -> Option<&mut TaskState> {
-        let job = self.jobs.get_unindexed(&key.job)?;
+    pub(super) fn task_mut_unindexed(&mut self, key: &TaskKey) -> Option<&mut TaskState> {
+        let job = self.jobs.get_mut_untracked(&key.job)?;
         job.task_mut(key.occurrence, key.step, key.index)
     }
 
     /// Notes that a task of a job has started.
-    pub(super) fn begin_job(&mut self, id: &str) {
-        if self.jobs.get(id).is_some_and(|job| !job.begun)
+    pub(super) fn mark_started(&mut self, id: &str) {
+        if self.jobs.get(id).is_some_and(|job| !job.started)
             && let Some(job) = self.jobs.get_mut(id)
         {
-            job.begun = true;
+            job.started = true;
         }
     }
 
     /// Opens the occurrences up to one that a target tells of.
-    pub(super) fn open_until(&mut self, id: &str, occurrence: u32, boot: BootTime) {
+    pub(super) fn open_occurrences_until(&mut self, id: &str, occurrence: u32, boot: BootTime) {
         if self
             .jobs
             .get(id)
             .is_some_and(|job| job.opened <= occurrence)
             && let Some(job) = self.jobs.get_mut(id)
         {
-            job.open_until(occurrence, boot);
+            job.open_occurrences_until(occurrence, boot);
         }
     }
 
     /// Takes in that a job has ended of which the log may tell nothing else any more.
-    fn close(&mut self, end: &JobEnd, boot: BootTime) {
+    fn apply_job_end(&mut self, end: &JobEnd, boot: BootTime) {
         let id = JobId::from(end.job.as_str());
         // Of a replaced log the pages that told of its acceptance may be gone and the one that told
         // of its cancellation still be there.
@@ -283,7 +283,7 @@
                 workspace: end.workspace.as_str().into(),
                 opened: end.finished,
                 finished: end.finished,
-                closed_need: ResourceVector {
+                closed_resources: ResourceVector {
                     cpu: end.cpu,
                     memory_mb: end.memory_mb,
                     gpu: end.gpu,
@@ -295,7 +295,7 @@
         self.end_job(&end.job, phase, boot);
     }
 
-    fn end_tasks(&mut self, ends: &StepEnds, boot: BootTime) {
+    fn apply_step_ends(&mut self, ends: &StepEnds, boot: BootTime) {
         for &index in &ends.done {
             let end = TaskEnd {
                 job: ends.job.clone(),
@@ -305,11 +305,11 @@
                 done: true,
                 ..TaskEnd::default()
             };
-            self.end_task(&end, boot);
+            self.apply_task_end(&end, boot);
         }
     }
 
-    fn end_task(&mut self, end: &TaskEnd, boot: BootTime) {
+    fn apply_task_end(&mut self, end: &TaskEnd, boot: BootTime) {
         let key = TaskKey {
             job: end.job.as_str().into(),
             occurrence: end.occurrence,
@@ -318,7 +318,7 @@
         };
         // Ends are only ever recorded of occurrences that were open.
         if let Some(job) = self.jobs.get_mut(&key.job) {
-            job.open_until(key.occurrence, boot);
+            job.open_occurrences_until(key.occurrence, boot);
         }
         if end.done {
             self.mark_done(&key, boot);
@@ -338,7 +338,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.open_until(occurrence, boot);
+        job.open_occurrences_until(occurrence, boot);
         if job.occurrences.remove(&occurrence).is_none() {
             return;
         }
--- a/crates/decide/src/work/objective.rs
+++ b/crates/decide/src/work/objective.rs
@@ -99,7 +99,7 @@
     let rank = StartRank {
         class,
         priority,
-        fresh: !job.begun,
+        fresh: !job.started,
         latest,
     };
     (rank, until)
--- a/crates/decide/src/work/pick.rs
+++ b/crates/decide/src/work/pick.rs
@@ -38,7 +38,7 @@
             target.can_run() && !failed(&target) && may_hold(plan, step, target, now)
         });
     let suiting = with_room
-        .filter(|target| target.takes_tasks(now))
+        .filter(|target| target.accepts_tasks(now))
         .filter(|target| !others || !failed(target))
         .filter(|target| suits(plan, step, target, now));
     let mut best: Option<(TargetScore, &TargetState)> = None;
@@ -94,7 +94,7 @@
         _ => step.tasks.iter().filter(away).count(),
     };
     targets
-        .filter(|target| target.takes_tasks(now))
+        .filter(|target| target.accepts_tasks(now))
         .filter(|target| need.fits_in(target.free()) && may_hold(plan, step, target, now))
         .nth(before)
         .is_some()
--- a/crates/decide/src/work/ranked_steps.rs
+++ b/crates/decide/src/work/ranked_steps.rs
@@ -3,7 +3,7 @@
 use super::{objective::StartRank, step_key::StepKey};
 
 /// Steps that are kept together; a larger block is split into two.
-const MOST_IN_BLOCK: usize = 64;
+const MAX_BLOCK_STEPS: usize = 64;
 
 /// A step with tasks that wait.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -13,9 +13,9 @@
     /// The step.
     pub(super) step: StepKey,
     /// Room that a target must have for it to be looked at.
-    pub(super) room: ResourceVector,
+    pub(super) resources: ResourceVector,
     /// What its workspace must have left for it to be looked at.
-    pub(super) need: ResourceVector,
+    pub(super) charged: ResourceVector,
 }
 
 impl WaitingStep {
@@ -33,7 +33,7 @@
         (&self.rank, &self.step) < (&key.0, &key.1)
     }
 
-    fn is_at(&self, key: &StepRank) -> bool {
+    fn has_key(&self, key: &StepRank) -> bool {
         (&self.rank, &self.step) == (&key.0, &key.1)
     }
 }
@@ -48,16 +48,16 @@
     /// The most that a target of the pool has, of each resource by itself.
     pub(super) room: ResourceVector,
     /// What the workspace may still take.
-    pub(super) left: ResourceVector,
+    pub(super) workspace_left: ResourceVector,
     /// Rooms that were looked for in vain.
-    pub(super) refused: &'a [ResourceVector],
+    pub(super) unplaceable: &'a [ResourceVector],
 }
 
 impl StepFilter<'_> {
     fn admits(&self, room: ResourceVector, need: ResourceVector) -> bool {
         room.fits_in(self.room)
-            && need.fits_in(self.left)
-            && !self.refused.iter().any(|refused| refused.fits_in(room))
+            && need.fits_in(self.workspace_left)
+            && !self.unplaceable.iter().any(|refused| refused.fits_in(room))
     }
 }
 
@@ -74,30 +74,32 @@
 #[derive(Clone, Debug)]
 struct StepBlock {
     steps: Vec<WaitingStep>,
-    least_room: ResourceVector,
-    least_need: ResourceVector,
+    min_resources: ResourceVector,
+    min_charged: ResourceVector,
 }
 
 impl RankedSteps {
     /// Adds a step.
     pub(super) fn insert(&mut self, step: WaitingStep) {
         let key = step.key();
-        let at = self.block_of(&key).min(self.blocks.len().saturating_sub(1));
+        let at = self
+            .block_index(&key)
+            .min(self.blocks.len().saturating_sub(1));
         let Some(block) = self.blocks.get_mut(at) else {
             self.blocks.push(StepBlock::new(vec![step]));
             return;
         };
         block.insert(step, &key);
-        if block.steps.len() > MOST_IN_BLOCK {
-            let rest = block.steps.split_off(MOST_IN_BLOCK / 2);
-            block.measure();
+        if block.steps.len() > MAX_BLOCK_STEPS {
+            let rest = block.steps.split_off(MAX_BLOCK_STEPS / 2);
+            block.recompute_minimums();
             self.blocks.insert(at + 1, StepBlock::new(rest));
         }
     }
 
     /// Removes a step.
     pub(super) fn remove(&mut self, key: &StepRank) {
-        let at = self.block_of(key);
+        let at = self.block_index(key);
         let Some(block) = self.blocks.get_mut(at) else {
             return;
         };
@@ -115,19 +117,19 @@
         filter: &StepFilter<'_>,
     ) -> (Option<&WaitingStep>, u64) {
         let mut looked = 0;
-        let first = after.map_or(0, |key| self.block_of(key));
+        let first = after.map_or(0, |key| self.block_index(key));
         for block in self.blocks.iter().skip(first) {
             looked += 1;
-            if !filter.admits(block.least_room, block.least_need) {
+            if !filter.admits(block.min_resources, block.min_charged) {
                 continue;
             }
             for step in &block.steps {
-                let passed = after.is_some_and(|key| step.is_before(key) || step.is_at(key));
+                let passed = after.is_some_and(|key| step.is_before(key) || step.has_key(key));
                 if passed {
                     continue;
                 }
                 looked += 1;
-                if filter.admits(step.room, step.need) {
+                if filter.admits(step.resources, step.charged) {
                     return (Some(step), looked);
                 }
             }
@@ -146,7 +148,7 @@
     }
 
     /// The block that holds a key, or would.
-    fn block_of(&self, key: &StepRank) -> usize {
+    fn block_index(&self, key: &StepRank) -> usize {
         let ends_before = |block: &StepBlock| {
             let last = block.steps.last();
             last.is_some_and(|last| last.is_before(key))
@@ -165,34 +167,34 @@
     fn new(steps: Vec<WaitingStep>) -> Self {
         let mut block = Self {
             steps,
-            least_room: ResourceVector::default(),
-            least_need: ResourceVector::default(),
+            min_resources: ResourceVector::default(),
+            min_charged: ResourceVector::default(),
         };
-        block.measure();
+        block.recompute_minimums();
         block
     }
 
     fn insert(&mut self, step: WaitingStep, key: &StepRank) {
-        self.least_room = self.least_room.min_each(step.room);
-        self.least_need = self.least_need.min_each(step.need);
+        self.min_resources = self.min_resources.min_each(step.resources);
+        self.min_charged = self.min_charged.min_each(step.charged);
         let at = self.steps.partition_point(|other| other.is_before(key));
         self.steps.insert(at, step);
     }
 
     fn remove(&mut self, key: &StepRank) {
         let at = self.steps.partition_point(|other| other.is_before(key));
-        if self.steps.get(at).is_some_and(|step| step.is_at(key)) {
+        if self.steps.get(at).is_some_and(|step| step.has_key(key)) {
             self.steps.remove(at);
-            self.measure();
+            self.recompute_minimums();
         }
     }
 
-    fn measure(&mut self) {
-        let mut rooms = self.steps.iter().map(|step| step.room);
+    fn recompute_minimums(&mut self) {
+        let mut rooms = self.steps.iter().map(|step| step.resources);
         let first = rooms.next().unwrap_or_default();
-        self.least_room = rooms.fold(first, ResourceVector::min_each);
-        let mut needs = self.steps.iter().map(|step| step.need);
+        self.min_resources = rooms.fold(first, ResourceVector::min_each);
+        let mut needs = self.steps.iter().map(|step| step.charged);
         let first = needs.next().unwrap_or_default();
-        self.least_need = needs.fold(first, ResourceVector::min_each);
+        self.min_charged = needs.fold(first, ResourceVector::min_each);
     }
 }
--- a/crates/decide/src/work/target_index.rs
+++ b/crates/decide/src/work/target_index.rs
@@ -16,7 +16,7 @@
 /// It says nothing that the books of targets don't: it can be made anew from them at any time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct TargetIndex {
-    facts: HashMap<HostId, TargetSummary>,
+    summaries: HashMap<HostId, TargetSummary>,
     pools: BTreeMap<PoolId, PoolTargets>,
     addresses: BTreeMap<CompactString, BTreeSet<HostId>>,
     /// When pauses end.
@@ -24,15 +24,15 @@
     /// When calls to listed targets failed last that are heard otherwise.
     failures: BTreeSet<(BootTime, HostId)>,
     /// Targets that are leaving or kept free.
-    pub(super) emptying: BTreeSet<HostId>,
+    pub(super) draining: BTreeSet<HostId>,
     /// Targets that nothing is to be done with any more.
-    pub(super) needless: BTreeSet<HostId>,
+    pub(super) forgettable: BTreeSet<HostId>,
     /// Targets whose granted time runs out, since they are silent or were never reached.
-    pub(super) lapsing: BTreeSet<HostId>,
+    pub(super) expiring: BTreeSet<HostId>,
     /// How many targets the host list has.
     pub(super) listed: usize,
     /// How many of these are silent, or have not been reached.
-    pub(super) unheard: usize,
+    pub(super) not_responding: usize,
     /// How many of the listed have been reached.
     pub(super) reached: usize,
 }
@@ -58,48 +58,48 @@
     open: bool,
     paused_until: BootTime,
     listed: bool,
-    raised: bool,
-    silent: bool,
+    token_seen: bool,
+    unresponsive: bool,
     /// Whether a predecessor may have used it, and no look has reached it.
-    unreached: bool,
+    never_reached: bool,
     /// Whether nobody knows what a predecessor has started there.
     unknown: bool,
-    failed: BootTime,
-    emptying: bool,
-    needless: bool,
+    last_failure: BootTime,
+    draining: bool,
+    forgettable: bool,
 }
 
 impl TargetSummary {
     fn of(target: &TargetState) -> Self {
-        let unreached = target.inherited && !target.life.raised;
+        let never_reached = target.inherited && !target.incarnation.token_seen;
         Self {
             pool: target.entry.pool.clone(),
             address: target.entry.address.clone(),
             free: target.free(),
-            open: target.can_run() && target.vacancy == HostDrainState::None,
+            open: target.can_run() && target.drain == HostDrainState::None,
             paused_until: target.paused_until,
             listed: target.listed,
-            raised: target.life.raised,
-            silent: target.silent,
-            unreached,
-            unknown: unreached && !target.missed,
-            failed: target.failed,
-            emptying: target.entry.mode == TargetMode::Draining
-                || target.vacancy != HostDrainState::None,
-            needless: !target.is_needed(),
+            token_seen: target.incarnation.token_seen,
+            unresponsive: target.unresponsive,
+            never_reached,
+            unknown: never_reached && !target.unreachable_recorded,
+            last_failure: target.last_failure,
+            draining: target.entry.mode == TargetMode::Draining
+                || target.drain != HostDrainState::None,
+            forgettable: !target.is_needed(),
         }
     }
 
-    fn is_unheard(&self) -> bool {
-        self.listed && (self.silent || !self.raised)
+    fn is_not_responding(&self) -> bool {
+        self.listed && (self.unresponsive || !self.token_seen)
     }
 
     fn has_failed(&self) -> bool {
-        self.listed && !self.is_unheard() && !self.failed.is_zero()
+        self.listed && !self.is_not_responding() && !self.last_failure.is_zero()
     }
 
     /// True if nothing but its room has changed since `before`.
-    fn differs_in_room(&self, before: &Self) -> bool {
+    fn differs_only_in_free(&self, before: &Self) -> bool {
         let before = Self {
             free: self.free,
             ..before.clone()
@@ -108,7 +108,7 @@
     }
 
     /// True if something may be started by what has changed since `before`.
-    fn gives_room(&self, before: &Self) -> bool {
+    fn frees_capacity(&self, before: &Self) -> bool {
         let opened = self.open && (!before.open || before.pool != self.pool);
         let grown = self.open && !self.free.fits_in(before.free);
         let known = before.unknown && (!self.unknown || before.pool != self.pool);
@@ -127,31 +127,31 @@
         due: &mut BTreeSet<PoolId>,
     ) -> bool {
         let Some(new) = target.map(TargetSummary::of) else {
-            if let Some(old) = self.facts.remove(id) {
-                self.take_out(id, &old);
+            if let Some(old) = self.summaries.remove(id) {
+                self.remove(id, &old);
                 due.insert(old.pool);
             }
             return false;
         };
-        let Some(facts) = self.facts.get_mut(id) else {
+        let Some(facts) = self.summaries.get_mut(id) else {
             due.insert(new.pool.clone());
-            self.put_in(id, &new, now);
-            self.facts.insert(id.clone(), new);
+            self.add(id, &new, now);
+            self.summaries.insert(id.clone(), new);
             return true;
         };
         if *facts == new {
             return false;
         }
         let old = std::mem::replace(facts, new.clone());
-        if new.gives_room(&old) {
+        if new.frees_capacity(&old) {
             due.insert(old.pool.clone());
             due.insert(new.pool.clone());
         }
-        if new.differs_in_room(&old) {
-            self.move_room(id, &old, &new);
+        if new.differs_only_in_free(&old) {
+            self.update_free(id, &old, &new);
         } else {
-            self.take_out(id, &old);
-            self.put_in(id, &new, now);
+            self.remove(id, &old);
+            self.add(id, &new, now);
         }
         false
     }
@@ -163,7 +163,11 @@
 
     /// Targets of a pool that take tasks, or pause, and that have so much of a processor free; those
     /// with the least first.
-    pub(super) fn with_room(&self, pool: &str, cpu: u64) -> impl Iterator<Item = &HostId> + Clone {
+    pub(super) fn with_capacity(
+        &self,
+        pool: &str,
+        cpu: u64,
+    ) -> impl Iterator<Item = &HostId> + Clone {
         let from = (Bound::Included((cpu, HostId::default())), Bound::Unbounded);
         let pool = self.pools.get(pool).into_iter();
         pool.flat_map(move |pool| pool.by_cpu.range(from.clone()))
@@ -178,7 +182,7 @@
         let most = |by_room: &BTreeSet<(u64, HostId)>| {
             let mut rooms = by_room.iter().rev();
             let open = rooms.find(|(_, id)| {
-                let facts = self.facts.get(id);
+                let facts = self.summaries.get(id);
                 facts.is_some_and(|facts| facts.paused_until <= now)
             });
             open.map_or(0, |(free, _)| *free)
@@ -206,7 +210,7 @@
         while let Some((until, id)) = self.pauses.first()
             && *until <= now
         {
-            if let Some(facts) = self.facts.get(id) {
+            if let Some(facts) = self.summaries.get(id) {
                 due.insert(facts.pool.clone());
             }
             self.pauses.pop_first();
@@ -221,7 +225,7 @@
 
     /// What it says, less what passes with time alone.
     #[must_use]
-    pub(super) fn lasting(&self) -> Self {
+    pub(super) fn without_pauses(&self) -> Self {
         Self {
             pauses: BTreeSet::new(),
             ..self.clone()
@@ -229,7 +233,7 @@
     }
 
     /// Takes in that the room of a target has changed, and nothing else.
-    fn move_room(&mut self, id: &HostId, old: &TargetSummary, new: &TargetSummary) {
+    fn update_free(&mut self, id: &HostId, old: &TargetSummary, new: &TargetSummary) {
         let Some(pool) = self.pools.get_mut(&old.pool).filter(|_| old.open) else {
             return;
         };
@@ -239,7 +243,7 @@
         pool.by_memory.insert((new.free.memory_mb, id.clone()));
     }
 
-    fn put_in(&mut self, id: &HostId, facts: &TargetSummary, now: BootTime) {
+    fn add(&mut self, id: &HostId, facts: &TargetSummary, now: BootTime) {
         let pool = self.pools.entry(facts.pool.clone()).or_default();
         pool.all.insert(id.clone());
         if facts.open {
@@ -253,23 +257,23 @@
             self.pauses.insert((facts.paused_until, id.clone()));
         }
         if facts.has_failed() {
-            self.failures.insert((facts.failed, id.clone()));
+            self.failures.insert((facts.last_failure, id.clone()));
         }
-        if facts.emptying {
-            self.emptying.insert(id.clone());
+        if facts.draining {
+            self.draining.insert(id.clone());
         }
-        if facts.needless {
-            self.needless.insert(id.clone());
+        if facts.forgettable {
+            self.forgettable.insert(id.clone());
         }
-        if facts.silent || facts.unreached {
-            self.lapsing.insert(id.clone());
+        if facts.unresponsive || facts.never_reached {
+            self.expiring.insert(id.clone());
         }
         self.listed += usize::from(facts.listed);
-        self.unheard += usize::from(facts.is_unheard());
-        self.reached += usize::from(facts.listed && facts.raised);
+        self.not_responding += usize::from(facts.is_not_responding());
+        self.reached += usize::from(facts.listed && facts.token_seen);
     }
 
-    fn take_out(&mut self, id: &HostId, facts: &TargetSummary) {
+    fn remove(&mut self, id: &HostId, facts: &TargetSummary) {
         if let Some(pool) = self.pools.get_mut(&facts.pool) {
             pool.all.remove(id);
             pool.by_cpu.remove(&(facts.free.cpu, id.clone()));
@@ -286,12 +290,12 @@
             }
         }
         self.pauses.remove(&(facts.paused_until, id.clone()));
-        self.failures.remove(&(facts.failed, id.clone()));
-        self.emptying.remove(id);
-        self.needless.remove(id);
-        self.lapsing.remove(id);
+        self.failures.remove(&(facts.last_failure, id.clone()));
+        self.draining.remove(id);
+        self.forgettable.remove(id);
+        self.expiring.remove(id);
         self.listed -= usize::from(facts.listed);
-        self.unheard -= usize::from(facts.is_unheard());
-        self.reached -= usize::from(facts.listed && facts.raised);
+        self.not_responding -= usize::from(facts.is_not_responding());
+        self.reached -= usize::from(facts.listed && facts.token_seen);
     }
 }
--- a/crates/decide/src/work/target_state.rs
+++ b/crates/decide/src/work/target_state.rs
@@ -11,19 +11,19 @@
 use super::DeskTuning;
 
 /// A target's steady clock may be this much slow, in thousandths, as the platform says.
-const CLOCK_SLACK: u32 = 20;
+const CLOCK_LAG_PERMILLE: u32 = 20;
 
 /// How long after an answer a target is taken to live on while no call to it fails. Where ends are
 /// being stored the next look follows within 0.3 s.
-const SAME_LIFE: Duration = Duration::from_millis(500);
+const SAME_INCARNATION: Duration = Duration::from_millis(500);
 
 /// How old the last answer of a target at work may be: a look waits for up to a second, and its
 /// answer takes some milliseconds.
-pub(super) const ANSWER_FRESH: Duration = Duration::from_millis(1300);
+pub(super) const RESPONSE_MAX_AGE: Duration = Duration::from_millis(1300);
 
 /// Unanswered starts that are remembered of one target; it pauses longer after each, so that
 /// there are few.
-const MOST_DOUBTS: usize = 64;
+const MAX_UNCONFIRMED: usize = 64;
 
 /// One run on a target, by task and number of the start.
 pub type RunKey = (TaskKey, AttemptNumber);
@@ -32,9 +32,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RunClaim {
     /// Part of the target's room.
-    pub room: ResourceVector,
+    pub resources: ResourceVector,
     /// Part of the workspace's limit.
-    pub need: ResourceVector,
+    pub charged: ResourceVector,
     /// The workspace.
     pub workspace: WorkspaceId,
 }
@@ -45,21 +45,21 @@
     /// Counts the lives that this desk has seen.
     pub number: u64,
     /// When it began, as the target says; zero if unknown.
-    pub born: Duration,
+    pub started_at: Duration,
     /// When this desk heard of it. The answer to a call that was sent before may be an earlier
     /// life's.
     pub since: BootTime,
     /// The target's clock, and when it was read.
     pub clock: Option<(Duration, BootTime)>,
     /// Whether the target has seen this owner's token.
-    pub raised: bool,
+    pub token_seen: bool,
     /// Highest number of an end that has been handled.
-    pub seen: u64,
+    pub last_handled_end: u64,
     /// Ends that have been handled and not observed, those of them with an entry that is not
     /// stored yet.
-    pub unstored: BTreeSet<u64>,
+    pub unstored_ends: BTreeSet<u64>,
     /// What `observed` was in the last look that was answered.
-    pub told: u64,
+    pub last_acked_end: u64,
 }
 
 /// A target as the owner sees it.
@@ -75,36 +75,36 @@
     pub inherited: bool,
     /// Whether the log says what may run there, and that nothing is started there until it is
     /// recorded anew.
-    pub missed: bool,
+    pub unreachable_recorded: bool,
     /// Its life.
-    pub life: TargetIncarnation,
+    pub incarnation: TargetIncarnation,
     /// What may be there.
     pub claims: BTreeMap<RunKey, RunClaim>,
     /// Room that the claims take together.
     pub used: ResourceVector,
     /// When the last call that was answered had been sent; zero for none.
-    pub answered: BootTime,
+    pub last_answered_call: BootTime,
     /// When the last answer came. A look may wait for a second, and what it tells is fresh.
-    pub heard: BootTime,
+    pub last_response: BootTime,
     /// When the last look that was answered had been sent.
-    pub looked: BootTime,
+    pub last_answered_poll: BootTime,
     /// When a call last failed: its life may have ended since.
-    pub failed: BootTime,
+    pub last_failure: BootTime,
     /// Last call that renewed and may still be under way.
-    pub granted: BootTime,
+    pub last_grant: BootTime,
     /// Whether it is known to be silent.
-    pub silent: bool,
+    pub unresponsive: bool,
     /// Gets no new tasks before this time.
     pub paused_until: BootTime,
     /// Refusals and failures in a row.
-    pub faults: u32,
+    pub consecutive_failures: u32,
     /// Starts that were not answered, with the time of their sending. They may be carried out
     /// long after, also by a later life of the target, which knows nothing of their stops.
-    pub doubts: Vec<(RunKey, BootTime)>,
+    pub unconfirmed_starts: Vec<(RunKey, BootTime)>,
     /// What its host is wanted for, which keeps it free of new tasks.
-    pub vacancy: HostDrainState,
+    pub drain: HostDrainState,
     /// How many lists of hosts in a row had no host with this life.
-    pub lists_missed: u32,
+    pub lists_absent: u32,
 }
 
 /// Whether a target's host is kept free, for its maintenance or a move.
@@ -114,7 +114,7 @@
     #[default]
     None,
     /// It is being emptied; this can still be given up.
-    Emptying,
+    Draining,
     /// The order to the host may have been sent: whatever starts there may end at once.
     Ordered,
 }
@@ -123,15 +123,15 @@
     /// A target that the host list has begun to show.
     pub fn new(entry: TargetEntry, now: BootTime) -> Self {
         Self {
-            life: TargetIncarnation {
+            incarnation: TargetIncarnation {
                 number: 1,
-                born: entry.started_at,
+                started_at: entry.started_at,
                 since: now,
                 ..TargetIncarnation::default()
             },
             entry,
             listed: true,
-            answered: now,
+            last_answered_call: now,
             ..Self::default()
         }
     }
@@ -142,23 +142,23 @@
     }
 
     /// True if a task may be started there now.
-    pub fn takes_tasks(&self, now: BootTime) -> bool {
-        self.can_run() && self.vacancy == HostDrainState::None && now >= self.paused_until
+    pub fn accepts_tasks(&self, now: BootTime) -> bool {
+        self.can_run() && self.drain == HostDrainState::None && now >= self.paused_until
     }
 
     /// True if a task could run there, though other things speak against starting it.
     pub fn can_run(&self) -> bool {
         self.listed
             && self.recorded
-            && self.life.raised
-            && !self.silent
-            && self.vacancy != HostDrainState::Ordered
+            && self.incarnation.token_seen
+            && !self.unresponsive
+            && self.drain != HostDrainState::Ordered
             && self.entry.mode == TargetMode::Ready
     }
 
     /// True if the desk knows what may run there: a successor does once it has looked.
-    pub fn is_known(&self) -> bool {
-        self.life.raised || !self.inherited
+    pub fn is_state_known(&self) -> bool {
+        self.incarnation.token_seen || !self.inherited
     }
 
     /// True if nothing can be running there.
@@ -167,27 +167,27 @@
     /// host would be the first to be maintained or moved, and the order would end whatever a
     /// predecessor had started there; the look answers some milliseconds later.
     pub fn is_empty(&self) -> bool {
-        (self.is_known() || self.missed) && self.claims.is_empty()
+        (self.is_state_known() || self.unreachable_recorded) && self.claims.is_empty()
     }
 
     /// The target's clock at a time, at least.
     pub fn clock_at(&self, now: BootTime) -> Option<Duration> {
-        let (clock, read) = self.life.clock?;
+        let (clock, read) = self.incarnation.clock?;
         let passed = now.saturating_sub(read);
-        Some(clock + passed - passed * CLOCK_SLACK / 1000)
+        Some(clock + passed - passed * CLOCK_LAG_PERMILLE / 1000)
     }
 
     /// When everything that was granted so far has certainly lapsed.
-    pub fn lapses(&self, tuning: &DeskTuning) -> BootTime {
-        let longest = tuning.lease_limit + tuning.lease_limit * CLOCK_SLACK / 1000;
-        self.granted + longest + tuning.lapse_margin
+    pub fn leases_expired_at(&self, tuning: &DeskTuning) -> BootTime {
+        let longest = tuning.lease_limit + tuning.lease_limit * CLOCK_LAG_PERMILLE / 1000;
+        self.last_grant + longest + tuning.lapse_margin
     }
 
     /// Highest number up to which all ends are handled and stored.
-    pub fn observable(&self) -> u64 {
-        match self.life.unstored.first() {
+    pub fn ackable_end(&self) -> u64 {
+        match self.incarnation.unstored_ends.first() {
             Some(&first) => first - 1,
-            None => self.life.seen,
+            None => self.incarnation.last_handled_end,
         }
     }
 
@@ -195,36 +195,41 @@
     ///
     /// A life that began unnoticed counts its ends anew. Told by a number of the life before, it
     /// would forget ends that nobody has seen, and their tasks would run again.
-    pub fn observed_at(&self, now: BootTime) -> u64 {
-        let same_life = self.looked > self.failed && now.saturating_sub(self.heard) < SAME_LIFE;
-        if same_life { self.observable() } else { 0 }
+    pub fn acked_end_at(&self, now: BootTime) -> u64 {
+        let same_life = self.last_answered_poll > self.last_failure
+            && now.saturating_sub(self.last_response) < SAME_INCARNATION;
+        if same_life { self.ackable_end() } else { 0 }
     }
 
     /// Takes room for a run.
     pub fn claim(&mut self, run: RunKey, claim: RunClaim) {
-        self.used = self.used.plus(claim.room);
+        self.used = self.used.plus(claim.resources);
         if let Some(old) = self.claims.insert(run, claim) {
-            self.used = self.used.minus(old.room);
+            self.used = self.used.minus(old.resources);
         }
     }
 
     /// Gives the room of a run back; `None` if it held none.
-    pub fn unclaim(&mut self, run: &RunKey) -> Option<RunClaim> {
+    pub fn release_claim(&mut self, run: &RunKey) -> Option<RunClaim> {
         let claim = self.claims.remove(run)?;
-        self.used = self.used.minus(claim.room);
+        self.used = self.used.minus(claim.resources);
         Some(claim)
     }
 
     /// Begins another life, of which nothing is known. Returns what the old one held.
     ///
     /// What was granted stays granted: the calls may have reached the new life.
-    pub fn reborn(&mut self, born: Duration, now: BootTime) -> Vec<(RunKey, RunClaim)> {
+    pub fn begin_incarnation(
+        &mut self,
+        started_at: Duration,
+        now: BootTime,
+    ) -> Vec<(RunKey, RunClaim)> {
         // The silence was the old life's; taken for the new one's, it would end that at once.
-        self.silent = false;
-        self.answered = now;
-        self.life = TargetIncarnation {
-            number: self.life.number + 1,
-            born,
+        self.unresponsive = false;
+        self.last_answered_call = now;
+        self.incarnation = TargetIncarnation {
+            number: self.incarnation.number + 1,
+            started_at,
             since: now,
             ..TargetIncarnation::default()
         };
@@ -234,25 +239,25 @@
 
     /// Counts a failed run. One says little, since tasks fail by their own fault too; several
     /// in a row without a success between make the target pause.
-    pub fn note_failure(&mut self, tuning: &DeskTuning, now: BootTime) {
-        if self.faults == 0 {
-            self.faults = 1;
+    pub fn count_failure(&mut self, tuning: &DeskTuning, now: BootTime) {
+        if self.consecutive_failures == 0 {
+            self.consecutive_failures = 1;
         } else {
             self.pause(tuning, now);
         }
     }
 
     /// Notes a start that was not answered.
-    pub fn add_doubt(&mut self, run: RunKey, now: BootTime) {
-        if self.doubts.len() == MOST_DOUBTS {
-            self.doubts.remove(0);
+    pub fn add_unconfirmed(&mut self, run: RunKey, now: BootTime) {
+        if self.unconfirmed_starts.len() == MAX_UNCONFIRMED {
+            self.unconfirmed_starts.remove(0);
         }
-        self.doubts.push((run, now));
+        self.unconfirmed_starts.push((run, now));
     }
 
     /// Takes the unanswered starts that may still be carried out.
-    pub fn take_doubts(&mut self, tuning: &DeskTuning, now: BootTime) -> Vec<RunKey> {
-        let doubts = std::mem::take(&mut self.doubts);
+    pub fn take_unconfirmed(&mut self, tuning: &DeskTuning, now: BootTime) -> Vec<RunKey> {
+        let doubts = std::mem::take(&mut self.unconfirmed_starts);
         let fresh = |(_, sent): &(RunKey, BootTime)| now.saturating_sub(*sent) < tuning.late_limit;
         doubts
             .into_iter()
@@ -263,9 +268,9 @@
 
     /// Pauses after a refusal or a failure, longer with each in a row.
     pub fn pause(&mut self, tuning: &DeskTuning, now: BootTime) {
-        let doublings = self.faults.min(8);
+        let doublings = self.consecutive_failures.min(8);
         let pause = tuning.pause * 2_u32.pow(doublings);
-        self.faults += 1;
+        self.consecutive_failures += 1;
         self.paused_until = now + pause.min(tuning.longest_pause);
     }
 }
--- a/crates/decide/src/work/tracked_map.rs
+++ b/crates/decide/src/work/tracked_map.rs
@@ -25,12 +25,12 @@
     }
 
     /// An entry of which nothing is to be changed that an index depends on.
-    pub(super) fn get_unindexed(&mut self, key: &str) -> Option<&mut V> {
+    pub(super) fn get_mut_untracked(&mut self, key: &str) -> Option<&mut V> {
         self.entries.get_mut(key)
     }
 
     /// Marks an entry that was changed through [`TrackedMap::get_unindexed`] after all.
-    pub(super) fn mark(&mut self, key: &str) {
+    pub(super) fn mark_changed(&mut self, key: &str) {
         self.changed.push(key.into());
     }
 
--- a/crates/decide/src/work/work_desk.rs
+++ b/crates/decide/src/work/work_desk.rs
@@ -100,7 +100,7 @@
             && let Some(job) = self.board.jobs.get_mut(id.as_str())
         {
             // What was due may run on a target that was not reached, and has to be counted.
-            job.open_due(now.unix, now.boot, self.tuning.early);
+            job.open_due_occurrences(now.unix, now.boot, self.tuning.early);
         }
         self.board.apply(entry, now.unix, now.boot);
     }
@@ -111,9 +111,9 @@
         self.began = now.boot;
         for job in self.board.jobs.values_mut() {
             job.inherited = true;
-            job.begun |= !job.is_open();
+            job.started |= !job.is_open();
         }
-        for used in self.board.used.values() {
+        for used in self.board.used_targets.values() {
             let entry = TargetEntry {
                 target: used.target.as_str().into(),
                 address: used.address.as_str().into(),
@@ -124,7 +124,7 @@
                 listed: false,
                 recorded: true,
                 inherited: true,
-                granted: now.boot,
+                last_grant: now.boot,
                 ..TargetState::new(entry, now.boot)
             };
             self.targets.insert(used.target.as_str().into(), target);
@@ -175,35 +175,35 @@
         }
         self.end_lives_at(&entry, now);
         let Some(target) = self.targets.get_mut(&id) else {
-            let recorded = self.board.used.contains_key(id.as_str());
+            let recorded = self.board.used_targets.contains_key(id.as_str());
             let target = TargetState {
                 recorded,
-                vacancy: self.vacancies.get(&id).copied().unwrap_or_default(),
+                drain: self.vacancies.get(&id).copied().unwrap_or_default(),
                 ..TargetState::new(entry, now.boot)
             };
             self.targets.insert(id.clone(), target);
             self.record_use(&id);
             return;
         };
-        let (born, known) = (entry.started_at, target.life.born);
+        let (born, known) = (entry.started_at, target.incarnation.started_at);
         if !born.is_zero() && born < known {
             // An entry of the life before, which was under way for long.
             return;
         }
         let reborn = !known.is_zero() && born > known;
         if known.is_zero() {
-            target.life.born = born;
+            target.incarnation.started_at = born;
         }
         let moved = target.recorded && target.entry.pool != entry.pool;
         target.entry = entry;
         if !target.listed {
             target.listed = true;
-            target.answered = now.boot;
+            target.last_answered_call = now.boot;
         }
         if moved {
             target.recorded = false;
         }
-        let (recorded, missed) = (target.recorded, target.missed);
+        let (recorded, missed) = (target.recorded, target.unreachable_recorded);
         if reborn {
             self.end_life(&id, born, "reborn", now);
         }
@@ -231,7 +231,7 @@
         self.weigh(record, now);
         let early = self.tuning.early;
         if let Some(job) = self.board.jobs.get_mut(record.job.as_str()) {
-            job.open_due(now.unix, now.boot, early);
+            job.open_due_occurrences(now.unix, now.boot, early);
         }
     }
 
@@ -254,13 +254,13 @@
     /// What callers are told of a job.
     pub fn progress(&self, id: &str) -> Option<JobPhase> {
         let job = self.board.jobs.get(id)?;
-        let running = if job.begun {
+        let running = if job.started {
             JobPhase::Running
         } else {
             JobPhase::Queued
         };
         Some(match job.phase {
-            WorkPhase::Open | WorkPhase::Held => running,
+            WorkPhase::Open | WorkPhase::CancelPending => running,
             WorkPhase::Completed if job.unstored == 0 => JobPhase::Completed,
             WorkPhase::Failed if job.unstored == 0 => JobPhase::Failed,
             WorkPhase::Completed | WorkPhase::Failed => JobPhase::Running,
@@ -292,7 +292,7 @@
         }
         if let Some(job) = &order.job {
             self.board
-                .count_unstored(job, |unstored| unstored.saturating_sub(1));
+                .update_unstored_entries(job, |unstored| unstored.saturating_sub(1));
         }
         match &order.entry.event {
             Some(Event::Missed(_)) => self.board.apply(&order.entry, now.unix, now.boot),
@@ -320,7 +320,8 @@
     pub(super) fn record(&mut self, event: Event, origin: Option<EndOrigin>, job: Option<&JobId>) {
         let mut urgent = origin.is_none();
         if let Some(job) = job {
-            self.board.count_unstored(job, |unstored| unstored + 1);
+            self.board
+                .update_unstored_entries(job, |unstored| unstored + 1);
             urgent |= !self.board.jobs.get(job).is_none_or(WorkJob::is_open);
         }
         self.orders.push(DeskOrder::Record(RecordOrder {
@@ -357,7 +358,7 @@
         let mut others = others.iter().filter_map(|id| self.targets.get(id));
         others.any(|other| {
             let lives = other.listed || !other.claims.is_empty();
-            lives && other.life.born > entry.started_at
+            lives && other.incarnation.started_at > entry.started_at
         })
     }
 
@@ -378,7 +379,11 @@
             return;
         }
         for id in self.others_at(entry) {
-            if self.targets.get(&id).is_some_and(TargetState::is_known) {
+            if self
+                .targets
+                .get(&id)
+                .is_some_and(TargetState::is_state_known)
+            {
                 self.lose_target(&id, "replaced", now);
             }
         }
--- a/crates/decide/src/work/work_job.rs
+++ b/crates/decide/src/work/work_job.rs
@@ -13,7 +13,7 @@
     #[default]
     Open,
     /// Its cancellation is known and not stored yet, so that nothing more of it is started.
-    Held,
+    CancelPending,
     /// All tasks are done.
     Completed,
     /// A task failed too often.
@@ -46,13 +46,13 @@
     /// When it ended; zero before.
     pub ended: BootTime,
     /// Whether a task has ever started.
-    pub begun: bool,
+    pub started: bool,
     /// Entries of the log that are not stored yet; its end is shown only when there are none.
     pub unstored: u32,
     /// Whether it was handed in beyond its workspace's share.
     pub beyond_share: bool,
     /// The most that a task of it takes, where the log does not tell its steps any more.
-    pub closed_need: ResourceVector,
+    pub closed_resources: ResourceVector,
     /// Whether an earlier owner accepted it, who may have started tasks.
     pub inherited: bool,
     /// Occurrences that are due and not done.
@@ -84,7 +84,7 @@
     /// Targets that advice allows, with the tickets and until when they count.
     pub tickets: BTreeMap<HostId, (CompactString, BootTime)>,
     /// When advice was asked for last; zero for never.
-    pub asked: BootTime,
+    pub advice_requested_at: BootTime,
 }
 
 /// One task.
@@ -122,13 +122,13 @@
     /// Whether a look at the target's present life has shown it.
     pub seen: bool,
     /// Whether all that is known of it is what a predecessor recorded when it missed the target.
-    pub presumed: bool,
+    pub from_record: bool,
     /// How far it is, in percent; for a serving task 100 while it is at work.
     pub percent: u8,
     /// Response times' tail in milliseconds or processors in use, as the target says.
     pub load: u64,
     /// When `percent` last changed.
-    pub moved: BootTime,
+    pub last_progress: BootTime,
 }
 
 /// What is known of a task on a target.
@@ -138,7 +138,7 @@
     #[default]
     Starting,
     /// The start was not answered: it may be there, or come later.
-    Unsure,
+    Unconfirmed,
     /// It runs.
     Running,
     /// A stop is under way; `true` once it was answered.
@@ -152,7 +152,7 @@
             target: target.clone(),
             attempt,
             since: now,
-            moved: now,
+            last_progress: now,
             ..Self::default()
         }
     }
@@ -182,7 +182,7 @@
     }
 
     /// How many tasks are neither done nor on a target.
-    pub fn waiting(&self) -> u32 {
+    pub fn waiting_tasks(&self) -> u32 {
         let waiting = |task: &&TaskState| !task.done && task.place.is_none();
         u32::try_from(self.tasks.iter().filter(waiting).count()).unwrap_or(u32::MAX)
     }
@@ -202,7 +202,7 @@
     }
 
     /// True if all steps before `step` are done.
-    pub fn is_ready(&self, plan: &JobPlan, step: usize) -> bool {
+    pub fn is_step_ready(&self, plan: &JobPlan, step: usize) -> bool {
         let before = &plan.steps[step].after;
         before.iter().all(|&earlier| {
             self.steps
@@ -257,7 +257,7 @@
 
     /// True while something is left to do.
     pub fn is_open(&self) -> bool {
-        matches!(self.phase, WorkPhase::Open | WorkPhase::Held)
+        matches!(self.phase, WorkPhase::Open | WorkPhase::CancelPending)
     }
 
     /// True if its caller cancelled it and that is stored.
@@ -266,7 +266,7 @@
     }
 
     /// Opens the occurrences that are due at a time of the Unix epoch.
-    pub fn open_due(&mut self, unix: Duration, boot: BootTime, early: Duration) {
+    pub fn open_due_occurrences(&mut self, unix: Duration, boot: BootTime, early: Duration) {
         while self.opened < self.plan.occurrences() && self.is_open() {
             if let Some(repeat) = self.plan.repeat {
                 let due = repeat.first + repeat.period * self.opened;
@@ -281,7 +281,7 @@
     }
 
     /// Opens the occurrences up to one that the log or a target tells of.
-    pub(super) fn open_until(&mut self, occurrence: u32, boot: BootTime) {
+    pub(super) fn open_occurrences_until(&mut self, occurrence: u32, boot: BootTime) {
         while self.opened <= occurrence && self.opened < self.plan.occurrences() {
             let state = OccurrenceState::new(&self.plan, boot);
             self.occurrences.insert(self.opened, state);
--- a/crates/decide/tests/desk/scene.rs
+++ b/crates/decide/tests/desk/scene.rs
@@ -196,13 +196,13 @@
     /// Begins to empty a target's host.
     pub fn empty(&mut self, id: &str) {
         if let Some(target) = self.desk.targets.get_mut(id) {
-            target.vacancy = HostDrainState::Emptying;
+            target.drain = HostDrainState::Draining;
         }
     }
 
     /// Replaces the log by a shorter one that says the same.
     pub fn compact(&mut self) {
-        self.stored = self.desk.board.entries();
+        self.stored = self.desk.board.compacted_entries();
     }
 
     /// Gives the workspace a weight.
--- a/crates/decide/tests/desk/world.rs
+++ b/crates/decide/tests/desk/world.rs
@@ -402,7 +402,11 @@
                 .targets
                 .get(name)
                 .is_some_and(|known| known.listed);
-            let known = owner.desk.targets.get(name).map(|known| known.life.born);
+            let known = owner
+                .desk
+                .targets
+                .get(name)
+                .map(|known| known.incarnation.started_at);
             if state.listed && (!listed || (state.up && known != Some(state.shown))) {
                 let mut entry = target(name, CAPACITY);
                 entry.started_at = state.shown;
--- a/crates/decide/tests/desk/world_log.rs
+++ b/crates/decide/tests/desk/world_log.rs
@@ -330,7 +330,7 @@
         if log.next - log.first < LONG_LOG + log.base {
             return;
         }
-        let entries = owner.desk.board.entries();
+        let entries = owner.desk.board.compacted_entries();
         log.shorter = entries.chunks(PAGE_ENTRIES).map(<[_]>::to_vec).collect();
         log.shorter_from = if entries.is_empty() {
             log.first
--- a/crates/decide/tests/work_board.rs
+++ b/crates/decide/tests/work_board.rs
@@ -50,7 +50,11 @@
         .collect();
     let mut jobs: Vec<String> = jobs;
     jobs.sort();
-    format!("{jobs:#?} {:?} {:?}", board.used.keys(), board.maintained)
+    format!(
+        "{jobs:#?} {:?} {:?}",
+        board.used_targets.keys(),
+        board.maintained_hosts
+    )
 }
 
 fn busy_log() -> Vec<LogEntry> {
@@ -96,7 +100,7 @@
     let log = busy_log();
     let board = board_of(&log);
     assert_eq!(board.jobs.len(), 4);
-    let short = board.entries();
+    let short = board.compacted_entries();
     assert_eq!(summary(&board_of(&short)), summary(&board));
 }
 
@@ -110,7 +114,7 @@
     let log = busy_log();
     let board = board_of(&log);
     let mut rest = log[removed.min(log.len())..].to_vec();
-    rest.extend(board.entries());
+    rest.extend(board.compacted_entries());
     assert_eq!(summary(&board_of(&rest)), summary(&board));
 }
 
@@ -142,8 +146,8 @@
     let left: Vec<LogEntry> = cancelled.into_iter().chain(scene.stored.clone()).collect();
     let board = board_of(&left);
     assert_eq!(board.jobs["a"].phase, WorkPhase::Completed);
-    assert_eq!(board.jobs["a"].closed_need.cpu, 500);
-    assert_eq!(board.entries(), scene.stored, "it was handed in");
+    assert_eq!(board.jobs["a"].closed_resources.cpu, 500);
+    assert_eq!(board.compacted_entries(), scene.stored, "it was handed in");
 }
 
 /// Guards against telling a caller of a cancelled job where an owner that read the whole log said
--- a/crates/decide/tests/work_log.rs
+++ b/crates/decide/tests/work_log.rs
@@ -48,7 +48,7 @@
     };
     let whole: usize = entries().iter().map(Message::encoded_len).sum();
     let log = CompactedLog::pack(entries(), PAGE_BYTES, 2 * PAGE_BYTES, pack);
-    let CompactedLog::Long(bytes) = log else {
+    let CompactedLog::TooLong(bytes) = log else {
         panic!("{log:?}");
     };
     assert!(packed.get() <= 3, "{} pages", packed.get());
--- a/crates/decide/tests/work_services.rs
+++ b/crates/decide/tests/work_services.rs
@@ -278,7 +278,7 @@
             let known = self.desk.targets.get(name);
             let born = known
                 .filter(|known| known.listed)
-                .map(|known| known.life.born);
+                .map(|known| known.incarnation.started_at);
             if state.up && born != Some(state.born) {
                 let mut entry = target(name, CAPACITY);
                 entry.started_at = state.born;
--- a/crates/decide/tests/work_targets.rs
+++ b/crates/decide/tests/work_targets.rs
@@ -407,7 +407,7 @@
     scene.run();
     assert_eq!(scene.start_all().len(), 1);
     let target = &scene.desk.targets[&id];
-    assert!(target.takes_tasks(scene.now.boot) && !target.missed);
+    assert!(target.accepts_tasks(scene.now.boot) && !target.unreachable_recorded);
 }
 
 /// Guards against a start that waited for its turn behind a narrow link and is refused as too late,
@@ -424,5 +424,5 @@
     scene.desk.renew_start(&id, &mut start, scene.now);
     // The target's clock may be 2 % slow.
     assert!(start.lease_until >= before + waited * 97 / 100);
-    assert_eq!(scene.desk.targets[&id].granted, scene.now.boot);
+    assert_eq!(scene.desk.targets[&id].last_grant, scene.now.boot);
 }
