--- a/crates/cell/src/host_loop.rs
+++ b/crates/cell/src/host_loop.rs
@@ -85,7 +85,7 @@
             term.scheduler
                 .borrow_mut()
                 .take_lives(&incarnations, asked, now);
-            term.hosts.borrow_mut().take_list(hosts, asked);
+            term.hosts.borrow_mut().apply_host_list(hosts, asked);
         }
         Err(error) => log::warn!("list hosts: {error}"),
     }
@@ -99,8 +99,8 @@
     let orders = {
         let mut scheduler = term.scheduler.borrow_mut();
         let mut hosts = term.hosts.borrow_mut();
-        hosts.take_waves(&waves, &scheduler.board.maintained_hosts, now);
-        hosts.take_ordered(&scheduler.board.last_host_orders, pause, least, time);
+        hosts.apply_waves(&waves, &scheduler.board.maintained_hosts, now);
+        hosts.apply_earlier_orders(&scheduler.board.last_host_orders, pause, least, time);
         hosts.plan(&mut scheduler, now)
     };
     for order in orders {
@@ -132,8 +132,11 @@
         return;
     }
     let now = term.now();
-    let target = term.hosts.borrow().target_of(order.host());
-    let begun = term.hosts.borrow_mut().answered(&order, &answer, now.boot);
+    let target = term.hosts.borrow().operation_target(order.host());
+    let begun = term
+        .hosts
+        .borrow_mut()
+        .apply_answer(&order, &answer, now.boot);
     if !begun {
         return;
     }
@@ -180,7 +183,7 @@
 
 /// Writes the state of waves for operators where it has changed.
 async fn publish_wave_states(term: &Rc<Term>) {
-    let changed = term.hosts.borrow_mut().wave_states();
+    let changed = term.hosts.borrow_mut().changed_waves();
     for (wave, completed) in changed {
         let (key, value) = term.ports.codec.wave_status(wave, completed);
         let change = StoreChange {
@@ -194,7 +197,7 @@
         };
         match term.ports.store.change(change).await {
             Ok(StoreOutcome::Done(_)) => {
-                term.hosts.borrow_mut().wave_shown(wave, completed);
+                term.hosts.borrow_mut().mark_wave_published(wave, completed);
                 log_event::info(
                     &event::WAVE_SHOWN,
                     format_args!("wave={wave} completed={completed}"),
--- a/crates/cell/src/log_writer.rs
+++ b/crates/cell/src/log_writer.rs
@@ -174,7 +174,7 @@
                 let mut hosts = term.hosts.borrow_mut();
                 hosts
                     .meter
-                    .arrived(&job.pool.as_str().into(), work, now.boot);
+                    .record_arrival(&job.pool.as_str().into(), work, now.boot);
                 log_event::info(
                     &event::JOB_RECORDED,
                     format_args!(
--- a/crates/cell/src/term_run.rs
+++ b/crates/cell/src/term_run.rs
@@ -126,7 +126,9 @@
         ),
     );
     let now = term.now().boot;
-    term.hosts.borrow_mut().take_arrivals(&scheduler.board, now);
+    term.hosts
+        .borrow_mut()
+        .replay_arrivals(&scheduler.board, now);
     // Calls that wait for the log are answered at once after it, and some are to be refused.
     measure_job_bytes(
         &term,
--- a/crates/decide/src/work/desk_admit.rs
+++ b/crates/decide/src/work/desk_admit.rs
@@ -35,15 +35,15 @@
         let terms = self.terms.clone();
         let queue: &QueuePolicy = terms.queue(queue)?;
         let weight = terms.workspace(workspace).map_or(0, |space| space.weight);
-        let beyond = self.shares.foresees_beyond(workspace, weight, now.boot);
+        let beyond = self.shares.would_be_beyond(workspace, weight, now.boot);
         let backlog = self.backlog(&queue.pool);
         let counted = |backlog: PoolBacklog| match beyond {
             true => (backlog.all(), backlog.all()),
-            false => (backlog.owed, backlog.within_share()),
+            false => (backlog.not_overdue, backlog.within_share()),
         };
         let (ahead, accepted) = counted(backlog);
-        let (ahead_of_all, accepted_of_all) = counted(self.index.jobs.backlog_of_all());
-        let wait = |tasks: u64| self.forecast.wait(&queue.pool, tasks, now.boot);
+        let (ahead_of_all, accepted_of_all) = counted(self.index.jobs.total_backlog());
+        let wait = |tasks: u64| self.forecast.expected_wait(&queue.pool, tasks, now.boot);
         let sure = wait(ahead) * SURE_PART.0 / SURE_PART.1;
         let sure = sure.max(self.forecast.link_wait(ahead_of_all));
         let longest = longest_wait(plan, Some(queue)).unwrap_or(Duration::MAX);
@@ -56,12 +56,12 @@
 
     /// Sets how many starts a second the owner's link carries at most.
     pub fn set_link(&mut self, starts_a_second: f64) {
-        self.forecast.set_link(starts_a_second);
+        self.forecast.set_link_rate(starts_a_second);
     }
 
     /// Notes in which pools tasks wait.
     pub(super) fn observe_backlog(&mut self, now: DeskTime) {
-        let pools = self.index.jobs.backlogged();
+        let pools = self.index.jobs.backlogged_pools();
         let waited_for = pools.filter(|pool| self.backlog(pool).all() > 0);
         let waited_for = waited_for.cloned().collect();
         self.forecast.observe(&waited_for, now.boot);
--- a/crates/decide/src/work/desk_answer.rs
+++ b/crates/decide/src/work/desk_answer.rs
@@ -27,7 +27,7 @@
             StartAnswer::Started { .. } => {
                 self.set_phase(id, &run, PlacementPhase::Running, now);
                 self.board.mark_started(&task.job);
-                self.pace_new(id, &run);
+                self.throttle_new(id, &run);
                 if let Some(target) = self.targets.get_mut_untracked(id) {
                     target.last_answered_call = target.last_answered_call.max(now.boot);
                 }
--- a/crates/decide/src/work/desk_end.rs
+++ b/crates/decide/src/work/desk_end.rs
@@ -6,7 +6,7 @@
 
 use super::{
     DeskEvent, DeskOrder, DeskTime, EndOrigin, PlacementPhase, TaskPlacement, WorkDesk, WorkJob,
-    WorkPhase, pick::FAILED_WAIT, target_state::RunKey,
+    WorkPhase, pick::FAILED_TARGET_WAIT, target_state::RunKey,
 };
 
 impl WorkDesk {
@@ -172,7 +172,7 @@
                 own.failed_on.push(origin.target.clone());
             }
         }
-        self.failed_waits.push_back(now.boot + FAILED_WAIT);
+        self.failed_waits.push_back(now.boot + FAILED_TARGET_WAIT);
         let Some(task) = job.task_mut(key.occurrence, key.step, counted) else {
             return;
         };
@@ -214,7 +214,7 @@
     /// this end would leave a successor with neither, and it would run the task again.
     fn record_again(&mut self, end: &EndReport, done: bool, origin: EndOrigin) {
         let job = self.board.jobs.get(&end.task.job);
-        if job.is_some_and(|job| job.unstored > 0) {
+        if job.is_some_and(|job| job.unstored_entries > 0) {
             self.record_end(end, done, origin);
         }
     }
--- a/crates/decide/src/work/desk_evacuate.rs
+++ b/crates/decide/src/work/desk_evacuate.rs
@@ -8,7 +8,7 @@
 
 use super::{
     DeskTime, HostDrainState, PlacementPhase, WorkDesk,
-    pick::may_go,
+    pick::can_relocate,
     step_key::StepKey,
     target_state::{RESPONSE_MAX_AGE, RunKey},
 };
@@ -113,7 +113,7 @@
         let need = plan.footprint().plus(coming);
         let with_room = self.index.targets.with_capacity(pool, need.cpu);
         let with_room = with_room.filter_map(|id| self.targets.get(id));
-        may_go(plan, state, with_room, coming, now.boot)
+        can_relocate(plan, state, with_room, coming, now.boot)
     }
 
     fn note_stranded(
--- a/crates/decide/src/work/desk_index.rs
+++ b/crates/decide/src/work/desk_index.rs
@@ -65,7 +65,7 @@
     }
 
     fn follow_jobs(&mut self, board: &mut JobTable, terms: &FleetPolicy, now: BootTime) -> usize {
-        for id in self.jobs.take_reranked(now) {
+        for id in self.jobs.take_due_reranks(now) {
             board.jobs.mark_changed(&id);
         }
         let changed = board.jobs.take_changed();
--- a/crates/decide/src/work/desk_life.rs
+++ b/crates/decide/src/work/desk_life.rs
@@ -114,7 +114,7 @@
                     // The start may still reach the new life: it is closed there by a stop.
                     self.claim(id, run.clone());
                     if let Some(place) = self.place_mut(id, &run) {
-                        place.seen = false;
+                        place.confirmed = false;
                     }
                     self.close_start(id, &run, now);
                 }
@@ -137,7 +137,7 @@
             PlacementPhase::Starting
             | PlacementPhase::Unconfirmed
             | PlacementPhase::Stopping(false) => RunFate::Doubtful,
-            PlacementPhase::Running if !place.seen => RunFate::Unseen,
+            PlacementPhase::Running if !place.confirmed => RunFate::Unseen,
             PlacementPhase::Running | PlacementPhase::Stopping(true) => RunFate::Over,
         }
     }
--- a/crates/decide/src/work/desk_miss.rs
+++ b/crates/decide/src/work/desk_miss.rs
@@ -62,7 +62,7 @@
 
     /// Takes over what a predecessor recorded of targets that it missed.
     pub(super) fn take_missed(&mut self, now: DeskTime) {
-        let missed: Vec<TargetMiss> = self.board.missed.values().cloned().collect();
+        let missed: Vec<TargetMiss> = self.board.unreachable.values().cloned().collect();
         for miss in missed {
             let id = HostId::from(miss.target.as_str());
             let Some(target) = self.targets.get_mut(&id) else {
@@ -82,7 +82,7 @@
         }
     }
 
-    fn take_missed_run(&mut self, id: &HostId, run: RunKey, seen: bool, now: BootTime) {
+    fn take_missed_run(&mut self, id: &HostId, run: RunKey, confirmed: bool, now: BootTime) {
         self.claim(id, run.clone());
         let (key, attempt): (TaskKey, AttemptNumber) = run;
         self.board.mark_started(&key.job);
@@ -96,15 +96,15 @@
         if !step.tasks.get(key.index as usize).is_some_and(waits) {
             return;
         }
-        let phase = match seen {
+        let phase = match confirmed {
             true => PlacementPhase::Running,
             false => PlacementPhase::Unconfirmed,
         };
-        step.place(
+        step.set_placement(
             key.index,
             TaskPlacement {
                 phase,
-                seen,
+                confirmed,
                 from_record: true,
                 ..TaskPlacement::new(id, attempt, now)
             },
@@ -129,6 +129,6 @@
 
     fn is_seen(&self, id: &HostId, run: &RunKey) -> bool {
         let place = self.board.placement_of(id, run);
-        place.is_some_and(|place| place.phase == PlacementPhase::Running && place.seen)
+        place.is_some_and(|place| place.phase == PlacementPhase::Running && place.confirmed)
     }
 }
--- a/crates/decide/src/work/desk_plan.rs
+++ b/crates/decide/src/work/desk_plan.rs
@@ -93,7 +93,7 @@
         }
         StartPlan {
             pools,
-            doubt: self.index.jobs.doubt(&blocked),
+            doubt: self.index.jobs.unconfirmed_usage(&blocked),
             blocked,
             ..StartPlan::default()
         }
@@ -110,7 +110,7 @@
         self.measure_rooms(plan, now);
         for pool in &plan.pools {
             let blocked = plan.blocked.contains(pool);
-            for (group, ranked) in self.index.jobs.groups(pool) {
+            for (group, ranked) in self.index.jobs.waiting_groups(pool) {
                 if group.inherited && blocked {
                     continue;
                 }
@@ -145,7 +145,7 @@
         let unplaceable = plan.refused.get(pool).map_or(&[][..], Vec::as_slice);
         let tried = plan.tried.get(pool).and_then(|tried| tried.get(group));
         let mut filter = StepFilter {
-            room: plan.rooms.get(pool).copied().unwrap_or_default(),
+            max_free: plan.rooms.get(pool).copied().unwrap_or_default(),
             workspace_left: NO_LIMIT,
             unplaceable,
         };
--- a/crates/decide/src/work/desk_sight.rs
+++ b/crates/decide/src/work/desk_sight.rs
@@ -143,7 +143,7 @@
         if sight.ended.len() < END_PAGE {
             self.miss_runs(id, sent, sight, now);
         }
-        self.set_paces(id);
+        self.set_throttles(id);
     }
 
     /// Takes in that a target answered.
@@ -213,7 +213,7 @@
                 }
                 place.percent = run.percent;
                 place.load = run.load;
-                place.seen = true;
+                place.confirmed = true;
                 place.from_record = false;
                 if matches!(
                     place.phase,
@@ -248,11 +248,11 @@
         let Some(step) = self.board.step_mut(key) else {
             return;
         };
-        step.place(
+        step.set_placement(
             key.index,
             TaskPlacement {
                 phase: PlacementPhase::Running,
-                seen: true,
+                confirmed: true,
                 percent: sight.percent,
                 load: sight.load,
                 stop_sent: stopped.unwrap_or_default(),
--- a/crates/decide/src/work/desk_start.rs
+++ b/crates/decide/src/work/desk_start.rs
@@ -7,7 +7,7 @@
 use super::{
     DeskEffort, DeskEvent, DeskOrder, DeskTime, PlaceInputs, RankClass, TaskPlacement, WorkDesk,
     WorkPhase,
-    pick::{pick_any, pick_target},
+    pick::{pick_including_draining, pick_target},
     ranked_steps::StepRank,
     step_key::StepKey,
     target_state::RunKey,
@@ -195,7 +195,7 @@
         if now.boot.saturating_sub(*since) < STARVED {
             return None;
         }
-        let best = pick_any(plan, state, task, of_pool, now.boot)?;
+        let best = pick_including_draining(plan, state, task, of_pool, now.boot)?;
         Some(best.entry.target.clone())
     }
 
@@ -204,7 +204,7 @@
         let Some(step) = self.board.step_mut(key) else {
             return;
         };
-        step.place(key.index, TaskPlacement::new(id, *attempt, now.boot));
+        step.set_placement(key.index, TaskPlacement::new(id, *attempt, now.boot));
     }
 
     fn send_start(&mut self, id: &HostId, run: &RunKey, class: RankClass, now: DeskTime) {
@@ -213,7 +213,7 @@
             return;
         };
         if !job.plan.is_long_running() {
-            self.forecast.started(&job.pool, now.boot);
+            self.forecast.record_start(&job.pool, now.boot);
         }
         let payload = job.plan.payload.clone();
         let task = job.task(key.occurrence, key.step, key.index);
--- a/crates/decide/src/work/desk_stop.rs
+++ b/crates/decide/src/work/desk_stop.rs
@@ -110,7 +110,7 @@
     /// step are away as may be.
     fn would_miss(&self, id: &HostId, run: &RunKey, now: DeskTime) -> bool {
         let place = self.stopping_place(id, run);
-        let at_work = place.is_some_and(|place| place.seen && place.percent >= AT_WORK);
+        let at_work = place.is_some_and(|place| place.confirmed && place.percent >= AT_WORK);
         at_work && self.lasts(run) && !self.is_draining(id) && !self.may_stop(run, now)
     }
 
--- a/crates/decide/src/work/host_planner.rs
+++ b/crates/decide/src/work/host_planner.rs
@@ -16,14 +16,14 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(400);
 /// Time after which a host that was ordered is believed to be back though the list has not
 /// shown it, so that a list that lags for ever does not block its wave.
-const BACK_LIMIT: Duration = Duration::from_secs(10);
+const RETURN_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How far the clocks of day of two owners may be apart: they are set within milliseconds, and
 /// jump by some seconds at times.
-const CLOCK_DOUBT: Duration = Duration::from_secs(5);
+const MAX_CLOCK_DIFFERENCE: Duration = Duration::from_secs(5);
 
 /// Arrivals before that count for next to nothing in the rates that are compared.
-const LATELY: Duration = Duration::from_secs(10);
+const RECENT_ARRIVALS: Duration = Duration::from_secs(10);
 
 /// An order to a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -55,23 +55,23 @@
     pub meter: DemandMeter,
     pub(super) refused_moves: BTreeSet<(HostId, PoolId)>,
     /// Whether the orders of earlier owners have been taken in.
-    pub(super) ordered_taken: bool,
+    pub(super) earlier_orders_applied: bool,
     /// Hosts that an idle pool keeps.
-    pub(super) kept_hosts: usize,
+    pub(super) min_idle_hosts: usize,
     /// Hosts that pools need for tasks that may not share one.
-    pub(super) apart: BTreeMap<PoolId, usize>,
+    pub(super) anti_affinity_hosts: BTreeMap<PoolId, usize>,
 }
 
 /// What is known of a host.
 #[derive(Clone, Debug, Default)]
 pub(super) struct HostView {
     pub(super) fleet: FleetHost,
-    pub(super) errand: Option<HostOperation>,
+    pub(super) operation: Option<HostOperation>,
     /// Since when nothing has run on it; `None` while something does.
     pub(super) idle_since: Option<BootTime>,
     pub(super) not_before: BootTime,
     /// Until then an earlier owner's order to it may still show.
-    pub(super) settled: BootTime,
+    pub(super) earlier_order_until: BootTime,
 }
 
 /// What a host is being used for.
@@ -98,33 +98,33 @@
 pub(super) struct WaveView {
     pub(super) wave: MaintenanceWave,
     pub(super) seen: BootTime,
-    pub(super) done: BTreeSet<HostId>,
-    pub(super) shown: Option<bool>,
+    pub(super) maintained: BTreeSet<HostId>,
+    pub(super) published: Option<bool>,
 }
 
 impl HostPlanner {
     /// Takes in what earlier owners accepted lately, so that a rise of demand does not go unseen for
     /// as long as it takes to measure the arrivals anew.
-    pub fn take_arrivals(&mut self, board: &JobTable, now: BootTime) {
+    pub fn replay_arrivals(&mut self, board: &JobTable, now: BootTime) {
         let jobs = board.jobs.values();
         let mut lately: Vec<_> = jobs
-            .filter(|job| now.saturating_sub(job.arrived) < LATELY)
+            .filter(|job| now.saturating_sub(job.arrived) < RECENT_ARRIVALS)
             .collect();
         lately.sort_by_key(|job| job.arrived);
         for job in lately {
             self.meter
-                .arrived(&job.pool, job.plan.core_seconds(), job.arrived);
+                .record_arrival(&job.pool, job.plan.core_seconds(), job.arrived);
         }
     }
 
     /// Takes the list of hosts that was asked for at `asked`.
-    pub fn take_list(&mut self, hosts: Vec<FleetHost>, asked: BootTime) {
+    pub fn apply_host_list(&mut self, hosts: Vec<FleetHost>, asked: BootTime) {
         let present: BTreeSet<HostId> = hosts.iter().map(|host| host.host.clone()).collect();
         self.hosts.retain(|host, _| present.contains(host));
         for fleet in hosts {
             let view = self.hosts.entry(fleet.host.clone()).or_default();
             view.fleet = fleet;
-            let Some(errand) = &view.errand else {
+            let Some(errand) = &view.operation else {
                 continue;
             };
             let OperationState::Done(at) = errand.state else {
@@ -137,15 +137,15 @@
                 HostOrder::Maintain(..) => another,
             };
             let back = view.fleet.condition == HostCondition::Up && arrived;
-            if asked > at && (back || asked > at + BACK_LIMIT) {
-                view.errand = None;
+            if asked > at && (back || asked > at + RETURN_TIMEOUT) {
+                view.operation = None;
                 view.idle_since = None;
             }
         }
     }
 
     /// Takes the waves that operators ask for, and which hosts of them are recorded as begun.
-    pub fn take_waves(
+    pub fn apply_waves(
         &mut self,
         waves: &[MaintenanceWave],
         begun: &BTreeSet<(WaveId, String)>,
@@ -158,34 +158,34 @@
             });
             view.wave = wave.clone();
             let recorded = begun.iter().filter(|(id, _)| *id == wave.wave);
-            view.done
+            view.maintained
                 .extend(recorded.map(|(_, host)| HostId::from(host.as_str())));
         }
     }
 
     /// Takes when hosts were ordered by earlier owners; each is left alone for `pause` after,
     /// and one that was ordered lately for at least `least` from now.
-    pub fn take_ordered(
+    pub fn apply_earlier_orders(
         &mut self,
         ordered: &BTreeMap<String, Duration>,
         pause: Duration,
         least: Duration,
         now: DeskTime,
     ) {
-        if std::mem::replace(&mut self.ordered_taken, !self.hosts.is_empty()) {
+        if std::mem::replace(&mut self.earlier_orders_applied, !self.hosts.is_empty()) {
             return;
         }
         for (host, &at) in ordered {
             let age = now.unix.saturating_sub(at);
-            let least = if age < pause + CLOCK_DOUBT {
+            let least = if age < pause + MAX_CLOCK_DIFFERENCE {
                 least
             } else {
                 Duration::ZERO
             };
             let left = pause.saturating_sub(age).max(least);
             if let Some(view) = self.hosts.get_mut(host.as_str()) {
-                view.settled = now.boot + left;
-                view.not_before = view.not_before.max(view.settled);
+                view.earlier_order_until = now.boot + left;
+                view.not_before = view.not_before.max(view.earlier_order_until);
             }
         }
     }
@@ -193,20 +193,29 @@
     /// What to order now. Keeps hosts free on `desk` that are to be ordered next.
     pub fn plan(&mut self, desk: &mut WorkDesk, now: BootTime) -> Vec<HostOrder> {
         desk.sync(now);
-        self.note_idle(desk, now);
+        self.update_idle(desk, now);
         self.plan_waves(desk, now);
         self.plan_moves(desk, now);
         let orders = self.ready_orders(desk, now);
-        self.keep_free(desk);
+        self.drain_hosts(desk);
         orders
     }
 
     /// Takes the answer to an order; true if the host began to do what was ordered.
-    pub fn answered(&mut self, order: &HostOrder, answer: &HostOrderAnswer, now: BootTime) -> bool {
+    pub fn apply_answer(
+        &mut self,
+        order: &HostOrder,
+        answer: &HostOrderAnswer,
+        now: BootTime,
+    ) -> bool {
         let Some(view) = self.hosts.get_mut(order.host()) else {
             return false;
         };
-        let Some(errand) = view.errand.as_mut().filter(|errand| errand.order == *order) else {
+        let Some(errand) = view
+            .operation
+            .as_mut()
+            .filter(|errand| errand.order == *order)
+        else {
             return false;
         };
         match answer {
@@ -215,7 +224,7 @@
                 if let HostOrder::Maintain(host, wave) = order
                     && let Some(view) = self.waves.get_mut(wave)
                 {
-                    view.done.insert(host.clone());
+                    view.maintained.insert(host.clone());
                 }
                 return true;
             }
@@ -226,34 +235,34 @@
             }
             HostOrderAnswer::Busy | HostOrderAnswer::Fenced => {
                 view.not_before = now + BUSY_PAUSE;
-                view.errand = None;
+                view.operation = None;
             }
             HostOrderAnswer::NotOfWave => {
                 if let HostOrder::Maintain(host, wave) = order
                     && let Some(view) = self.waves.get_mut(wave)
                 {
-                    view.done.insert(host.clone());
+                    view.maintained.insert(host.clone());
                 }
-                view.errand = None;
+                view.operation = None;
             }
             HostOrderAnswer::Impossible => {
                 if let HostOrder::Move(host, pool) = order {
                     self.refused_moves.insert((host.clone(), pool.clone()));
                 }
-                view.errand = None;
+                view.operation = None;
             }
         }
         false
     }
 
     /// The life of a host as a target that its present order ends; `None` without one.
-    pub fn target_of(&self, host: &HostId) -> Option<HostId> {
-        let errand = self.hosts.get(host)?.errand.as_ref()?;
+    pub fn operation_target(&self, host: &HostId) -> Option<HostId> {
+        let errand = self.hosts.get(host)?.operation.as_ref()?;
         Some(errand.target.clone()).filter(|target| !target.is_empty())
     }
 
     /// Waves whose state for operators has changed, and whether they are completed.
-    pub fn wave_states(&mut self) -> Vec<(WaveId, bool)> {
+    pub fn changed_waves(&mut self) -> Vec<(WaveId, bool)> {
         let mut changed = Vec::new();
         let listed = !self.hosts.is_empty();
         for (id, view) in &mut self.waves {
@@ -261,9 +270,9 @@
                 .wave
                 .hosts
                 .iter()
-                .any(|host| !view.done.contains(host) && self.hosts.contains_key(host));
+                .any(|host| !view.maintained.contains(host) && self.hosts.contains_key(host));
             let completed = listed && !left;
-            if view.shown != Some(completed) {
+            if view.published != Some(completed) {
                 changed.push((*id, completed));
             }
         }
@@ -271,13 +280,13 @@
     }
 
     /// A wave's state has been written for operators.
-    pub fn wave_shown(&mut self, wave: WaveId, completed: bool) {
+    pub fn mark_wave_published(&mut self, wave: WaveId, completed: bool) {
         if let Some(view) = self.waves.get_mut(&wave) {
-            view.shown = Some(completed);
+            view.published = Some(completed);
         }
     }
 
-    fn note_idle(&mut self, desk: &WorkDesk, now: BootTime) {
+    fn update_idle(&mut self, desk: &WorkDesk, now: BootTime) {
         for view in self.hosts.values_mut() {
             let target = desk.targets.get(&view.fleet.target);
             let busy = target.is_some_and(|target| !target.is_empty());
@@ -289,9 +298,9 @@
         }
     }
 
-    fn keep_free(&self, desk: &mut WorkDesk) {
+    fn drain_hosts(&self, desk: &mut WorkDesk) {
         let wanted = self.hosts.values().filter_map(|view| {
-            let vacancy = match view.errand.as_ref()?.state {
+            let vacancy = match view.operation.as_ref()?.state {
                 OperationState::Draining => HostDrainState::Draining,
                 OperationState::Sent | OperationState::Done(_) => HostDrainState::Ordered,
             };
@@ -306,7 +315,7 @@
         for view in self.hosts.values_mut() {
             let target = desk.targets.get(&view.fleet.target);
             let empty = target.is_none_or(super::TargetState::is_empty);
-            let Some(errand) = &mut view.errand else {
+            let Some(errand) = &mut view.operation else {
                 continue;
             };
             let due = match errand.state {
@@ -324,9 +333,9 @@
         orders
     }
 
-    pub(super) fn begin_errand(&mut self, host: &HostId, order: HostOrder) {
+    pub(super) fn begin_operation(&mut self, host: &HostId, order: HostOrder) {
         if let Some(view) = self.hosts.get_mut(host) {
-            view.errand = Some(HostOperation {
+            view.operation = Some(HostOperation {
                 order,
                 state: OperationState::Draining,
                 target: view.fleet.target.clone(),
--- a/crates/decide/src/work/host_replacements.rs
+++ b/crates/decide/src/work/host_replacements.rs
@@ -12,7 +12,7 @@
 impl HostPlanner {
     /// Brings a host to each pool that has tasks with nowhere to go from hosts that are being
     /// emptied. By its cores the pool has room enough, but on these hosts, or not for such tasks.
-    pub(super) fn bring_spares(
+    pub(super) fn provision_replacements(
         &mut self,
         desk: &WorkDesk,
         standby: Option<&PoolId>,
@@ -20,20 +20,20 @@
         now: BootTime,
     ) {
         for (pool, task) in &desk.stranded {
-            if self.spare_comes(pool, task) {
+            if self.has_replacement(pool, task) {
                 continue;
             }
-            let suits = |view: &HostView| takes(view, task);
-            if let Some(host) = self.lender(pool, standby, rooms, now, suits) {
-                self.shift(&host, pool, rooms);
+            let suits = |view: &HostView| can_host(view, task);
+            if let Some(host) = self.donor(pool, standby, rooms, now, suits) {
+                self.order_move(&host, pool, rooms);
             }
         }
     }
 
     /// True if a host that takes the task is on its way to the pool, or is there and empty.
-    fn spare_comes(&self, pool: &PoolId, task: &StrandedTask) -> bool {
-        let mut hosts = self.hosts.values().filter(|view| takes(view, task));
-        hosts.any(|view| match &view.errand {
+    fn has_replacement(&self, pool: &PoolId, task: &StrandedTask) -> bool {
+        let mut hosts = self.hosts.values().filter(|view| can_host(view, task));
+        hosts.any(|view| match &view.operation {
             Some(errand) => match &errand.order {
                 HostOrder::Move(_, to) => to == pool,
                 HostOrder::Maintain(..) => {
@@ -49,7 +49,7 @@
     }
 }
 
-fn takes(view: &HostView, task: &StrandedTask) -> bool {
+fn can_host(view: &HostView, task: &StrandedTask) -> bool {
     let labelled = task.label.is_empty() || view.fleet.labels.contains(&task.label);
     labelled && task.need.fits_in(view.fleet.capacity)
 }
--- a/crates/decide/src/work/host_waves.rs
+++ b/crates/decide/src/work/host_waves.rs
@@ -11,7 +11,7 @@
 use super::{HostOrder, HostPlanner, WorkDesk, host_planner::WaveView};
 
 /// Time that one host of a wave takes: emptying, going down and coming back.
-const TURN: Duration = Duration::from_millis(3500);
+const HOST_MAINTENANCE_TIME: Duration = Duration::from_millis(3500);
 
 /// Hosts of a pool during a wave.
 #[derive(Clone, Copy, Debug, Default)]
@@ -26,30 +26,32 @@
     /// Chooses the hosts of each wave that are maintained next.
     pub(super) fn plan_waves(&mut self, desk: &WorkDesk, now: BootTime) {
         let ids: Vec<WaveId> = self.waves.keys().copied().collect();
-        let short = self.short_pools();
+        let short = self.pools_below_demand();
         for id in ids {
             let Some(view) = self.waves.get(&id) else {
                 continue;
             };
-            let room = (view.wave.max_down as usize).saturating_sub(self.begun(view, now));
+            let room =
+                (view.wave.max_down as usize).saturating_sub(self.hosts_in_maintenance(view, now));
             let chosen = self.next_hosts(view, room, &short, desk, now);
             for host in chosen {
-                self.begin_errand(&host.clone(), HostOrder::Maintain(host, id));
+                self.begin_operation(&host.clone(), HostOrder::Maintain(host, id));
             }
         }
     }
 
     /// Hosts of a wave that are down for it, or may be, or are on the way there. Those count that
     /// an earlier owner has just ordered: the order may be under way, and the list not show it.
-    fn begun(&self, wave: &WaveView, now: BootTime) -> usize {
+    fn hosts_in_maintenance(&self, wave: &WaveView, now: BootTime) -> usize {
         let of_wave = |view: &&super::host_planner::HostView| {
-            let errand = view.errand.as_ref();
+            let errand = view.operation.as_ref();
             let ordered = errand.is_some_and(
                 |errand| matches!(&errand.order, HostOrder::Maintain(_, own) if *own == wave.wave.wave),
             );
             let host = &view.fleet.host;
-            let inherited =
-                now < view.settled && wave.wave.hosts.contains(host) && !wave.done.contains(host);
+            let inherited = now < view.earlier_order_until
+                && wave.wave.hosts.contains(host)
+                && !wave.maintained.contains(host);
             ordered || inherited || view.fleet.condition == HostCondition::UnderMaintenance
         };
         self.hosts.values().filter(of_wave).count()
@@ -69,7 +71,7 @@
             .wave
             .hosts
             .iter()
-            .filter(|host| !wave.done.contains(*host))
+            .filter(|host| !wave.maintained.contains(*host))
             .collect();
         if left.is_empty() || room == 0 {
             return Vec::new();
@@ -77,14 +79,14 @@
         let rounds = left.len().div_ceil((wave.wave.max_down as usize).max(1));
         let end = wave.seen + wave.wave.deadline;
         let rounds = u32::try_from(rounds).unwrap_or(u32::MAX);
-        let urgent = now + TURN.saturating_mul(rounds.saturating_add(1)) >= end;
+        let urgent = now + HOST_MAINTENANCE_TIME.saturating_mul(rounds.saturating_add(1)) >= end;
         let mut candidates: Vec<(u64, HostId)> = left
             .into_iter()
-            .filter_map(|host| self.burden(host, urgent, short, desk, now))
+            .filter_map(|host| self.maintenance_load(host, urgent, short, desk, now))
             .collect();
         candidates.sort();
         let mut open = self.open_hosts();
-        let held = !urgent && !self.has_reserve(desk, now);
+        let held = !urgent && !self.has_standby_host(desk, now);
         let mut chosen = Vec::new();
         for (used, host) in candidates {
             if chosen.len() == room {
@@ -112,7 +114,7 @@
         let mut pools: BTreeMap<PoolId, PoolHostCounts> = BTreeMap::new();
         for view in self.hosts.values() {
             let pool = pools.entry(view.fleet.pool.clone()).or_default();
-            match view.errand.as_ref().map(|errand| &errand.order) {
+            match view.operation.as_ref().map(|errand| &errand.order) {
                 Some(HostOrder::Maintain(..)) => pool.leaving += 1,
                 Some(HostOrder::Move(..)) => {}
                 None => pool.open += usize::from(view.fleet.condition == HostCondition::Up),
@@ -122,7 +124,7 @@
     }
 
     /// What runs on a host, in thousandths of a core; `None` if it can't be taken now.
-    fn burden(
+    fn maintenance_load(
         &self,
         host: &HostId,
         urgent: bool,
@@ -131,7 +133,7 @@
         now: BootTime,
     ) -> Option<(u64, HostId)> {
         let view = self.hosts.get(host)?;
-        if view.errand.is_some() || now < view.not_before {
+        if view.operation.is_some() || now < view.not_before {
             return None;
         }
         if view.fleet.condition != HostCondition::Up {
--- a/crates/decide/src/work/job_index.rs
+++ b/crates/decide/src/work/job_index.rs
@@ -17,18 +17,18 @@
 /// It says nothing that the books of jobs don't: it can be made anew from them at any time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct JobIndex {
-    facts: HashMap<JobId, JobSummary>,
+    summaries: HashMap<JobId, JobSummary>,
     /// What waits in each pool.
     pools: BTreeMap<PoolId, BTreeMap<WaitingGroup, RankedSteps>>,
     /// Open jobs of each queue that have not begun.
     pending: BTreeMap<CompactString, u64>,
-    needs: BTreeMap<PoolId, CoreDemand>,
+    demands: BTreeMap<PoolId, CoreDemand>,
     /// What is to be started in each pool: of predecessors' jobs, and of others.
     backlogs: BTreeMap<(PoolId, bool), PoolBacklog>,
     /// What tasks of predecessors' jobs that are not known to run would take, for each pool.
-    doubts: BTreeMap<PoolId, BTreeMap<WorkspaceId, ResourceVector>>,
+    unconfirmed_usage: BTreeMap<PoolId, BTreeMap<WorkspaceId, ResourceVector>>,
     /// How many open jobs of each pool need so many hosts for tasks that may not share one.
-    apart: BTreeMap<PoolId, BTreeMap<usize, usize>>,
+    anti_affinity_hosts: BTreeMap<PoolId, BTreeMap<usize, usize>>,
     /// When the rank of a job's steps changes.
     reranks: BTreeSet<(BootTime, JobId)>,
     /// Open jobs with occurrences that are not due yet.
@@ -50,24 +50,24 @@
         now: BootTime,
         due: &mut BTreeSet<PoolId>,
     ) {
-        let new = job.map(|job| JobSummary::of(job, terms, now));
-        if self.facts.get(id) == new.as_ref() {
+        let new = job.map(|job| JobSummary::of_job(job, terms, now));
+        if self.summaries.get(id) == new.as_ref() {
             return;
         }
-        let old = self.facts.remove(id).unwrap_or_default();
-        self.take_out(id, &old);
+        let old = self.summaries.remove(id).unwrap_or_default();
+        self.remove(id, &old);
         let Some(new) = new else {
             return;
         };
         if new.has_new_work(&old) {
             due.insert(new.pool.clone());
         }
-        self.put_in(id, &new);
-        self.facts.insert(id.clone(), new);
+        self.add(id, &new);
+        self.summaries.insert(id.clone(), new);
     }
 
     /// Jobs whose rank has changed by time.
-    pub(super) fn take_reranked(&mut self, now: BootTime) -> Vec<JobId> {
+    pub(super) fn take_due_reranks(&mut self, now: BootTime) -> Vec<JobId> {
         let mut due = Vec::new();
         while let Some((until, _)) = self.reranks.first()
             && *until < now
@@ -83,7 +83,10 @@
     }
 
     /// What waits in a pool.
-    pub(super) fn groups(&self, pool: &str) -> impl Iterator<Item = (&WaitingGroup, &RankedSteps)> {
+    pub(super) fn waiting_groups(
+        &self,
+        pool: &str,
+    ) -> impl Iterator<Item = (&WaitingGroup, &RankedSteps)> {
         self.pools.get(pool).into_iter().flatten()
     }
 
@@ -93,8 +96,8 @@
     }
 
     /// What open jobs of a pool need.
-    pub(super) fn need(&self, pool: &str) -> CoreDemand {
-        self.needs.get(pool).copied().unwrap_or_default()
+    pub(super) fn demand(&self, pool: &str) -> CoreDemand {
+        self.demands.get(pool).copied().unwrap_or_default()
     }
 
     /// What is to be started in a pool; `inherited` adds what predecessors have accepted.
@@ -111,20 +114,25 @@
     }
 
     /// Pools in which something is to be started; one may come twice.
-    pub(super) fn backlogged(&self) -> impl Iterator<Item = &PoolId> {
+    pub(super) fn backlogged_pools(&self) -> impl Iterator<Item = &PoolId> {
         self.backlogs.keys().map(|(pool, _)| pool)
     }
 
     /// What is to be started in all pools.
-    pub(super) fn backlog_of_all(&self) -> PoolBacklog {
+    pub(super) fn total_backlog(&self) -> PoolBacklog {
         let backlogs = self.backlogs.values().copied();
         backlogs.fold(PoolBacklog::default(), PoolBacklog::plus)
     }
 
     /// What workspaces may have running on targets of some pools that have not been reached.
-    pub(super) fn doubt(&self, pools: &BTreeSet<PoolId>) -> BTreeMap<WorkspaceId, ResourceVector> {
+    pub(super) fn unconfirmed_usage(
+        &self,
+        pools: &BTreeSet<PoolId>,
+    ) -> BTreeMap<WorkspaceId, ResourceVector> {
         let mut usage: BTreeMap<WorkspaceId, ResourceVector> = BTreeMap::new();
-        let doubts = pools.iter().filter_map(|pool| self.doubts.get(pool));
+        let doubts = pools
+            .iter()
+            .filter_map(|pool| self.unconfirmed_usage.get(pool));
         for (workspace, doubt) in doubts.flatten() {
             let used = usage.entry(workspace.clone()).or_default();
             *used = used.plus(*doubt);
@@ -133,8 +141,11 @@
     }
 
     /// Hosts that an open job of a pool needs for tasks that may not share one; 0 if none does.
-    pub(super) fn apart(&self, pool: &str) -> usize {
-        let hosts = self.apart.get(pool).and_then(BTreeMap::last_key_value);
+    pub(super) fn anti_affinity_hosts(&self, pool: &str) -> usize {
+        let hosts = self
+            .anti_affinity_hosts
+            .get(pool)
+            .and_then(BTreeMap::last_key_value);
         hosts.map_or(0, |(hosts, _)| *hosts)
     }
 
@@ -144,7 +155,7 @@
         ended.map(|(_, id)| id.clone()).collect()
     }
 
-    fn put_in(&mut self, id: &JobId, facts: &JobSummary) {
+    fn add(&mut self, id: &JobId, facts: &JobSummary) {
         if !facts.waiting.is_empty() {
             let pool = self.pools.entry(facts.pool.clone()).or_default();
             let steps = pool.entry(facts.group.clone()).or_default();
@@ -152,45 +163,51 @@
                 steps.insert(step.clone());
             }
         }
-        if let Some(queue) = &facts.pending {
+        if let Some(queue) = &facts.pending_queue {
             *self.pending.entry(queue.clone()).or_default() += 1;
         }
-        if facts.need != CoreDemand::default() {
-            let need = self.needs.entry(facts.pool.clone()).or_default();
-            need.present += facts.need.present;
-            need.lasting += facts.need.lasting;
+        if facts.demand != CoreDemand::default() {
+            let need = self.demands.entry(facts.pool.clone()).or_default();
+            need.present += facts.demand.present;
+            need.long_running += facts.demand.long_running;
         }
         if facts.backlog != PoolBacklog::default() {
             let key = (facts.pool.clone(), facts.group.inherited);
             let backlog = self.backlogs.entry(key).or_default();
             *backlog = backlog.plus(facts.backlog);
         }
-        if facts.doubt != ResourceVector::default() {
-            let pool = self.doubts.entry(facts.pool.clone()).or_default();
+        if facts.unconfirmed_usage != ResourceVector::default() {
+            let pool = self
+                .unconfirmed_usage
+                .entry(facts.pool.clone())
+                .or_default();
             let doubt = pool.entry(facts.group.workspace.clone()).or_default();
-            *doubt = doubt.plus(facts.doubt);
+            *doubt = doubt.plus(facts.unconfirmed_usage);
         }
-        if facts.apart > 0 {
-            let apart = self.apart.entry(facts.pool.clone()).or_default();
-            *apart.entry(facts.apart).or_default() += 1;
+        if facts.anti_affinity_hosts > 0 {
+            let apart = self
+                .anti_affinity_hosts
+                .entry(facts.pool.clone())
+                .or_default();
+            *apart.entry(facts.anti_affinity_hosts).or_default() += 1;
         }
         if let Some(until) = facts.rerank_at {
             self.reranks.insert((until, id.clone()));
         }
-        if facts.repeats {
+        if facts.has_future_occurrences {
             self.repeating.insert(id.clone());
         }
-        if facts.gang {
+        if facts.has_gang {
             self.gangs.insert(id.clone());
         }
-        if let Some(ended) = facts.ended {
+        if let Some(ended) = facts.ended_at {
             self.ended.insert((ended, id.clone()));
         }
     }
 
-    fn take_out(&mut self, id: &JobId, facts: &JobSummary) {
-        self.take_out_steps(facts);
-        if let Some(queue) = &facts.pending
+    fn remove(&mut self, id: &JobId, facts: &JobSummary) {
+        self.remove_steps(facts);
+        if let Some(queue) = &facts.pending_queue
             && let Some(pending) = self.pending.get_mut(queue)
         {
             *pending -= 1;
@@ -198,37 +215,37 @@
                 self.pending.remove(queue);
             }
         }
-        if let Some(need) = self.needs.get_mut(&facts.pool) {
-            need.present -= facts.need.present;
-            need.lasting -= facts.need.lasting;
+        if let Some(need) = self.demands.get_mut(&facts.pool) {
+            need.present -= facts.demand.present;
+            need.long_running -= facts.demand.long_running;
             if *need == CoreDemand::default() {
-                self.needs.remove(&facts.pool);
+                self.demands.remove(&facts.pool);
             }
         }
         if facts.backlog != PoolBacklog::default() {
-            self.take_out_backlog(facts);
+            self.remove_backlog(facts);
         }
-        if facts.doubt != ResourceVector::default() {
-            self.take_out_doubt(facts);
+        if facts.unconfirmed_usage != ResourceVector::default() {
+            self.remove_unconfirmed_usage(facts);
         }
-        if facts.apart > 0 {
-            self.take_out_apart(facts);
+        if facts.anti_affinity_hosts > 0 {
+            self.remove_anti_affinity_hosts(facts);
         }
         if let Some(until) = facts.rerank_at {
             self.reranks.remove(&(until, id.clone()));
         }
-        if facts.repeats {
+        if facts.has_future_occurrences {
             self.repeating.remove(id);
         }
-        if facts.gang {
+        if facts.has_gang {
             self.gangs.remove(id);
         }
-        if let Some(ended) = facts.ended {
+        if let Some(ended) = facts.ended_at {
             self.ended.remove(&(ended, id.clone()));
         }
     }
 
-    fn take_out_steps(&mut self, facts: &JobSummary) {
+    fn remove_steps(&mut self, facts: &JobSummary) {
         let Some(pool) = self.pools.get_mut(&facts.pool) else {
             return;
         };
@@ -245,22 +262,22 @@
         }
     }
 
-    fn take_out_doubt(&mut self, facts: &JobSummary) {
-        let Some(pool) = self.doubts.get_mut(&facts.pool) else {
+    fn remove_unconfirmed_usage(&mut self, facts: &JobSummary) {
+        let Some(pool) = self.unconfirmed_usage.get_mut(&facts.pool) else {
             return;
         };
         if let Some(doubt) = pool.get_mut(&facts.group.workspace) {
-            *doubt = doubt.minus(facts.doubt);
+            *doubt = doubt.minus(facts.unconfirmed_usage);
             if *doubt == ResourceVector::default() {
                 pool.remove(&facts.group.workspace);
             }
         }
         if pool.is_empty() {
-            self.doubts.remove(&facts.pool);
+            self.unconfirmed_usage.remove(&facts.pool);
         }
     }
 
-    fn take_out_backlog(&mut self, facts: &JobSummary) {
+    fn remove_backlog(&mut self, facts: &JobSummary) {
         let key = (facts.pool.clone(), facts.group.inherited);
         let Some(backlog) = self.backlogs.get_mut(&key) else {
             return;
@@ -271,18 +288,18 @@
         }
     }
 
-    fn take_out_apart(&mut self, facts: &JobSummary) {
-        let Some(apart) = self.apart.get_mut(&facts.pool) else {
+    fn remove_anti_affinity_hosts(&mut self, facts: &JobSummary) {
+        let Some(apart) = self.anti_affinity_hosts.get_mut(&facts.pool) else {
             return;
         };
-        if let Some(jobs) = apart.get_mut(&facts.apart) {
+        if let Some(jobs) = apart.get_mut(&facts.anti_affinity_hosts) {
             *jobs -= 1;
             if *jobs == 0 {
-                apart.remove(&facts.apart);
+                apart.remove(&facts.anti_affinity_hosts);
             }
         }
         if apart.is_empty() {
-            self.apart.remove(&facts.pool);
+            self.anti_affinity_hosts.remove(&facts.pool);
         }
     }
 }
--- a/crates/decide/src/work/job_summary.rs
+++ b/crates/decide/src/work/job_summary.rs
@@ -26,7 +26,7 @@
     /// For what runs or could start now.
     pub(super) present: u64,
     /// For tasks that last.
-    pub(super) lasting: u64,
+    pub(super) long_running: u64,
 }
 
 /// Tasks of open jobs of a pool that have not been started, also those of steps that wait for others.
@@ -34,38 +34,38 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct PoolBacklog {
     /// Those within the share of their workspace that can still be in time, or late and count.
-    pub(super) owed: u64,
+    pub(super) not_overdue: u64,
     /// Those within the share that are too late to count.
     pub(super) overdue: u64,
     /// Those beyond the share.
-    pub(super) beyond: u64,
+    pub(super) beyond_share: u64,
 }
 
 impl PoolBacklog {
     pub(super) fn plus(self, other: Self) -> Self {
         Self {
-            owed: self.owed + other.owed,
+            not_overdue: self.not_overdue + other.not_overdue,
             overdue: self.overdue + other.overdue,
-            beyond: self.beyond + other.beyond,
+            beyond_share: self.beyond_share + other.beyond_share,
         }
     }
 
     pub(super) fn minus(self, other: Self) -> Self {
         Self {
-            owed: self.owed - other.owed,
+            not_overdue: self.not_overdue - other.not_overdue,
             overdue: self.overdue - other.overdue,
-            beyond: self.beyond - other.beyond,
+            beyond_share: self.beyond_share - other.beyond_share,
         }
     }
 
     /// Those within the share of their workspace.
     pub(super) fn within_share(&self) -> u64 {
-        self.owed + self.overdue
+        self.not_overdue + self.overdue
     }
 
     /// All of them.
     pub(super) fn all(&self) -> u64 {
-        self.within_share() + self.beyond
+        self.within_share() + self.beyond_share
     }
 }
 
@@ -77,18 +77,18 @@
     pub(super) waiting: Vec<WaitingStep>,
     pub(super) rerank_at: Option<BootTime>,
     /// Its queue, if it is open and has not begun.
-    pub(super) pending: Option<CompactString>,
-    pub(super) need: CoreDemand,
+    pub(super) pending_queue: Option<CompactString>,
+    pub(super) demand: CoreDemand,
     pub(super) backlog: PoolBacklog,
-    pub(super) doubt: ResourceVector,
-    pub(super) apart: usize,
-    pub(super) repeats: bool,
-    pub(super) gang: bool,
-    pub(super) ended: Option<BootTime>,
+    pub(super) unconfirmed_usage: ResourceVector,
+    pub(super) anti_affinity_hosts: usize,
+    pub(super) has_future_occurrences: bool,
+    pub(super) has_gang: bool,
+    pub(super) ended_at: Option<BootTime>,
 }
 
 impl JobSummary {
-    pub(super) fn of(job: &WorkJob, terms: &FleetPolicy, now: BootTime) -> Self {
+    pub(super) fn of_job(job: &WorkJob, terms: &FleetPolicy, now: BootTime) -> Self {
         let mut facts = Self {
             pool: job.pool.clone(),
             ..Self::default()
@@ -99,18 +99,18 @@
         };
         // Tasks of a job that was cancelled or failed run on until they can be stopped there.
         if job.inherited && job.phase != WorkPhase::Completed {
-            facts.doubt = doubt_of(job);
+            facts.unconfirmed_usage = unconfirmed_usage(job);
         }
         if !job.is_open() {
-            facts.ended = (job.unstored == 0).then_some(job.ended);
+            facts.ended_at = (job.unstored_entries == 0).then_some(job.ended);
             return facts;
         }
-        facts.pending = (!job.started).then(|| job.queue.clone());
-        facts.repeats = job.opened < job.plan.occurrences();
-        facts.gang = job.plan.steps.iter().any(|step| step.gang);
+        facts.pending_queue = (!job.started).then(|| job.queue.clone());
+        facts.has_future_occurrences = job.opened < job.plan.occurrences();
+        facts.has_gang = job.plan.steps.iter().any(|step| step.gang);
         let apart = job.plan.steps.iter().filter(|step| step.anti_affinity > 0);
         let hosts = apart.map(|step| step.count.div_ceil(step.anti_affinity));
-        facts.apart = hosts.max().unwrap_or_default() as usize;
+        facts.anti_affinity_hosts = hosts.max().unwrap_or_default() as usize;
         facts.add_steps(job, terms, now);
         facts
     }
@@ -126,9 +126,9 @@
                     *ranked.get_or_insert_with(|| rank(job, occurrence, queue, now));
                 self.rerank_at = until.into_iter().chain(self.rerank_at).min();
                 match rank.class {
-                    _ if job.beyond_share => self.backlog.beyond += unstarted,
+                    _ if job.beyond_share => self.backlog.beyond_share += unstarted,
                     RankClass::Overdue => self.backlog.overdue += unstarted,
-                    _ => self.backlog.owed += unstarted,
+                    _ => self.backlog.not_overdue += unstarted,
                 }
             }
             for (step, state) in occurrence.steps.iter().enumerate() {
@@ -139,9 +139,9 @@
                 let left = u64::from(plan.count.saturating_sub(state.done));
                 let cpu = plan.footprint().cpu * left;
                 if plan.long_running {
-                    self.need.lasting += cpu;
+                    self.demand.long_running += cpu;
                 } else {
-                    self.need.present += cpu;
+                    self.demand.present += cpu;
                 }
                 let busy = (state.done + state.placed) as usize >= state.tasks.len();
                 if busy || job.phase == WorkPhase::CancelPending {
@@ -192,7 +192,7 @@
 }
 
 /// What tasks of a job that are neither done nor known to run would take.
-fn doubt_of(job: &WorkJob) -> ResourceVector {
+fn unconfirmed_usage(job: &WorkJob) -> ResourceVector {
     let steps = job
         .occurrences
         .values()
--- a/crates/decide/src/work/job_table.rs
+++ b/crates/decide/src/work/job_table.rs
@@ -31,7 +31,7 @@
     /// Targets on which tasks may run.
     pub used_targets: BTreeMap<String, TargetUse>,
     /// Targets of these that were not heard, with what may run there.
-    pub missed: BTreeMap<String, TargetMiss>,
+    pub unreachable: BTreeMap<String, TargetMiss>,
     /// Hosts of waves whose maintenance began.
     pub maintained_hosts: BTreeSet<(u64, String)>,
     /// When hosts were ordered last, since the Unix epoch.
@@ -51,14 +51,14 @@
             Some(Event::Cancelled(job)) => self.cancel(job, boot),
             Some(Event::Failed(job)) => self.end_job(job, WorkPhase::Failed, boot),
             Some(Event::Used(used)) => {
-                self.missed.remove(&used.target);
+                self.unreachable.remove(&used.target);
                 self.used_targets.insert(used.target.clone(), used.clone());
             }
             Some(Event::Missed(miss)) => {
-                self.missed.insert(miss.target.clone(), miss.clone());
+                self.unreachable.insert(miss.target.clone(), miss.clone());
             }
             Some(Event::Released(target)) => {
-                self.missed.remove(target);
+                self.unreachable.remove(target);
                 self.used_targets.remove(target);
             }
             Some(Event::Wave(progress)) => {
@@ -190,7 +190,7 @@
     pub fn compacted_entries(&self) -> Vec<LogEntry> {
         let mut events: Vec<Event> = Vec::new();
         events.extend(self.used_targets.values().cloned().map(Event::Used));
-        events.extend(self.missed.values().cloned().map(Event::Missed));
+        events.extend(self.unreachable.values().cloned().map(Event::Missed));
         let begun = |(wave, host): &(u64, String)| {
             Event::Wave(WaveProgress {
                 wave: *wave,
@@ -229,7 +229,7 @@
         let Some(job) = self.jobs.get_mut_untracked(id) else {
             return;
         };
-        job.unstored = count(job.unstored);
+        job.unstored_entries = count(job.unstored_entries);
         if !job.is_open() {
             self.jobs.mark_changed(id);
         }
--- a/crates/decide/src/work/objective.rs
+++ b/crates/decide/src/work/objective.rs
@@ -22,9 +22,9 @@
     pub priority: u32,
     /// Jobs of which no task has started come after those that are under way: in a full pool
     /// many half-done jobs would all be late, where finishing some serves these in time.
-    pub fresh: bool,
+    pub not_started: bool,
     /// When it must have started; for what is too late to count, when it was handed in.
-    pub latest: BootTime,
+    pub latest_start: BootTime,
 }
 
 /// Groups of waiting tasks, the most urgent first.
@@ -71,8 +71,8 @@
         let rank = StartRank {
             class: RankClass::Lasting,
             priority,
-            fresh: false,
-            latest: BootTime::ZERO,
+            not_started: false,
+            latest_start: BootTime::ZERO,
         };
         return (rank, None);
     }
@@ -82,14 +82,17 @@
     } else {
         job.arrived
     };
-    let left = remaining_chain(job, occurrence);
-    let latest = |end: BootTime| end.checked_sub(left).filter(|&latest| latest >= now);
-    let (class, latest, until) = match (
-        latest(begin + objective),
-        latest(begin + objective * LATE_FACTOR),
+    let left = remaining_critical_path(job, occurrence);
+    let latest_start = |end: BootTime| {
+        end.checked_sub(left)
+            .filter(|&latest_start| latest_start >= now)
+    };
+    let (class, latest_start, until) = match (
+        latest_start(begin + objective),
+        latest_start(begin + objective * LATE_FACTOR),
     ) {
-        (Some(latest), _) => (RankClass::InTime, latest, Some(latest)),
-        (None, Some(latest)) => (RankClass::Late, latest, Some(latest)),
+        (Some(latest_start), _) => (RankClass::InTime, latest_start, Some(latest_start)),
+        (None, Some(latest_start)) => (RankClass::Late, latest_start, Some(latest_start)),
         (None, None) => (RankClass::Overdue, begin, None),
     };
     let class = match class {
@@ -99,14 +102,14 @@
     let rank = StartRank {
         class,
         priority,
-        fresh: !job.started,
-        latest,
+        not_started: !job.started,
+        latest_start,
     };
     (rank, until)
 }
 
 /// Estimated run time of the longest chain through the steps that are not done.
-fn remaining_chain(job: &WorkJob, occurrence: &OccurrenceState) -> Duration {
+fn remaining_critical_path(job: &WorkJob, occurrence: &OccurrenceState) -> Duration {
     let mut ends: Vec<Duration> = Vec::with_capacity(job.plan.steps.len());
     for (number, step) in job.plan.steps.iter().enumerate() {
         let before = step
--- a/crates/decide/src/work/pick.rs
+++ b/crates/decide/src/work/pick.rs
@@ -9,7 +9,7 @@
 
 /// How long a task that failed waits for a target on which it has not. Beyond three seconds its
 /// caller would rightly ask why it does not run where there is room.
-pub(super) const FAILED_WAIT: Duration = Duration::from_millis(2400);
+pub(super) const FAILED_TARGET_WAIT: Duration = Duration::from_millis(2400);
 
 /// What decides for a target, best first.
 type TargetScore = (bool, bool, bool, u64, u64);
@@ -33,14 +33,13 @@
     // Tasks that last are owed a restart at once, and may fail by themselves at any time.
     let others = !plan.long_running
         && !task.failed_on.is_empty()
-        && now < task.failed_at + FAILED_WAIT
-        && of_pool.any(|target| {
-            target.can_run() && !failed(&target) && may_hold(plan, step, target, now)
-        });
+        && now < task.failed_at + FAILED_TARGET_WAIT
+        && of_pool
+            .any(|target| target.can_run() && !failed(&target) && may_run(plan, step, target, now));
     let suiting = with_room
         .filter(|target| target.accepts_tasks(now))
         .filter(|target| !others || !failed(target))
-        .filter(|target| suits(plan, step, target, now));
+        .filter(|target| has_capacity(plan, step, target, now));
     let mut best: Option<(TargetScore, &TargetState)> = None;
     for target in suiting {
         let score = score(plan, step, task, target);
@@ -49,7 +48,7 @@
         }
         // Of targets that are packed those that follow have more room, and are no better.
         let (failed, far, apart, ..) = score;
-        if !spreads(plan) && !failed && !far && !apart {
+        if !is_spread(plan) && !failed && !far && !apart {
             break;
         }
     }
@@ -57,12 +56,12 @@
 }
 
 /// True if tasks of a step are spread over targets, and not packed.
-fn spreads(plan: &StepPlan) -> bool {
+fn is_spread(plan: &StepPlan) -> bool {
     plan.long_running || plan.best_effort
 }
 
 /// The same among targets that are being emptied or pause, too.
-pub fn pick_any<'a>(
+pub fn pick_including_draining<'a>(
     plan: &StepPlan,
     step: &StepState,
     task: &TaskState,
@@ -71,13 +70,13 @@
 ) -> Option<&'a TargetState> {
     targets
         .filter(|target| target.can_run())
-        .filter(|target| suits(plan, step, target, now))
+        .filter(|target| has_capacity(plan, step, target, now))
         .min_by_key(|target| score(plan, step, task, target))
 }
 
 /// True if one of the targets takes a task of the step that has to leave its own. Others are on
 /// their way and take `coming` of the room; those of the same step come first.
-pub fn may_go<'a>(
+pub fn can_relocate<'a>(
     plan: &StepPlan,
     step: &StepState,
     targets: impl Iterator<Item = &'a TargetState>,
@@ -95,22 +94,22 @@
     };
     targets
         .filter(|target| target.accepts_tasks(now))
-        .filter(|target| need.fits_in(target.free()) && may_hold(plan, step, target, now))
+        .filter(|target| need.fits_in(target.free()) && may_run(plan, step, target, now))
         .nth(before)
         .is_some()
 }
 
 /// True if a target has room for a task of the step, and may run it.
-fn suits(plan: &StepPlan, step: &StepState, target: &TargetState, now: BootTime) -> bool {
-    plan.footprint().fits_in(target.free()) && may_hold(plan, step, target, now)
+fn has_capacity(plan: &StepPlan, step: &StepState, target: &TargetState, now: BootTime) -> bool {
+    plan.footprint().fits_in(target.free()) && may_run(plan, step, target, now)
 }
 
 /// True if a target may run a task of the step once it has room.
-fn may_hold(plan: &StepPlan, step: &StepState, target: &TargetState, now: BootTime) -> bool {
+fn may_run(plan: &StepPlan, step: &StepState, target: &TargetState, now: BootTime) -> bool {
     let labelled =
         plan.required_label.is_empty() || target.entry.labels.contains(&plan.required_label);
     let apart =
-        plan.anti_affinity == 0 || siblings(step, &target.entry.target) < plan.anti_affinity;
+        plan.anti_affinity == 0 || step_tasks_on(step, &target.entry.target) < plan.anti_affinity;
     let allowed = step.tickets.is_empty()
         || step
             .tickets
@@ -120,7 +119,7 @@
 }
 
 /// Tasks of the step that are, or may be, on a target.
-fn siblings(step: &StepState, target: &HostId) -> u32 {
+fn step_tasks_on(step: &StepState, target: &HostId) -> u32 {
     let there = |task: &&TaskState| {
         task.place
             .as_ref()
@@ -132,13 +131,13 @@
 fn score(plan: &StepPlan, step: &StepState, task: &TaskState, target: &TargetState) -> TargetScore {
     let failed = task.failed_on.contains(&target.entry.target);
     let far = !plan.affinity.is_empty() && plan.affinity != target.entry.rack;
-    let apart = plan.same_rack && off_rack(step, target);
+    let apart = plan.same_rack && on_other_rack(step, target);
     let free = target.free().cpu;
     // Tasks that last are spread, so that one host's end takes few of them; so are tasks that
     // fill, which need what others leave. All others are packed, so that large ones find room
     // and other hosts stay empty, to be switched off, lent or maintained at once.
-    if spreads(plan) {
-        let together = u64::from(siblings(step, &target.entry.target));
+    if is_spread(plan) {
+        let together = u64::from(step_tasks_on(step, &target.entry.target));
         (
             failed,
             far,
@@ -156,7 +155,7 @@
 }
 
 /// True if the step has a task on another rack than the target's.
-fn off_rack(step: &StepState, target: &TargetState) -> bool {
+fn on_other_rack(step: &StepState, target: &TargetState) -> bool {
     let placed = step.tasks.iter().filter_map(|task| task.place.as_ref());
     let mut racks = placed.map(|place| place.target.clone()).peekable();
     racks.peek().is_some() && racks.all(|other| other != target.entry.target)
--- a/crates/decide/src/work/ranked_steps.rs
+++ b/crates/decide/src/work/ranked_steps.rs
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct StepFilter<'a> {
     /// The most that a target of the pool has, of each resource by itself.
-    pub(super) room: ResourceVector,
+    pub(super) max_free: ResourceVector,
     /// What the workspace may still take.
     pub(super) workspace_left: ResourceVector,
     /// Rooms that were looked for in vain.
@@ -55,7 +55,7 @@
 
 impl StepFilter<'_> {
     fn admits(&self, room: ResourceVector, need: ResourceVector) -> bool {
-        room.fits_in(self.room)
+        room.fits_in(self.max_free)
             && need.fits_in(self.workspace_left)
             && !self.unplaceable.iter().any(|refused| refused.fits_in(room))
     }
--- a/crates/decide/src/work/share_meter.rs
+++ b/crates/decide/src/work/share_meter.rs
@@ -15,14 +15,14 @@
 /// Jobs that a workspace may still hand in at once.
 #[derive(Clone, Copy, Debug)]
 struct ShareBucket {
-    left: f64,
-    filled: BootTime,
+    tokens: f64,
+    refilled_at: BootTime,
 }
 
 impl ShareMeter {
     /// Notes a job; true if it is beyond the workspace's `weight` in jobs a second. A weight of
     /// zero means no share of its own, and then nothing is beyond it.
-    pub fn is_beyond(&mut self, workspace: &WorkspaceId, weight: u32, now: BootTime) -> bool {
+    pub fn record_job(&mut self, workspace: &WorkspaceId, weight: u32, now: BootTime) -> bool {
         if weight == 0 {
             return false;
         }
@@ -31,28 +31,28 @@
             .buckets
             .entry(workspace.clone())
             .or_insert(ShareBucket {
-                left: weight,
-                filled: now,
+                tokens: weight,
+                refilled_at: now,
             });
-        bucket.left = bucket.left_at(weight, now);
-        bucket.filled = now;
-        if bucket.left < 1.0 {
+        bucket.tokens = bucket.tokens_at(weight, now);
+        bucket.refilled_at = now;
+        if bucket.tokens < 1.0 {
             return true;
         }
-        bucket.left -= 1.0;
+        bucket.tokens -= 1.0;
         false
     }
 
     /// True if a job that a workspace hands in now would be beyond its `weight`.
-    pub fn foresees_beyond(&self, workspace: &str, weight: u32, now: BootTime) -> bool {
+    pub fn would_be_beyond(&self, workspace: &str, weight: u32, now: BootTime) -> bool {
         let bucket = self.buckets.get(workspace);
-        weight > 0 && bucket.is_some_and(|bucket| bucket.left_at(f64::from(weight), now) < 1.0)
+        weight > 0 && bucket.is_some_and(|bucket| bucket.tokens_at(f64::from(weight), now) < 1.0)
     }
 }
 
 impl ShareBucket {
-    fn left_at(&self, weight: f64, now: BootTime) -> f64 {
-        let passed = now.saturating_sub(self.filled).as_secs_f64();
-        (self.left + passed * weight).min(weight)
+    fn tokens_at(&self, weight: f64, now: BootTime) -> f64 {
+        let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        (self.tokens + passed * weight).min(weight)
     }
 }
--- a/crates/decide/src/work/start_forecast.rs
+++ b/crates/decide/src/work/start_forecast.rs
@@ -11,9 +11,9 @@
 const SLICE: Duration = Duration::from_millis(250);
 /// How long tasks have to wait without a break until the starts of that time tell what the pool can
 /// start. Before, they tell what it was asked for.
-const BUSY_BEFORE: Duration = Duration::from_secs(2);
+const MIN_BUSY_TIME: Duration = Duration::from_secs(2);
 /// Longest wait that is foreseen.
-const MOST_WAIT: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
 /// Foresees how long tasks that are handed in now wait until they are started.
 ///
@@ -24,7 +24,7 @@
 pub struct StartForecast {
     pools: BTreeMap<PoolId, PoolStartRate>,
     /// Most starts a second that the owner's link carries; zero if nothing is known of it.
-    link: f64,
+    link_rate: f64,
 }
 
 /// How fast a pool starts what waits for it.
@@ -38,20 +38,20 @@
 
 impl StartForecast {
     /// Sets how many starts a second the owner's link carries at most.
-    pub fn set_link(&mut self, starts_a_second: f64) {
-        self.link = starts_a_second;
+    pub fn set_link_rate(&mut self, starts_a_second: f64) {
+        self.link_rate = starts_a_second;
     }
 
     /// How long the last of so many tasks that wait for all pools waits at least.
     pub fn link_wait(&self, tasks: u64) -> Duration {
-        match self.link > 0.0 {
-            true => time_of(tasks, self.link),
+        match self.link_rate > 0.0 {
+            true => time_to_start(tasks, self.link_rate),
             false => Duration::ZERO,
         }
     }
 
     /// Notes that a task was given a target.
-    pub fn started(&mut self, pool: &PoolId, now: BootTime) {
+    pub fn record_start(&mut self, pool: &PoolId, now: BootTime) {
         self.pools.entry(pool.clone()).or_default().count(now);
     }
 
@@ -66,17 +66,17 @@
 
     /// How long the last of so many tasks that wait for a pool is going to wait; zero if nothing is
     /// known of its pace.
-    pub fn wait(&self, pool: &PoolId, tasks: u64, now: BootTime) -> Duration {
+    pub fn expected_wait(&self, pool: &PoolId, tasks: u64, now: BootTime) -> Duration {
         let pace = self.pools.get(pool);
         let pace = pace.and_then(|pace| pace.starts_a_second(now));
-        pace.map_or(Duration::ZERO, |pace| time_of(tasks, pace))
+        pace.map_or(Duration::ZERO, |pace| time_to_start(tasks, pace))
     }
 }
 
-fn time_of(tasks: u64, starts_a_second: f64) -> Duration {
+fn time_to_start(tasks: u64, starts_a_second: f64) -> Duration {
     #[expect(clippy::cast_precision_loss, reason = "an estimate")]
     let seconds = tasks as f64 / starts_a_second;
-    Duration::from_secs_f64(seconds.min(MOST_WAIT.as_secs_f64()))
+    Duration::from_secs_f64(seconds.min(MAX_WAIT.as_secs_f64()))
 }
 
 impl PoolStartRate {
@@ -93,20 +93,20 @@
 
     /// What the pool starts while tasks wait for it; `None` before that has shown.
     fn starts_a_second(&self, now: BootTime) -> Option<f64> {
-        let busy = self.busy(now).min(WINDOW);
-        let starts = self.starts(now.saturating_sub(busy));
+        let busy = self.busy_time(now).min(WINDOW);
+        let starts = self.starts_since(now.saturating_sub(busy));
         // Hosts that are on their way begin to start tasks after some seconds.
-        let known = busy >= if starts == 0 { WINDOW } else { BUSY_BEFORE };
+        let known = busy >= if starts == 0 { WINDOW } else { MIN_BUSY_TIME };
         // No start at all counts as one, so that a wait is never without end.
         known.then(|| f64::from(starts.max(1)) / busy.as_secs_f64())
     }
 
-    fn busy(&self, now: BootTime) -> Duration {
+    fn busy_time(&self, now: BootTime) -> Duration {
         let since = self.busy_since.unwrap_or(now);
         now.saturating_sub(since)
     }
 
-    fn starts(&self, since: BootTime) -> u32 {
+    fn starts_since(&self, since: BootTime) -> u32 {
         let recent = self.slices.iter().filter(|(begun, _)| *begun >= since);
         recent.map(|(_, count)| count).sum()
     }
--- a/crates/decide/src/work/throttle.rs
+++ b/crates/decide/src/work/throttle.rs
@@ -7,11 +7,11 @@
 
 /// Part of the tail's target, in percent, above which tasks that fill are stopped from
 /// working. The tail is a rough figure of the last half second, so there has to be a margin.
-const HIGH_TAIL: u64 = 85;
+const SUSPEND_TAIL_PERCENT: u64 = 85;
 /// Part of the target, in percent, below which they may work more.
-const LOW_TAIL: u64 = 60;
+const RELAX_TAIL_PERCENT: u64 = 60;
 /// Share of time, in percent, by which they may work more after each look.
-const RAISE: u8 = 20;
+const RELAX_STEP_PERCENT: u8 = 20;
 
 impl WorkDesk {
     /// Sets the share of time of the tasks that fill on a target by the response times of the
@@ -19,28 +19,28 @@
     ///
     /// Tasks that fill disturb those that serve by amounts that change within seconds. They
     /// give way at once when a tail comes near its target, and return in steps.
-    pub(super) fn set_paces(&mut self, id: &HostId) {
-        let Some(worst) = self.worst_tail(id) else {
+    pub(super) fn set_throttles(&mut self, id: &HostId) {
+        let Some(worst) = self.worst_tail_percent(id) else {
             self.paces.remove(id);
             return;
         };
         let old = self.paces.get(id).copied().unwrap_or(100);
         let new = match worst {
-            HIGH_TAIL.. => 0,
-            LOW_TAIL..HIGH_TAIL => old,
-            _ => (old + RAISE).min(100),
+            SUSPEND_TAIL_PERCENT.. => 0,
+            RELAX_TAIL_PERCENT..SUSPEND_TAIL_PERCENT => old,
+            _ => (old + RELAX_STEP_PERCENT).min(100),
         };
         self.paces.insert(id.clone(), new);
         if new == old {
             return;
         }
-        for run in self.filling_runs(id) {
-            self.send_pace(id, run, new);
+        for run in self.best_effort_runs(id) {
+            self.send_throttle(id, run, new);
         }
     }
 
     /// Sets the share of a task that fills right after its start, since it starts at full.
-    pub(super) fn pace_new(&mut self, id: &HostId, run: &RunKey) {
+    pub(super) fn throttle_new(&mut self, id: &HostId, run: &RunKey) {
         let fills = self.step_of(&run.0).is_some_and(|step| step.best_effort);
         let Some(percent) = self
             .paces
@@ -50,10 +50,10 @@
         else {
             return;
         };
-        self.send_pace(id, run.clone(), percent);
+        self.send_throttle(id, run.clone(), percent);
     }
 
-    fn send_pace(&mut self, id: &HostId, run: RunKey, percent: u8) {
+    fn send_throttle(&mut self, id: &HostId, run: RunKey, percent: u8) {
         let order = ThrottleOrder {
             task: run.0,
             attempt: run.1,
@@ -63,7 +63,7 @@
         self.orders.push(DeskOrder::Pace(id.clone(), order));
     }
 
-    fn filling_runs(&self, id: &HostId) -> Vec<RunKey> {
+    fn best_effort_runs(&self, id: &HostId) -> Vec<RunKey> {
         let Some(target) = self.targets.get(id) else {
             return Vec::new();
         };
@@ -73,8 +73,8 @@
 
     /// The worst tail on a target, in percent of its target; `None` if nothing fills beside
     /// a task that serves.
-    fn worst_tail(&self, id: &HostId) -> Option<u64> {
-        if self.filling_runs(id).is_empty() {
+    fn worst_tail_percent(&self, id: &HostId) -> Option<u64> {
+        if self.best_effort_runs(id).is_empty() {
             return None;
         }
         let target = self.targets.get(id)?;
--- a/crates/decide/src/work/work_desk.rs
+++ b/crates/decide/src/work/work_desk.rs
@@ -240,7 +240,7 @@
         let weight = space.map_or(0, |space| space.weight);
         let beyond = self
             .shares
-            .is_beyond(&record.workspace.as_str().into(), weight, now.boot);
+            .record_job(&record.workspace.as_str().into(), weight, now.boot);
         if let Some(job) = self.board.jobs.get_mut(record.job.as_str()) {
             job.beyond_share = beyond;
         }
@@ -261,8 +261,8 @@
         };
         Some(match job.phase {
             WorkPhase::Open | WorkPhase::CancelPending => running,
-            WorkPhase::Completed if job.unstored == 0 => JobPhase::Completed,
-            WorkPhase::Failed if job.unstored == 0 => JobPhase::Failed,
+            WorkPhase::Completed if job.unstored_entries == 0 => JobPhase::Completed,
+            WorkPhase::Failed if job.unstored_entries == 0 => JobPhase::Failed,
             WorkPhase::Completed | WorkPhase::Failed => JobPhase::Running,
             WorkPhase::Cancelled => JobPhase::Cancelled,
             WorkPhase::Unsubmitted => return None,
--- a/crates/decide/src/work/work_job.rs
+++ b/crates/decide/src/work/work_job.rs
@@ -48,7 +48,7 @@
     /// Whether a task has ever started.
     pub started: bool,
     /// Entries of the log that are not stored yet; its end is shown only when there are none.
-    pub unstored: u32,
+    pub unstored_entries: u32,
     /// Whether it was handed in beyond its workspace's share.
     pub beyond_share: bool,
     /// The most that a task of it takes, where the log does not tell its steps any more.
@@ -120,7 +120,7 @@
     /// When a stop that may be carried out late was last under way; zero for none.
     pub stop_sent: BootTime,
     /// Whether a look at the target's present life has shown it.
-    pub seen: bool,
+    pub confirmed: bool,
     /// Whether all that is known of it is what a predecessor recorded when it missed the target.
     pub from_record: bool,
     /// How far it is, in percent; for a serving task 100 while it is at work.
@@ -173,10 +173,10 @@
     }
 
     /// Takes a task to be on a target.
-    pub fn place(&mut self, index: u32, place: TaskPlacement) {
+    pub fn set_placement(&mut self, index: u32, set_placement: TaskPlacement) {
         if let Some(task) = self.tasks.get_mut(index as usize) {
-            task.last_attempt = task.last_attempt.max(place.attempt);
-            task.place = Some(place);
+            task.last_attempt = task.last_attempt.max(set_placement.attempt);
+            task.place = Some(set_placement);
             self.placed += 1;
         }
     }
--- a/crates/decide/tests/desk/fleet.rs
+++ b/crates/decide/tests/desk/fleet.rs
@@ -125,8 +125,8 @@
             max_down,
         };
         let now = self.scene.now.boot;
-        self.planner.take_list(self.list(), now);
-        self.planner.take_waves(&[wave], &BTreeSet::new(), now);
+        self.planner.apply_host_list(self.list(), now);
+        self.planner.apply_waves(&[wave], &BTreeSet::new(), now);
     }
 
     /// Lets some time pass.
@@ -142,7 +142,7 @@
         let begin = self.scene.now.boot;
         while self.scene.now.boot < begin + limit {
             self.round();
-            if self.planner.wave_states() == [(1, true)] {
+            if self.planner.changed_waves() == [(1, true)] {
                 break;
             }
         }
@@ -164,7 +164,7 @@
         self.obey();
         self.note_missing();
         let now = self.scene.now.boot;
-        self.planner.take_list(self.list(), now);
+        self.planner.apply_host_list(self.list(), now);
         for order in self.planner.plan(&mut self.scene.desk, now) {
             self.order(&order);
         }
@@ -267,10 +267,10 @@
 
     fn order(&mut self, order: &HostOrder) {
         let now = self.scene.now;
-        let life = self.planner.target_of(order.host());
+        let life = self.planner.operation_target(order.host());
         assert!(
             self.planner
-                .answered(order, &HostOrderAnswer::Done, now.boot)
+                .apply_answer(order, &HostOrderAnswer::Done, now.boot)
         );
         let named = |host: &&mut SceneHost| host.fleet.host == *order.host();
         let Some(host) = self.hosts.iter_mut().find(named) else {
--- a/crates/decide/tests/work_admit.rs
+++ b/crates/decide/tests/work_admit.rs
@@ -184,10 +184,13 @@
     let mut forecast = StartForecast::default();
     let pool = PoolId::from(POOL);
     let at = |ms: u64| Duration::from_millis(100_000 + ms);
-    forecast.started(&pool, at(0));
+    forecast.record_start(&pool, at(0));
     forecast.observe(&BTreeSet::from([pool.clone()]), at(100));
-    assert_eq!(forecast.wait(&pool, 1000, at(600)), Duration::ZERO);
+    assert_eq!(forecast.expected_wait(&pool, 1000, at(600)), Duration::ZERO);
     // Hosts that are on their way begin to start after two seconds.
-    assert_eq!(forecast.wait(&pool, 1000, at(2900)), Duration::ZERO);
-    assert!(forecast.wait(&pool, 1000, at(3200)) > Duration::from_secs(10));
+    assert_eq!(
+        forecast.expected_wait(&pool, 1000, at(2900)),
+        Duration::ZERO
+    );
+    assert!(forecast.expected_wait(&pool, 1000, at(3200)) > Duration::from_secs(10));
 }
--- a/crates/decide/tests/work_hosts.rs
+++ b/crates/decide/tests/work_hosts.rs
@@ -78,8 +78,8 @@
     }
     let (emptied, start) = &starts[0];
     let mut planner = HostPlanner::default();
-    planner.take_list(vec![host("h1", POOL, emptied)], scene.now.boot);
-    planner.take_waves(&[wave(&["h1"], 1)], &BTreeSet::new(), scene.now.boot);
+    planner.apply_host_list(vec![host("h1", POOL, emptied)], scene.now.boot);
+    planner.apply_waves(&[wave(&["h1"], 1)], &BTreeSet::new(), scene.now.boot);
 
     scene.pass(Duration::from_millis(1400));
     scene.see(emptied, vec![at_work(start)], Vec::new());
@@ -110,8 +110,8 @@
     scene.submit("a", &plan(vec![lasting_pair()]));
     let starts = scene.start_all();
     let mut planner = HostPlanner::default();
-    planner.take_list(vec![host("h1", POOL, &starts[0].0)], scene.now.boot);
-    planner.take_waves(&[wave(&["h1"], 1)], &BTreeSet::new(), scene.now.boot);
+    planner.apply_host_list(vec![host("h1", POOL, &starts[0].0)], scene.now.boot);
+    planner.apply_waves(&[wave(&["h1"], 1)], &BTreeSet::new(), scene.now.boot);
     for (target, start) in &starts {
         let sent = scene.now.boot - Duration::from_secs(1);
         let sight = model::work::TargetReport {
@@ -140,8 +140,8 @@
     let starts = scene.start_all();
     let (_, start) = &starts[0];
     let mut planner = HostPlanner::default();
-    planner.take_list(vec![host("h1", POOL, "t1")], scene.now.boot);
-    planner.take_waves(&[wave(&["h1"], 1)], &BTreeSet::new(), scene.now.boot);
+    planner.apply_host_list(vec![host("h1", POOL, "t1")], scene.now.boot);
+    planner.apply_waves(&[wave(&["h1"], 1)], &BTreeSet::new(), scene.now.boot);
     assert!(planner.plan(&mut scene.desk, scene.now.boot).is_empty());
     scene.submit("b", &plan(vec![step(1, 1000)]));
     assert!(scene.starts.is_empty(), "the host is kept free");
@@ -163,32 +163,32 @@
             .map(|name| host(name, POOL, name))
             .collect::<Vec<_>>()
     };
-    planner.take_list(list(), scene.now.boot);
-    planner.take_waves(&[wave(&names, 2)], &BTreeSet::new(), scene.now.boot);
+    planner.apply_host_list(list(), scene.now.boot);
+    planner.apply_waves(&[wave(&names, 2)], &BTreeSet::new(), scene.now.boot);
     let orders = planner.plan(&mut scene.desk, scene.now.boot);
     assert_eq!(orders.len(), 2);
     let lost = HostOrderAnswer::Unanswered("timed out".to_owned());
     for order in &orders {
-        assert!(!planner.answered(order, &lost, scene.now.boot));
+        assert!(!planner.apply_answer(order, &lost, scene.now.boot));
     }
     scene.pass(Duration::from_millis(500));
     let again = planner.plan(&mut scene.desk, scene.now.boot);
     assert_eq!(again, orders, "the same orders, and no third host");
     for order in &again {
-        assert!(planner.answered(order, &HostOrderAnswer::Done, scene.now.boot));
+        assert!(planner.apply_answer(order, &HostOrderAnswer::Done, scene.now.boot));
     }
     assert!(planner.plan(&mut scene.desk, scene.now.boot).is_empty());
-    assert_eq!(planner.wave_states(), [(1, false)]);
+    assert_eq!(planner.changed_waves(), [(1, false)]);
     scene.pass(Duration::from_millis(2500));
     let back: Vec<FleetHost> = names
         .iter()
         .map(|name| host(name, POOL, &format!("{name}-again")))
         .collect();
-    planner.take_list(back, scene.now.boot);
+    planner.apply_host_list(back, scene.now.boot);
     let last = planner.plan(&mut scene.desk, scene.now.boot);
     assert_eq!(last, [HostOrder::Maintain("h3".into(), 1)]);
-    assert!(planner.answered(&last[0], &HostOrderAnswer::Done, scene.now.boot));
-    assert_eq!(planner.wave_states(), [(1, true)]);
+    assert!(planner.apply_answer(&last[0], &HostOrderAnswer::Done, scene.now.boot));
+    assert_eq!(planner.changed_waves(), [(1, true)]);
 }
 
 /// A queue's turn begins: arrivals rise within a second from nothing to more than its hosts
@@ -200,12 +200,14 @@
     let mut planner = HostPlanner::default();
     let mut list = vec![host("h1", POOL, "t1"), host("h2", POOL, "t2")];
     list.extend((3..9).map(|number| host(&format!("h{number}"), STANDBY, "")));
-    planner.take_list(list, scene.now.boot);
+    planner.apply_host_list(list, scene.now.boot);
     let mut ordered = 0;
     for _ in 0..5 {
         scene.pass(Duration::from_millis(200));
         for _ in 0..2 {
-            planner.meter.arrived(&POOL.into(), 1.0, scene.now.boot);
+            planner
+                .meter
+                .record_arrival(&POOL.into(), 1.0, scene.now.boot);
         }
         ordered += planner.plan(&mut scene.desk, scene.now.boot).len();
     }
@@ -236,10 +238,10 @@
     let mut second = first.successor(9);
     with_standby(&mut second);
     let mut planner = HostPlanner::default();
-    planner.take_arrivals(&second.desk.board, second.now.boot);
+    planner.replay_arrivals(&second.desk.board, second.now.boot);
     let mut list = vec![host("h1", POOL, "t1"), host("h2", POOL, "t2")];
     list.extend((3..9).map(|number| host(&format!("h{number}"), STANDBY, "")));
-    planner.take_list(list, second.now.boot);
+    planner.apply_host_list(list, second.now.boot);
     let orders = planner.plan(&mut second.desk, second.now.boot);
     assert!(
         orders.len() >= 4,
@@ -257,7 +259,7 @@
     let list: Vec<FleetHost> = (0..6)
         .map(|number| host(&format!("h{number}"), POOL, &format!("t{number}")))
         .collect();
-    planner.take_list(list, scene.now.boot);
+    planner.apply_host_list(list, scene.now.boot);
     assert!(
         planner.plan(&mut scene.desk, scene.now.boot).is_empty(),
         "not at once"
@@ -288,7 +290,7 @@
     scene.desk.set_terms(std::sync::Arc::new(terms));
     let mut planner = HostPlanner::default();
     let list = (0..18).map(|number| host(&format!("h{number:02}"), POOL, &format!("t{number}")));
-    planner.take_list(list.collect(), scene.now.boot);
+    planner.apply_host_list(list.collect(), scene.now.boot);
     planner.plan(&mut scene.desk, scene.now.boot);
     scene.pass(Duration::from_secs(3));
     let orders = planner.plan(&mut scene.desk, scene.now.boot);
@@ -307,12 +309,12 @@
     with_standby(&mut scene);
     let mut planner = HostPlanner::default();
     let list = (0..4).map(|number| host(&format!("h{number}"), POOL, &format!("t{number}")));
-    planner.take_list(list.collect(), scene.now.boot);
+    planner.apply_host_list(list.collect(), scene.now.boot);
     let ordered = [("h0".to_owned(), scene.now.unix)].into();
     let pause = Duration::from_secs(3);
     planner.plan(&mut scene.desk, scene.now.boot);
     scene.pass(Duration::from_secs(2));
-    planner.take_ordered(&ordered, pause, Duration::ZERO, scene.now);
+    planner.apply_earlier_orders(&ordered, pause, Duration::ZERO, scene.now);
     let orders = planner.plan(&mut scene.desk, scene.now.boot);
     assert_eq!(orders.len(), 2);
     assert!(orders.iter().all(|order| order.host() != "h0"));
@@ -326,12 +328,12 @@
     with_standby(&mut scene);
     let mut planner = HostPlanner::default();
     let list = (0..4).map(|number| host(&format!("h{number}"), POOL, &format!("t{number}")));
-    planner.take_list(list.collect(), scene.now.boot);
+    planner.apply_host_list(list.collect(), scene.now.boot);
     let ordered = [("h0".to_owned(), scene.now.unix - Duration::from_secs(4))].into();
     planner.plan(&mut scene.desk, scene.now.boot);
     scene.pass(Duration::from_secs(2));
     let (pause, least) = (Duration::from_secs(3), Duration::from_millis(1700));
-    planner.take_ordered(&ordered, pause, least, scene.now);
+    planner.apply_earlier_orders(&ordered, pause, least, scene.now);
     let orders = planner.plan(&mut scene.desk, scene.now.boot);
     assert_eq!(orders.len(), 2);
     assert!(orders.iter().all(|order| order.host() != "h0"));
@@ -344,11 +346,11 @@
     let mut scene = DeskScene::new(1);
     let mut planner = HostPlanner::default();
     let list = (0..2).map(|number| host(&format!("h{number}"), POOL, &format!("t{number}")));
-    planner.take_list(list.collect(), scene.now.boot);
-    planner.take_waves(&[wave(&["h0", "h1"], 1)], &BTreeSet::new(), scene.now.boot);
+    planner.apply_host_list(list.collect(), scene.now.boot);
+    planner.apply_waves(&[wave(&["h0", "h1"], 1)], &BTreeSet::new(), scene.now.boot);
     let ordered = [("h0".to_owned(), scene.now.unix)].into();
     let pause = Duration::from_secs(3);
-    planner.take_ordered(&ordered, pause, pause, scene.now);
+    planner.apply_earlier_orders(&ordered, pause, pause, scene.now);
     assert!(planner.plan(&mut scene.desk, scene.now.boot).is_empty());
     scene.pass(pause);
     assert_eq!(planner.plan(&mut scene.desk, scene.now.boot).len(), 1);
@@ -376,7 +378,7 @@
     scene.submit("a", &plan(vec![apart]));
     assert_eq!(scene.start_all().len(), 3);
     let mut planner = HostPlanner::default();
-    planner.take_list(list, scene.now.boot);
+    planner.apply_host_list(list, scene.now.boot);
     let orders = planner.plan(&mut scene.desk, scene.now.boot);
     assert_eq!(orders, [HostOrder::Move("h9".into(), POOL.into())]);
 }
@@ -398,8 +400,8 @@
     let mut second = first.successor(9);
     second.list("t1", 2000);
     let mut planner = HostPlanner::default();
-    planner.take_list(vec![host("h1", POOL, "t1")], second.now.boot);
-    planner.take_waves(&[wave(&["h1"], 1)], &BTreeSet::new(), second.now.boot);
+    planner.apply_host_list(vec![host("h1", POOL, "t1")], second.now.boot);
+    planner.apply_waves(&[wave(&["h1"], 1)], &BTreeSet::new(), second.now.boot);
     assert!(planner.plan(&mut second.desk, second.now.boot).is_empty());
 
     second.see("t1", vec![at_work(&starts[0].1)], Vec::new());
@@ -431,14 +433,14 @@
 fn ordered_target_takes_no_tasks_once_listed() {
     let mut scene = DeskScene::new(1);
     let mut planner = HostPlanner::default();
-    planner.take_list(vec![host("h1", POOL, "t1")], scene.now.boot);
-    planner.take_waves(&[wave(&["h1"], 1)], &BTreeSet::new(), scene.now.boot);
+    planner.apply_host_list(vec![host("h1", POOL, "t1")], scene.now.boot);
+    planner.apply_waves(&[wave(&["h1"], 1)], &BTreeSet::new(), scene.now.boot);
     let orders = planner.plan(&mut scene.desk, scene.now.boot);
     assert_eq!(orders.len(), 1, "nothing can be running there");
     scene.add("t1", 2000);
     scene.submit("a", &plan(vec![step(1, 1000)]));
     assert!(scene.starts.is_empty(), "its host may be maintained by now");
-    planner.answered(&orders[0], &HostOrderAnswer::Busy, scene.now.boot);
+    planner.apply_answer(&orders[0], &HostOrderAnswer::Busy, scene.now.boot);
     planner.plan(&mut scene.desk, scene.now.boot);
     scene.run();
     assert_eq!(scene.starts.len(), 1, "it is not maintained");
--- a/crates/decide/tests/work_services.rs
+++ b/crates/decide/tests/work_services.rs
@@ -167,7 +167,7 @@
     }
 
     fn waves_are_done(&mut self) -> bool {
-        let states = self.planner.wave_states();
+        let states = self.planner.changed_waves();
         states.iter().all(|(_, completed)| *completed)
     }
 
@@ -189,7 +189,7 @@
             max_down: 2,
         };
         let now = self.now.boot;
-        self.planner.take_waves(&[wave], &BTreeSet::new(), now);
+        self.planner.apply_waves(&[wave], &BTreeSet::new(), now);
     }
 
     fn draw_faults(&mut self) {
@@ -323,7 +323,7 @@
             ..FleetHost::default()
         };
         let hosts = self.targets.iter().map(host).collect();
-        self.planner.take_list(hosts, now);
+        self.planner.apply_host_list(hosts, now);
         for order in self.planner.plan(&mut self.desk, now) {
             let HostOrder::Maintain(host, _) = &order else {
                 continue;
@@ -338,7 +338,7 @@
             if up {
                 self.take_down(&name, Duration::from_millis(1500), true);
             }
-            if self.planner.answered(&order, &answer, now) {
+            if self.planner.apply_answer(&order, &answer, now) {
                 self.desk.end_target(&name, self.now);
             }
         }
--- a/crates/decide/tests/work_stops.rs
+++ b/crates/decide/tests/work_stops.rs
@@ -87,8 +87,8 @@
         max_down: 1,
     };
     let mut planner = HostPlanner::default();
-    planner.take_list(vec![host], scene.now.boot);
-    planner.take_waves(&[wave], &BTreeSet::new(), scene.now.boot);
+    planner.apply_host_list(vec![host], scene.now.boot);
+    planner.apply_waves(&[wave], &BTreeSet::new(), scene.now.boot);
     planner.plan(&mut scene.desk, scene.now.boot);
     scene.pass(Duration::from_millis(50));
 }
