--- a/crates/decide/src/lease.rs
+++ b/crates/decide/src/lease.rs
@@ -1,7 +1,7 @@
-//! The serving lease: when an entry host may start new work.
+//! The serving lease: decides when an entry host may start new work.
 //!
-//! Start with [`LeaseMachine`]. Times go in as values on the boot clock; nothing here reads
-//! a clock. `docs/design/01-membership.md` holds the argument.
+//! Start with [`LeaseMachine`]. Times are passed in as values of the boot clock; nothing here reads
+//! a clock. `docs/design/01-membership.md` explains why the lease is safe.
 
 mod peer_view;
 
@@ -16,33 +16,35 @@
 
 use peer_view::PeerAck;
 
-/// Senders of beats that are kept in view, against strays that make up names.
+/// Maximum number of tracked senders of heartbeats. Protects against strays that invent member
+/// names.
 const MAX_TRACKED_PEERS: usize = 256;
 
-/// A guard that a test takes away, to show that its checker notices. Sources use `None`.
+/// A guard that tests disable to show that their checker notices. Production code uses `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LeaseMutation {
-    /// Every guard is in place.
+    /// All guards are enabled.
     #[default]
     None,
-    /// The lease counts from when an answer came, not from when its question was sent.
+    /// The lease counts from when a response arrived, not from when its request was sent.
     CountFromReceipt,
-    /// A majority's word counts even if the majority knows a newer configuration.
+    /// A majority's acknowledgement counts even if the majority knows a newer configuration.
     SkipRevision,
-    /// A majority's word counts even if the majority knows a newer member list.
+    /// A majority's acknowledgement counts even if the majority knows a newer member list.
     SkipList,
-    /// Beats of any incarnation of a member count, not only of the listed one.
+    /// Heartbeats of any incarnation of a member count, not only those of the listed one.
     AnyLife,
 }
 
-/// How a lease is counted.
+/// Times of the lease.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseOptions {
-    /// How long a lease lasts from the sending of the question that renewed it.
+    /// How long a lease lasts from the sending of the heartbeat that renewed it.
     pub length: Duration,
-    /// A member unheard for this long may leave the list, if a majority agrees.
+    /// A member that was unresponsive for this long may be removed from the list if a majority
+    /// agrees.
     pub unresponsive_after: Duration,
-    /// Which guard a test takes away.
+    /// The guard that a test disables.
     pub mutation: LeaseMutation,
 }
 
@@ -61,13 +63,13 @@
 pub enum LeaseRefusal {
     /// This incarnation of the host is not in the member list.
     NotListed,
-    /// Neither the store nor a majority was heard within the lease length.
+    /// Neither the store nor a majority responded within the lease length.
     Lapsed,
-    /// The lease lapsed while peers vouched for a newer configuration or member list.
+    /// The lease expired while peers reported a newer configuration or member list.
     Behind,
 }
 
-/// Counts the serving lease of one entry host from beats and store reads.
+/// State machine of one entry host's serving lease, renewed by heartbeats and store reads.
 #[derive(Debug)]
 pub struct LeaseMachine {
     options: LeaseOptions,
@@ -84,7 +86,7 @@
 }
 
 impl LeaseMachine {
-    /// A machine that holds nothing yet.
+    /// Creates a machine without a lease.
     #[must_use]
     pub fn new(options: LeaseOptions, own: MemberId, incarnation: Incarnation) -> Self {
         Self {
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Begins another incarnation: what was heard as answers to the incarnation before counts no more.
+    /// Starts a new incarnation: responses to the previous one no longer count.
     pub fn begin_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
         self.was_listed = false;
@@ -110,7 +112,8 @@
         self.peers.clear();
     }
 
-    /// Takes a newer member list. The caller holds a configuration of its floor.
+    /// Applies a newer member list. The caller must hold a configuration of at least its
+    /// `config_floor`.
     pub fn set_list(&mut self, list: MemberList) {
         if list.revision() >= self.list.revision() {
             self.list = list;
@@ -121,7 +124,7 @@
         }
     }
 
-    /// Takes a newer configuration.
+    /// Applies a newer configuration.
     pub fn set_config(&mut self, revision: Revision, hash: u64) {
         if revision >= self.config_revision {
             self.config_revision = revision;
@@ -130,29 +133,29 @@
         }
     }
 
-    /// From now on beats say that this host leaves.
+    /// Marks this host as leaving in all further heartbeats.
     pub fn set_leaving(&mut self) {
         self.leaving = true;
     }
 
-    /// The list in use.
+    /// The member list in use.
     #[must_use]
     pub fn list(&self) -> &MemberList {
         &self.list
     }
 
-    /// What is known of the peers.
+    /// State of the peers by member.
     #[must_use]
     pub fn peers(&self) -> &BTreeMap<MemberId, PeerView> {
         &self.peers
     }
 
-    /// Notes that the duty that sends beats runs.
+    /// Records that the loop that sends heartbeats runs.
     pub fn tick(&mut self, now: BootTime) {
         self.last_tick = Some(now);
     }
 
-    /// The next beat for `to`, sent at `now`.
+    /// The next heartbeat to `to`, sent at `now`.
     pub fn next_beat(&mut self, to: &MemberId, now: BootTime) -> Beat {
         let silent = self.unresponsive_members(now);
         let view = self.peers.entry(to.clone()).or_default();
@@ -168,7 +171,7 @@
         }
     }
 
-    /// Takes a beat of `incarnation` of `from` that arrived at `now`.
+    /// Handles a heartbeat of `incarnation` of `from` that arrived at `now`.
     pub fn handle_beat(
         &mut self,
         from: &MemberId,
@@ -206,13 +209,13 @@
         self.promote_acks();
     }
 
-    /// Notes a read of configuration and member list from the store: sent at `sent`, and
-    /// everything that it showed is held by now.
+    /// Records a read of configuration and member list from the store that was sent at `sent`. The
+    /// caller has applied everything that it returned.
     pub fn record_store_read(&mut self, sent: BootTime) {
         self.store_read = self.store_read.max(Some(sent));
     }
 
-    /// When the lease ends; `None` if there is none.
+    /// When the lease expires; `None` if there is none.
     #[must_use]
     pub fn expiry(&self) -> Option<BootTime> {
         if !self.is_listed() {
@@ -222,7 +225,7 @@
         Some(renewed + self.options.length)
     }
 
-    /// When the question was sent that a quorum answered last.
+    /// Send time of the newest heartbeat that a quorum has acknowledged.
     #[must_use]
     pub fn quorum_acked_at(&self) -> Option<BootTime> {
         let any_life = self.options.mutation == LeaseMutation::AnyLife;
@@ -239,10 +242,10 @@
         })
     }
 
-    /// Whether new work may start at `now`.
+    /// Checks whether new work may start at `now`.
     ///
     /// # Errors
-    /// Why not.
+    /// The reason why it may not.
     pub fn check(&self, now: BootTime) -> Result<(), LeaseRefusal> {
         if !self.is_listed() {
             return Err(LeaseRefusal::NotListed);
@@ -256,10 +259,10 @@
         Err(LeaseRefusal::Lapsed)
     }
 
-    /// True if a peer holds a newer member list, or a listed one a newer configuration.
+    /// True if a peer holds a newer member list, or a listed peer a newer configuration.
     ///
-    /// The word of an unlisted peer counts here: it may have joined just now, which the
-    /// list held here can't show.
+    /// An unlisted peer counts for the list: it may have joined just now, which the list held here
+    /// can't show.
     #[must_use]
     pub fn is_behind(&self) -> bool {
         let newer_list = |view: &PeerView| view.member_revision > self.list.revision();
@@ -273,7 +276,7 @@
         self.list.contains(&self.own, self.incarnation)
     }
 
-    /// True if this incarnation of the host has been in the list at some time.
+    /// True if this incarnation of the host has ever been in the list.
     #[must_use]
     pub fn was_listed(&self) -> bool {
         self.was_listed
@@ -293,7 +296,7 @@
         })
     }
 
-    /// Listed members that this host has not heard for long.
+    /// Listed members that have been unresponsive to this host for `unresponsive_after`.
     #[must_use]
     pub fn unresponsive_members(&self, now: BootTime) -> Vec<String> {
         let after = self.options.unresponsive_after;
@@ -308,10 +311,10 @@
             .collect()
     }
 
-    /// Listed members that a majority has not heard for long.
+    /// Listed members that a majority reports as unresponsive.
     ///
-    /// One host's word is not enough: its own link may be cut while all others hear the
-    /// member, and the member would be dropped and rejoin for ever.
+    /// The report of one host is not enough. If only its own link is cut while all others reach the
+    /// member, the member would be removed and rejoin forever.
     #[must_use]
     pub fn lost_members(&self, now: BootTime) -> Vec<String> {
         let needed = majority(self.list.members().len());
@@ -332,23 +335,23 @@
             .filter(|(member, view)| self.list.contains(member, view.incarnation))
     }
 
-    /// Counts the newest word of each peer that knows nothing newer than this host.
+    /// Counts the newest acknowledgement of each peer that knows nothing newer than this host.
     ///
-    /// The failure this guards against: an operator was told that a key is withdrawn, and a
-    /// host that missed it goes on accepting the key, because a majority keeps renewing its
-    /// lease. Any majority holds a member that knows the withdrawal; its word does not count
+    /// The failure this guards against: an operator was told that a key is withdrawn, and a host
+    /// that missed the change keeps accepting the key because a majority keeps renewing its lease.
+    /// Any majority contains a member that knows the withdrawal; its acknowledgement does not count
     /// here until this host knows it too.
     fn promote_acks(&mut self) {
         let (config, members) = (self.config_revision, self.list.revision());
         let mutation = self.options.mutation;
         for view in self.peers.values_mut() {
-            let Some(vouch) = view.newest_ack() else {
+            let Some(ack) = view.newest_ack() else {
                 continue;
             };
-            let behind = vouch.config > config && mutation != LeaseMutation::SkipRevision
-                || vouch.members > members && mutation != LeaseMutation::SkipList;
+            let behind = ack.config > config && mutation != LeaseMutation::SkipRevision
+                || ack.members > members && mutation != LeaseMutation::SkipList;
             if !behind {
-                view.count_ack(vouch);
+                view.count_ack(ack);
             }
         }
     }
--- a/crates/decide/src/lease/peer_view.rs
+++ b/crates/decide/src/lease/peer_view.rs
@@ -3,26 +3,25 @@
 use model::{BootTime, Incarnation, Revision};
 use wire::peer::Beat;
 
-/// Beats whose sending times are kept for each peer; an echo of an older one proves nothing
-/// that could still matter.
+/// Heartbeats whose send times are kept per peer. An echo of an older one is too old to matter.
 const MAX_SENT_BEATS: usize = 16;
 
-/// What a peer's beats have shown.
+/// What a peer's heartbeats have shown.
 #[derive(Clone, Debug, Default)]
 pub struct PeerView {
-    /// Which incarnation was heard last.
+    /// Incarnation of the last heartbeat.
     pub incarnation: Incarnation,
-    /// When it was heard last; `None` if never.
+    /// When the last heartbeat arrived; `None` if none did.
     pub last_beat_at: Option<BootTime>,
-    /// Revision of the configuration that it holds.
+    /// Revision of the configuration that the peer holds.
     pub config_revision: Revision,
     /// Hash of that configuration.
     pub config_hash: u64,
-    /// Revision of the member list that it holds.
+    /// Revision of the member list that the peer holds.
     pub member_revision: Revision,
-    /// True once it shuts down gracefully.
+    /// True once the peer shuts down gracefully.
     pub leaving: bool,
-    /// Members that it has not heard for long.
+    /// Members that the peer reports as unresponsive.
     pub reports_unresponsive: Vec<String>,
     known_since: Option<BootTime>,
     last_beat: u64,
@@ -32,10 +31,10 @@
     newest_ack: Option<PeerAck>,
 }
 
-/// At `at` or later the peer held these revisions.
+/// An acknowledgement: at `at` or later the peer held these revisions.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PeerAck {
-    /// When the question was sent that the peer answered.
+    /// When the acknowledged heartbeat was sent.
     pub at: BootTime,
     /// Revision of the configuration.
     pub config: Revision,
@@ -44,7 +43,7 @@
 }
 
 impl PeerView {
-    /// Begins the view of another incarnation; what the incarnation before said counts no more.
+    /// Resets the view for another incarnation; reports of the previous one no longer count.
     pub(crate) fn reset(&mut self, incarnation: Incarnation) {
         *self = Self {
             incarnation,
@@ -55,7 +54,7 @@
         };
     }
 
-    /// Counts the next beat to this peer.
+    /// Numbers the next heartbeat to this peer and records its send time.
     pub(crate) fn begin_beat(&mut self, now: BootTime) -> u64 {
         self.known_since = self.known_since.or(Some(now));
         self.next_beat += 1;
@@ -66,7 +65,7 @@
         self.next_beat
     }
 
-    /// Takes a beat of the incarnation in view; false if it is repeated or was overtaken.
+    /// Applies a heartbeat of the current incarnation; false if it is a duplicate or was overtaken.
     pub(crate) fn apply_beat(&mut self, beat: &Beat, now: BootTime) -> bool {
         if beat.beat <= self.last_beat {
             return false;
@@ -81,38 +80,38 @@
         true
     }
 
-    /// The newest beat heard.
+    /// Number of the newest heartbeat received.
     pub(crate) fn last_beat(&self) -> u64 {
         self.last_beat
     }
 
-    /// Keeps the newest word of the peer.
-    pub(crate) fn record_ack(&mut self, vouch: PeerAck) {
-        self.newest_ack = Some(vouch);
+    /// Stores the newest acknowledgement of the peer.
+    pub(crate) fn record_ack(&mut self, ack: PeerAck) {
+        self.newest_ack = Some(ack);
     }
 
-    /// The newest word of the peer.
+    /// The newest acknowledgement of the peer.
     pub(crate) fn newest_ack(&self) -> Option<PeerAck> {
         self.newest_ack
     }
 
-    /// Counts a word of the peer towards the lease.
-    pub(crate) fn count_ack(&mut self, vouch: PeerAck) {
-        self.counted_ack_at = self.counted_ack_at.max(Some(vouch.at));
+    /// Counts an acknowledgement towards the lease.
+    pub(crate) fn count_ack(&mut self, ack: PeerAck) {
+        self.counted_ack_at = self.counted_ack_at.max(Some(ack.at));
     }
 
-    /// When the question was sent whose answer counts.
+    /// Send time of the newest heartbeat whose acknowledgement counts.
     pub(crate) fn counted_ack_at(&self) -> Option<BootTime> {
         self.counted_ack_at
     }
 
-    /// True if the peer was not heard for longer than `after`.
+    /// True if the peer has been unresponsive for longer than `after`.
     pub(crate) fn is_unresponsive(&self, now: BootTime, after: Duration) -> bool {
         let since = self.last_beat_at.or(self.known_since);
         since.is_some_and(|since| now.saturating_sub(since) > after)
     }
 
-    /// When a beat was sent that the peer echoes.
+    /// Send time of the heartbeat that the peer echoes.
     pub(crate) fn sent_at(&self, beat: u64) -> Option<BootTime> {
         let sent = self.sent.iter().find(|(count, _)| *count == beat);
         sent.map(|(_, at)| *at)
--- a/crates/decide/src/quota.rs
+++ b/crates/decide/src/quota.rs
@@ -1,8 +1,9 @@
-//! Team limits: how the units of an upper limit are split among entry hosts and moved.
+//! Team quotas: splits a team's limit into units that are granted to entry hosts and moved between
+//! them.
 //!
-//! Start with [`QuotaMachine`], which holds the grants of one entry host. Times, records and
-//! messages go in as values, [`QuotaAction`]s come out. `docs/design/05-quotas.md` holds the
-//! argument.
+//! Start with [`QuotaMachine`], the state machine of one entry host. Times, records and messages
+//! are passed in as values; [`QuotaAction`]s are returned. `docs/design/05-quotas.md` explains why
+//! the limit holds.
 
 mod action;
 mod ends;
--- a/crates/decide/src/quota/action.rs
+++ b/crates/decide/src/quota/action.rs
@@ -4,43 +4,43 @@
     state::QuotaRecord,
 };
 
-/// What the caller of the machine has to do.
+/// An action that the caller of the machine has to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum QuotaAction {
-    /// Read the team's record and hand it to `apply_record`.
+    /// Read the team's record from the store and pass it to `apply_read`.
     Read(TeamId),
-    /// Write the team's record and hand the outcome to `handle_write_outcome`.
+    /// Write the team's record and pass the outcome to `handle_write_outcome`.
     Write(QuotaWrite),
-    /// Send a question.
+    /// Ask another host for units.
     Ask(MemberId, QuotaAsk),
-    /// Send units that are no longer used here.
+    /// Release units to another host, which may add them to its own grant.
     Release(MemberId, QuotaRelease),
-    /// Send the record that the store holds.
+    /// Send another host the record that the store holds.
     SendRecord(MemberId, QuotaNote),
-    /// Send how long ago incarnations ended that hold units.
+    /// Send another host the ages of ended incarnations that still hold units.
     SendEnds(MemberId, Vec<QuotaEnd>),
 }
 
-/// A write of a team's record by compare-and-swap.
+/// A compare-and-swap write of a team's record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaWrite {
     /// The team.
     pub team: TeamId,
-    /// Version that the key must have; 0 if it must be absent.
+    /// Expected version of the key; 0 if the key must be absent.
     pub expect: Revision,
     /// The record to write.
     pub record: QuotaRecord,
 }
 
-/// How a write ended.
+/// Outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It took effect and made this version.
+    /// The write took effect and created this version.
     Done(Revision),
     /// The key has another version; nothing was written.
     Conflict,
-    /// Nothing was written: the store can't be reached.
+    /// Nothing was written because the store is unreachable.
     NotDone,
-    /// No answer came: the write may have taken effect, or may still.
+    /// No response: the write may have taken effect, or may take effect later.
     Unknown,
 }
--- a/crates/decide/src/quota/ends.rs
+++ b/crates/decide/src/quota/ends.rs
@@ -1,4 +1,4 @@
-//! What entry hosts tell each other about incarnations that ended and still hold units.
+//! Messages between entry hosts about ended incarnations that still hold units.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -8,23 +8,25 @@
 use super::{QuotaAction, QuotaMachine};
 
 impl QuotaMachine {
-    /// Takes what another host saw: a host that starts later would count from its own start,
-    /// and hosts replaced in turn would never see the units free.
+    /// Merges the end times that another host observed.
     ///
-    /// An age only grows on its way here, so that this host never counts from too early.
+    /// Without this, a host that starts later would count from its own start, and while hosts are
+    /// replaced one after the other none would ever see the units as free.
+    ///
+    /// An age can only grow in transit, so the time recorded here is never too early.
     pub fn handle_ends(&mut self, ends: &[QuotaEnd], now: BootTime) {
         for end in ends {
-            let incarnation = (MemberId::from(end.member.as_str()), end.incarnation);
+            let key = (MemberId::from(end.member.as_str()), end.incarnation);
             let seen = now.saturating_sub(Duration::from_millis(end.ended_ms));
-            let at = self.ended.entry(incarnation).or_insert(seen);
+            let at = self.ended.entry(key).or_insert(seen);
             *at = seen.min(*at);
         }
     }
 
-    /// Tells the others, while there is a incarnation to tell of.
+    /// Reports ended incarnations to the other hosts, at most once per `end_report_interval`.
     pub(super) fn report_ends(&mut self, now: BootTime) -> Vec<QuotaAction> {
-        let distance = self.options.end_report_interval;
-        if self.ended.is_empty() || self.ends_reported_at.is_some_and(|at| now < at + distance) {
+        let interval = self.options.end_report_interval;
+        if self.ended.is_empty() || self.ends_reported_at.is_some_and(|at| now < at + interval) {
             return Vec::new();
         }
         self.ends_reported_at = Some(now);
@@ -39,24 +41,22 @@
             .collect()
     }
 
-    /// The ended incarnations that records known here still name.
+    /// Ended incarnations that still hold units in a record known here.
     fn unreclaimed_ends(&self, now: BootTime) -> Vec<QuotaEnd> {
         let grants = self.teams.values().flat_map(|team| &team.record.grants);
-        let incarnations: BTreeSet<_> = grants
+        let granted: BTreeSet<_> = grants
             .map(|grant| (MemberId::from(grant.member.as_str()), grant.incarnation))
             .collect();
-        let open = self
-            .ended
-            .iter()
-            .filter(|(incarnation, _)| incarnations.contains(*incarnation));
-        open.map(|((member, incarnation), at)| {
-            let age = now.saturating_sub(*at).as_millis();
-            QuotaEnd {
-                member: member.to_string(),
-                incarnation: *incarnation,
-                ended_ms: u64::try_from(age).unwrap_or(u64::MAX),
-            }
-        })
-        .collect()
+        let unreclaimed = self.ended.iter().filter(|(key, _)| granted.contains(*key));
+        unreclaimed
+            .map(|((member, incarnation), at)| {
+                let age = now.saturating_sub(*at).as_millis();
+                QuotaEnd {
+                    member: member.to_string(),
+                    incarnation: *incarnation,
+                    ended_ms: u64::try_from(age).unwrap_or(u64::MAX),
+                }
+            })
+            .collect()
     }
 }
--- a/crates/decide/src/quota/grant_record.rs
+++ b/crates/decide/src/quota/grant_record.rs
@@ -1,28 +1,28 @@
-//! Operations on the record of a team: each keeps the sum of the grants within the limit.
+//! Operations on a team's record. None of them lets the sum of the grants exceed the limit.
 
 use model::{Incarnation, Revision};
 use wire::state::{QuotaGrant, QuotaRecord};
 
 use super::TeamLimit;
 
-/// Units of all grants.
+/// Sum of the units of all grants.
 pub(crate) fn granted_sum(record: &QuotaRecord) -> u32 {
     let units = record.grants.iter().map(|grant| grant.units);
     units.fold(0, u32::saturating_add)
 }
 
-/// Units that no one holds.
+/// Units that are not granted to any host.
 pub(crate) fn free_units(record: &QuotaRecord) -> u32 {
     record.limit.saturating_sub(granted_sum(record))
 }
 
-/// Units of one incarnation of a member.
+/// Units granted to one incarnation of a member.
 pub(crate) fn units_of(record: &QuotaRecord, member: &str, incarnation: Incarnation) -> u32 {
     grant_of(record, member, incarnation).map_or(0, |grant| grant.units)
 }
 
-/// Sets the units of one incarnation, which the member list names at `revision`; zero removes its
-/// grant.
+/// Sets the units of one incarnation, which the member list names at `revision`. Zero units remove
+/// the grant.
 pub(crate) fn set_units(
     record: &mut QuotaRecord,
     member: &str,
@@ -49,7 +49,8 @@
     record.grants.sort_by(|a, b| a.member.cmp(&b.member));
 }
 
-/// How long work may run under the grant of one incarnation, 0 for the longest; `None` without a grant.
+/// Longest run time of work under the grant of one incarnation, in milliseconds. 0 stands for the
+/// general maximum; `None` means no grant.
 pub(crate) fn max_run_ms(
     record: &QuotaRecord,
     member: &str,
@@ -58,7 +59,7 @@
     grant_of(record, member, incarnation).map(|grant| grant.longest_ms)
 }
 
-/// Sets how long work may run under the grant of one incarnation; true if that changes it.
+/// Sets the longest run time of work under the grant of one incarnation; true if that changes it.
 pub(crate) fn set_max_run_ms(
     record: &mut QuotaRecord,
     member: &str,
@@ -73,7 +74,7 @@
     true
 }
 
-/// Follows the limit of the configuration at `revision`, once the grants fit into it.
+/// Adopts the limit of the configuration at `revision` once the grants fit into it.
 pub(crate) fn follow_limit(record: &mut QuotaRecord, limit: TeamLimit, revision: Revision) {
     let is_new = record.config_revision < limit.since;
     if is_new && granted_sum(record) <= limit.limit {
@@ -82,7 +83,7 @@
     }
 }
 
-/// True if the record keeps its promise.
+/// True if the grants add up to no more than the limit.
 pub(crate) fn is_within_limit(record: &QuotaRecord) -> bool {
     let units = record.grants.iter().map(|grant| u64::from(grant.units));
     units.sum::<u64>() <= u64::from(record.limit)
--- a/crates/decide/src/quota/machine.rs
+++ b/crates/decide/src/quota/machine.rs
@@ -6,16 +6,16 @@
 use super::{QuotaMutation, QuotaOptions, team::TeamQuota, token_bucket::TokenBucket};
 use crate::member::MemberList;
 
-/// A team's upper limit.
+/// Upper limit of a team.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TeamLimit {
-    /// Most units that the team may have in use across the fleet.
+    /// Maximum number of units that the team may use across the fleet.
     pub limit: u32,
-    /// Revision of the configuration that set it.
+    /// Revision of the configuration that set the limit.
     pub since: Revision,
 }
 
-/// Holds the quota grants of one entry host.
+/// State machine that holds the quota grants of one entry host.
 #[derive(Debug)]
 pub struct QuotaMachine {
     pub(super) options: QuotaOptions,
@@ -23,9 +23,10 @@
     pub(super) incarnation: Incarnation,
     pub(super) config_revision: Revision,
     pub(super) list: MemberList,
-    /// When incarnations that records still name were first seen out of a settled list.
+    /// When incarnations that records still name were first found missing from a settled member
+    /// list.
     pub(super) ended: BTreeMap<(MemberId, Incarnation), BootTime>,
-    /// When the other hosts were last told of them.
+    /// When ended incarnations were last reported to the other hosts.
     pub(super) ends_reported_at: Option<BootTime>,
     pub(super) teams: BTreeMap<TeamId, TeamQuota>,
     pub(super) writes: TokenBucket,
@@ -34,7 +35,7 @@
 }
 
 impl QuotaMachine {
-    /// A machine that holds nothing.
+    /// Creates a machine without grants.
     #[must_use]
     pub fn new(options: QuotaOptions, own: MemberId, incarnation: Incarnation) -> Self {
         Self {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Begins another incarnation, which holds no grants; what runs goes on being counted.
+    /// Starts a new incarnation, which holds no grants. Running work still counts.
     pub fn begin_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
         for team in self.teams.values_mut() {
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Takes the limits of the configuration at `revision`.
+    /// Applies the limits of the configuration at `revision`.
     pub fn set_limits(&mut self, revision: Revision, limits: &BTreeMap<TeamId, TeamLimit>) {
         if revision < self.config_revision {
             return;
@@ -80,8 +81,8 @@
                     revision
                 },
             });
-            // A host that missed the record may hold a grant in it without knowing, and the
-            // team would wait for ever until that grant is lowered.
+            // This host may hold a grant in a record that it never read. The team would wait
+            // forever for that grant to be lowered, so read the record again.
             let had_limit = team.limit.limit > 0;
             team.read_due |= had_limit && limit.since > team.limit.since;
             team.limit = limit;
@@ -91,26 +92,26 @@
             .retain(|_, team| team.limit.limit > 0 || team.running > 0 || team.record_known);
     }
 
-    /// Takes a newer member list at `now`.
+    /// Applies a newer member list at `now`.
     ///
-    /// A incarnation counts as ended only once a settled list lacks it: then a quorum holds that
-    /// list, and the incarnation can't renew its serving lease on members that don't.
+    /// An incarnation counts as ended only once a settled list lacks it. A quorum then holds that
+    /// list, and the incarnation can't renew its serving lease from members that do not list it.
     pub fn set_members(&mut self, list: &MemberList, now: BootTime) {
         self.list = list.clone();
         self.mark_ended(now);
     }
 
-    /// From now on unused grants are handed back.
+    /// Starts returning unused grants.
     pub fn set_leaving(&mut self) {
         self.is_leaving = true;
     }
 
-    /// Takes one unit for work of any length, if the grant has one free and allows that.
+    /// Takes one unit for work of any length, if a unit is free and the grant allows long work.
     pub fn try_take(&mut self, team: &TeamId) -> bool {
         self.try_take_for(team, Duration::MAX)
     }
 
-    /// Takes one unit for work that is over after `length`.
+    /// Takes one unit for work that ends within `length`.
     pub fn try_take_for(&mut self, team: &TeamId, length: Duration) -> bool {
         self.take_unit(team, self.is_long(length))
     }
@@ -136,12 +137,12 @@
         true
     }
 
-    /// True if units for work of this length are taken and given back as those for long work.
+    /// True if work of this length counts as long when taking and returning units.
     pub fn is_long(&self, length: Duration) -> bool {
         self.options.short_deadline_ms() > 0 && length > self.options.short_deadline
     }
 
-    /// Gives one unit back that long work used.
+    /// Returns a unit that long work used.
     pub fn give_back_long(&mut self, team: &TeamId) {
         if let Some(quota) = self.teams.get_mut(team) {
             quota.long_running = quota.long_running.saturating_sub(1);
@@ -149,21 +150,21 @@
         self.give_back(team);
     }
 
-    /// Gives one unit back that short work used.
+    /// Returns a unit that short work used.
     pub fn give_back(&mut self, team: &TeamId) {
         if let Some(quota) = self.teams.get_mut(team) {
             quota.running = quota.running.saturating_sub(1);
         }
     }
 
-    /// Notes how many starts wait.
+    /// Sets the number of starts that wait for a unit.
     pub fn set_waiting(&mut self, team: &TeamId, waiting: u32) {
         if let Some(quota) = self.teams.get_mut(team) {
             quota.waiting = waiting;
         }
     }
 
-    /// Units in use of a team, and units that may be in use.
+    /// Units that the team uses here, and units that it may use here.
     #[must_use]
     pub fn usage(&self, team: &TeamId) -> (u32, u32) {
         let mutation = self.options.mutation;
@@ -173,7 +174,7 @@
         })
     }
 
-    /// Takes a record read from the store; version 0 and an empty record if it is absent.
+    /// Applies a record read from the store: version 0 and an empty record if it is absent.
     pub fn apply_read(
         &mut self,
         team: &TeamId,
@@ -188,10 +189,10 @@
         }
     }
 
-    /// Notes incarnations that records name and a settled list lacks.
+    /// Records incarnations that hold units but are missing from a settled list.
     ///
-    /// A list older than the grant proves nothing: the incarnation may have joined since, and its
-    /// grant would be given away while it still runs work.
+    /// A list older than the grant is ignored: the incarnation may have joined since, and its units
+    /// would be given away while its work still runs.
     pub(super) fn mark_ended(&mut self, now: BootTime) {
         if !self.list.is_settled() {
             return;
@@ -202,8 +203,8 @@
                 continue;
             }
             if !self.list.contains(&grant.member, grant.incarnation) {
-                let incarnation = (MemberId::from(grant.member.as_str()), grant.incarnation);
-                self.ended.entry(incarnation).or_insert(now);
+                let key = (MemberId::from(grant.member.as_str()), grant.incarnation);
+                self.ended.entry(key).or_insert(now);
             }
         }
     }
--- a/crates/decide/src/quota/messages.rs
+++ b/crates/decide/src/quota/messages.rs
@@ -1,4 +1,4 @@
-//! What entry hosts say to each other about units.
+//! Messages between entry hosts that move units.
 
 use model::{BootTime, Incarnation, MemberId, TeamId};
 use prost::Message as _;
@@ -13,7 +13,7 @@
 };
 
 impl QuotaMachine {
-    /// Takes a note of another host.
+    /// Applies a record that another host sent.
     pub fn handle_record(&mut self, note: &QuotaNote, now: BootTime) {
         let team = TeamId::from(note.team.as_str());
         let Ok(record) = QuotaRecord::decode(note.record.as_slice()) else {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Takes units that another host put aside for this one.
+    /// Stores the offer of units that another host released to this one.
     pub fn handle_release(
         &mut self,
         from: &MemberId,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Answers a question of another host.
+    /// Answers another host's request for units.
     pub fn handle_ask(
         &mut self,
         from: &MemberId,
@@ -70,7 +70,8 @@
         let ceiling = quota.ceiling(&own, incarnation, mutation);
         reserve_units(quota, ceiling, from, ask, now);
         if let Some(release) = quota.release.as_mut().filter(|r| r.to == *from) {
-            // Asked again: the promise was lost, or the asker forgot it.
+            // Asked again: the release was lost, or the asking host no longer knows it. Send it
+            // again.
             release.sent = false;
         }
         if let Some(action) = send_release(quota, &ask.team, &own, incarnation) {
@@ -90,12 +91,12 @@
     }
 }
 
-/// What a giver can spare: what it did not need lately, or, where both hosts need more, what
-/// it holds beyond its part by need.
+/// Units that this host can give away: those above its recent peak or, if both hosts need more,
+/// those above its proportional part.
 fn units_to_give(quota: &TeamQuota, ceiling: u32, ask: &QuotaAsk) -> u32 {
-    let spare = ceiling.saturating_sub(quota.peak());
-    if spare > 0 {
-        return spare.min(ask.units);
+    let unused = ceiling.saturating_sub(quota.peak());
+    if unused > 0 {
+        return unused.min(ask.units);
     }
     let both = u64::from(ceiling) + u64::from(ask.ceiling);
     let needs = u64::from(quota.need()) + u64::from(ask.need);
@@ -108,7 +109,7 @@
     excess.min(ask.units)
 }
 
-/// Puts units aside for `to`, if any can be spared. From here on they are not used here.
+/// Reserves units for `to` if any can be spared. They are not used here from now on.
 pub(super) fn reserve_units(
     quota: &mut TeamQuota,
     ceiling: u32,
@@ -133,7 +134,7 @@
     });
 }
 
-/// Sends units put aside, once what runs fits into the rest.
+/// Sends the reserved units once the running work fits into the remaining ones.
 pub(super) fn send_release(
     quota: &mut TeamQuota,
     team: &str,
@@ -155,7 +156,7 @@
     Some(QuotaAction::Release(release.to.clone(), message))
 }
 
-/// The note that tells another host what the store holds.
+/// The message that carries the stored record to another host.
 pub(super) fn record_update(team: &str, quota: &TeamQuota) -> QuotaNote {
     QuotaNote {
         team: team.to_owned(),
--- a/crates/decide/src/quota/next_record.rs
+++ b/crates/decide/src/quota/next_record.rs
@@ -1,4 +1,4 @@
-//! Which record an entry host writes next for a team.
+//! Chooses the record that an entry host writes next for a team.
 
 use model::{BootTime, MemberId, TeamId};
 use wire::{peer::QuotaAsk, state::QuotaRecord};
@@ -9,15 +9,15 @@
     team::TeamQuota,
 };
 
-/// A release that nobody took is fenced off after this many question distances.
+/// Age at which an unclaimed release is voided by a new write, in units of the ask interval.
 const RELEASE_TIMEOUT: u32 = 10;
 
-/// Part of the limit that is asked for beyond the need, or an eighth of the need if that is
-/// more, so that a rising need does not cost a write for each unit.
+/// Divisor of the slack requested beyond the need: a 32nd of the limit, or an eighth of the need if
+/// that is more. Without slack, a rising need would cost one write per unit.
 const SLACK_DIVISOR: u32 = 32;
 
 impl QuotaMachine {
-    /// The record to write for a team, if there is a reason to write one.
+    /// The record to write for a team, or `None` if there is nothing to change.
     pub(super) fn next_record(
         &mut self,
         name: &TeamId,
@@ -46,8 +46,8 @@
         self.raised_record(name, record, now, actions)
     }
 
-    /// Has the record follow the limit in force; false if the grants don't fit into it yet.
-    /// Then this host keeps only what runs.
+    /// Applies the limit in force to the record; false if the grants don't fit into it yet. In that
+    /// case this host keeps only the units of running work.
     fn apply_limit(&self, quota: &TeamQuota, record: &mut QuotaRecord) -> bool {
         if granted_sum(record) > quota.limit.limit {
             let held = units_of(record, &self.own, self.incarnation);
@@ -58,8 +58,8 @@
         record.config_revision >= quota.limit.since
     }
 
-    /// The record with more units for this host: from those that nobody holds, from incarnations
-    /// that ended long ago, and from what other hosts put aside.
+    /// The record with more units for this host: free ones, those of incarnations that ended long
+    /// ago, and those that other hosts released.
     fn raised_record(
         &mut self,
         name: &TeamId,
@@ -70,17 +70,18 @@
         let quota = self.teams.get(name)?;
         let follows_limit = record.config_revision > quota.record.config_revision;
         let held = units_of(&record, &self.own, self.incarnation);
-        let aside = quota.release.as_ref().map_or(0, |release| release.units);
-        let usable = held.saturating_sub(aside);
+        let reserved = quota.release.as_ref().map_or(0, |release| release.units);
+        let usable = held.saturating_sub(reserved);
         let is_needed = quota.need() > usable && quota.limit.limit > 0;
         if let Some(release) = &quota.release {
-            // Never taken, and needed here or elsewhere: a write of the same record voids it.
-            let patience = self.options.ask_interval * RELEASE_TIMEOUT;
-            let is_unclaimed = now.saturating_sub(release.since) > patience;
-            let is_wished = quota
+            // Unclaimed, but needed here or by another host: writing the same record again voids
+            // it.
+            let timeout = self.options.ask_interval * RELEASE_TIMEOUT;
+            let is_unclaimed = now.saturating_sub(release.since) > timeout;
+            let is_requested_elsewhere = quota
                 .current_ask(now)
-                .is_some_and(|wish| wish.from != release.to);
-            let is_voided = is_unclaimed && (is_needed || is_wished);
+                .is_some_and(|pending| pending.from != release.to);
+            let is_voided = is_unclaimed && (is_needed || is_requested_elsewhere);
             return (is_voided || follows_limit).then_some(record);
         }
         if !is_needed {
@@ -109,7 +110,7 @@
         Some(record)
     }
 
-    /// The first record of a team: equal parts for all members, the rest for this host.
+    /// The first record of a team: equal parts for all members, the remainder for this host.
     fn initial_record(&self, name: &TeamId, quota: &TeamQuota) -> QuotaRecord {
         let members = self.list.members();
         let revision = self.list.revision();
@@ -124,30 +125,31 @@
             let units = quota.limit.limit / count;
             set_units(&mut record, &member.id, member.incarnation, units, revision);
         }
-        let rest = free_units(&record);
+        let remainder = free_units(&record);
         let held = units_of(&record, &self.own, self.incarnation);
         set_units(
             &mut record,
             &self.own,
             self.incarnation,
-            held + rest,
+            held + remainder,
             revision,
         );
         record
     }
 
-    /// Frees the grants of incarnations that ended so long ago that nothing of theirs runs.
+    /// Removes the grants of incarnations that ended so long ago that none of their work can still
+    /// run.
     fn reclaim_ended(&self, record: &mut QuotaRecord, now: BootTime) {
         record.grants.retain(|grant| {
             let after = self.options.reclaim_grant_after(grant);
-            let incarnation = (MemberId::from(grant.member.as_str()), grant.incarnation);
+            let key = (MemberId::from(grant.member.as_str()), grant.incarnation);
             let is_listed = self.list.contains(&grant.member, grant.incarnation);
-            let ended_at = self.ended.get(&incarnation).filter(|_| !is_listed);
+            let ended_at = self.ended.get(&key).filter(|_| !is_listed);
             ended_at.is_none_or(|at| now.saturating_sub(*at) < after)
         });
     }
 
-    /// True once the others answered the last question, or had the time to.
+    /// True once all hosts answered the last request, or the collection time has passed.
     fn has_collected_offers(&self, name: &TeamId, now: BootTime) -> bool {
         self.teams.get(name).is_some_and(|quota| {
             let Some(asked_at) = quota.asked_at else {
@@ -188,12 +190,12 @@
         let Some(quota) = self.teams.get_mut(name) else {
             return;
         };
-        let distance = quota.ask_interval.max(options.ask_interval);
-        if quota.asked_at.is_some_and(|at| now < at + distance) || !self.asks.take(now) {
+        let interval = quota.ask_interval.max(options.ask_interval);
+        if quota.asked_at.is_some_and(|at| now < at + interval) || !self.asks.take(now) {
             return;
         }
         if quota.asked_at.is_some() {
-            quota.ask_interval = (distance * 2).min(options.ask_interval_max);
+            quota.ask_interval = (interval * 2).min(options.ask_interval_max);
         }
         quota.offers.clear();
         quota.asked_at = Some(now);
--- a/crates/decide/src/quota/options.rs
+++ b/crates/decide/src/quota/options.rs
@@ -2,58 +2,57 @@
 
 use wire::state::QuotaGrant;
 
-/// A guard that a test takes away, to show that its checker notices. Sources use `None`.
+/// A guard that tests disable to show that their checker notices. Production code uses `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum QuotaMutation {
-    /// Every guard is in place.
+    /// All guards are enabled.
     #[default]
     None,
-    /// A giver goes on using the units that it released.
+    /// A host keeps using the units that it released.
     RaiseBeforeLower,
-    /// Units of a host that left the list are free at once.
+    /// Units of a host that left the list are free immediately.
     ReclaimAtOnce,
-    /// A host counts as gone if any list lacks it, one older than its grant included.
+    /// A host counts as gone if any list lacks it, even one older than its grant.
     TrustOldList,
-    /// Long work is started under a grant for short work.
+    /// Long work starts under a grant for short work.
     StartLong,
-    /// Released units are taken whatever version of the record they were released at.
+    /// Released units are accepted whatever version of the record they were released at.
     IgnoreVersion,
-    /// A raise counts while its write has no answer yet.
+    /// A raised grant counts before its write was answered.
     TrustUnanswered,
     /// Work starts under the old grants after the limit was lowered.
     IgnoreLowered,
 }
 
-/// How grants are moved.
+/// Times and rates of quota grants.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaOptions {
-    /// How long a host that left the list may still believe in its serving lease.
+    /// How long a host that left the list may still hold a valid serving lease.
     pub lease_length: Duration,
-    /// Added to it for the rates of two clocks.
+    /// Margin added to `lease_length` for the drift between two clocks.
     pub guard: Duration,
-    /// The longest that work may run which a host started.
+    /// Longest run time of any work.
     pub max_deadline: Duration,
-    /// Work up to this long counts as short: units of an ended host that started no other are free
-    /// again the sooner. Without effect if it is not below `max_deadline`.
+    /// Work up to this long counts as short. Units of an ended host that started only short work
+    /// become free sooner. No effect unless it is below `max_deadline`.
     pub short_deadline: Duration,
-    /// Distance of questions for the same team; it doubles while they bring nothing.
+    /// Interval between requests for units of the same team; doubles while they yield nothing.
     pub ask_interval: Duration,
-    /// The longest such distance.
+    /// Upper bound of that interval.
     pub ask_interval_max: Duration,
-    /// How long answers to a question are collected before the record is written.
+    /// How long responses to a request are collected before the record is written.
     pub collect: Duration,
-    /// Writes a second that this host may do over time.
+    /// Sustained rate of writes of this host, per second.
     pub writes_per_second: u32,
-    /// Writes that it may do at once.
+    /// Writes that this host may issue at once.
     pub write_burst: u32,
-    /// Teams a second that this host may ask about over time.
+    /// Sustained rate of teams that this host may request units for, per second.
     pub asks_per_second: u32,
-    /// Teams that it may ask about at once.
+    /// Teams that it may request units for at once.
     pub ask_burst: u32,
-    /// Distance of the messages that tell the others of ended incarnations; the next one makes up
-    /// for one that was lost.
+    /// Interval between reports of ended incarnations; the next report makes up for a lost one.
     pub end_report_interval: Duration,
-    /// Which guard a test takes away.
+    /// The guard that a test disables.
     pub mutation: QuotaMutation,
 }
 
@@ -78,13 +77,14 @@
 }
 
 impl QuotaOptions {
-    /// How long after it left the list a host's units stay taken under which any work was started.
+    /// How long after it left the list a host's units stay reserved, if it may have started work of
+    /// any length.
     #[must_use]
     pub fn reclaim_after(&self) -> Duration {
         self.free_after(self.max_deadline)
     }
 
-    /// How long after it left the list a host's units of one grant stay taken.
+    /// How long after it left the list a host's units stay reserved under this grant.
     pub(super) fn reclaim_grant_after(&self, grant: &QuotaGrant) -> Duration {
         self.free_after(match grant.longest_ms {
             0 => self.max_deadline,
@@ -99,7 +99,8 @@
         self.lease_length + self.guard + longest
     }
 
-    /// What a grant says under which only short work is started; 0 if there is no such grant.
+    /// Run time written into a grant under which only short work starts, in milliseconds; 0 if
+    /// there is no short work.
     pub(super) fn short_deadline_ms(&self) -> u64 {
         if self.short_deadline >= self.max_deadline {
             return 0;
--- a/crates/decide/src/quota/round.rs
+++ b/crates/decide/src/quota/round.rs
@@ -1,4 +1,4 @@
-//! What an entry host reads, asks and writes, round by round.
+//! Reads, requests and writes of an entry host, decided once per round.
 
 use model::{BootTime, MemberId, TeamId};
 use wire::state::QuotaRecord;
@@ -10,11 +10,11 @@
     team::{PendingWrite, TeamQuota},
 };
 
-/// Distance of reads of one team's record, in question distances.
+/// Interval between reads of one team's record, in units of the ask interval.
 const READ_INTERVAL: u32 = 2;
 
 impl QuotaMachine {
-    /// What is to be done at `now`; called every few tens of milliseconds.
+    /// Actions to perform at `now`. Call it every few tens of milliseconds.
     pub fn tick(&mut self, now: BootTime) -> Vec<QuotaAction> {
         let is_leaving = self.is_leaving;
         let busy = self
@@ -29,7 +29,7 @@
         actions
     }
 
-    /// Takes the outcome of a write; the notes to send are returned.
+    /// Handles the outcome of a write; returns the records to send to other hosts.
     pub fn handle_write_outcome(
         &mut self,
         team: &TeamId,
@@ -79,12 +79,12 @@
         };
         let members = self.list.members().iter();
         let follows_limit = before.config_revision < quota.record.config_revision;
-        let concerned = members.filter(|m| m.id != self.own.as_str()).filter(|m| {
+        let affected = members.filter(|m| m.id != self.own.as_str()).filter(|m| {
             follows_limit
                 || units_of(before, &m.id, m.incarnation)
                     != units_of(&quota.record, &m.id, m.incarnation)
         });
-        concerned
+        affected
             .map(|m| {
                 QuotaAction::SendRecord(MemberId::from(m.id.as_str()), record_update(team, quota))
             })
@@ -99,9 +99,9 @@
         quota.update_peak(now);
         quota.update_long_seen(now);
         quota.drop_stale_ask(now);
-        if let Some(wish) = quota.current_ask(now).cloned() {
+        if let Some(pending) = quota.current_ask(now).cloned() {
             let ceiling = quota.ceiling(&own, incarnation, options.mutation);
-            reserve_units(quota, ceiling, &wish.from, &wish.ask, now);
+            reserve_units(quota, ceiling, &pending.from, &pending.ask, now);
         }
         actions.extend(send_release(quota, name, &own, incarnation));
         if quota.pending_write.as_ref().is_some_and(|w| w.in_flight) {
@@ -116,7 +116,7 @@
             return;
         }
         if let Some(write) = &mut quota.pending_write {
-            // The answer was lost; the same write again settles it either way.
+            // The response was lost. Repeating the same write settles the outcome either way.
             write.in_flight = true;
             actions.push(QuotaAction::Write(QuotaWrite {
                 team: name.clone(),
@@ -137,11 +137,11 @@
         }
     }
 
-    /// The record to write with what it says of the work that this host starts; the present one if
-    /// that alone is to be changed.
+    /// `next` with the longest run time of work that this host starts; the present record if only
+    /// that value changes.
     ///
-    /// A grant is for short work only while nothing long has run here for long, and allows long work
-    /// as soon as some waits.
+    /// A grant is limited to short work once no long work has run here for `max_deadline`. It
+    /// allows long work as soon as some waits.
     fn with_max_run_time(
         &self,
         name: &TeamId,
@@ -157,7 +157,7 @@
             set_max_run_ms(&mut record, &self.own, self.incarnation, longest);
             return Some(record);
         }
-        // Any other version of the record voids what was put aside.
+        // Any new version of the record would void the reserved units.
         if quota.release.is_some() || quota.record_lags_limit() || quota.need() == 0 {
             return None;
         }
@@ -195,14 +195,14 @@
 
 /// True if the team's record should be read from the store now.
 fn is_read_due(quota: &TeamQuota, now: BootTime, options: &QuotaOptions) -> bool {
-    let read_within = |distance| quota.read_at.is_some_and(|at| now < at + distance);
-    let distance = options.ask_interval * READ_INTERVAL;
-    if read_within(distance) {
+    let read_within = |interval| quota.read_at.is_some_and(|at| now < at + interval);
+    let interval = options.ask_interval * READ_INTERVAL;
+    if read_within(interval) {
         return false;
     }
     let is_unknown = !quota.record_known && quota.need() > 0;
-    // Whoever waits for others to fit into a lowered limit may miss that they did.
+    // A host that waits for the others to fit into a lowered limit may miss the write that did it.
     let waits_for_limit = quota.record_lags_limit() && quota.need() > 0;
-    let is_polled = waits_for_limit && !read_within(distance.max(options.ask_interval_max));
-    quota.read_due || is_unknown || is_polled
+    let should_poll = waits_for_limit && !read_within(interval.max(options.ask_interval_max));
+    quota.read_due || is_unknown || should_poll
 }
--- a/crates/decide/src/quota/team.rs
+++ b/crates/decide/src/quota/team.rs
@@ -8,96 +8,96 @@
     grant_record::{max_run_ms, units_of},
 };
 
-/// How long a peak of need is remembered, at least: a giver keeps what it used just now, so
-/// that units don't go to and fro with every gap between requests.
+/// Minimum time for which a peak of need is remembered. A host keeps the units that it used just
+/// now, so that they don't move with every gap between requests.
 const PEAK_WINDOW: Duration = Duration::from_millis(200);
 
-/// How long a host's question is remembered that could not be met at once.
+/// How long an unmet request of another host is remembered.
 const PENDING_ASK_TTL: Duration = Duration::from_secs(4);
 
-/// A question of another host that could not be met in full.
+/// Another host's request for units that could not be met in full.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct PendingAsk {
-    /// Who asked.
+    /// The requesting host.
     pub from: MemberId,
-    /// What it asked.
+    /// The request.
     pub ask: QuotaAsk,
-    /// When it asked.
+    /// When it arrived.
     pub at: BootTime,
 }
 
-/// Units promised to another host and no longer used here.
+/// Units reserved for another host and no longer used here.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct UnitRelease {
-    /// Who asked for them.
+    /// The host that requested them.
     pub to: MemberId,
     /// Version of the record at which they may be taken.
     pub version: Revision,
-    /// How many.
+    /// Number of units.
     pub units: u32,
-    /// True once the promise was sent: from then on they may be taken.
+    /// True once the release was sent: from then on the other host may take the units.
     pub sent: bool,
-    /// When they were put aside.
+    /// When they were reserved.
     pub since: BootTime,
 }
 
-/// A write of this host whose outcome is not known.
+/// A write of this host whose outcome is unknown.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct PendingWrite {
-    /// Version that it expects.
+    /// Expected version of the key.
     pub expect: Revision,
-    /// What it writes.
+    /// The record to write.
     pub record: QuotaRecord,
-    /// True while the store works on it; false after its answer was lost.
+    /// True while a request is in flight; false after its response was lost.
     pub in_flight: bool,
 }
 
-/// What one host knows and uses of one team's limit.
+/// State of one team's quota on one host.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TeamQuota {
-    /// Limit of the configuration in force here; 0 for an unknown team.
+    /// Limit of the active configuration; 0 for an unknown team.
     pub limit: TeamLimit,
     /// Revision of that configuration.
     pub config_revision: Revision,
-    /// True once the record was read, or known to be absent.
+    /// True once the record was read or found to be absent.
     pub record_known: bool,
     /// Version of the record; 0 if it is absent.
     pub version: Revision,
-    /// The record.
+    /// The latest known record.
     pub record: QuotaRecord,
     /// Units in use.
     pub running: u32,
-    /// Starts that wait.
+    /// Starts that wait for a unit.
     pub waiting: u32,
-    /// True if a start was refused since the last round; it counts as one that waits.
+    /// True if a start was refused since the last round; counts as one waiting start.
     pub start_refused: bool,
-    /// True if short work has been started in this incarnation of the host.
+    /// True if this incarnation of the host has started short work.
     pub short_started: bool,
     /// Units in use by long work.
     pub long_running: u32,
     /// True if long work waits for a grant that allows it.
     pub long_waits: bool,
-    /// When long work last ran or waited here, as the rounds saw it.
+    /// Last round in which long work ran or waited here.
     pub long_seen: Option<BootTime>,
-    /// Units put aside for another host.
+    /// Units reserved for another host.
     pub release: Option<UnitRelease>,
-    /// The last question that could not be met; units that fall free go there unasked.
+    /// The last request that could not be met; units that become free are released to it.
     pub pending_ask: Option<PendingAsk>,
-    /// What other hosts put aside for this one, by member; zero says that there is nothing.
+    /// Offers of other hosts, by member; zero units means that the host has none to give.
     pub offers: BTreeMap<MemberId, (Incarnation, Revision, u32)>,
-    /// The write whose outcome is not known.
+    /// The write whose outcome is unknown.
     pub pending_write: Option<PendingWrite>,
-    /// When the other hosts were asked last.
+    /// When the other hosts were last asked for units.
     pub asked_at: Option<BootTime>,
-    /// How many were asked then.
+    /// How many hosts were asked then.
     pub asked_count: usize,
-    /// Distance of the next question.
+    /// Interval before the next request.
     pub ask_interval: Duration,
     /// True if the record must be read again.
     pub read_due: bool,
-    /// When it was read last.
+    /// When the record was last read.
     pub read_at: Option<BootTime>,
-    /// Before this time nothing is written.
+    /// No writes before this time.
     pub write_after: BootTime,
     peaks: [u32; 2],
     peak_at: BootTime,
@@ -111,9 +111,9 @@
 
     /// Units that may be in use here now.
     ///
-    /// It is never more than the store's record gives, and less as soon as this host wants
-    /// to lower its grant: what it lowers may be used elsewhere from the moment that its
-    /// write or its promise is out, whether or not an answer comes back.
+    /// Never more than the stored record grants. It drops as soon as this host wants to lower its
+    /// grant: once the write or the release is sent, the units may be used elsewhere, whether or
+    /// not a response arrives.
     pub(crate) fn ceiling(
         &self,
         own: &str,
@@ -127,9 +127,9 @@
             return 0;
         }
         let mut ceiling = self.granted(own, incarnation);
-        let aside = self.release.as_ref().map_or(0, |release| release.units);
+        let reserved = self.release.as_ref().map_or(0, |release| release.units);
         if mutation != QuotaMutation::RaiseBeforeLower {
-            ceiling = ceiling.saturating_sub(aside);
+            ceiling = ceiling.saturating_sub(reserved);
         }
         let Some(write) = &self.pending_write else {
             return ceiling;
@@ -141,8 +141,8 @@
         ceiling.min(written)
     }
 
-    /// Whether long work may be started: by the grant that the store holds, and by the one that this
-    /// host wants to write, which others may see before its answer is back.
+    /// Whether long work may start. Both the stored grant and a pending write must allow it: other
+    /// hosts may see the written grant before its response arrives.
     pub(crate) fn allows_long(&self, own: &str, incarnation: Incarnation) -> bool {
         let long = |record: &QuotaRecord| max_run_ms(record, own, incarnation) == Some(0);
         long(&self.record)
@@ -152,15 +152,15 @@
                 .is_none_or(|write| long(&write.record))
     }
 
-    /// Notes at `now` whether long work runs or waits.
+    /// Records at `now` whether long work runs or waits.
     pub(crate) fn update_long_seen(&mut self, now: BootTime) {
         if self.long_waits || self.long_running > 0 {
             self.long_seen = Some(now);
         }
     }
 
-    /// True if work was started here and all of it has been short for so long. Where long and short
-    /// work alternate, a change of the grant with each would use up the writes of all teams.
+    /// True if only short work has run here for `span`. Changing the grant each time long and short
+    /// work alternate would exhaust the write rate of all teams.
     pub(crate) fn is_short(&self, now: BootTime, span: Duration) -> bool {
         let recent = |seen| now.saturating_sub(seen) < span;
         self.short_started && !self.long_seen.is_some_and(recent)
@@ -168,10 +168,10 @@
 
     /// True while the record does not follow the limit in force.
     ///
-    /// Nobody starts work then. The grants may be those of a higher limit, and two hosts
-    /// would each use what the other must still give up. Or a higher limit was in force for
-    /// a moment in between: the record that follows the newest one fences off writes that
-    /// still go by the one before.
+    /// No work starts in this state. The grants may belong to a higher limit, and two hosts could
+    /// each use units that the other must still give up. Or a higher limit may have been in force
+    /// for a moment in between: the record that follows the newest limit fences off writes based on
+    /// the previous one.
     pub(crate) fn record_lags_limit(&self) -> bool {
         self.record.config_revision < self.limit.since
     }
@@ -187,7 +187,7 @@
         self.peaks[0].max(self.peaks[1]).max(self.need())
     }
 
-    /// Notes the need at `now` for [`TeamQuota::peak`].
+    /// Updates the window of [`TeamQuota::peak`] with the need at `now`.
     pub(crate) fn update_peak(&mut self, now: BootTime) {
         if now.saturating_sub(self.peak_at) >= PEAK_WINDOW {
             self.peaks = [self.need(), self.peaks[0]];
@@ -205,24 +205,24 @@
         self.peak() == 0 && holds_nothing && !is_asked
     }
 
-    /// Forgets a wish that is no longer of interest.
+    /// Drops a pending request that is too old or of another version of the record.
     pub(crate) fn drop_stale_ask(&mut self, now: BootTime) {
         if self.current_ask(now).is_none() {
             self.pending_ask = None;
         }
     }
 
-    /// The wish to look at again at `now`, if it is still of interest.
+    /// The pending request to retry at `now`, unless it is too old or of another version.
     pub(crate) fn current_ask(&self, now: BootTime) -> Option<&PendingAsk> {
-        let wish = self.pending_ask.as_ref()?;
-        let is_fresh = now.saturating_sub(wish.at) < PENDING_ASK_TTL;
-        (is_fresh && wish.ask.version == self.version).then_some(wish)
+        let pending = self.pending_ask.as_ref()?;
+        let is_fresh = now.saturating_sub(pending.at) < PENDING_ASK_TTL;
+        (is_fresh && pending.ask.version == self.version).then_some(pending)
     }
 
-    /// Takes the record that the store holds at `version`; false if it is not newer.
+    /// Applies the stored record at `version`; false if it is not newer.
     ///
-    /// A newer version settles what was open at older ones: a write that expected the older
-    /// version is either in it or can't happen any more, and so it is with a release.
+    /// A newer version settles everything pending at older ones: a write that expected an older
+    /// version is either part of it or can no longer happen. The same holds for a release.
     pub(crate) fn apply_record(&mut self, version: Revision, record: QuotaRecord) -> bool {
         if self.record_known && version <= self.version {
             return false;
--- a/crates/decide/src/quota/token_bucket.rs
+++ b/crates/decide/src/quota/token_bucket.rs
@@ -2,7 +2,7 @@
 
 use model::BootTime;
 
-/// Bounds how often something is done: so many a second over time, so many at once.
+/// A token bucket: limits a sustained rate and a burst.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenBucket {
     per_second: f64,
@@ -12,7 +12,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(crate) fn new(per_second: u32, burst: u32) -> Self {
         Self {
             per_second: f64::from(per_second),
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Takes one token at `now`, if there is one.
+    /// Takes one token at `now` if one is available.
     pub(crate) fn take(&mut self, now: BootTime) -> bool {
         let passed = now.saturating_sub(self.filled_at.unwrap_or(now));
         self.fill(passed);
--- a/crates/decide/src/share/broker.rs
+++ b/crates/decide/src/share/broker.rs
@@ -11,14 +11,14 @@
     terms::{BrokerOptions, BrokerSwitch, HolderDemand, PoolOffer, SlotMap, TeamLoad},
 };
 
-// Offers that a holder has not confirmed; a holder this far behind gets no new ones.
+// Maximum number of unconfirmed offers; a holder with this many gets no new ones.
 const UNCONFIRMED_MAX: usize = 64;
 
-/// Divides the slots of one pool among entry hosts.
+/// Divides the slots of one pool among entry hosts, the holders.
 ///
-/// A slot is offered to a holder only when no other holder may still believe in it: it
-/// confirmed a lower grant, or its lease and a guard have passed. So the offers in force
-/// never add up to more than a target's slots. See `docs/design/06-shares.md`.
+/// A slot is offered to a holder only when no other holder may still use it: the other confirmed a
+/// lower grant, or its lease and a guard time have passed. So the valid offers never add up to more
+/// than a target's slots. See `docs/design/06-shares.md`.
 #[derive(Debug)]
 pub struct SlotBroker {
     pool: PoolId,
@@ -31,12 +31,12 @@
     virtual_times: BTreeMap<TeamId, f64>,
     backlogged: BTreeSet<TeamId>,
     virtual_floor: f64,
-    // Counts changes of anything that offers follow from.
+    // Incremented on each change of anything that offers depend on.
     epoch: u64,
 }
 
 impl SlotBroker {
-    /// A broker that begins at `now`, knowing nothing of what others hold.
+    /// Creates a broker at `now` that knows nothing of existing grants.
     pub fn new(pool: PoolId, now: BootTime, options: BrokerOptions) -> Self {
         Self {
             pool,
@@ -53,12 +53,12 @@
         }
     }
 
-    /// The pool.
+    /// The pool whose slots this broker divides.
     pub fn pool(&self) -> &PoolId {
         &self.pool
     }
 
-    /// Replaces the targets that take new work and their slots.
+    /// Replaces the targets that accept new work, with their slots.
     pub fn set_targets(&mut self, targets: SlotMap) {
         if self.targets != targets {
             self.targets = targets;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Replaces the member list, which ends the cautious phase once all have reported.
+    /// Replaces the member list. The recovery phase ends once all members have reported.
     pub fn set_members(&mut self, members: BTreeSet<MemberId>) {
         if self.members != members {
             self.members = members;
@@ -83,12 +83,12 @@
     }
 }
 
-/// What holders say.
+/// Messages from holders.
 impl SlotBroker {
-    /// Takes a holder's first report of a session.
+    /// Handles a holder's first report of a session.
     pub fn open(&mut self, now: BootTime, holder: &MemberId, round: u64, demand: HolderDemand) {
-        // What the holder brings along stays believed in until it confirms an offer of this
-        // session; a later report without it does not mean that it let go.
+        // The slots that the holder brings along count as used until it confirms an offer of this
+        // session. A later report that omits them does not prove that it stopped using them.
         let offers = VecDeque::from([(0, demand.held.clone())]);
         let state = HolderState {
             last_report_at: now,
@@ -100,11 +100,11 @@
         self.report(holder, demand);
     }
 
-    /// Takes the demand of `round` with the newest round whose grant the holder applied.
+    /// Handles the demand of `round`, which names the newest round whose grant the holder applied.
     ///
-    /// False for an unknown holder, and for a demand that a later one overtook: the holder
-    /// drops grants of rounds before its newest, so answering out of order would leave the
-    /// broker believing in an offer that the holder never applies.
+    /// False for an unknown holder and for a demand that a later one overtook. A holder drops
+    /// grants older than its newest one, so after a reply out of order the broker would count an
+    /// offer that the holder never applies.
     pub fn confirm(&mut self, now: BootTime, holder: &MemberId, round: u64, applied: u64) -> bool {
         let Some(state) = self.holders.get_mut(holder) else {
             return false;
@@ -126,10 +126,10 @@
         true
     }
 
-    /// Notes that the holder began a session without this pool.
+    /// Marks that the holder began a session without this pool.
     ///
-    /// It no longer asks here, but may use what it was granted until that lapses, so its
-    /// slots stay believed in.
+    /// It sends no more demand for the pool but may use its grant until that expires, so its slots
+    /// stay counted.
     pub fn close(&mut self, holder: &MemberId) {
         if let Some(state) = self.holders.get_mut(holder) {
             state.closed = true;
@@ -150,7 +150,7 @@
             used_by_team.push((load.team.clone(), load.used.saturating_sub(last.used)));
             loads.insert(load.team.clone(), LoadState::next(&load, &last));
         }
-        // A team that is left out has no load; its used time stays known.
+        // A team missing from the report has no load; its used time is kept.
         for (team, last) in std::mem::take(&mut state.loads) {
             let load = TeamLoad {
                 team: team.clone(),
@@ -166,10 +166,10 @@
         self.update_backlog();
     }
 
-    /// Forgets holders that were silent for a lease and a guard.
+    /// Removes holders that were unresponsive for a lease and a guard time.
     ///
-    /// The holder's own clock ran from the sending of its demand, so it stopped using the
-    /// slots before this.
+    /// A holder's lease counts from when it sent its demand, so it stopped using the slots before
+    /// this.
     pub fn expire(&mut self, now: BootTime) {
         let limit = self.options.lease + self.options.guard;
         self.holders
@@ -177,12 +177,13 @@
     }
 }
 
-/// What the broker answers.
+/// Offers to holders.
 impl SlotBroker {
-    /// The offer to `holder` in `round`; `None` for an unknown holder.
+    /// The offer to `holder` in `round`; `None` for an unknown or closed holder, or one with too
+    /// many unconfirmed offers.
     pub fn offer(&mut self, now: BootTime, holder: &MemberId, round: u64) -> Option<PoolOffer> {
-        let team_shares = self.team_shares();
-        let wanted = self.entitled_slots(holder, &team_shares);
+        let shares = self.team_shares();
+        let wanted = self.entitled_slots(holder, &shares);
         let headroom = self.headroom(now, holder);
         let state = self.holders.get_mut(holder)?;
         if state.closed || UNCONFIRMED_MAX <= state.offers.len() {
@@ -191,14 +192,14 @@
         state.offered_epoch = self.epoch;
         let (_, last) = state.offers.back()?;
         let next = adjust_offer(last, wanted, &headroom);
-        // The first offer of a session is told even if it changes nothing: it is what
-        // renews the slots that the holder brought along.
+        // The first offer of a session is recorded even if it changes nothing: it renews the slots
+        // that the holder brought along.
         if *last != next || state.has_made_no_offer() {
             state.offers.push_back((round, next.clone()));
         }
         Some(PoolOffer {
             targets: next,
-            teams: self.team_offers(holder, &team_shares),
+            teams: self.team_offers(holder, &shares),
         })
     }
 
@@ -219,34 +220,34 @@
         last.is_some_and(|(round, _)| applied < *round)
     }
 
-    /// True if requests queue at the holder, which then needs the teams' virtual times.
+    /// True if requests are queued at the holder, which then needs the teams' virtual times.
     pub fn is_backlogged(&self, holder: &MemberId) -> bool {
         let state = self.holders.get(holder);
         state.is_some_and(|state| state.loads.values().any(|load| 0 < load.queued))
     }
 
-    /// Holders other than `holder` that were offered more than they are due now.
+    /// Holders other than `holder` that were offered more than their present share.
     ///
-    /// They give slots back only when they ask again, which an idle one does rarely.
+    /// They return slots only with their next demand, and an idle holder sends that rarely.
     pub fn holders_above_share(&self, holder: &MemberId) -> Vec<MemberId> {
-        let team_shares = self.team_shares();
+        let shares = self.team_shares();
         let offered = |state: &HolderState| -> u32 {
             let last = state.offers.back();
             last.map_or(0, |(_, targets)| targets.values().sum())
         };
         let others = self.holders.iter().filter(|(id, _)| *id != holder);
         others
-            .filter(|(id, state)| self.entitled_slots(id, &team_shares) < offered(state))
+            .filter(|(id, state)| self.entitled_slots(id, &shares) < offered(state))
             .map(|(id, _)| id.clone())
             .collect()
     }
 
-    /// True if the holder has reported in its session.
+    /// True if the holder has an open session.
     pub fn knows(&self, holder: &MemberId) -> bool {
         self.holders.get(holder).is_some_and(|state| !state.closed)
     }
 
-    /// Slots of `target` that holders may believe in now; for checks.
+    /// Slots of `target` that holders may use now; for checks.
     pub fn outstanding_slots(&self, target: &HostId) -> u32 {
         self.holders
             .values()
@@ -254,7 +255,7 @@
             .sum()
     }
 
-    // Per team: the slots due across all holders.
+    // Per team: total demand and fair share of slots across all holders.
     fn team_shares(&self) -> BTreeMap<TeamId, TeamShare> {
         let mut totals: BTreeMap<&TeamId, f64> = BTreeMap::new();
         for state in self.holders.values() {
@@ -270,33 +271,32 @@
             })
             .collect();
         let parts = fair_split(f64::from(self.capacity()), &claims);
-        let team_shares = totals.into_iter().zip(parts);
-        team_shares
-            .map(|((team, demand), slots)| (team.clone(), TeamShare { demand, slots }))
+        let rows = totals.into_iter().zip(parts);
+        rows.map(|((team, demand), slots)| (team.clone(), TeamShare { demand, slots }))
             .collect()
     }
 
-    fn entitled_slots(&self, holder: &MemberId, team_shares: &BTreeMap<TeamId, TeamShare>) -> u32 {
-        let used: f64 = team_shares.values().map(|due| due.slots).sum();
-        let spare = (f64::from(self.capacity()) - used).max(0.0);
-        let spare_each = spare / self.holders.len().max(1) as f64;
+    fn entitled_slots(&self, holder: &MemberId, shares: &BTreeMap<TeamId, TeamShare>) -> u32 {
+        let used: f64 = shares.values().map(|due| due.slots).sum();
+        let unused = (f64::from(self.capacity()) - used).max(0.0);
+        let unused_each = unused / self.holders.len().max(1) as f64;
         let parts: Vec<f64> = self
             .holders
             .values()
             .map(|state| {
                 state
-                    .share_by_team(team_shares)
+                    .team_slots(shares)
                     .map(|(_, slots)| slots)
                     .sum::<f64>()
-                    + spare_each
+                    + unused_each
             })
             .collect();
-        let whole = apportion(&parts, 0);
-        let place = self.holders.keys().position(|other| other == holder);
-        place.map_or(0, |place| whole[place])
+        let rounded = apportion(&parts, 0);
+        let index = self.holders.keys().position(|other| other == holder);
+        index.map_or(0, |index| rounded[index])
     }
 
-    // Per target: the most that the holder may be offered beside what others believe in.
+    // Per target: the most that the holder may be offered beside what the others may use.
     fn headroom(&self, now: BootTime, holder: &MemberId) -> SlotMap {
         let cautious = self.is_recovering(now);
         let free = |target: &HostId, slots: u32| {
@@ -306,15 +306,15 @@
                 .filter(|(other, _)| *other != holder)
                 .map(|(_, state)| state.outstanding(target, self.options.switch))
                 .sum();
-            let room = slots.saturating_sub(others);
+            let free_slots = slots.saturating_sub(others);
             if !cautious {
-                return room;
+                return free_slots;
             }
             let own = self
                 .holders
                 .get(holder)
                 .map(|state| state.outstanding(target, self.options.switch));
-            room.min(own.unwrap_or_default())
+            free_slots.min(own.unwrap_or_default())
         };
         self.targets
             .iter()
@@ -322,9 +322,9 @@
             .collect()
     }
 
-    // A new broker does not know what holders were granted by the one before. Until every
-    // member reported what it holds, or all grants from before have lapsed, an offer could
-    // hand out a slot twice; so it only renews what holders report.
+    // A new broker does not know the grants of its predecessor. Until every member has reported its
+    // slots, or all earlier grants have expired, an offer could assign a slot twice. So it only
+    // renews what holders report.
     fn is_recovering(&self, now: BootTime) -> bool {
         if self.options.switch == BrokerSwitch::SkipCaution || self.recovering_until <= now {
             return false;
@@ -335,7 +335,7 @@
     fn team_offers(
         &self,
         holder: &MemberId,
-        team_shares: &BTreeMap<TeamId, TeamShare>,
+        shares: &BTreeMap<TeamId, TeamShare>,
     ) -> Vec<(TeamId, u32, Duration)> {
         let Some(state) = self.holders.get(holder) else {
             return Vec::new();
@@ -352,11 +352,11 @@
                 Duration::from_secs_f64(time),
             )
         };
-        state.share_by_team(team_shares).map(use_of).collect()
+        state.team_slots(shares).map(use_of).collect()
     }
 }
 
-/// Virtual time.
+/// Virtual time of teams.
 impl SlotBroker {
     fn charge(&mut self, team: &TeamId, used: Duration) {
         let weight = self.weight(team).max(f64::MIN_POSITIVE);
@@ -365,8 +365,8 @@
         *time += used.as_secs_f64() / weight;
     }
 
-    // A team that queues again after a pause starts level with the least served one:
-    // without this it could save up the time it did not use and then shut others out.
+    // A team that queues again after a pause starts at the level of the least served one. Otherwise
+    // it could save up its unused time and then lock out the others.
     fn update_backlog(&mut self) {
         let queued: BTreeSet<TeamId> = self
             .holders
--- a/crates/decide/src/share/byte_budget.rs
+++ b/crates/decide/src/share/byte_budget.rs
@@ -2,10 +2,10 @@
 
 use model::BootTime;
 
-/// Bounds the bytes a second that a duty spends on messages.
+/// Limits the bytes per second that a background task spends on messages.
 ///
-/// A message may overdraw the budget; the next one then waits until it has recovered. So
-/// the mean stays below the rate whatever the sizes are.
+/// A message may overdraw the budget; the next one then waits until the budget has recovered. So
+/// the mean rate stays below the limit whatever the message sizes are.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ByteBudget {
     rate: f64,
@@ -15,7 +15,7 @@
 }
 
 impl ByteBudget {
-    /// A full budget of `rate` bytes a second, of which `burst` may be saved up.
+    /// Creates a full budget of `rate` bytes per second and at most `burst` saved bytes.
     pub fn new(rate: u32, burst: u32) -> Self {
         Self {
             rate: f64::from(rate),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// True if a message may go at `now`.
+    /// True if a message may be sent at `now`.
     pub fn allows(&mut self, now: BootTime) -> bool {
         let gained = now.saturating_sub(self.at).as_secs_f64() * self.rate;
         self.level = (self.level + gained).min(self.burst);
@@ -33,7 +33,7 @@
         0.0 < self.level
     }
 
-    /// Counts `bytes` that were sent or caused.
+    /// Charges `bytes` that were sent or caused.
     pub fn spend(&mut self, bytes: usize) {
         self.level -= bytes as f64;
     }
--- a/crates/decide/src/share/holder.rs
+++ b/crates/decide/src/share/holder.rs
@@ -7,7 +7,7 @@
 
 use super::{PoolOffer, SlotMap};
 
-// Rounds in flight whose sending time is remembered; older answers are useless anyway.
+// Rounds in flight whose send time is remembered; replies to older rounds are useless.
 const MAX_ROUNDS_IN_FLIGHT: usize = 64;
 
 /// Times of a holder.
@@ -25,22 +25,21 @@
     }
 }
 
-/// One pool as the holder knows it.
+/// State of one pool at the holder.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HeldPool {
-    /// The grant applied last.
+    /// The last applied grant.
     pub offer: PoolOffer,
     // Round in which the demand last changed.
     demand_changed_in: u64,
-    // Until when slots of an earlier session may be used; none once this one made an offer.
+    // Until when slots of an earlier session may be used; `None` once this session got an offer.
     adopted_until: Option<BootTime>,
 }
 
 /// An entry host's side of a session with one broker.
 ///
-/// Rounds are counted by the holder. A grant of an older round than the applied one is
-/// dropped, and the lease counts from when the demand of its round was sent, so that a
-/// delayed answer can't lengthen it.
+/// The holder numbers the rounds. It drops a grant that is older than the applied one, and the
+/// lease counts from when the demand of its round was sent, so a delayed reply can't extend it.
 #[derive(Debug)]
 pub struct SlotHolder {
     session: u64,
@@ -53,7 +52,7 @@
 }
 
 impl SlotHolder {
-    /// A session that has asked for nothing yet; `session` must be new to the broker.
+    /// Creates a session without demand; `session` must be new to the broker.
     pub fn new(session: u64, options: HolderOptions) -> Self {
         Self {
             session,
@@ -66,12 +65,12 @@
         }
     }
 
-    /// The session's number.
+    /// The session number.
     pub fn session(&self) -> u64 {
         self.session
     }
 
-    /// When this session's grant on `pool` lapses.
+    /// When the grant on `pool` expires.
     pub fn expires(&self, pool: &PoolId) -> BootTime {
         let held = self.pools.get(pool);
         held.and_then(|held| held.adopted_until)
@@ -94,14 +93,14 @@
         pools.flat_map(|held| held.offer.targets.values()).sum()
     }
 
-    /// True if the broker may lack the demand of a pool.
+    /// True if the broker may not have the latest demand of a pool.
     pub fn has_unsent_demand(&self) -> bool {
         self.pools
             .values()
             .any(|held| self.applied < held.demand_changed_in)
     }
 
-    /// Takes a pool into the session, or notes that its demand changed.
+    /// Adds a pool to the session, or marks its demand as changed.
     pub fn mark_demand_changed(&mut self, pool: &PoolId) {
         let next = self.round + 1;
         self.pools
@@ -110,12 +109,13 @@
             .demand_changed_in = next;
     }
 
-    /// Drops a pool that another broker has now.
+    /// Removes a pool that has moved to another broker.
     pub fn remove_pool(&mut self, pool: &PoolId) {
         self.pools.remove(pool);
     }
 
-    /// Begins a round at `now`: its number, and the pools whose demand the broker may lack.
+    /// Begins a round at `now`. Returns its number and the pools whose latest demand the broker may
+    /// not have.
     pub fn begin_round(&mut self, now: BootTime) -> (u64, Vec<PoolId>) {
         self.round += 1;
         self.sent.push_back((self.round, now));
@@ -130,7 +130,7 @@
         (self.round, pools)
     }
 
-    /// Applies the grant of `round`; false if it is stale or of another session.
+    /// Applies the grant of `round`; false if it is outdated or of another session.
     pub fn apply_grant(
         &mut self,
         session: u64,
@@ -165,11 +165,11 @@
 
 /// Change of broker.
 impl SlotHolder {
-    /// Keeps using what an earlier session held until its grants lapse.
+    /// Keeps using the slots of an earlier session until its grants expire.
     ///
-    /// The first demand of this session reports these slots, so that the new broker counts
-    /// them; without this each change of broker would stop the pool for a moment. They
-    /// lapse on their own: a grant of this session for other pools does not renew them.
+    /// The first demand of this session reports these slots, so that the new broker counts them.
+    /// Without this, each change of broker would stop the pool for a moment. A grant of this
+    /// session for other pools does not renew them.
     pub fn adopt_slots(&mut self, expires: BootTime, pool: &PoolId, targets: SlotMap) {
         let held = self.pools.entry(pool.clone()).or_default();
         held.offer.targets = targets;
--- a/crates/decide/src/share/holder_state.rs
+++ b/crates/decide/src/share/holder_state.rs
@@ -5,31 +5,31 @@
 
 use super::terms::{BrokerSwitch, SlotMap, TeamLoad};
 
-// Demand falls slowly in the broker's eyes, so that slots do not follow every gap between
+// Factor by which remembered demand decays per round, so that slots don't follow every gap between
 // two requests.
 const DEMAND_DECAY: f64 = 0.6;
-// Below this a decayed demand counts as none.
+// A decayed demand below this counts as zero.
 const DEMAND_FLOOR: f64 = 0.1;
 
 #[derive(Debug, Default)]
 pub(super) struct HolderState {
     pub(super) last_report_at: BootTime,
-    // The epoch that the last offer was made in.
+    // The epoch of the last offer.
     pub(super) offered_epoch: u64,
-    // The holder's session goes on without this pool.
+    // True if the holder's session no longer includes this pool.
     pub(super) closed: bool,
     // The newest round that was answered.
     pub(super) round: u64,
     pub(super) loads: BTreeMap<TeamId, LoadState>,
     pub(super) held: SlotMap,
-    // Offers from the newest confirmed one on, with the round each was made in.
+    // Offers since the newest confirmed one, which comes first, each with its round.
     pub(super) offers: VecDeque<(u64, SlotMap)>,
 }
 
 #[derive(Debug, Default)]
 pub(super) struct LoadState {
     pub(super) queued: u32,
-    // Running and queued, as last reported.
+    // Running plus queued requests, as last reported.
     pub(super) reported: f64,
     pub(super) demand: f64,
     pub(super) used: Duration,
@@ -42,7 +42,7 @@
 }
 
 impl HolderState {
-    // The most slots of `target` that the holder may believe in.
+    // The most slots of `target` that the holder may use.
     pub(super) fn outstanding(&self, target: &HostId, switch: BrokerSwitch) -> u32 {
         let held = self.held.get(target).copied().unwrap_or_default();
         let offered = |offer: &(u64, SlotMap)| offer.1.get(target).copied().unwrap_or_default();
@@ -57,7 +57,7 @@
             .max(held)
     }
 
-    pub(super) fn share_by_team<'a>(
+    pub(super) fn team_slots<'a>(
         &'a self,
         team_shares: &'a BTreeMap<TeamId, TeamShare>,
     ) -> impl Iterator<Item = (&'a TeamId, f64)> {
@@ -79,7 +79,7 @@
         self.offers.iter().all(|(round, _)| *round == 0)
     }
 
-    // Lets the memory of past demand fade; true if any did.
+    // Decays the remembered demand; true if any of it changed.
     pub(super) fn decay_demand(&mut self) -> bool {
         let mut decayed = false;
         for load in self.loads.values_mut() {
@@ -110,15 +110,15 @@
     if decayed < DEMAND_FLOOR { 0.0 } else { decayed }
 }
 
-// Moves `last` towards `wanted` slots in total within `headroom`, with few changes: takes
-// from where the holder has most, adds where most is free.
+// Moves `last` towards `wanted` slots in total within `headroom`, with few changes: removes slots
+// where the holder has most, adds slots where most are free.
 pub(super) fn adjust_offer(last: &SlotMap, wanted: u32, headroom: &SlotMap) -> SlotMap {
     let mut next: SlotMap = headroom
         .iter()
-        .map(|(target, &room)| {
+        .map(|(target, &limit)| {
             (
                 target.clone(),
-                last.get(target).copied().unwrap_or(0).min(room),
+                last.get(target).copied().unwrap_or(0).min(limit),
             )
         })
         .collect();
--- a/crates/decide/src/share/mod.rs
+++ b/crates/decide/src/share/mod.rs
@@ -1,8 +1,8 @@
-//! Shares of a pool: which team goes next, and which entry host gets which slots.
+//! Fair sharing of a pool: which team is served next, and which entry host gets which slots.
 //!
-//! Start with [`pick`], the order inside one entry host, and [`SlotBroker`], which divides
-//! the slots of one pool among entry hosts. [`SlotHolder`] is the broker's counterpart on
-//! each entry host. `docs/design/06-shares.md` weighs the ways and measures them.
+//! Start with [`pick_next_team`], the order inside one entry host, and [`SlotBroker`], which
+//! divides the slots of one pool among entry hosts. [`SlotHolder`] is the broker's counterpart on
+//! each entry host. `docs/design/06-shares.md` compares and measures the alternatives.
 
 mod broker;
 mod byte_budget;
--- a/crates/decide/src/share/pick.rs
+++ b/crates/decide/src/share/pick.rs
@@ -2,28 +2,28 @@
 
 use model::TeamId;
 
-/// One team's claim to the next free slot.
+/// A team competing for the next free slot.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TeamTurn {
     /// The team.
     pub team: TeamId,
-    /// Virtual time: slot time used over weight, fleet-wide as last heard plus what was
-    /// used here since.
+    /// Virtual time: slot time used divided by weight. Fleet-wide as last reported, plus local use
+    /// since then.
     pub virtual_time: Duration,
-    /// Requests queued.
+    /// Queued requests.
     pub queued: u32,
     /// How long the oldest urgent request has waited; `None` without one.
     pub urgent_wait: Option<Duration>,
-    /// True if the team can't start now for another reason, such as its upper limit.
+    /// True if the team can't start work now for another reason, such as its upper limit.
     pub blocked: bool,
 }
 
-/// Bounds of the order in which teams go.
+/// Limits on the order of teams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PickOptions {
-    /// How far a team's virtual time may be ahead of the least served team for its urgent
-    /// requests still to go first. Urgent work is paid from the team's own share, and this
-    /// bounds how much it may be in debt.
+    /// How far a team's virtual time may exceed that of the least served team while its urgent
+    /// requests still go first. Urgent work is charged to the team's own share; this bounds its
+    /// debt.
     pub urgent_debt: Duration,
 }
 
@@ -35,10 +35,10 @@
     }
 }
 
-/// The index of the team that goes next, or `None` if none can.
+/// Index of the team to serve next, or `None` if none can start work.
 ///
-/// Urgent requests go first, the longest waiting before others, while their team's debt
-/// is bounded; then the team with the least virtual time.
+/// Urgent requests go first, longest waiting first, while their team's debt is bounded; then the
+/// team with the least virtual time.
 pub fn pick_next_team(turns: &[TeamTurn], options: &PickOptions) -> Option<usize> {
     let ready = || turns.iter().enumerate().filter(|(_, turn)| turn.is_ready());
     let least = ready().map(|(_, turn)| turn.virtual_time).min()?;
--- a/crates/decide/src/share/split.rs
+++ b/crates/decide/src/share/split.rs
@@ -1,23 +1,23 @@
-/// One claim to a part of a capacity.
+/// A claim on part of a capacity.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ShareClaim {
-    /// Weight; a claim of weight 0 gets nothing while others want more.
+    /// Weight; a claim of weight 0 gets nothing.
     pub weight: f64,
     /// The most that the claim can use.
     pub demand: f64,
 }
 
-/// Weighted max-min split: no claim gets more than its demand, and what one leaves goes to
-/// the others by weight.
+/// Weighted max-min fair split: no claim gets more than its demand, and unused parts go to the
+/// others by weight.
 ///
-/// Returns a part for each claim, in order. The parts sum to the smaller of `capacity` and
-/// the total demand of claims with a weight.
+/// Returns a part for each claim, in order. The parts sum to the smaller of `capacity` and the
+/// total demand of claims with a positive weight.
 pub fn fair_split(capacity: f64, claims: &[ShareClaim]) -> Vec<f64> {
     let mut parts = vec![0.0; claims.len()];
     let mut open: Vec<usize> = (0..claims.len())
         .filter(|&index| 0.0 < claims[index].weight && 0.0 < claims[index].demand)
         .collect();
-    // In order of the level at which each claim is filled, one pass settles them all.
+    // Sorted by the level at which each claim is saturated, one pass settles all of them.
     open.sort_by(|&left, &right| saturation(&claims[left]).total_cmp(&saturation(&claims[right])));
     let mut weight_left: f64 = open.iter().map(|&index| claims[index].weight).sum();
     let mut capacity_left = capacity.max(0.0);
@@ -33,14 +33,14 @@
 
 /// Rounds `parts` to whole numbers with the same total, by largest remainder.
 ///
-/// `turn` rotates who gets the odd unit between equal remainders, so that over many rounds
+/// `rotation` rotates which of several equal remainders gets the odd unit, so that over many rounds
 /// none is favoured.
-pub fn apportion(parts: &[f64], turn: usize) -> Vec<u32> {
+pub fn apportion(parts: &[f64], rotation: usize) -> Vec<u32> {
     let total = parts.iter().sum::<f64>().round() as u32;
     let mut whole: Vec<u32> = parts.iter().map(|part| part.floor() as u32).collect();
     let count = parts.len();
     let mut order: Vec<usize> = (0..count)
-        .map(|index| (index + turn) % count.max(1))
+        .map(|index| (index + rotation) % count.max(1))
         .collect();
     order.sort_by(|&left, &right| remainder(parts[right]).total_cmp(&remainder(parts[left])));
     let missing = total.saturating_sub(whole.iter().sum());
--- a/crates/decide/src/share/terms.rs
+++ b/crates/decide/src/share/terms.rs
@@ -10,21 +10,21 @@
 pub struct BrokerOptions {
     /// How long a holder may use a grant, counted from when it sent its demand.
     pub lease: Duration,
-    /// Added to the lease before slots of a silent holder are given to others.
+    /// Added to the lease before slots of an unresponsive holder are given to others.
     pub guard: Duration,
-    /// Guard that tests switch off to show that its checker notices.
+    /// The guard that a test disables to show that its checker notices.
     pub switch: BrokerSwitch,
 }
 
-/// A guard that a test can switch off.
+/// A guard that a test can disable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BrokerSwitch {
-    /// All guards hold.
+    /// All guards are enabled.
     #[default]
     None,
     /// Slots are offered again before their holder confirmed the lower grant.
     SkipConfirm,
-    /// A new broker offers slots before it knows what others hold.
+    /// A new broker offers slots before it knows the grants of its predecessor.
     SkipCaution,
 }
 
@@ -45,13 +45,13 @@
     pub team: TeamId,
     /// Requests in flight to targets.
     pub running: u32,
-    /// Requests queued.
+    /// Queued requests.
     pub queued: u32,
     /// Slot time used since the session began.
     pub used: Duration,
 }
 
-/// What one entry host reports of one pool.
+/// Report of one entry host on one pool.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HolderDemand {
     /// Load by team; replaces the last report.
@@ -60,7 +60,7 @@
     pub held: SlotMap,
 }
 
-/// What one entry host may use of one pool.
+/// Slots of one pool that one entry host may use.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolOffer {
     /// Slots by target.
--- a/crates/decide/tests/lease_machine.rs
+++ b/crates/decide/tests/lease_machine.rs
@@ -1,4 +1,4 @@
-//! The serving lease step by step.
+//! Unit tests of the serving lease and the member list.
 
 #![allow(clippy::unwrap_used)]
 
@@ -51,8 +51,8 @@
     lease
 }
 
-/// Sends a beat to `b` at `sent` and has it answered at `heard`.
-fn answered(lease: &mut LeaseMachine, sent: u64, heard: u64, answer: &Beat) {
+/// Sends a heartbeat to `b` at `sent` and lets the response arrive at `heard`.
+fn exchange_beats(lease: &mut LeaseMachine, sent: u64, heard: u64, answer: &Beat) {
     let b = MemberId::from("b");
     lease.tick(at(sent));
     let question = lease.next_beat(&b, at(sent));
@@ -77,25 +77,25 @@
 fn check_majority_renews() {
     let mut lease = machine(LeaseMutation::None);
     assert_eq!(lease.check(at(0)), Err(LeaseRefusal::Lapsed));
-    answered(&mut lease, 0, 100, &beat(1, 7, 5));
+    exchange_beats(&mut lease, 0, 100, &beat(1, 7, 5));
     assert_eq!(lease.check(at(1999)), Ok(()));
     assert_eq!(lease.check(at(2000)), Err(LeaseRefusal::Lapsed));
 }
 
-// A host's question is answered 1.5 s late. Counted from the answer, the host would serve
-// 1.5 s longer than the others believe, with a key that was withdrawn meanwhile.
+// Guards against a lease that counts from a late response. The response takes 1.5 s; the host would
+// serve 1.5 s longer than the others assume, with a key that was withdrawn meanwhile.
 #[rstest]
 #[case::guarded(LeaseMutation::None, false)]
 #[case::mutated(LeaseMutation::CountFromReceipt, true)]
-fn check_late_answer_counts_from_question(#[case] mutation: LeaseMutation, #[case] serves: bool) {
+fn check_late_response_counts_from_request(#[case] mutation: LeaseMutation, #[case] serves: bool) {
     let mut lease = machine(mutation);
-    answered(&mut lease, 0, 1500, &beat(1, 7, 5));
+    exchange_beats(&mut lease, 0, 1500, &beat(1, 7, 5));
     lease.tick(at(2500));
     assert_eq!(lease.check(at(2500)).is_ok(), serves);
 }
 
-// A peer knows a newer configuration. Its word must not renew the lease of a host that
-// lacks it: an operator may already have been told that everyone has it.
+// Guards against a lease renewed by a peer that knows a newer configuration: an operator may
+// already have been told that every host has it.
 #[rstest]
 #[case::guarded(LeaseMutation::None, Err(LeaseRefusal::Behind))]
 #[case::mutated(LeaseMutation::SkipRevision, Ok(()))]
@@ -104,14 +104,14 @@
     #[case] verdict: Result<(), LeaseRefusal>,
 ) {
     let mut lease = machine(mutation);
-    answered(&mut lease, 0, 10, &beat(1, 7, 6));
+    exchange_beats(&mut lease, 0, 10, &beat(1, 7, 6));
     assert_eq!(lease.check(at(20)), verdict);
     lease.set_config(6, 6);
     assert_eq!(lease.check(at(20)), Ok(()));
 }
 
-// The list changed while this host was cut off, perhaps to one without it. Counting by the
-// old list, it would serve beside a new quorum that it does not meet.
+// Guards against a lease counted by an old list. The list changed while this host was disconnected,
+// perhaps to one without it, and it would serve beside a new quorum that does not overlap its own.
 #[rstest]
 #[case::guarded(LeaseMutation::None, Err(LeaseRefusal::Behind))]
 #[case::mutated(LeaseMutation::SkipList, Ok(()))]
@@ -120,18 +120,21 @@
     #[case] verdict: Result<(), LeaseRefusal>,
 ) {
     let mut lease = machine(mutation);
-    answered(&mut lease, 0, 10, &beat(1, 8, 5));
+    exchange_beats(&mut lease, 0, 10, &beat(1, 8, 5));
     assert_eq!(lease.check(at(20)), verdict);
     lease.set_list(list(8, &[("b", 2), ("c", 3)]));
     assert_eq!(lease.check(at(20)), Err(LeaseRefusal::NotListed));
 }
 
-// A peer answers a beat of this host's last incarnation, whose count happens to be in use again.
-// The answer says nothing about now.
+// Guards against a response to a heartbeat of the host's last incarnation, whose number is in use
+// again. The response says nothing about the present.
 #[rstest]
 #[case::guarded(LeaseMutation::None, false)]
 #[case::mutated(LeaseMutation::AnyLife, true)]
-fn check_echo_of_last_life_does_not_count(#[case] mutation: LeaseMutation, #[case] serves: bool) {
+fn check_echo_of_last_incarnation_does_not_count(
+    #[case] mutation: LeaseMutation,
+    #[case] serves: bool,
+) {
     let mut lease = machine(mutation);
     let b = MemberId::from("b");
     lease.tick(at(0));
@@ -145,11 +148,11 @@
     assert_eq!(lease.check(at(20)).is_ok(), serves);
 }
 
-// A host sleeps for longer than its lease and wakes with answers waiting in its sockets.
+// A host is paused for longer than its lease and resumes with responses waiting in its sockets.
 #[test]
 fn check_pause_ends_lease() {
     let mut lease = machine(LeaseMutation::None);
-    answered(&mut lease, 0, 10, &beat(1, 7, 5));
+    exchange_beats(&mut lease, 0, 10, &beat(1, 7, 5));
     assert_eq!(lease.check(at(9000)), Err(LeaseRefusal::Lapsed));
     let b = MemberId::from("b");
     let waiting = Beat {
@@ -162,13 +165,13 @@
     assert_eq!(lease.check(at(9001)), Err(LeaseRefusal::Lapsed));
 }
 
-/// Guards against a host that wakes with its lease lapsed and goes by a change which it missed, since
-/// the next one came just now.
+/// Guards against a host that resumes with an expired lease and applies a change that it missed,
+/// because the next change arrived just now.
 #[test]
-fn check_missed_change_waits_for_newest() {
+fn check_missed_change_waits_for_newest_revision() {
     let mut lease = machine(LeaseMutation::None);
-    answered(&mut lease, 0, 10, &beat(1, 7, 5));
-    answered(&mut lease, 9000, 9010, &beat(2, 7, 7));
+    exchange_beats(&mut lease, 0, 10, &beat(1, 7, 5));
+    exchange_beats(&mut lease, 9000, 9010, &beat(2, 7, 7));
     assert_eq!(lease.check(at(9020)), Err(LeaseRefusal::Behind));
     lease.set_config(6, 6);
     assert_eq!(lease.check(at(9030)), Err(LeaseRefusal::Behind));
@@ -184,26 +187,26 @@
     assert_eq!(lease.check(at(2000)), Err(LeaseRefusal::Lapsed));
 }
 
-// Only one host hears nothing of a member; dropping the member on its word alone would drop
-// a healthy host whenever a single link is cut.
+// Only one host gets no heartbeats of a member. Removing the member on its report alone would
+// remove a healthy host whenever a single link is cut.
 #[test]
 fn lost_members_need_majority() {
     let mut lease = machine(LeaseMutation::None);
     let c = MemberId::from("c");
     lease.next_beat(&c, at(0));
-    answered(&mut lease, 20_000, 20_010, &beat(1, 7, 5));
+    exchange_beats(&mut lease, 20_000, 20_010, &beat(1, 7, 5));
     assert_eq!(lease.unresponsive_members(at(20_020)), ["c"]);
     assert!(lease.lost_members(at(20_020)).is_empty());
     let agreeing = Beat {
         silent: vec!["c".to_owned()],
         ..beat(2, 7, 5)
     };
-    answered(&mut lease, 20_100, 20_110, &agreeing);
+    exchange_beats(&mut lease, 20_100, 20_110, &agreeing);
     assert_eq!(lease.lost_members(at(20_120)), ["c"]);
 }
 
 #[test]
-fn quorum_needs_settled_members_too() {
+fn has_quorum_needs_settled_members_too() {
     let first = list(1, &[("a", 1), ("b", 2), ("c", 3)]);
     let grown = first.join(member("d", 4), 0).unwrap();
     let grown = grown.join(member("e", 5), 0).unwrap();
@@ -214,7 +217,7 @@
 }
 
 #[test]
-fn quorum_gone_members_leave_the_count() {
+fn without_ended_excludes_members_from_quorum() {
     let full = list(1, &[("a", 1), ("b", 2), ("c", 3), ("d", 4), ("e", 5)]);
     let mut acks = ListAcks::default();
     for (id, incarnation) in [("a", 1), ("b", 2), ("c", 3)] {
@@ -241,7 +244,7 @@
 }
 
 #[test]
-fn join_older_life_is_refused() {
+fn join_older_incarnation_is_refused() {
     let first = list(1, &[("a", 4)]);
     assert_eq!(
         first.join(member("a", 3), 0),
@@ -249,11 +252,11 @@
     );
 }
 
-// The only settled member restarts, and two others join. If its vote had lapsed with its old
-// incarnation, the two would make a quorum without it, and it would go on serving alone, cut off,
-// with a key that the two withdrew.
+// The only settled member restarts, and two others join. If its vote had ended with its old
+// incarnation, the two would be a quorum without it. Disconnected, it would keep serving alone with
+// a key that the two withdrew.
 #[test]
-fn join_inherits_vote_of_old_life() {
+fn join_inherits_vote_of_old_incarnation() {
     let first = list(1, &[("a", 1)]);
     let again = first.join(member("a", 2), 0).unwrap();
     let grown = again.join(member("b", 3), 0).unwrap();
--- a/crates/decide/tests/lease_schedule.rs
+++ b/crates/decide/tests/lease_schedule.rs
@@ -1,9 +1,9 @@
-//! Seeded schedules of serving lease, member list and acceptance of configuration changes.
+//! Randomized schedules of serving lease, member list and acceptance of configuration changes.
 //!
-//! What a user would see if this failed: an operator is told that a key is withdrawn, and
-//! longer than a lease after that some entry host still takes work with the key. The
-//! schedules pause, kill and cut off hosts, take the store away, lose and delay messages and
-//! store answers, and let hosts join, leave and replace each other all the while.
+//! Guards against an entry host that accepts work with a key for longer than a lease after an
+//! operator was told that the key is withdrawn. The schedules pause, kill and disconnect hosts,
+//! take the store down, lose and delay messages and store responses, and let hosts join, leave and
+//! replace each other.
 
 #![allow(clippy::unwrap_used)]
 
@@ -29,16 +29,16 @@
 const LEASE: Duration = Duration::from_millis(200);
 const BEAT: Duration = Duration::from_millis(40);
 
-/// A guard taken away, in the machine or in how its callers use it.
+/// A disabled guard, in the machine or in how its callers use it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutation {
     None,
     Lease(LeaseMutation),
-    /// Acceptance asks a majority of the newest list and not of the settled one.
+    /// Acceptance requires a majority of the newest list but not of the settled one.
     AcceptMembersOnly,
     /// A change is accepted as soon as it is recorded.
     AcceptAtOnce,
-    /// A store read renews the lease from when its answer came.
+    /// A store read renews the lease from when its response arrived.
     ReadFromReceipt,
 }
 
@@ -82,7 +82,7 @@
     store_config: u64,
     store_list: (u64, MemberList),
     store_down_until: Duration,
-    /// Hosts on different sides hear nothing of each other until the time is over.
+    /// Hosts on different sides of the split can't reach each other until this time.
     split: (BTreeSet<MemberId>, Duration),
     accepted: Vec<(Duration, u64)>,
     served: u32,
@@ -109,7 +109,7 @@
         simulation
     }
 
-    /// A new host, or a new incarnation of one; it takes its incarnation from the store.
+    /// A new host, or a new incarnation of one; it claims its incarnation from the store.
     fn start_host(&mut self, name: Option<MemberId>) {
         let name = name.unwrap_or_else(|| {
             self.next_name += 1;
@@ -147,7 +147,7 @@
     fn run(mut self) -> Result<(u32, usize), String> {
         for _ in 0..STEPS {
             self.now += STEP;
-            self.trouble();
+            self.inject_faults();
             for index in 0..self.hosts.len() {
                 if !self.hosts[index].is_dead && self.now >= self.hosts[index].paused_until {
                     self.step_host(index)?;
@@ -157,7 +157,7 @@
         Ok((self.served, self.accepted.len()))
     }
 
-    fn trouble(&mut self) {
+    fn inject_faults(&mut self) {
         let now = self.now;
         let up_to = |rng: &mut StdRng, ms| now + Duration::from_millis(rng.random_range(10..ms));
         if self.rng.random_bool(0.002) {
@@ -172,7 +172,7 @@
         let living: Vec<usize> = (0..self.hosts.len())
             .filter(|index| !self.hosts[*index].is_dead)
             .collect();
-        if living.len() < 6 && self.store_up() && self.rng.random_bool(0.004) {
+        if living.len() < 6 && self.is_store_up() && self.rng.random_bool(0.004) {
             self.start_host(None);
         }
         if living.is_empty() {
@@ -188,18 +188,18 @@
         if living.len() > 1 && self.rng.random_bool(0.004) {
             let name = self.hosts[index].name.clone();
             self.hosts[index].is_dead = true;
-            if self.store_up() && self.rng.random_bool(0.5) {
+            if self.is_store_up() && self.rng.random_bool(0.5) {
                 self.start_host(Some(name));
             }
         }
     }
 
-    fn store_up(&self) -> bool {
+    fn is_store_up(&self) -> bool {
         self.now >= self.store_down_until
     }
 
     fn reaches_store(&self, index: usize) -> bool {
-        self.store_up() && self.now >= self.hosts[index].cut_until
+        self.is_store_up() && self.now >= self.hosts[index].cut_until
     }
 
     fn reaches(&self, from: &MemberId, to: &MemberId) -> bool {
@@ -208,17 +208,18 @@
 
     fn step_host(&mut self, index: usize) -> Result<(), String> {
         self.serve(index)?;
-        self.hear(index);
+        self.deliver_messages(index);
         self.probe(index);
         self.step_store(index);
-        self.step_submit(index);
+        self.step_submission(index);
         if self.now >= self.hosts[index].beat_at {
             self.send_beats(index);
         }
         self.serve(index)
     }
 
-    /// The promise: longer than a lease after a change was accepted, nobody serves without it.
+    /// The checked rule: longer than a lease after a change was accepted, no host serves without
+    /// it.
     fn serve(&mut self, index: usize) -> Result<(), String> {
         let host = &self.hosts[index];
         if host.lease.check(self.now).is_err() {
@@ -241,7 +242,7 @@
         ))
     }
 
-    fn hear(&mut self, index: usize) {
+    fn deliver_messages(&mut self, index: usize) {
         let now = self.now;
         let due: Vec<_> = {
             let inbox = &mut self.hosts[index].inbox;
@@ -255,14 +256,14 @@
             host.lease.handle_beat(&from, incarnation, &beat, now);
             host.acks
                 .record_held(&from, incarnation, beat.member_revision);
-            // A peer that is ahead sends what is lacking, sometimes.
+            // A peer that is ahead sometimes sends the missing changes.
             if beat.config_revision > host.config && self.rng.random_bool(0.2) {
                 host.follow_config(beat.config_revision);
             }
         }
     }
 
-    /// Dead incarnations are found out some time after their end, by a refused connection.
+    /// Dead incarnations are detected some time after their end, by a refused connection.
     fn probe(&mut self, index: usize) {
         let dead: Vec<_> = self
             .hosts
@@ -309,8 +310,8 @@
         }
     }
 
-    /// Reads of list and configuration, then at most one write of the list. Each step takes
-    /// its time, and the store may go away in between.
+    /// Reads the list and the configuration, then writes the list at most once. Each step takes
+    /// time, and the store may become unreachable in between.
     fn step_store(&mut self, index: usize) {
         let now = self.now;
         let Some(mut op) = self.hosts[index].op.take() else {
@@ -347,8 +348,8 @@
             }
             return;
         } else {
-            let answered = self.mutation == Mutation::ReadFromReceipt;
-            let sent = if answered { now } else { op.sent };
+            let counts_from_receipt = self.mutation == Mutation::ReadFromReceipt;
+            let sent = if counts_from_receipt { now } else { op.sent };
             let Some(write) = self.end_read(index, &op, sent) else {
                 return;
             };
@@ -380,7 +381,7 @@
         let floor = host.config;
         let next = if !list.contains(&host.name, host.incarnation) {
             if host.lease.was_listed() {
-                // Its incarnation is over; another begins.
+                // Its incarnation has ended; a new one begins.
                 let (name, config) = (host.name.clone(), host.config);
                 host.is_dead = true;
                 self.start_host(Some(name));
@@ -396,8 +397,8 @@
         next.ok().map(|next| (version, next))
     }
 
-    /// An operator's change: recorded, then the list is read, then a quorum must hold it.
-    fn step_submit(&mut self, index: usize) {
+    /// An operator's change: it is recorded, then the list is read, then a quorum must hold it.
+    fn step_submission(&mut self, index: usize) {
         let Some(mut submit) = self.hosts[index].submit.take() else {
             if self.reaches_store(index) && self.rng.random_bool(0.02) {
                 self.store_config += 1;
@@ -485,16 +486,16 @@
     })]
 
     #[test]
-    fn lease_ends_before_accepted_change_is_missed(seed in any::<u64>()) {
+    fn lease_expires_before_accepted_change_is_missed(seed in any::<u64>()) {
         let outcome = Simulation::new(seed, Mutation::None).run();
         prop_assert!(outcome.is_ok(), "seed {seed}: {}", outcome.unwrap_err());
         let (served, _) = outcome.unwrap();
-        prop_assert!(served > 0, "seed {seed}: nobody served");
+        prop_assert!(served > 0, "seed {seed}: no host served");
     }
 }
 
-/// Each guard is needed: without it, some schedule breaks the promise. The search begins
-/// near the first seed that shows it, to keep the test short.
+/// Each guard is needed: without it, some schedule violates the rule. The search begins near the
+/// first such seed, to keep the test short.
 #[rstest::rstest]
 #[case::count_from_receipt(Mutation::Lease(LeaseMutation::CountFromReceipt), 0)]
 #[case::skip_revision(Mutation::Lease(LeaseMutation::SkipRevision), 0)]
@@ -507,11 +508,11 @@
     assert!(caught.is_some(), "{mutation:?} was not caught");
 }
 
-/// Schedules that once broke the promise.
+/// Schedules that once violated the rule.
 #[rstest::rstest]
 #[case::vote_lapsed_with_old_life(10_283_846_278_672_498_115)]
 #[case::vote_lapsed_later(7_578_252_375_247_209_915)]
-fn lease_found_schedule_holds(#[case] seed: u64) {
+fn lease_regression_schedule_holds(#[case] seed: u64) {
     let outcome = Simulation::new(seed, Mutation::None).run();
     assert!(outcome.is_ok(), "{outcome:?}");
 }
--- a/crates/decide/tests/quota_ends.rs
+++ b/crates/decide/tests/quota_ends.rs
@@ -1,8 +1,6 @@
-//! Units of dead holders while hosts are killed in turn, each before it could itself wait
-//! until a dead incarnation's units are free.
-//!
-//! What a user would see if this failed: after a few kills a team is refused everywhere with
-//! `team-limit` though nothing of it runs, for as long as hosts go on being replaced.
+//! Guards against lost units when hosts are killed one after the other, each before it has seen a
+//! dead incarnation's units become free. The team would be refused everywhere with `team-limit`
+//! although none of its work runs.
 
 #![allow(clippy::unwrap_used)]
 
@@ -21,10 +19,10 @@
     since: 1,
 };
 const STEP: Duration = Duration::from_millis(25);
-/// Each of three hosts is killed every 60 s, before a incarnation's units are free after 62.5 s.
+/// Each of three hosts is killed every 60 s, before an incarnation's units are free after 62.5 s.
 const KILL_DISTANCE: Duration = Duration::from_secs(20);
 const KILLS: usize = 20;
-/// Time for a write after units are free.
+/// Allowed time for the write after units become free.
 const TAKE_WITHIN: Duration = Duration::from_secs(2);
 
 struct Host {
@@ -33,7 +31,7 @@
     machine: QuotaMachine,
 }
 
-/// Three hosts that always want more of one team's limit, and a store that answers at once.
+/// Three hosts that always want more of one team's limit, and a store that responds immediately.
 struct Fleet {
     now: Duration,
     list: MemberRecord,
@@ -57,7 +55,7 @@
         fleet
     }
 
-    /// Starts a host, in place of its former incarnation.
+    /// Starts a host, replacing its previous incarnation.
     fn start(&mut self, name: &str) {
         self.list.revision += 1;
         let incarnation = self.list.revision;
@@ -155,7 +153,7 @@
         (index, &mut self.hosts[index].machine)
     }
 
-    /// Writes the record; nothing of a dead incarnation may be taken too early.
+    /// Writes the record; units of a dead incarnation must not be taken too early.
     fn swap(&mut self, write: &QuotaWrite) -> WriteOutcome {
         if self.store.0 != write.expect {
             return WriteOutcome::Conflict;
@@ -172,23 +170,26 @@
         WriteOutcome::Done(self.store.0)
     }
 
-    /// Nothing of a dead incarnation may stay taken for longer than its work can run.
+    /// Units of a dead incarnation must not stay reserved for longer than its work can run.
     fn expect_units_in_time(&self) {
         let latest = QuotaOptions::default().reclaim_after() + TAKE_WITHIN;
         for grant in &self.store.1.grants {
             if let Some(at) = self.ended.get(&grant.incarnation) {
                 let age = self.now - *at;
-                assert!(age < latest, "still taken {age:?} after its end: {grant:?}");
+                assert!(
+                    age < latest,
+                    "still reserved {age:?} after its end: {grant:?}"
+                );
             }
         }
     }
 }
 
-// A host that starts anew does not know when the incarnations ended that are long gone. If it
-// counted from its own start, hosts replaced in turn would never see a dead incarnation's units
-// free, and kill by kill the whole limit would be lost.
+// A restarted host does not know when incarnations ended before its own start. If it counted from
+// its start, units would never become free while hosts are replaced one after the other, and with
+// each kill more of the limit would be lost.
 #[test]
-fn units_free_while_hosts_are_killed_in_turn() {
+fn handle_ends_frees_units_while_hosts_are_killed_in_turn() {
     let mut fleet = Fleet::new();
     for kill in 0..KILLS {
         fleet.run(KILL_DISTANCE);
--- a/crates/decide/tests/quota_machine.rs
+++ b/crates/decide/tests/quota_machine.rs
@@ -1,4 +1,4 @@
-//! Quota grants step by step.
+//! Unit tests of the quota state machine.
 
 #![allow(clippy::unwrap_used)]
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// Host `a` in a list with `b`, the team's limit is 10.
+/// Host `a` in a list with `b`; the team's limit is 10.
 fn machine(mutation: QuotaMutation) -> QuotaMachine {
     let options = QuotaOptions {
         mutation,
@@ -110,10 +110,10 @@
     assert_eq!(take(&mut machine, 9), 5);
 }
 
-// A giver is asked for units that it uses. If it went on starting work on them, both hosts
-// would use them once the taker has written them as its own.
+// Guards against units used twice: a host that is asked for units must not start work on them,
+// because the asking host may write them into its own grant.
 #[test]
-fn hear_ask_puts_units_aside_first() {
+fn handle_ask_reserves_units_first() {
     let mut machine = machine(QuotaMutation::None);
     let held = record(10, 1, &[("a", 1, 10, 1)]);
     machine.apply_read(&TEAM.into(), 1, held, at(0));
@@ -127,7 +127,7 @@
     };
     let actions = machine.handle_ask(&"b".into(), &ask, at(10));
     let [QuotaAction::Release(to, release)] = actions.as_slice() else {
-        panic!("no promise: {actions:?}");
+        panic!("no release: {actions:?}");
     };
     assert_eq!((to.as_str(), release.version, release.units), ("b", 1, 6));
     assert_eq!(take(&mut machine, 9), 0);
@@ -135,13 +135,15 @@
     assert_eq!(take(&mut machine, 9), 1);
 }
 
-// The limit rises and falls again while this host hears nothing of the first change, and the
-// others still run what it allowed. The grant from before fits the limit in force, but work
-// under it would come on top of theirs.
+// Guards against work above the limit after it rose and fell while this host missed the rise. The
+// old grant fits the limit in force, but other hosts still run work of the higher limit.
 #[rstest]
 #[case::guarded(QuotaMutation::None, 0)]
 #[case::mutated(QuotaMutation::IgnoreLowered, 4)]
-fn try_take_missed_limit_waits(#[case] mutation: QuotaMutation, #[case] started: usize) {
+fn try_take_waits_after_missed_limit_change(
+    #[case] mutation: QuotaMutation,
+    #[case] started: usize,
+) {
     let mut machine = machine(mutation);
     let held = record(10, 1, &[("a", 1, 4, 1), ("b", 2, 6, 1)]);
     machine.apply_read(&TEAM.into(), 1, held, at(0));
@@ -149,13 +151,15 @@
     assert_eq!(take(&mut machine, 9), started);
 }
 
-// A host joins, is given units and starts work, all unseen by this host, whose member list
-// is old. Much later it leaves. Counted from the old list its units would be free at once,
-// while its work still runs.
+// Guards against units that are reclaimed while their work runs: host `c` joined and started work
+// unseen by this host, whose member list is older than the grant.
 #[rstest]
 #[case::guarded(QuotaMutation::None, None)]
 #[case::mutated(QuotaMutation::TrustOldList, Some(10))]
-fn tick_unseen_holder_keeps_units(#[case] mutation: QuotaMutation, #[case] raised: Option<u32>) {
+fn tick_keeps_units_of_holder_missing_from_old_list(
+    #[case] mutation: QuotaMutation,
+    #[case] raised: Option<u32>,
+) {
     let mut machine = machine(mutation);
     let held = record(10, 1, &[("a", 1, 5, 1), ("c", 3, 5, 2)]);
     machine.apply_read(&TEAM.into(), 1, held, at(0));
@@ -171,7 +175,7 @@
     }
 }
 
-/// The record with another longest time of work for one grant.
+/// Returns the record with another longest run time for one grant.
 fn with_max_run_time(mut record: QuotaRecord, member: &str, longest_ms: u64) -> QuotaRecord {
     let mut grants = record.grants.iter_mut();
     let grant = grants.find(|grant| grant.member == member).unwrap();
@@ -179,12 +183,15 @@
     record
 }
 
-/// Guards against a team that is locked out for a minute after the loss of a host whose work was over
+/// Guards against a team that is locked out for a minute after losing a host whose work ended
 /// within seconds.
 #[rstest]
 #[case::short(10_000, 12_500)]
 #[case::any(0, 62_500)]
-fn tick_lost_holder_frees_units_by_its_work(#[case] longest_ms: u64, #[case] free_ms: u64) {
+fn tick_frees_units_of_lost_holder_after_longest_work(
+    #[case] longest_ms: u64,
+    #[case] free_ms: u64,
+) {
     let mut machine = machine(QuotaMutation::None);
     let held = record(10, 1, &[("a", 1, 5, 1), ("b", 2, 5, 1)]);
     machine.apply_read(
@@ -201,9 +208,9 @@
     assert_eq!(write.record.grants[0].units, 10);
 }
 
-/// Guards against long work under a grant for short work: its units are free again before it ends.
+/// Guards against long work under a grant for short work: its units would be free before it ends.
 #[test]
-fn try_take_long_waits_for_its_grant() {
+fn try_take_for_long_work_waits_for_its_grant() {
     let (mut machine, team) = (machine(QuotaMutation::None), TeamId::from(TEAM));
     let (short, long) = (Duration::from_secs(5), Duration::from_secs(30));
     let held = record(10, 1, &[("a", 1, 5, 1), ("b", 2, 5, 1)]);
@@ -211,17 +218,27 @@
     assert!(machine.try_take_for(&team, short));
     let write = written(machine.tick(at(1000))).unwrap();
     assert_eq!(write.record, with_max_run_time(held.clone(), "a", 10_000));
-    assert!(!machine.try_take_for(&team, long), "others may see it");
+    assert!(
+        !machine.try_take_for(&team, long),
+        "the pending write allows only short work"
+    );
     machine.handle_write_outcome(&team, WriteOutcome::Done(2), at(1010));
     assert!(!machine.try_take_for(&team, long));
     let write = written(machine.tick(at(2000))).unwrap();
     assert_eq!(write.record, held);
-    assert!(!machine.try_take_for(&team, long), "it may not be written");
+    assert!(
+        !machine.try_take_for(&team, long),
+        "the grant for long work is not stored yet"
+    );
     machine.handle_write_outcome(&team, WriteOutcome::Done(3), at(2010));
     assert!(machine.try_take_for(&team, long));
     assert_eq!(written(machine.tick(at(3000))), None);
     machine.give_back_long(&team);
-    assert_eq!(written(machine.tick(at(4000))), None, "it may come again");
+    assert_eq!(
+        written(machine.tick(at(4000))),
+        None,
+        "long work ended too recently"
+    );
     assert!(written(machine.tick(at(63_000))).is_some());
 }
 
--- a/crates/decide/tests/quota_schedule.rs
+++ b/crates/decide/tests/quota_schedule.rs
@@ -1,9 +1,8 @@
-//! Seeded schedules of several entry hosts that share team limits through one store.
+//! Randomized schedules of several entry hosts that share team limits through one store.
 //!
-//! What a user would see if this failed: a team runs more than its upper limit, and crowds
-//! out the others. The schedules kill, pause and cut off hosts, lose and delay messages and
-//! store answers, and change the limit, all at once. The checker reads only the history of
-//! starts and ends, and the values that the store held.
+//! Guards against a team that runs more than its limit. The schedules kill, pause and disconnect
+//! hosts, lose and delay messages and store responses, and change the limit. The checker reads only
+//! the history of starts and ends and the values in the store.
 
 #![allow(clippy::unwrap_used)]
 
@@ -33,9 +32,9 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum Condition {
-    Well,
+    Healthy,
     Paused,
-    Cut,
+    Disconnected,
 }
 
 struct SimHost {
@@ -43,7 +42,7 @@
     incarnation: u64,
     machine: QuotaMachine,
     condition: Condition,
-    /// While it is cut off or paused it believes in its serving lease until then.
+    /// While the host is disconnected or paused, its serving lease is valid until then.
     serves_until: Duration,
     until: Duration,
     config: u64,
@@ -51,7 +50,7 @@
     inbox: VecDeque<(Duration, MemberId, u64, QuotaAction)>,
     answers: VecDeque<(Duration, StoreAnswer)>,
     ends: Vec<Duration>,
-    /// Those of long work, where most is short.
+    /// End times of long work, used when most work is short.
     long_ends: Vec<Duration>,
 }
 
@@ -75,9 +74,9 @@
     next_incarnation: u64,
     store: (u64, QuotaRecord),
     late: Vec<LateWrite>,
-    /// Limits by revision, with the time at which each came in force.
+    /// Limits by revision, with the time at which each came into force.
     limits: Vec<(Duration, TeamLimit)>,
-    /// End of every piece of work that was started, those of dead hosts included.
+    /// End time of all started work, including that of dead hosts.
     running: Vec<Duration>,
     started: u32,
     /// Whether most work is short.
@@ -85,7 +84,7 @@
 }
 
 impl Simulation {
-    /// A schedule in which most work is short, and units for it are free again sooner.
+    /// A schedule in which most work is short, so that its units become free sooner.
     fn mixed(seed: u64, mutation: QuotaMutation) -> Self {
         let mut simulation = Self::new(seed, mutation);
         simulation.mixed = true;
@@ -142,7 +141,7 @@
             name,
             incarnation,
             machine,
-            condition: Condition::Well,
+            condition: Condition::Healthy,
             serves_until: Duration::ZERO,
             until: Duration::ZERO,
             config: 0,
@@ -169,13 +168,13 @@
         self.list = MemberList::new(record);
     }
 
-    /// Runs the schedule; the error says which promise broke.
+    /// Runs the schedule; the error names the violated rule.
     fn run(mut self) -> Result<u32, String> {
         for _ in 0..STEPS {
             self.now += STEP;
             self.running.retain(|end| *end > self.now);
-            self.land_late_writes()?;
-            self.trouble();
+            self.apply_late_writes()?;
+            self.inject_faults();
             for index in 0..self.hosts.len() {
                 self.step_host(index)?;
             }
@@ -183,8 +182,8 @@
         Ok(self.started)
     }
 
-    /// Kills, pauses, cuts, removes and heals hosts; changes the limit.
-    fn trouble(&mut self) {
+    /// Kills, pauses, disconnects, removes and restores hosts; changes the limit.
+    fn inject_faults(&mut self) {
         if self.rng.random_bool(0.004) {
             let since = self.limits.len() as u64 + 1;
             let limit = self.rng.random_range(1..=12);
@@ -198,18 +197,18 @@
         }
         let now = self.now;
         let host = &mut self.hosts[index];
-        if host.condition == Condition::Well && self.rng.random_bool(0.01) {
+        if host.condition == Condition::Healthy && self.rng.random_bool(0.01) {
             let paused = self.rng.random_bool(0.5);
             host.condition = if paused {
                 Condition::Paused
             } else {
-                Condition::Cut
+                Condition::Disconnected
             };
             host.serves_until = now + LEASE;
             host.until = now + Duration::from_millis(self.rng.random_range(10..2500));
         }
-        // A quorum may drop a silent host as soon as it likes.
-        if host.condition != Condition::Well && self.rng.random_bool(0.05) {
+        // A quorum may remove an unresponsive host at any time.
+        if host.condition != Condition::Healthy && self.rng.random_bool(0.05) {
             let name = host.name.clone();
             self.change_list(&name, None);
         }
@@ -221,10 +220,10 @@
     fn step_host(&mut self, index: usize) -> Result<(), String> {
         let (now, newest) = (self.now, self.list.clone());
         let host = &mut self.hosts[index];
-        if host.condition != Condition::Well && now >= host.until {
-            host.condition = Condition::Well;
+        if host.condition != Condition::Healthy && now >= host.until {
+            host.condition = Condition::Healthy;
         }
-        let is_lapsed = host.condition == Condition::Well && now >= host.serves_until;
+        let is_lapsed = host.condition == Condition::Healthy && now >= host.serves_until;
         if is_lapsed && !newest.contains(&host.name, host.incarnation) {
             host.incarnation = self.next_incarnation;
             self.next_incarnation += 1;
@@ -235,8 +234,8 @@
         if self.hosts[index].condition == Condition::Paused {
             return Ok(());
         }
-        self.follow(index);
-        self.hear(index);
+        self.apply_updates(index);
+        self.deliver_messages(index);
         self.end_work(index);
         self.start_work(index)?;
         if self.rng.random_bool(0.8) {
@@ -247,10 +246,10 @@
         Ok(())
     }
 
-    /// Follows list and limits with some lag, at once where the lease asks for it.
-    fn follow(&mut self, index: usize) {
+    /// Applies list and limits with some delay, immediately where the lease requires it.
+    fn apply_updates(&mut self, index: usize) {
         let host = &mut self.hosts[index];
-        if host.condition == Condition::Cut {
+        if host.condition == Condition::Disconnected {
             return;
         }
         if self.rng.random_bool(0.3) {
@@ -258,10 +257,10 @@
         }
         let revision = self.limits.len() as u64;
         let (_, limit) = self.limits[self.limits.len() - 1];
-        // The lease asks for each change by its own time: a later one does not put off the first
-        // that the host lacks.
-        let lacked = self.limits.get(host.config as usize);
-        let is_overdue = lacked.is_some_and(|(since, _)| self.now >= *since + CONFIG_LAG);
+        // The lease requires each change by its own time: a later change does not postpone the
+        // first one that the host lacks.
+        let first_missing = self.limits.get(host.config as usize);
+        let is_overdue = first_missing.is_some_and(|(since, _)| self.now >= *since + CONFIG_LAG);
         let is_due = is_overdue || self.rng.random_bool(0.2);
         if host.config < revision && is_due {
             host.config = revision;
@@ -270,7 +269,7 @@
         }
     }
 
-    fn hear(&mut self, index: usize) {
+    fn deliver_messages(&mut self, index: usize) {
         let now = self.now;
         while let Some((at, answer)) = self.hosts[index].answers.pop_front() {
             if at > now {
@@ -336,8 +335,8 @@
     fn start_work(&mut self, index: usize) -> Result<(), String> {
         let now = self.now;
         let host = &mut self.hosts[index];
-        let renews =
-            host.condition == Condition::Well && self.list.contains(&host.name, host.incarnation);
+        let renews = host.condition == Condition::Healthy
+            && self.list.contains(&host.name, host.incarnation);
         if !renews && now >= host.serves_until || host.config == 0 {
             return Ok(());
         }
@@ -396,7 +395,7 @@
     }
 
     fn read(&mut self, index: usize) {
-        if self.hosts[index].condition == Condition::Cut || self.rng.random_bool(0.1) {
+        if self.hosts[index].condition == Condition::Disconnected || self.rng.random_bool(0.1) {
             return;
         }
         let answer = StoreAnswer::Read(self.store.0, self.store.1.clone());
@@ -410,12 +409,12 @@
     }
 
     fn write(&mut self, index: usize, write: QuotaWrite) -> Result<(), String> {
-        let is_cut = self.hosts[index].condition == Condition::Cut;
+        let is_disconnected = self.hosts[index].condition == Condition::Disconnected;
         let fate = self.rng.random_range(0..10);
         let outcome = match fate {
-            _ if is_cut => WriteOutcome::NotDone,
+            _ if is_disconnected => WriteOutcome::NotDone,
             0 => WriteOutcome::NotDone,
-            // The answer is lost; the write lands now, later or never.
+            // The response is lost; the write takes effect now, later or never.
             1 => {
                 self.swap(&write)?;
                 WriteOutcome::Unknown
@@ -440,13 +439,13 @@
         let before: u32 = self.store.1.grants.iter().map(|grant| grant.units).sum();
         let sum: u32 = write.record.grants.iter().map(|grant| grant.units).sum();
         if sum > write.record.limit && sum >= before {
-            return Err(format!("the record grants too much: {:?}", write.record));
+            return Err(format!("the grants exceed the limit: {:?}", write.record));
         }
         self.store = (write.expect + 1, write.record.clone());
         Ok(WriteOutcome::Done(self.store.0))
     }
 
-    fn land_late_writes(&mut self) -> Result<(), String> {
+    fn apply_late_writes(&mut self) -> Result<(), String> {
         let now = self.now;
         let (due, rest) = self.late.drain(..).partition(|late| late.at <= now);
         self.late = rest;
@@ -473,11 +472,11 @@
             };
             let is_lost = self.rng.random_bool(0.1);
             let copies = 1 + u32::from(self.rng.random_bool(0.1));
-            let is_cut = self.hosts[index].condition == Condition::Cut;
+            let is_disconnected = self.hosts[index].condition == Condition::Disconnected;
             let Some(target) = self.hosts.iter_mut().find(|host| host.name == *to) else {
                 continue;
             };
-            if is_lost || is_cut || target.condition == Condition::Cut {
+            if is_lost || is_disconnected || target.condition == Condition::Disconnected {
                 continue;
             }
             for _ in 0..copies {
@@ -493,8 +492,8 @@
     }
 }
 
-/// The largest limit that some host may still have in force: a limit counts until every host
-/// has followed the next, or has lost its serving lease.
+/// The largest limit that some host may still apply. A limit counts until every host has applied
+/// the next one or has lost its serving lease.
 fn allowed_limit(limits: &[(Duration, TeamLimit)], now: Duration) -> u32 {
     let window = now.saturating_sub(LEASE + CONFIG_LAG + STEP);
     let last_before = limits.iter().rposition(|(at, _)| *at <= window);
@@ -520,7 +519,7 @@
     }
 }
 
-/// Guards the limits in as many schedules as are drawn above, the same in each run.
+/// Runs a fixed set of schedules, as many as the property test above draws.
 #[test]
 fn quota_never_above_limit_fixed() {
     for seed in 0..256 {
@@ -529,7 +528,7 @@
     }
 }
 
-/// Guards against units that are taken over before long work which their holder started has ended.
+/// Guards against units that are reclaimed before long work of their holder has ended.
 #[test]
 fn quota_mixed_never_above_limit_fixed() {
     for seed in 0..512 {
@@ -538,7 +537,7 @@
     }
 }
 
-/// The guard of long work is needed too.
+/// Shows that the guard of long work is needed.
 #[test]
 fn quota_mixed_mutation_is_caught() {
     let run = |seed: &u64| Simulation::mixed(*seed, QuotaMutation::StartLong).run();
@@ -547,14 +546,14 @@
     assert!(caught.is_some(), "StartLong was not caught");
 }
 
-/// Guards against a team above its limit for a moment, as one drawn schedule had it.
+/// Guards against a team above its limit for a moment, found by a randomized schedule.
 #[test]
 fn quota_never_above_limit_found() {
     let outcome = Simulation::new(10_781_229_523_657_623_910, QuotaMutation::None).run();
     assert!(outcome.is_ok(), "{outcome:?}");
 }
 
-/// Each guard is needed: without it, some of the first schedules break the promise.
+/// Each guard is needed: without it, some of the first schedules violate the limit.
 #[rstest::rstest]
 #[case::raise_before_lower(QuotaMutation::RaiseBeforeLower)]
 #[case::reclaim_at_once(QuotaMutation::ReclaimAtOnce)]
--- a/crates/decide/tests/share.rs
+++ b/crates/decide/tests/share.rs
@@ -1,4 +1,4 @@
-//! Shares: the split, the order of teams and the safety of slot offers.
+//! Tests of the fair split, the order of teams and the safety of slot offers.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -49,8 +49,8 @@
     }
 
     #[test]
-    fn apportion_keeps_total(parts in proptest::collection::vec(0.0..9.0f64, 1..9), turn in 0usize..9) {
-        let whole = apportion(&parts, turn);
+    fn apportion_keeps_total(parts in proptest::collection::vec(0.0..9.0f64, 1..9), rotation in 0usize..9) {
+        let whole = apportion(&parts, rotation);
         prop_assert_eq!(whole.iter().sum::<u32>(), parts.iter().sum::<f64>().round() as u32);
     }
 }
@@ -72,11 +72,11 @@
 #[case::urgent_in_debt_waits(vec![turn("a", 9000, Some(5)), turn("b", 3, None)], Some(1))]
 #[case::blocked_is_passed(vec![TeamTurn { blocked: true, ..turn("a", 1, None) }, turn("b", 3, None)], Some(1))]
 #[case::none(vec![], None)]
-fn pick_cases(#[case] turns: Vec<TeamTurn>, #[case] expected: Option<usize>) {
+fn pick_next_team_cases(#[case] turns: Vec<TeamTurn>, #[case] expected: Option<usize>) {
     assert_eq!(pick_next_team(&turns, &PickOptions::default()), expected);
 }
 
-// One holder with its links to a broker that loses, delays and reorders messages.
+// One holder and its links to a broker that lose, delay and reorder messages.
 struct HolderModel {
     member: MemberId,
     holder: SlotHolder,
@@ -84,7 +84,7 @@
     demand: u32,
 }
 
-struct Question {
+struct DemandMessage {
     due: BootTime,
     from: usize,
     session: u64,
@@ -94,7 +94,7 @@
     load: u32,
 }
 
-struct Answer {
+struct OfferMessage {
     due: BootTime,
     to: usize,
     session: u64,
@@ -102,9 +102,9 @@
     offer: PoolOffer,
 }
 
-/// Runs one seeded schedule and returns the greatest number of slots of one target that
-/// holders believed in at the same moment.
-fn most_believed(seed: u64, switch: BrokerSwitch) -> u32 {
+/// Runs one seeded schedule. Returns the greatest number of slots of one target that holders
+/// considered theirs at the same moment.
+fn max_claimed_slots(seed: u64, switch: BrokerSwitch) -> u32 {
     let pool = PoolId::from("coding");
     let mut random = StdRng::seed_from_u64(seed);
     let options = BrokerOptions {
@@ -112,7 +112,7 @@
         ..BrokerOptions::default()
     };
     let mut now = Duration::from_secs(10);
-    let mut broker = fresh_broker(&pool, now, options);
+    let mut broker = new_broker(&pool, now, options);
     let mut models: Vec<HolderModel> = (0..3)
         .map(|index| HolderModel {
             member: format!("e{index}").into(),
@@ -125,17 +125,17 @@
         model.holder.mark_demand_changed(&pool);
     }
     let mut sessions = BTreeMap::new();
-    let mut questions: Vec<Question> = Vec::new();
-    let mut answers: Vec<Answer> = Vec::new();
+    let mut demands: Vec<DemandMessage> = Vec::new();
+    let mut offers: Vec<OfferMessage> = Vec::new();
     let mut worst = 0;
     for _ in 0..800 {
         now += Duration::from_millis(random.random_range(5..60));
         if random.random_ratio(1, 300) {
-            broker = fresh_broker(&pool, now, options);
+            broker = new_broker(&pool, now, options);
             sessions.clear();
-            // Holders notice the new broker, and begin a session that tells what they hold.
+            // Holders notice the new broker and begin a session that reports their slots.
             for model in &mut models {
-                let held = held_slots(model, &pool, now);
+                let held = usable_slots(model, &pool, now);
                 let expires = model.holder.expires(&pool);
                 let session = model.holder.session() + 1;
                 model.holder = SlotHolder::new(session, HolderOptions::default());
@@ -160,7 +160,7 @@
             if random.random_ratio(1, 6) {
                 continue;
             }
-            questions.push(Question {
+            demands.push(DemandMessage {
                 due: now + Duration::from_millis(random.random_range(1..400)),
                 from: index,
                 session: model.holder.session(),
@@ -171,49 +171,49 @@
             });
         }
         broker.expire(now);
-        for question in questions.extract_if(.., |question| question.due <= now) {
-            let model = &models[question.from];
+        for message in demands.extract_if(.., |message| message.due <= now) {
+            let model = &models[message.from];
             let known = sessions.get(&model.member).copied();
-            if question.pools && known.is_none_or(|known| known < question.session) {
-                let held = held_slots(model, &pool, now);
+            if message.pools && known.is_none_or(|known| known < message.session) {
+                let held = usable_slots(model, &pool, now);
                 broker.open(
                     now,
                     &model.member,
-                    question.round,
+                    message.round,
                     HolderDemand {
                         held,
-                        ..load(question.load)
+                        ..load(message.load)
                     },
                 );
-                sessions.insert(model.member.clone(), question.session);
-            } else if known == Some(question.session)
-                && broker.confirm(now, &model.member, question.round, question.applied)
+                sessions.insert(model.member.clone(), message.session);
+            } else if known == Some(message.session)
+                && broker.confirm(now, &model.member, message.round, message.applied)
             {
-                broker.report(&model.member, load(question.load));
+                broker.report(&model.member, load(message.load));
             } else {
                 continue;
             }
-            let Some(offer) = broker.offer(now, &model.member, question.round) else {
+            let Some(offer) = broker.offer(now, &model.member, message.round) else {
                 continue;
             };
             if random.random_ratio(1, 6) {
                 continue;
             }
-            answers.push(Answer {
+            offers.push(OfferMessage {
                 due: now + Duration::from_millis(random.random_range(1..400)),
-                to: question.from,
-                session: question.session,
-                round: question.round,
+                to: message.from,
+                session: message.session,
+                round: message.round,
                 offer,
             });
         }
-        for answer in answers.extract_if(.., |answer| answer.due <= now) {
-            let model = &mut models[answer.to];
+        for message in offers.extract_if(.., |message| message.due <= now) {
+            let model = &mut models[message.to];
             if model.paused_until <= now {
                 model.holder.apply_grant(
-                    answer.session,
-                    answer.round,
-                    vec![(pool.clone(), answer.offer)],
+                    message.session,
+                    message.round,
+                    vec![(pool.clone(), message.offer)],
                 );
             }
         }
@@ -221,7 +221,7 @@
             let sum = models
                 .iter()
                 .map(|model| {
-                    held_slots(model, &pool, now)
+                    usable_slots(model, &pool, now)
                         .get(target)
                         .copied()
                         .unwrap_or(0)
@@ -233,7 +233,7 @@
     worst
 }
 
-fn fresh_broker(pool: &PoolId, now: BootTime, options: BrokerOptions) -> SlotBroker {
+fn new_broker(pool: &PoolId, now: BootTime, options: BrokerOptions) -> SlotBroker {
     let mut broker = SlotBroker::new(pool.clone(), now, options);
     broker.set_targets(
         TARGETS
@@ -262,7 +262,7 @@
     }
 }
 
-fn held_slots(model: &HolderModel, pool: &PoolId, now: BootTime) -> BTreeMap<HostId, u32> {
+fn usable_slots(model: &HolderModel, pool: &PoolId, now: BootTime) -> BTreeMap<HostId, u32> {
     if model.holder.expires(pool) <= now {
         return BTreeMap::new();
     }
@@ -271,36 +271,36 @@
         .unwrap_or_default()
 }
 
-// A caller sees requests refused by a full executor although the pool has room: two entry
-// hosts used the same slot. Messages between holders and broker are lost, late and crossed,
-// holders freeze beyond their lease, and the broker is replaced, all at random.
+// Guards against two entry hosts using the same slot, so that a full executor refuses requests
+// although the pool has capacity. Messages are lost, late and reordered, holders pause beyond their
+// lease, and the broker is replaced, all at random.
 #[test]
-fn slot_offers_never_exceed_target() {
+fn slot_offers_never_exceed_slots_of_target() {
     for seed in 0..400 {
-        let worst = most_believed(seed, BrokerSwitch::None);
+        let worst = max_claimed_slots(seed, BrokerSwitch::None);
         assert!(
             worst <= SLOTS,
-            "seed {seed}: {worst} slots of one target believed in"
+            "seed {seed}: {worst} slots of one target claimed by holders"
         );
     }
 }
 
-// The same schedules with a guard switched off: the check must notice.
+// Runs the same schedules with a guard disabled: the check must notice.
 #[rstest]
 #[case::confirm(BrokerSwitch::SkipConfirm)]
 #[case::caution(BrokerSwitch::SkipCaution)]
-fn slot_offers_without_guard_are_caught(#[case] switch: BrokerSwitch) {
-    let caught = (0..400).find(|&seed| SLOTS < most_believed(seed, switch));
+fn slot_offers_disabled_guard_is_caught(#[case] switch: BrokerSwitch) {
+    let caught = (0..400).find(|&seed| SLOTS < max_claimed_slots(seed, switch));
     println!("{switch:?}: caught by seed {caught:?}");
     assert!(caught.is_some());
 }
 
-// Demand moves to one entry host: it must get all slots of the pool in a few rounds.
+// Demand moves to one entry host, which must get all slots of the pool within a few rounds.
 #[test]
 fn slot_offers_follow_demand() {
     let pool = PoolId::from("coding");
     let mut now = Duration::from_secs(10);
-    let mut broker = fresh_broker(&pool, now, BrokerOptions::default());
+    let mut broker = new_broker(&pool, now, BrokerOptions::default());
     let members: Vec<MemberId> = (0..3).map(|index| format!("e{index}").into()).collect();
     for member in &members {
         broker.open(now, member, 0, load(10));
