--- a/crates/decide/src/work/desk_admit.rs
+++ b/crates/decide/src/work/desk_admit.rs
@@ -64,7 +64,7 @@
         let pools = self.index.jobs.backlogged_pools();
         let waited_for = pools.filter(|pool| self.backlog(pool).all() > 0);
         let waited_for = waited_for.cloned().collect();
-        self.forecast.observe(&waited_for, now.boot);
+        self.forecast.observe_waiting(&waited_for, now.boot);
     }
 
     /// The tasks that wait for a pool. Where a predecessor's targets have not been reached, its jobs
--- a/crates/decide/src/work/desk_end.rs
+++ b/crates/decide/src/work/desk_end.rs
@@ -99,7 +99,7 @@
     pub(super) fn place_mut(&mut self, id: &HostId, run: &RunKey) -> Option<&mut TaskPlacement> {
         let (key, attempt) = run;
         let task = self.board.task_mut_unindexed(key)?;
-        let place = task.place.as_mut()?;
+        let place = task.placement.as_mut()?;
         (place.target == *id && place.attempt == *attempt).then_some(place)
     }
 
@@ -113,7 +113,7 @@
         if let Some(step) = self.board.step_mut(key)
             && let Some(task) = step.tasks.get_mut(key.index as usize)
         {
-            task.place = None;
+            task.placement = None;
             step.placed = step.placed.saturating_sub(1);
         }
     }
@@ -245,7 +245,7 @@
         }
         let step = self.step_by(&key.job, key.occurrence, key.step);
         let tasks = step.into_iter().flat_map(|step| (0..).zip(&step.tasks));
-        let placed = tasks.filter_map(|(index, task)| Some((index, task.place.as_ref()?)));
+        let placed = tasks.filter_map(|(index, task)| Some((index, task.placement.as_ref()?)));
         let doubtful = placed.filter(|(_, place)| place.phase != PlacementPhase::Running);
         doubtful
             .map(|(index, place)| {
--- a/crates/decide/src/work/desk_evacuate.rs
+++ b/crates/decide/src/work/desk_evacuate.rs
@@ -180,7 +180,7 @@
             })
         };
         let at_work = |task: &super::TaskState| {
-            task.place.as_ref().is_some_and(|place| {
+            task.placement.as_ref().is_some_and(|place| {
                 place.phase == PlacementPhase::Running
                     && place.percent >= AT_WORK
                     && heard(&place.target)
--- a/crates/decide/src/work/desk_miss.rs
+++ b/crates/decide/src/work/desk_miss.rs
@@ -92,7 +92,7 @@
         let Some(step) = self.board.step_mut(&key).filter(|_| open) else {
             return;
         };
-        let waits = |task: &super::TaskState| !task.done && task.place.is_none();
+        let waits = |task: &super::TaskState| !task.done && task.placement.is_none();
         if !step.tasks.get(key.index as usize).is_some_and(waits) {
             return;
         }
@@ -117,7 +117,7 @@
         let (key, attempt) = shown;
         let job = self.board.jobs.get(&key.job);
         let task = job.and_then(|job| job.task(key.occurrence, key.step, key.index));
-        let Some(place) = task.and_then(|task| task.place.as_ref()) else {
+        let Some(place) = task.and_then(|task| task.placement.as_ref()) else {
             return;
         };
         if !place.from_record || place.target == *id || place.attempt >= *attempt {
--- a/crates/decide/src/work/desk_sight.rs
+++ b/crates/decide/src/work/desk_sight.rs
@@ -206,7 +206,7 @@
             self.stop_unwanted(id, &key, now);
             return;
         };
-        match &mut task.place {
+        match &mut task.placement {
             Some(place) if place.target == *id && place.attempt == run.attempt => {
                 if place.percent != run.percent {
                     place.last_progress = now.boot;
--- a/crates/decide/src/work/desk_start.rs
+++ b/crates/decide/src/work/desk_start.rs
@@ -65,7 +65,7 @@
         let Some(state) = self.step_state(step) else {
             return nothing;
         };
-        let free = |task: &super::TaskState| !task.done && task.place.is_none();
+        let free = |task: &super::TaskState| !task.done && task.placement.is_none();
         let indices: Vec<u32> = (0..)
             .zip(&state.tasks)
             .filter(|(_, task)| free(task))
--- a/crates/decide/src/work/desk_tick.rs
+++ b/crates/decide/src/work/desk_tick.rs
@@ -206,7 +206,7 @@
         let members: Vec<(HostId, RunKey)> = tasks
             .filter(|(key, plan, _)| plan.gang && self.is_broken(key))
             .filter_map(|(key, _, task)| {
-                let place = task.place.as_ref()?;
+                let place = task.placement.as_ref()?;
                 Some((place.target.clone(), (key, place.attempt)))
             })
             .collect();
--- a/crates/decide/src/work/host_planner.rs
+++ b/crates/decide/src/work/host_planner.rs
@@ -97,7 +97,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct WaveView {
     pub(super) wave: MaintenanceWave,
-    pub(super) seen: BootTime,
+    pub(super) first_seen: BootTime,
     pub(super) maintained: BTreeSet<HostId>,
     pub(super) published: Option<bool>,
 }
@@ -153,7 +153,7 @@
     ) {
         for wave in waves {
             let view = self.waves.entry(wave.wave).or_insert_with(|| WaveView {
-                seen: now,
+                first_seen: now,
                 ..WaveView::default()
             });
             view.wave = wave.clone();
--- a/crates/decide/src/work/host_waves.rs
+++ b/crates/decide/src/work/host_waves.rs
@@ -77,7 +77,7 @@
             return Vec::new();
         }
         let rounds = left.len().div_ceil((wave.wave.max_down as usize).max(1));
-        let end = wave.seen + wave.wave.deadline;
+        let end = wave.first_seen + wave.wave.deadline;
         let rounds = u32::try_from(rounds).unwrap_or(u32::MAX);
         let urgent = now + HOST_MAINTENANCE_TIME.saturating_mul(rounds.saturating_add(1)) >= end;
         let mut candidates: Vec<(u64, HostId)> = left
--- a/crates/decide/src/work/job_index.rs
+++ b/crates/decide/src/work/job_index.rs
@@ -156,10 +156,10 @@
     }
 
     fn add(&mut self, id: &JobId, facts: &JobSummary) {
-        if !facts.waiting.is_empty() {
+        if !facts.waiting_steps.is_empty() {
             let pool = self.pools.entry(facts.pool.clone()).or_default();
             let steps = pool.entry(facts.group.clone()).or_default();
-            for step in &facts.waiting {
+            for step in &facts.waiting_steps {
                 steps.insert(step.clone());
             }
         }
@@ -250,7 +250,7 @@
             return;
         };
         if let Some(steps) = pool.get_mut(&facts.group) {
-            for step in &facts.waiting {
+            for step in &facts.waiting_steps {
                 steps.remove(&step.key());
             }
             if steps.is_empty() {
--- a/crates/decide/src/work/job_summary.rs
+++ b/crates/decide/src/work/job_summary.rs
@@ -74,7 +74,7 @@
 pub(super) struct JobSummary {
     pub(super) pool: PoolId,
     pub(super) group: WaitingGroup,
-    pub(super) waiting: Vec<WaitingStep>,
+    pub(super) waiting_steps: Vec<WaitingStep>,
     pub(super) rerank_at: Option<BootTime>,
     /// Its queue, if it is open and has not begun.
     pub(super) pending_queue: Option<CompactString>,
@@ -157,7 +157,7 @@
                     true => (plan.footprint(), plan.resources),
                     false => Default::default(),
                 };
-                self.waiting.push(WaitingStep {
+                self.waiting_steps.push(WaitingStep {
                     rank,
                     step: StepKey {
                         job: job.id.clone(),
@@ -173,8 +173,8 @@
 
     /// True if something may be started by what has changed since `before`.
     pub(super) fn has_new_work(&self, before: &Self) -> bool {
-        let new = |step: &WaitingStep| !before.waiting.contains(step);
-        self.waiting.iter().any(new)
+        let new = |step: &WaitingStep| !before.waiting_steps.contains(step);
+        self.waiting_steps.iter().any(new)
             || before.pool != self.pool
             || before.group.inherited != self.group.inherited
     }
--- a/crates/decide/src/work/job_table.rs
+++ b/crates/decide/src/work/job_table.rs
@@ -149,7 +149,7 @@
         let job = self.jobs.get(&key.job)?;
         let task = job.task(key.occurrence, key.step, key.index)?;
         let there = |place: &&TaskPlacement| place.target == *id && place.attempt == *attempt;
-        task.place.as_ref().filter(there)
+        task.placement.as_ref().filter(there)
     }
 
     /// Cancels a job, unless it has ended.
--- a/crates/decide/src/work/pick.rs
+++ b/crates/decide/src/work/pick.rs
@@ -85,7 +85,7 @@
 ) -> bool {
     let need = plan.footprint().plus(coming);
     let away = |task: &&TaskState| {
-        let place = task.place.as_ref();
+        let place = task.placement.as_ref();
         place.is_none_or(|place| matches!(place.phase, PlacementPhase::Stopping(_)))
     };
     let before = match plan.anti_affinity {
@@ -121,7 +121,7 @@
 /// Tasks of the step that are, or may be, on a target.
 fn step_tasks_on(step: &StepState, target: &HostId) -> u32 {
     let there = |task: &&TaskState| {
-        task.place
+        task.placement
             .as_ref()
             .is_some_and(|place| place.target == *target)
     };
@@ -156,7 +156,7 @@
 
 /// True if the step has a task on another rack than the target's.
 fn on_other_rack(step: &StepState, target: &TargetState) -> bool {
-    let placed = step.tasks.iter().filter_map(|task| task.place.as_ref());
+    let placed = step.tasks.iter().filter_map(|task| task.placement.as_ref());
     let mut racks = placed.map(|place| place.target.clone()).peekable();
     racks.peek().is_some() && racks.all(|other| other != target.entry.target)
 }
--- a/crates/decide/src/work/start_forecast.rs
+++ b/crates/decide/src/work/start_forecast.rs
@@ -56,7 +56,7 @@
     }
 
     /// Notes the pools for which tasks wait; to be told several times a second.
-    pub fn observe(&mut self, waited_for: &BTreeSet<PoolId>, now: BootTime) {
+    pub fn observe_waiting(&mut self, waited_for: &BTreeSet<PoolId>, now: BootTime) {
         self.pools.retain(|pool, _| waited_for.contains(pool));
         for pool in waited_for {
             let pace = self.pools.entry(pool.clone()).or_default();
--- a/crates/decide/src/work/throttle.rs
+++ b/crates/decide/src/work/throttle.rs
@@ -82,7 +82,7 @@
             let job = self.board.jobs.get(&run.0.job)?;
             let step = job.plan.steps.get(run.0.step as usize)?;
             let task = job.task(run.0.occurrence, run.0.step, run.0.index)?;
-            let place = task.place.as_ref().filter(|_| step.serves_requests())?;
+            let place = task.placement.as_ref().filter(|_| step.serves_requests())?;
             Some(tail_percent(place.load, step))
         });
         tails.max()
--- a/crates/decide/src/work/work_job.rs
+++ b/crates/decide/src/work/work_job.rs
@@ -103,7 +103,7 @@
     /// Number of its last start by this owner; 0 for none.
     pub last_attempt: AttemptNumber,
     /// Where it is; `None` while it waits or when it is done.
-    pub place: Option<TaskPlacement>,
+    pub placement: Option<TaskPlacement>,
 }
 
 /// A task on a target.
@@ -176,14 +176,14 @@
     pub fn set_placement(&mut self, index: u32, set_placement: TaskPlacement) {
         if let Some(task) = self.tasks.get_mut(index as usize) {
             task.last_attempt = task.last_attempt.max(set_placement.attempt);
-            task.place = Some(set_placement);
+            task.placement = Some(set_placement);
             self.placed += 1;
         }
     }
 
     /// How many tasks are neither done nor on a target.
     pub fn waiting_tasks(&self) -> u32 {
-        let waiting = |task: &&TaskState| !task.done && task.place.is_none();
+        let waiting = |task: &&TaskState| !task.done && task.placement.is_none();
         u32::try_from(self.tasks.iter().filter(waiting).count()).unwrap_or(u32::MAX)
     }
 }
--- a/crates/decide/tests/desk/world_call.rs
+++ b/crates/decide/tests/desk/world_call.rs
@@ -338,7 +338,7 @@
     } = &start.task;
     let job = owner.desk.board.jobs.get(job);
     let task = job.and_then(|job| job.task(*occurrence, *step, *index));
-    let place = task.and_then(|task| task.place.as_ref());
+    let place = task.and_then(|task| task.placement.as_ref());
     place.is_some_and(|place| {
         let same = place.target == *name && place.attempt == start.attempt;
         same && place.phase == PlacementPhase::Starting
--- a/crates/decide/tests/work_admit.rs
+++ b/crates/decide/tests/work_admit.rs
@@ -185,7 +185,7 @@
     let pool = PoolId::from(POOL);
     let at = |ms: u64| Duration::from_millis(100_000 + ms);
     forecast.record_start(&pool, at(0));
-    forecast.observe(&BTreeSet::from([pool.clone()]), at(100));
+    forecast.observe_waiting(&BTreeSet::from([pool.clone()]), at(100));
     assert_eq!(forecast.expected_wait(&pool, 1000, at(600)), Duration::ZERO);
     // Hosts that are on their way begin to start after two seconds.
     assert_eq!(
