--- a/crates/model/src/work/fleet_host.rs
+++ b/crates/model/src/work/fleet_host.rs
@@ -4,16 +4,16 @@
 
 use super::{FencingToken, ResourceVector};
 
-/// What a host of the fleet is doing.
+/// State of a host in the fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum HostCondition {
     /// In service.
     Up,
-    /// On its way to another pool.
+    /// Being moved to another pool.
     Moving,
     /// Down for maintenance.
     UnderMaintenance,
-    /// Down for another reason.
+    /// Down for any other reason.
     #[default]
     Down,
 }
@@ -21,44 +21,44 @@
 /// One host of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetHost {
-    /// The machine's name, which stays through moves and maintenance.
+    /// Name of the machine. It stays the same across moves and maintenance.
     pub host: HostId,
-    /// Pool that it belongs to.
+    /// Pool that the host belongs to.
     pub pool: PoolId,
-    /// What it does.
+    /// Current state.
     pub condition: HostCondition,
-    /// All its labels.
+    /// All labels of the host.
     pub labels: Vec<CompactString>,
-    /// Room in all.
+    /// Total resources.
     pub capacity: ResourceVector,
-    /// Its present life as a target; empty for none.
+    /// Target id of the host's current incarnation; empty if it has none.
     pub target: HostId,
 }
 
-/// What became of an order to a host.
+/// Answer to an order to a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HostOrderAnswer {
-    /// Done, or done before: everything on the host has ended.
+    /// Carried out, now or earlier. Everything that ran on the host has ended.
     Done,
-    /// A newer owner has given orders to the host.
+    /// Refused because a newer owner has sent orders to the host.
     Fenced,
-    /// The host is not up, or is leaving.
+    /// The host is not up, or is leaving its pool.
     Busy,
-    /// The host does not belong to the wave.
+    /// The host is not part of the maintenance wave.
     NotOfWave,
-    /// No such host, or the pool takes other hosts.
+    /// The host does not exist, or the pool does not accept it. Retrying does not help.
     Impossible,
-    /// Nothing was done for now.
+    /// Refused for now, with the reason. Nothing was done.
     Refused(String),
-    /// It may have been done.
+    /// No answer, with the reason. The order may have been carried out.
     Unanswered(String),
 }
 
-/// Who gives an order to a host.
+/// Sender of an order to a host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OrderSender {
     /// Name of the entry host that owns the cell.
     pub holder: CompactString,
-    /// Token of its ownership.
+    /// Fencing token of the ownership.
     pub token: FencingToken,
 }
--- a/crates/model/src/work/fleet_policy.rs
+++ b/crates/model/src/work/fleet_policy.rs
@@ -6,81 +6,82 @@
 
 use super::ResourceVector;
 
-/// Everything that operators ask for at one revision.
+/// Policy that operators have set for the fleet, at one revision.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetPolicy {
-    /// Grows with each change.
+    /// Revision of the policy. It grows with each change.
     pub revision: Revision,
-    /// Queues that callers hand jobs in to.
+    /// Queues that callers submit jobs to.
     pub queues: Vec<QueuePolicy>,
     /// Pools of hosts.
     pub pools: Vec<PoolPolicy>,
-    /// Workspaces, with their keys and limits.
+    /// Workspaces, with their API keys and limits.
     pub workspaces: Vec<WorkspacePolicy>,
     /// Largest body of a caller's request, in bytes.
     pub max_body: usize,
 }
 
-/// One queue.
+/// Policy of one queue.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QueuePolicy {
     /// Its name.
     pub name: CompactString,
     /// Host name that callers address.
     pub host: CompactString,
-    /// What the path begins with.
+    /// Prefix of the request path.
     pub prefix: CompactString,
-    /// Pool whose targets run its tasks.
+    /// Pool whose targets run the queue's tasks.
     pub pool: PoolId,
-    /// Queues with smaller numbers come first.
+    /// Priority of the queue; smaller numbers go first.
     pub priority: u32,
-    /// Failed runs of a task after which its job fails.
+    /// Number of failed runs of one task after which its job fails.
     pub max_attempts: u32,
-    /// The objective is this many times the longest chain of work, and
+    /// Factor of the objective: a job's objective is its critical path times this factor plus
+    /// `slack_time`.
     pub slack_factor: f64,
-    /// this much time more.
+    /// Constant part of the objective.
     pub slack_time: Duration,
-    /// Whether callers need no key.
+    /// Whether callers may submit without an API key.
     pub public: bool,
-    /// Whose advice says which targets may run a step; `None` if all may.
+    /// Advice service that restricts the targets of a step; `None` if all targets are allowed.
     pub advice: Option<AdvicePolicy>,
 }
 
-/// How a queue's advice service answers.
+/// Response times and validity of a queue's advice service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AdvicePolicy {
-    /// Fixed part of an answer's time.
+    /// Fixed part of the response time.
     pub fixed: Duration,
-    /// Part for each target that is asked about.
+    /// Additional response time per target in the request.
     pub per_target: Duration,
-    /// How long a ticket counts.
+    /// How long a ticket is valid.
     pub valid: Duration,
 }
 
-/// One pool.
+/// Policy of one pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PoolPolicy {
     /// Its name.
     pub name: PoolId,
-    /// Whether its hosts are switched off.
+    /// Whether hosts in this pool are switched off.
     pub standby: bool,
 }
 
-/// One workspace.
+/// Policy of one workspace.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WorkspacePolicy {
     /// Its name.
     pub name: WorkspaceId,
-    /// Keys that its callers present.
+    /// API keys of its callers.
     pub keys: Vec<CompactString>,
-    /// Its share when all is full.
+    /// Weight of its share when demand exceeds the capacity.
     pub weight: u32,
-    /// Most that it may have running; zero parts mean no limit.
+    /// Limit of the resources that its tasks may use at once; a component of zero means no limit.
     pub limit: ResourceVector,
 }
 
 impl FleetPolicy {
-    /// The queue that answers `host` and `path`: the one with the longest prefix.
+    /// Returns the queue that serves `host` and `path`: the one with the longest matching prefix.
     pub fn queue_at(&self, host: &str, path: &str) -> Option<&QueuePolicy> {
         let matching = self
             .queues
@@ -89,24 +90,27 @@
         matching.max_by_key(|queue| queue.prefix.len())
     }
 
-    /// The queue of a name.
+    /// Returns the queue with this name.
     pub fn queue(&self, name: &str) -> Option<&QueuePolicy> {
         self.queues.iter().find(|queue| queue.name == name)
     }
 
-    /// The pool of a name.
+    /// Returns the pool with this name.
     pub fn pool(&self, name: &str) -> Option<&PoolPolicy> {
         self.pools.iter().find(|pool| pool.name == name)
     }
 
-    /// The workspace of a name.
+    /// Returns the workspace with this name.
     pub fn workspace(&self, name: &str) -> Option<&WorkspacePolicy> {
-        self.workspaces.iter().find(|space| space.name == name)
+        self.workspaces
+            .iter()
+            .find(|workspace| workspace.name == name)
     }
 
-    /// The workspace that a key belongs to.
+    /// Returns the workspace that an API key belongs to.
     pub fn workspace_of_key(&self, key: &str) -> Option<&WorkspacePolicy> {
-        let holds = |space: &&WorkspacePolicy| space.keys.iter().any(|own| own == key);
-        self.workspaces.iter().find(holds)
+        let has_key =
+            |workspace: &&WorkspacePolicy| workspace.keys.iter().any(|own_key| own_key == key);
+        self.workspaces.iter().find(has_key)
     }
 }
--- a/crates/model/src/work/job_plan.rs
+++ b/crates/model/src/work/job_plan.rs
@@ -6,32 +6,34 @@
 
 use super::ResourceVector;
 
-/// Longest payload of a job, in bytes, as the callers' interface promises.
+/// Maximum payload size of a job in bytes, as documented for callers.
 const MAX_PAYLOAD: usize = 4_000;
-/// Most steps of a job; more than any real chain, and a job record stays small.
+/// Maximum number of steps of a job: more than any real chain needs, and few enough to keep a job
+/// record small.
 const MAX_STEPS: usize = 256;
-/// Most tasks of one occurrence; a job of this many takes about a megabyte of memory.
+/// Maximum number of tasks of one occurrence; a job of this many tasks takes about a megabyte of
+/// memory.
 const MAX_TASKS: u64 = 10_000;
 
-/// A job as its caller hands it in: steps of equal tasks, run once or at set times.
+/// A job as submitted by its caller: steps of equal tasks, run once or on a schedule.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct JobPlan {
-    /// What each task is handed.
+    /// Payload that is passed to each task.
     pub payload: CompactString,
-    /// The steps; a step names earlier ones that come before it.
+    /// Steps of the job. A step may depend only on earlier steps.
     pub steps: Vec<StepPlan>,
-    /// When the steps run again and again; `None` to run them once, at once.
+    /// Schedule of a repeating job; `None` to run the steps once, immediately.
     pub repeat: Option<RepeatPlan>,
 }
 
-/// Occurrences of a job at set times.
+/// Schedule of a repeating job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RepeatPlan {
-    /// How often the steps run.
+    /// Number of occurrences.
     pub count: u32,
-    /// When the first is due, since the Unix epoch.
+    /// Due time of the first occurrence, since the Unix epoch.
     pub first: Duration,
-    /// Time from one to the next.
+    /// Interval between two occurrences.
     pub period: Duration,
 }
 
@@ -40,57 +42,59 @@
 pub struct StepPlan {
     /// Number of tasks.
     pub count: u32,
-    /// What each task asks of a target.
+    /// Resources that each task requests.
     pub resources: ResourceVector,
     /// Rough estimate of a task's run time.
     pub estimate: Duration,
-    /// Earlier steps, all of whose tasks must be done first.
+    /// Earlier steps that must be completed first.
     pub after: Vec<u32>,
-    /// Whether tasks write checkpoints.
+    /// Whether the tasks write checkpoints.
     pub saves_progress: bool,
-    /// Whether the tasks only work together.
+    /// Whether the tasks are a gang: they only run together.
     pub gang: bool,
-    /// Whether the tasks slow down on more than one rack.
+    /// Whether the tasks should share a rack, since they run slower across racks.
     pub same_rack: bool,
     /// Label that a target must have; empty for none.
     pub required_label: CompactString,
-    /// Rack with the data; tasks run slower elsewhere. Empty for none.
+    /// Rack that holds the input data; tasks run slower on other racks. Empty for none.
     pub affinity: RackId,
-    /// Most tasks of the step on one target; 0 for no limit.
+    /// Maximum number of tasks of the step on one target; 0 for no limit.
     pub anti_affinity: u32,
-    /// Whether copies of a task may run side by side.
+    /// Whether speculative copies of a task may run at the same time.
     pub speculative: bool,
     /// Whether tasks run until the job is cancelled.
     pub long_running: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// Image that the tasks run; tasks of one image have similar load.
     pub image: CompactString,
-    /// Response time that a serving task must stay below; zero if it serves nobody.
+    /// Tail latency that a serving task must stay below; zero if the task serves no requests.
     pub tail_latency_target: Duration,
-    /// Whether the tasks live on processor time that others leave.
+    /// Whether the tasks are best-effort: they only use processor time that other tasks leave idle.
     pub best_effort: bool,
-    /// How many tasks of a long-running step may be away at once by our doing.
+    /// Maximum number of tasks of a long-running step that the scheduler may make unavailable at
+    /// once.
     pub max_unavailable: u32,
 }
 
-/// Why a plan can't be taken.
+/// Reason why a job plan is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlanError {
-    /// The payload is longer than allowed.
+    /// The payload exceeds the limit.
     #[error("the payload has {0} bytes, {MAX_PAYLOAD} are allowed")]
     LongPayload(usize),
-    /// The job has no steps or too many.
+    /// The job has no steps or more than the limit.
     #[error("a job has 1 to {MAX_STEPS} steps, not {0}")]
     StepCount(usize),
-    /// A step has no tasks, or the job too many.
+    /// A step has no tasks, or the job has more tasks than the limit.
     #[error("step {0} has no tasks, or the job has more than {MAX_TASKS}")]
     TaskCount(usize),
-    /// A step waits for itself or a later one.
+    /// A step depends on itself or on a later step.
     #[error("step {0} may only come after earlier steps")]
     StepOrder(usize),
 }
 
 impl StepPlan {
-    /// What a task takes from its target's room: tasks that fill take no processors.
+    /// Returns the resources that a task reserves on its target. Best-effort tasks reserve no
+    /// processor time.
     pub fn footprint(&self) -> ResourceVector {
         ResourceVector {
             cpu: if self.best_effort {
@@ -102,17 +106,17 @@
         }
     }
 
-    /// True if its tasks serve users of their own, whose response times count.
+    /// Returns true if the tasks serve requests, so that their response times matter.
     pub fn serves_requests(&self) -> bool {
         self.long_running && !self.tail_latency_target.is_zero()
     }
 }
 
 impl JobPlan {
-    /// Checks what every job must keep to.
+    /// Checks the limits that apply to every job.
     ///
     /// # Errors
-    /// The first fault that is found.
+    /// Returns the first violation found.
     pub fn check(&self) -> Result<(), PlanError> {
         if self.payload.len() > MAX_PAYLOAD {
             return Err(PlanError::LongPayload(self.payload.len()));
@@ -133,7 +137,7 @@
         Ok(())
     }
 
-    /// Longest chain of estimated run times through the steps.
+    /// Returns the estimated run time of the longest chain of dependent steps.
     pub fn critical_path(&self) -> Duration {
         let mut ends: Vec<Duration> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
@@ -147,7 +151,8 @@
         ends.into_iter().max().unwrap_or_default()
     }
 
-    /// Estimated work of one occurrence in core-seconds, without steps that last.
+    /// Returns the estimated work of one occurrence in core-seconds, without long-running and
+    /// best-effort steps.
     pub fn core_seconds(&self) -> f64 {
         let ending = self
             .steps
@@ -160,12 +165,12 @@
         ending.map(work).sum()
     }
 
-    /// True if some step runs until the job is cancelled.
+    /// Returns true if any step runs until the job is cancelled.
     pub fn is_long_running(&self) -> bool {
         self.steps.iter().any(|step| step.long_running)
     }
 
-    /// How many occurrences the job has.
+    /// Returns the number of occurrences.
     pub fn occurrences(&self) -> u32 {
         self.repeat.map_or(1, |repeat| repeat.count)
     }
--- a/crates/model/src/work/maintenance_wave.rs
+++ b/crates/model/src/work/maintenance_wave.rs
@@ -2,18 +2,18 @@
 
 use crate::HostId;
 
-/// Number of a maintenance wave, as operators count them.
+/// Number of a maintenance wave, as assigned by operators.
 pub type WaveId = u64;
 
-/// Hosts that operators want maintained.
+/// A set of hosts that operators want maintained.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MaintenanceWave {
-    /// Its number.
+    /// Number of the wave.
     pub wave: WaveId,
-    /// The hosts, by the names of the machines and not of their lives as targets.
+    /// Hosts of the wave, by machine name and not by target id.
     pub hosts: Vec<HostId>,
-    /// Time in which all are to be done.
+    /// Time within which all hosts are to be maintained.
     pub deadline: Duration,
-    /// Most hosts that may be down for it at once.
+    /// Maximum number of hosts that may be down for maintenance at once.
     pub max_down: u32,
 }
--- a/crates/model/src/work/mod.rs
+++ b/crates/model/src/work/mod.rs
@@ -1,8 +1,9 @@
-//! What the job core works on: jobs of steps and tasks, rooms of targets, and the terms that
-//! operators set for queues, pools and workspaces.
+//! Data types of the work scheduler: jobs of steps and tasks, resources of targets, and the policy
+//! that operators set for queues, pools and workspaces.
 //!
-//! Start with [`JobPlan`], what a caller hands in, and [`FleetPolicy`], what operators ask for.
-//! Orders to targets are in [`StartOrder`] and its like, what they say in [`TargetReport`].
+//! Start with [`JobPlan`], what a caller submits, and [`FleetPolicy`], what operators configure.
+//! [`StartOrder`] and similar types are the orders to targets; [`TargetReport`] is a target's
+//! answer to a poll.
 
 mod fleet_host;
 mod fleet_policy;
--- a/crates/model/src/work/resource_vector.rs
+++ b/crates/model/src/work/resource_vector.rs
@@ -1,4 +1,4 @@
-/// Processors, memory and accelerators, of a host or of what runs on it.
+/// Amounts of processor time, memory and accelerators, of a host or of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResourceVector {
     /// Thousandths of a processor core.
@@ -10,7 +10,7 @@
 }
 
 impl ResourceVector {
-    /// Both together.
+    /// Returns the sum, component by component.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -20,7 +20,7 @@
         }
     }
 
-    /// The larger of both, of each resource by itself.
+    /// Returns the maximum of each component.
     #[must_use]
     pub fn max_each(self, other: Self) -> Self {
         Self {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The smaller of both, of each resource by itself.
+    /// Returns the minimum of each component.
     #[must_use]
     pub fn min_each(self, other: Self) -> Self {
         Self {
@@ -40,7 +40,8 @@
         }
     }
 
-    /// What may still be taken where `used` of this limit is; zero parts of the limit mean none.
+    /// Returns what is left of this limit when `used` is in use. A component of zero in the limit
+    /// means no limit.
     #[must_use]
     pub fn remaining_of_limit(self, used: Self) -> Self {
         let left = |limit: u64, used: u64| match limit {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// What is left of this without `other`; never below zero.
+    /// Returns the difference, component by component; never below zero.
     #[must_use]
     pub fn minus(self, other: Self) -> Self {
         Self {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// This, `count` times.
+    /// Returns each component times `count`.
     #[must_use]
     pub fn times(self, count: u64) -> Self {
         Self {
@@ -74,8 +75,10 @@
         }
     }
 
-    /// True if it goes into `room`.
-    pub fn fits_in(self, room: Self) -> bool {
-        self.cpu <= room.cpu && self.memory_mb <= room.memory_mb && self.gpu <= room.gpu
+    /// Returns true if no component exceeds that of `available`.
+    pub fn fits_in(self, available: Self) -> bool {
+        self.cpu <= available.cpu
+            && self.memory_mb <= available.memory_mb
+            && self.gpu <= available.gpu
     }
 }
--- a/crates/model/src/work/target_entry.rs
+++ b/crates/model/src/work/target_entry.rs
@@ -6,35 +6,35 @@
 
 use super::ResourceVector;
 
-/// Whether a target takes new tasks.
+/// Whether a target accepts new tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TargetMode {
-    /// Takes new tasks.
+    /// Accepts new tasks.
     #[default]
     Ready,
-    /// Finishes what runs and leaves.
+    /// Finishes its running tasks and then leaves the pool.
     Draining,
 }
 
-/// What a target says of itself in the host list.
+/// Entry of a target in the host list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TargetEntry {
-    /// Its id, which names one life of a host.
+    /// Id of the target, which identifies one incarnation of a host.
     pub target: HostId,
-    /// Where it listens, as `ip:port`.
+    /// Address that it listens on, as `ip:port`.
     pub address: CompactString,
-    /// Pool that it belongs to.
+    /// Pool of the target.
     pub pool: PoolId,
-    /// Data centre that it stands in.
+    /// Data centre of the target.
     pub data_centre: DataCentreId,
-    /// Its rack.
+    /// Rack of the target.
     pub rack: RackId,
-    /// All its labels, the rack's among them.
+    /// All labels, including that of the rack.
     pub labels: Vec<CompactString>,
-    /// Room in all.
+    /// Total resources.
     pub capacity: ResourceVector,
-    /// Whether it takes new tasks.
+    /// Whether it accepts new tasks.
     pub mode: TargetMode,
-    /// When this life began, since the Unix epoch; a target may restart under its id.
+    /// Start of this incarnation since the Unix epoch; a target may restart under the same id.
     pub started_at: Duration,
 }
--- a/crates/model/src/work/target_order.rs
+++ b/crates/model/src/work/target_order.rs
@@ -6,126 +6,126 @@
 
 use super::TaskKey;
 
-/// Number of a start of a task; it only grows.
+/// Number of a start of a task. Numbers only grow.
 pub type AttemptNumber = u64;
-/// Orders with a smaller token than a target has seen are refused by it.
+/// Fencing token of an owner. A target refuses orders with a smaller token than it has seen.
 pub type FencingToken = u64;
 
-/// Which life of a target an order is meant for, and where it is.
+/// Addressee of an order: one incarnation of a target.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TargetAddress {
     /// Id of the target.
     pub target: HostId,
-    /// Where it listens.
+    /// Network address that the target listens on.
     pub address: CompactString,
 }
 
-/// Starts one task.
+/// Order to start one task.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StartOrder {
     /// The task.
     pub task: TaskKey,
     /// Number of this start.
     pub attempt: AttemptNumber,
-    /// What the task is handed.
+    /// Payload that is passed to the task.
     pub payload: CompactString,
-    /// Time on the target's clock until which it may run without a further renewal.
+    /// Time on the target's clock until which the task may run without a renewal.
     pub lease_until: Duration,
     /// Token of the owner.
     pub token: FencingToken,
-    /// Checkpoint to go on from; empty for none.
+    /// Checkpoint to resume from; empty for none.
     pub checkpoint: CompactString,
     /// Ticket of the advice service; empty for none.
     pub ticket: CompactString,
 }
 
-/// What a target said to a start.
+/// Answer of a target to a start order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartAnswer {
-    /// It runs, or ran already.
+    /// The task runs, or was running already.
     Started {
-        /// The target's clock.
+        /// Current time on the target's clock.
         clock: Duration,
     },
-    /// It was not started and this order won't start it.
+    /// The task was not started, and this order will not start it later.
     Refused(StartRefusal),
-    /// The order can't have reached the target.
+    /// The order can't have reached the target; with the reason.
     NotSent(String),
-    /// The order may have been carried out, and may still be later.
+    /// No answer, with the reason. The order may have been carried out, or may still be.
     Unanswered(String),
 }
 
-/// Why a target refused an order.
+/// Reason why a target refused a start order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartRefusal {
-    /// A newer owner has given orders.
+    /// The target has seen the token of a newer owner.
     Fenced,
-    /// As new a start of the task was there already.
+    /// The target has already seen a start of the task with this number or a larger one.
     OldAttempt,
-    /// The time to run until has passed.
+    /// The order arrived after the time until which the task may run.
     Late,
-    /// No room.
+    /// Not enough free resources.
     NoRoom,
-    /// No valid ticket.
+    /// No valid ticket of the advice service.
     NoTicket,
     /// The target is unhealthy or overloaded.
     Unhealthy,
-    /// The target lives another life than the order was meant for.
+    /// The order was meant for another incarnation of the target.
     OtherLife,
-    /// The order can't be read.
+    /// The target could not parse the order.
     Malformed,
 }
 
-/// Stops one run of a task.
+/// Order to stop one run of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StopOrder {
     /// The task.
     pub task: TaskKey,
-    /// Number of the start that is stopped.
+    /// Number of the start that is to be stopped.
     pub attempt: AttemptNumber,
     /// Token of the owner.
     pub token: FencingToken,
 }
 
-/// Sets the share of time at which a task may work.
+/// Order to limit the share of time during which a best-effort task may run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ThrottleOrder {
     /// The task.
     pub task: TaskKey,
-    /// Number of its start.
+    /// Number of the start.
     pub attempt: AttemptNumber,
-    /// Share in percent.
+    /// Share of time in percent.
     pub percent: u8,
     /// Token of the owner.
     pub token: FencingToken,
 }
 
-/// What a target said to an order other than a start.
+/// Answer of a target to an order other than a start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
     /// Carried out.
     Done,
-    /// Refused because a newer owner has given orders.
+    /// Refused because the target has seen the token of a newer owner.
     Fenced,
-    /// Refused for another reason.
+    /// Refused for another reason, with the HTTP status.
     Refused(u16),
-    /// The target lives another life.
+    /// The order was meant for another incarnation of the target.
     OtherLife,
-    /// It can't have reached the target.
+    /// The order can't have reached the target; with the reason.
     NotSent(String),
-    /// It may have been carried out, and may still be later.
+    /// No answer, with the reason. The order may have been carried out, or may still be.
     Unanswered(String),
 }
 
-/// Renews the time that everything on a target may run, and asks what runs and what ended.
+/// Poll of a target: renews the leases of all its tasks and requests what runs and what has ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PollOrder {
     /// Token of the owner.
     pub token: FencingToken,
-    /// Ends up to this number are known and recorded; the target forgets them.
+    /// Ends up to this number are recorded; the target may forget them.
     pub acked_end: u64,
     /// Time on the target's clock until which its tasks may run; `None` renews nothing.
     pub lease_until: Option<Duration>,
-    /// How long the target waits with its answer for an end; zero to answer at once.
+    /// How long the target may delay its answer until a run ends; zero to answer immediately.
     pub wait: Duration,
 }
--- a/crates/model/src/work/target_report.rs
+++ b/crates/model/src/work/target_report.rs
@@ -4,78 +4,79 @@
 
 use super::{AttemptNumber, TaskKey};
 
-/// What a target said to a look.
+/// Answer of a target to a poll.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PollAnswer {
-    /// What runs and what ended there.
+    /// The report of the target.
     Seen(TargetReport),
-    /// A newer owner has given orders.
+    /// Refused because the target has seen the token of a newer owner.
     Fenced,
-    /// Another refusal.
+    /// Refused for another reason, with the HTTP status.
     Refused(u16),
-    /// The target lives another life.
+    /// The poll was meant for another incarnation of the target.
     OtherLife,
-    /// No answer: the reason.
+    /// No answer, with the reason.
     Unanswered(String),
 }
 
-/// What runs and what ended on a target.
+/// Running and ended tasks of a target.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TargetReport {
-    /// The target's clock.
+    /// Current time on the target's clock.
     pub clock: Duration,
-    /// When the target's life began, since the Unix epoch; zero if it does not say.
+    /// Start of the target's incarnation since the Unix epoch; zero if unknown.
     pub started_at: Duration,
-    /// What runs.
+    /// Running tasks.
     pub running: Vec<RunReport>,
-    /// Ends that have not been observed, oldest first; a part if there are many.
+    /// Ended runs that have not been acknowledged, oldest first; only a part of them if there are
+    /// many.
     pub ended: Vec<EndReport>,
 }
 
-/// One run.
+/// A run of a task on a target.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RunReport {
     /// The task.
     pub task: TaskKey,
-    /// Number of its start.
+    /// Number of the start.
     pub attempt: AttemptNumber,
-    /// Its newest checkpoint; empty for none.
+    /// Latest checkpoint; empty for none.
     pub checkpoint: CompactString,
-    /// How far it is; 100 for a serving task at work.
+    /// Progress in percent; 100 for a serving task that is at work.
     pub percent: u8,
-    /// For a serving task its response times' tail in milliseconds, for any other the
-    /// thousandths of a core that it uses. Zero if unknown.
+    /// Tail latency in milliseconds for a serving task; processor use in thousandths of a core for
+    /// any other. Zero if unknown.
     pub load: u64,
 }
 
-/// One end.
+/// The end of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndReport {
-    /// Counts the ends of one life of the target from 1.
+    /// Sequence number of the end, counted from 1 for each incarnation of the target.
     pub number: u64,
     /// The task.
     pub task: TaskKey,
-    /// Number of its start.
+    /// Number of the start.
     pub attempt: AttemptNumber,
-    /// How it ended.
+    /// How the run ended.
     pub kind: EndKind,
-    /// Its last checkpoint; empty for none.
+    /// Last checkpoint; empty for none.
     pub checkpoint: CompactString,
 }
 
-/// How a run ended.
+/// Outcome of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndKind {
-    /// Its work is done.
+    /// The task completed.
     Done,
-    /// It failed, by its own fault or the target's.
+    /// The task failed, through its own error or the target's.
     Failed,
-    /// It was stopped.
+    /// The task was stopped.
     Stopped,
-    /// Its time was not renewed.
+    /// The lease of the task was not renewed in time.
     LeaseExpired,
-    /// Another member of its gang ended.
+    /// Another member of the gang ended.
     GangBroken,
-    /// It waited in vain for the others of its gang.
+    /// The other members of the gang did not start in time.
     GangIncomplete,
 }
--- a/crates/model/src/work/task_key.rs
+++ b/crates/model/src/work/task_key.rs
@@ -2,10 +2,10 @@
 
 use crate::JobId;
 
-/// Names one task of one occurrence of a job.
+/// Identifies one task of one occurrence of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskKey {
-    /// Job that it belongs to.
+    /// Job of the task.
     pub job: JobId,
     /// Occurrence of the job, from 0; always 0 for a job that does not repeat.
     pub occurrence: u32,
