--- a/crates/cell/src/call_limiter.rs
+++ b/crates/cell/src/call_limiter.rs
@@ -9,7 +9,7 @@
 use store::{BootClock, Clock};
 use tokio::sync::oneshot;
 
-/// Lets an owner's calls to targets through, the most urgent first, as its budget admits them.
+/// Limits an owner's calls to targets to its budget and admits the most urgent ones first.
 pub(crate) struct CallLimiter {
     budget: RefCell<CallBudget>,
     waiting: RefCell<BTreeMap<CallClass, VecDeque<oneshot::Sender<()>>>>,
@@ -26,7 +26,7 @@
     /// Waits until a call may be sent.
     pub(crate) async fn acquire(self: &Rc<Self>, class: CallClass) -> CallPermit {
         if let Some(admitted) = self.begin_or_queue(class) {
-            // The one that calls has counted this call.
+            // The sender of this notification has already counted the call.
             let _ = admitted.await;
         }
         CallPermit {
@@ -49,14 +49,14 @@
         Some(admitted)
     }
 
-    /// Lets those through that may be sent now.
+    /// Admits queued calls as far as the budget allows.
     fn admit_waiting(&self) {
         let mut budget = self.budget.borrow_mut();
         for (&class, queue) in &mut *self.waiting.borrow_mut() {
             while budget.admits(class)
                 && let Some(admitted) = queue.pop_front()
             {
-                // Whoever waited may have gone.
+                // The waiting call may have been dropped.
                 if admitted.send(()).is_ok() {
                     budget.begin(class);
                 }
@@ -65,7 +65,7 @@
     }
 }
 
-/// A call that is under way.
+/// A call in progress, which counts against the budget until it is dropped.
 pub(crate) struct CallPermit {
     limiter: Rc<CallLimiter>,
     class: CallClass,
@@ -74,7 +74,8 @@
 }
 
 impl CallPermit {
-    /// The target answers when it has something to tell; until then the link is free for others.
+    /// Releases the budget while the target holds the poll back until it has something to report;
+    /// the link is free for other calls meanwhile.
     pub(crate) fn release_while_waiting(&mut self) {
         if std::mem::take(&mut self.counted) {
             self.limiter.budget.borrow_mut().release(self.class);
--- a/crates/cell/src/caller_gateway.rs
+++ b/crates/cell/src/caller_gateway.rs
@@ -18,32 +18,31 @@
     stored_cancellation::CancellationWriter,
 };
 
-/// Part of a caller's patience that is kept for its answer's way back.
+/// Part of a caller's timeout that is reserved for the response to travel back.
 const ANSWER_MARGIN: Duration = Duration::from_millis(150);
-/// Time that an answer of the owner takes in most cases: the way there and one write of the
-/// log.
+/// Time that an answer of the owner usually takes: the round trip and one write of the log.
 const MIN_OWNER_TIMEOUT: Duration = Duration::from_millis(50);
-/// Longest wait for one answer of the owner before it is asked anew over a new connection:
-/// one that went silent would otherwise cost the caller all its time.
+/// Longest wait for one answer of the owner before it is asked again over a new connection. A dead
+/// connection would otherwise use up the caller's whole timeout.
 const OWNER_CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// Part of that time that is left for the owner's answer on its way. An owner that has nothing to
-/// say yet says so before it: unanswered, a call may have taken effect, and its caller could not be
-/// told to come back.
+/// Part of [`OWNER_CALL_TIMEOUT`] that is reserved for the owner's response to travel back. An
+/// owner that has no result in time says so before the timeout. Without any response the call may
+/// have taken effect, and the caller could not be told to retry.
 const OWNER_CALL_MARGIN: Duration = Duration::from_millis(150);
-/// Pause before the owner is asked again.
+/// Delay before the owner is asked again.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The same while it is open whether the call took effect: only a successor or the end of a write
-/// can tell.
+/// The same while it is unknown whether the call took effect, which only a successor or the end of
+/// a write can settle.
 const UNCONFIRMED_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Part of its patience for which a cancellation is left to the owner alone: an owner that is well
-/// records it in a tenth of this time.
+/// How long a cancellation is left to the owner alone. A healthy owner records it in a tenth of
+/// this time.
 const CANCEL_OWNER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Patience of a caller that does not say how long it waits.
+/// Timeout of a caller that does not specify one.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest patience that is believed.
+/// Longest timeout that a caller may specify; longer ones are cut to it.
 const MAX_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Answers callers, by asking the owner of the cell.
+/// Answers callers by asking the owner of the cell.
 #[derive(Clone)]
 pub(crate) struct CallerGateway {
     pub(crate) options: Rc<CellOptions>,
@@ -56,7 +55,7 @@
     pub(crate) cancellation_writer: Rc<CancellationWriter>,
 }
 
-/// What is known of one call on its way to the owner.
+/// State of one call to the owner across its retries.
 struct OwnerCallState {
     deadline: Instant,
     begun: Instant,
@@ -138,7 +137,8 @@
         }
     }
 
-    /// Cancels a job, to the end whether or not the caller stays.
+    /// Cancels a job in a task of its own, so that the cancellation completes even if the caller
+    /// disconnects.
     async fn cancel_detached(&self, job: &str, timeout: Duration) -> (CallerAnswer, CompactString) {
         let (gateway, job) = (self.clone(), job.to_owned());
         let task =
@@ -146,11 +146,11 @@
         task.unwrap_or((CallerAnswer::Unknown, CompactString::default()))
     }
 
-    /// Cancels a job: through the owner, or where none records that soon, in the store, where the
-    /// next one finds it.
+    /// Cancels a job through the owner. If no owner records the cancellation soon, it is written to
+    /// the store, where the next owner finds it.
     ///
-    /// Told to come back while nobody owns the cell, a caller would see its job started after
-    /// the time in which a cancellation has to be in force.
+    /// If the caller were only told to retry while the cell has no owner, its job could be started
+    /// after the time in which a cancellation has to take effect.
     async fn cancel_job(&self, job: &str, timeout: Duration) -> (CallerAnswer, CompactString) {
         let end = Instant::now() + effective_timeout(timeout).saturating_sub(ANSWER_MARGIN);
         let ask = Ask::Cancel(job.to_owned());
@@ -165,18 +165,19 @@
             return (CallerAnswer::Found(JobProgress::Cancelled), owner);
         }
         log::debug!("keep the cancellation of {job}: {kept:?}");
-        // It is tried on, so that it may yet be in force.
+        // The write is retried in the background, so that the cancellation may still take effect.
         self.cancellation_writer.persist_with_retry(job);
         (CallerAnswer::Unknown, owner)
     }
 
-    /// Asks the owner, whoever that is by then, until it answers or the caller has to be told
-    /// something. Asking again is harmless: ids make all calls idempotent.
+    /// Asks the current owner until it answers or the timeout requires a reply. A retry may reach a
+    /// different owner. Retries are harmless because ids make all calls idempotent.
     async fn ask_owner(&self, ask: Ask, timeout: Duration) -> (CallerAnswer, CompactString) {
         let timeout = effective_timeout(timeout);
         let begun = Instant::now();
         if timeout < ANSWER_MARGIN + MIN_OWNER_TIMEOUT {
-            // Asking would leave open whether it was recorded, for an answer that comes too late.
+            // The answer would come too late, and the caller would not know whether the call took
+            // effect.
             return (
                 CallerAnswer::Refused(self.options.retry_after),
                 CompactString::default(),
@@ -210,7 +211,7 @@
         }
     }
 
-    /// Asks once; `None` if there is no answer to give yet.
+    /// Asks the owner once; `None` if there is no answer for the caller yet.
     async fn ask_owner_once(&self, ask: &Ask, state: &mut OwnerCallState) -> Option<CallerAnswer> {
         let left = state.deadline.saturating_duration_since(Instant::now());
         let own = self.current_term.borrow().clone();
@@ -242,10 +243,12 @@
         }
     }
 
-    /// What an owner's answer tells the caller; `None` if it is to be asked again.
+    /// Maps an owner's answer to the answer for the caller; `None` if the owner has to be asked
+    /// again.
     ///
-    /// An owner has read all that earlier ones recorded, and they record nothing more. So what it
-    /// refuses none of them has recorded, though one did not answer.
+    /// An owner has read everything that earlier owners recorded, and they can record nothing more.
+    /// So if it refuses a call, no earlier owner recorded that call either, even one that did not
+    /// answer.
     fn caller_answer(
         &self,
         answer: &OwnerAnswer,
@@ -258,7 +261,7 @@
             AnswerKind::Found => Some(CallerAnswer::Found(job_progress(answer.phase()))),
             AnswerKind::Counted => Some(CallerAnswer::Counted(answer.pending)),
             AnswerKind::NotFound => Some(CallerAnswer::NoJob),
-            // A call that it has not answered may yet reach it.
+            // The owner that did not answer may still receive that call.
             AnswerKind::Refused
                 if state
                     .unanswered_by
@@ -314,7 +317,7 @@
     }
 }
 
-/// How long a caller is taken to wait.
+/// The timeout that applies to a caller: its own within limits, or the default.
 fn effective_timeout(asked: Duration) -> Duration {
     if asked.is_zero() {
         DEFAULT_TIMEOUT
--- a/crates/cell/src/cell_host.rs
+++ b/crates/cell/src/cell_host.rs
@@ -15,7 +15,6 @@
     cell_options::CellOptions,
     cell_ports::CellPorts,
     election::Candidate,
-    election_promise::ElectionPromise,
     event,
     fleet_view::FleetView,
     member_directory::MemberDirectory,
@@ -23,15 +22,16 @@
     owner_view::OwnerView,
     peer_service::{CurrentTerm, PeerService},
     prefix_watch::watch_prefix,
+    stand_pledge::ElectionPromise,
     stored_cancellation::CancellationWriter,
     term::TermContext,
 };
 
-/// How often samples of histograms are folded into their distributions; until then each takes
+/// How often histogram samples are folded into their distributions. Until then each sample takes
 /// memory.
 const METRICS_UPKEEP_INTERVAL: std::time::Duration = std::time::Duration::from_secs(5);
 
-/// Everything that one process of the system does, but for the callers' protocol.
+/// Everything that one process of the cell does, except for the protocol of callers.
 pub struct CellHost {
     options: Rc<CellOptions>,
     ports: CellPorts,
@@ -42,16 +42,16 @@
     members: Rc<MemberDirectory>,
     promise: Rc<ElectionPromise>,
     cancellation_writer: Rc<CancellationWriter>,
-    /// Begins when connections are to finish.
+    /// Begins when connections of callers should finish.
     stopping: ShutdownSignal,
-    /// Begins when the process no longer stands for election.
+    /// Begins when the process no longer campaigns.
     retired: ShutdownSignal,
-    /// Set when new connections are to go elsewhere.
+    /// Set when new connections should go to other processes.
     draining: Rc<Cell<bool>>,
 }
 
 impl CellHost {
-    /// A host with its ports; `client` is the one that all calls of the process go through.
+    /// Creates a process with its ports. All its calls to other processes go through `client`.
     pub fn new(options: CellOptions, ports: CellPorts, client: CallClient) -> Self {
         let owners = OwnerView::new(options.owner_key());
         let options = Rc::new(options);
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Answers callers; for the platform's server of the callers' protocol.
+    /// Answers callers; used by the platform's server of the callers' protocol.
     pub fn service(&self) -> Rc<dyn CallerService> {
         Rc::new(CallerGateway {
             options: self.options.clone(),
@@ -86,12 +86,12 @@
         })
     }
 
-    /// Begins when callers' connections are to finish.
+    /// A signal that begins when connections of callers should finish.
     pub fn stopping(&self) -> ShutdownSignal {
         self.stopping.clone()
     }
 
-    /// Starts all duties on the present event loop.
+    /// Starts all tasks of the process on the current event loop.
     pub fn start(&self, metrics: PrometheusHandle) {
         log_event::info(
             &event::CELL_STARTED,
@@ -126,9 +126,9 @@
         tokio::task::spawn_local(candidate.campaign());
     }
 
-    /// Shuts down: new callers are led elsewhere, ownership is handed over, connections end
-    /// with the answers that they carry. Returns when `served` has and all cancellations are kept
-    /// that the store could not take, or at the limit.
+    /// Shuts down: reports not ready, hands ownership over and lets connections finish with their
+    /// last responses. Returns once `served` has completed and all pending cancellations are
+    /// stored, or after the stop timeout.
     pub async fn stop(&self, served: impl Future<Output = ()>) {
         let deadline = Instant::now() + self.options.stop_timeout;
         log_event::info(
@@ -176,7 +176,7 @@
             owner_key: self.options.owner_key(),
             promise: self.promise.clone(),
         });
-        // Peers go on being answered until the process ends: their callers wait.
+        // Peers are served until the process exits, because their callers wait for the answers.
         let (address, never) = (self.options.peer_address, ShutdownSignal::default());
         tokio::task::spawn_local(async move {
             let served = serve_http(address, peers, ServerLimits::default(), never).await;
--- a/crates/cell/src/cell_options.rs
+++ b/crates/cell/src/cell_options.rs
@@ -6,53 +6,55 @@
 
 use crate::host_limits::HostLimits;
 
-/// What one process of a cell is told of its surroundings, and the times that it works with.
+/// Identity, addresses, timeouts and limits of one process of a cell.
 #[derive(Clone, Debug)]
 pub struct CellOptions {
-    /// Its name, unique among the processes of the system.
+    /// Name of the process, unique in its cell.
     pub member: MemberId,
-    /// Where it answers other processes of the system.
+    /// Address on which it serves other processes of the cell.
     pub peer_address: SocketAddr,
-    /// Where it serves its metrics.
+    /// Address on which it serves its metrics.
     pub metrics_address: SocketAddr,
-    /// Prefix of the system's own keys in the store; it ends with a slash.
+    /// Prefix of the cell's own keys in the store; it ends with a slash.
     pub key_prefix: CompactString,
-    /// Length of the lease on the ownership. A killed owner is succeeded after this time, and
-    /// a store that answers sixty times as slowly as usual (4 ms) still renews in time. Days with
-    /// lost owners were worth 0.01 less with a lease of 1.5 s; the platform allows no less than 1 s.
+    /// Length of the lease on the ownership. A killed owner is replaced after this time. A store
+    /// that answers sixty times as slowly as usual (4 ms) still renews the lease in time. Workloads
+    /// with failing owners scored 0.01 lower with a lease of 1.5 s; the platform allows no less
+    /// than 1 s.
     pub owner_lease: Duration,
-    /// How often the lease is renewed; three renewals may fail before it lapses.
+    /// How often the lease is renewed; three renewals may fail before it expires.
     pub renew_interval: Duration,
-    /// How long a watch waits for changes. A connection that went silent is noticed this
-    /// time and `watch_margin` later, which has to be below the time that a stable process has
-    /// to put a change of the terms in force.
+    /// How long a watch waits for changes. A dead connection is noticed after this time plus
+    /// `watch_margin`. The sum has to be less than the time in which a stable process has to apply
+    /// a change of the policy.
     pub watch_timeout: Duration,
-    /// What a watch may take beyond its patience.
+    /// How much longer than its timeout a watch may take.
     pub watch_margin: Duration,
-    /// Longest time between two writes of the job log while nobody waits for one. Longer saves
-    /// calls to the store, of which each is paid for; ends are only observed after it.
+    /// Longest time between two writes of the job log while nobody waits for one. A longer time
+    /// saves calls to the store, each of which has a cost, but ends of tasks are acknowledged only
+    /// after it.
     pub max_record_delay: Duration,
-    /// How long a caller is kept waiting before it is told to come back while nobody owns the
-    /// cell. Beyond a short time it serves the caller better to know.
+    /// How long a caller waits for an owner before it is told to retry later. Beyond a short time
+    /// an early answer is more useful to the caller.
     pub owner_timeout: Duration,
-    /// When a caller that was refused may come back: an election with its lapse takes about
-    /// as long.
+    /// After which time a refused caller may retry. An election, including the expiry of the old
+    /// lease, takes about as long.
     pub retry_after: Duration,
-    /// Time in which the orders of two owners to one host count as a conflict; a new owner leaves
-    /// a host alone for that long after an order of its predecessor.
+    /// Time in which orders of two owners to one host count as a conflict. A new owner sends no
+    /// order to a host for that long after an order of its predecessor.
     pub host_order_pause: Duration,
-    /// How long a shutdown waits until callers have been led elsewhere.
+    /// How long a shutdown waits until callers use other processes.
     pub drain_period: Duration,
     /// Longest time for a shutdown; the platform kills the process a little later.
     pub stop_timeout: Duration,
-    /// What this process may use; strong processes stand for election first.
+    /// What this process may use of its host; strong processes campaign first.
     pub limits: HostLimits,
-    /// What the owner decides with.
+    /// Settings of the scheduler.
     pub scheduler: DeskTuning,
 }
 
 impl CellOptions {
-    /// Options with the times of the code and the given names and addresses.
+    /// Options with the given name and addresses, and defaults for all else.
     pub fn new(member: MemberId, peer_address: SocketAddr, metrics_address: SocketAddr) -> Self {
         Self {
             member,
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Key of the ownership.
+    /// Key of the owner's entry.
     pub fn owner_key(&self) -> CompactString {
         compact_str::format_compact!("{}owner", self.key_prefix)
     }
@@ -84,12 +86,12 @@
         compact_str::format_compact!("{}member/", self.key_prefix)
     }
 
-    /// Prefix of the cancellations that are kept for the owner to record.
+    /// Prefix of the stored cancellations, which the owner moves into its log.
     pub fn cancellation_prefix(&self) -> CompactString {
         compact_str::format_compact!("{}cancel/", self.key_prefix)
     }
 
-    /// Key of the cancellation of a job that is kept.
+    /// Key of the stored cancellation of a job.
     pub fn cancellation_key(&self, job: &str) -> CompactString {
         compact_str::format_compact!("{}{job}", self.cancellation_prefix())
     }
--- a/crates/cell/src/cell_ports.rs
+++ b/crates/cell/src/cell_ports.rs
@@ -2,12 +2,12 @@
 
 use ports::{AdvicePort, FleetCodec, HostControl, LeaseStore, TargetPort};
 
-/// What a platform offers, each behind a trait.
+/// The ports to a platform, each behind a trait.
 #[derive(Clone)]
 pub struct CellPorts {
-    /// The store.
+    /// The key-value store with leases.
     pub store: Rc<dyn LeaseStore>,
-    /// How to read what operators and targets write.
+    /// Decodes what operators and targets write to the store.
     pub codec: Rc<dyn FleetCodec>,
     /// Orders to targets.
     pub targets: Rc<dyn TargetPort>,
--- a/crates/cell/src/dependency_logger.rs
+++ b/crates/cell/src/dependency_logger.rs
@@ -5,14 +5,14 @@
 
 use crate::event;
 
-/// Writes one line when a dependency is lost and one when it is back, not one a call.
+/// Logs when a dependency becomes unavailable and when it recovers, instead of every failed call.
 #[derive(Debug, Default)]
 pub(crate) struct DependencyLogger {
     lost_at: Cell<Option<BootTime>>,
 }
 
 impl DependencyLogger {
-    /// A call failed.
+    /// Logs a failed call, unless the one before failed too.
     pub(crate) fn log_failed(&self, step: &str, prefix: &str, cause: &dyn Display) {
         if self.lost_at.get().is_some() {
             return;
@@ -24,7 +24,7 @@
         );
     }
 
-    /// A call was answered.
+    /// Logs that the dependency recovered, if the previous call failed.
     pub(crate) fn log_answered(&self, step: &str, prefix: &str) {
         let Some(lost_at) = self.lost_at.take() else {
             return;
--- a/crates/cell/src/election.rs
+++ b/crates/cell/src/election.rs
@@ -8,60 +8,60 @@
 use tokio::time::sleep;
 
 use crate::{
-    election_promise::ElectionPromise,
     event,
     log_reader::fetch_new_pages,
     owner_view::{OwnerView, address_entry, decode_owner},
     peer_service::CurrentTerm,
+    stand_pledge::ElectionPromise,
     term::{Term, TermContext, TermLease},
     term_run::run_term,
 };
 
-/// Candidates wait a random part of this before they stand, so that seven of them rarely make
-/// seven calls to the store for one post.
+/// Random delay before a candidate campaigns, so that seven candidates rarely send seven calls to
+/// the store for one election.
 const CAMPAIGN_JITTER: Duration = Duration::from_millis(30);
-/// Pause after an election that failed.
+/// Delay after a failed election.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How much longer the weakest process waits than the strongest that it knows, so that it stands
-/// only where no strong one does. A cell without an owner waits for that long in vain when all
-/// strong processes went at once.
+/// How much longer the weakest process waits than the strongest one that it knows, so that it only
+/// wins if no strong process campaigns. If all strong processes fail at once, the cell has no owner
+/// for this time.
 const MAX_WEAKNESS_DELAY: Duration = Duration::from_millis(400);
-/// How long a process that has just started waits to read who else is there, at a store that
-/// answers late. Entries outlive their processes by seconds, so that after a loss of all they
-/// tell a weak process that strong ones will be back.
+/// How long a process that has just started waits for the list of members, in case the store is
+/// slow. Entries outlive their processes by seconds. So after a failure of all processes, a weak
+/// one learns that strong ones are likely to return.
 const MEMBERS_READ_TIMEOUT: Duration = Duration::from_millis(200);
-/// For how long a process that gave the cell up stands after all others.
+/// For how long a process that stepped down delays its campaigns, so that others campaign first.
 const STEP_DOWN_DELAY_PERIOD: Duration = Duration::from_secs(10);
-/// How often a candidate looks for itself whether there is an owner, beside what it hears, and how
-/// often a standby reads what was written of the job log.
+/// How often a candidate checks by itself whether there is an owner, besides the watches, and how
+/// often a standby reads new pages of the job log.
 const FOLLOW_INTERVAL: Duration = Duration::from_secs(1);
-/// How many processes follow the job log, one of which owns the cell in most cases. Each costs the
-/// store a call and the bytes of the log's growth in each period.
+/// How many processes follow the job log; in most cases one of them is the owner. Each costs the
+/// store one call per interval, plus the bytes that were added to the log.
 const STANDBY_COUNT: usize = 4;
-/// How much longer each further group of as many processes waits before it reads the log in order
-/// to stand. All reading it at once would slow down those that are nearly done.
+/// Additional delay of each further group of [`STANDBY_COUNT`] processes before it reads the log to
+/// campaign. If all read it at once, they would slow down those that are nearly done.
 const GROUP_DELAY: Duration = Duration::from_millis(300);
-/// Longest such wait.
+/// Maximum of [`GROUP_DELAY`] for all groups together.
 const MAX_GROUP_DELAY: Duration = Duration::from_millis(1500);
-/// How long a candidate that can't read on in the log lets others stand first.
+/// How long a candidate retries reading the log without progress before it campaigns anyway.
 const LOG_STALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Everything that an election needs.
+/// A process that takes part in elections.
 pub(crate) struct Candidate {
-    /// What its terms need of the process.
+    /// Passed on to the terms that it wins.
     pub(crate) context: TermContext,
     pub(crate) owners: Rc<OwnerView>,
     pub(crate) current_term: CurrentTerm,
     pub(crate) stopping: ShutdownSignal,
-    /// Keeps the process out of elections while an owner relies on that.
+    /// Keeps the process from campaigning while an owner relies on that.
     pub(crate) promise: Rc<ElectionPromise>,
-    /// Until when it lets others stand first.
+    /// Until when the process adds a delay to its campaigns, after it stepped down.
     pub(crate) campaign_not_before: Cell<BootTime>,
 }
 
 impl Candidate {
-    /// Stands whenever nobody owns the cell, and runs the terms that it wins, until the
-    /// process is told to stop.
+    /// Campaigns whenever the cell has no owner, and runs the terms that it wins, until the process
+    /// stops.
     pub(crate) async fn campaign(self) {
         while !self.stopping.begun() {
             if !self.owners.is_vacant() {
@@ -107,20 +107,20 @@
         self.owners.is_vacant() && !self.stopping.begun()
     }
 
-    /// Reads, after a while, what was written of the job log if this process is a standby.
+    /// Reads new pages of the job log after a delay, if this process is a standby.
     async fn follow_log(&self) {
         sleep(FOLLOW_INTERVAL).await;
         if self.context.members.standby_rank() >= STANDBY_COUNT {
             return;
         }
         if let Err(error) = self.read_new_pages().await {
-            // The watches tell of a store that is away.
+            // The watches report a store that is unreachable.
             log::debug!("follow the log: {error}");
         }
     }
 
-    /// Reads the job log before standing: its lease would lapse while an owner reads a long one
-    /// behind a narrow link, and nobody else may serve meanwhile.
+    /// Reads the job log before campaigning. Otherwise the lease could expire while a new owner
+    /// reads a long log behind a narrow link, and no other process could serve meanwhile.
     async fn catch_up_with_log(&self) {
         let log_cache = &self.context.log_cache;
         let (mut last, mut since) = (log_cache.last_page(), BootClock.boot_now());
@@ -147,10 +147,10 @@
         fetch_new_pages(&*ports.store, options, log_cache).await
     }
 
-    /// How long this process lets others stand first.
+    /// How long this process delays its campaign in favour of others.
     ///
     /// An owner on a weak host falls behind on a large fleet: it starts work late, answers callers
-    /// too late or not at all, and is no better after its next term.
+    /// late or not at all, and is no better in its next term.
     fn campaign_delay(&self) -> Duration {
         let own = self.context.options.limits.strength();
         let strongest = self.context.members.strongest(own + 1);
@@ -187,7 +187,7 @@
                 .set(BootClock.boot_now() + STEP_DOWN_DELAY_PERIOD);
         }
         self.owners.set(None);
-        // What the store says now may differ: the lease may stand, or a successor.
+        // The store may differ by now: the lease may still be valid, or there may be a successor.
         let store = &self.context.ports.store;
         if let Ok(item) = store.read(&self.context.options.owner_key()).await {
             self.owners.set(item.as_ref());
@@ -217,7 +217,8 @@
             }
             Ok(StoreOutcome::LeaseEnded) => Ok(None),
             Err(fault) => {
-                // It may have been written, or still be: without its lease it can't stand.
+                // The entry may have been written, or may still be. Without its lease it can't
+                // persist.
                 self.release_lease(lease).await;
                 let item = ports.store.read(&key).await?;
                 self.owners.set(item.as_ref());
@@ -231,7 +232,7 @@
 
     async fn release_lease(&self, lease: LeaseId) {
         if let Err(error) = self.context.ports.store.end_lease(lease).await {
-            // It lapses by itself.
+            // It expires by itself.
             log::debug!("end lease {lease}: {error}");
         }
     }
--- a/crates/cell/src/event_log.rs
+++ b/crates/cell/src/event_log.rs
@@ -5,9 +5,10 @@
 
 use crate::{event, metric};
 
-/// Writes a log line for each decision and each change of belief of the scheduler.
+/// Logs each decision of the scheduler and each change in its view of targets and tasks.
 ///
-/// `dropped` more came in so quick succession that the scheduler did not keep them.
+/// `dropped` is the number of further events that the scheduler discarded because they came too
+/// fast.
 pub(crate) fn log_events(events: VecDeque<DeskEvent>, dropped: u64) {
     if dropped > 0 {
         log_event::warn(
--- a/crates/cell/src/fleet_view.rs
+++ b/crates/cell/src/fleet_view.rs
@@ -14,14 +14,14 @@
 
 use crate::{event, prefix_watch::PrefixObserver};
 
-/// What operators ask for, as far as this process has heard.
+/// The policy and the waves of the operators, as far as this process has read them.
 pub(crate) struct FleetView {
     codec: Rc<dyn FleetCodec>,
     policy: RefCell<Option<Arc<FleetPolicy>>>,
     waves: RefCell<BTreeMap<WaveId, MaintenanceWave>>,
     /// Counts the changes.
     pub(crate) version: Cell<u64>,
-    /// Told of each change.
+    /// Notified of each change.
     pub(crate) changed: Notify,
 }
 
@@ -36,12 +36,12 @@
         }
     }
 
-    /// The terms in force; `None` before the first were read.
+    /// The policy in force; `None` before the first read.
     pub(crate) fn policy(&self) -> Option<Arc<FleetPolicy>> {
         self.policy.borrow().clone()
     }
 
-    /// The waves that operators ask for.
+    /// The maintenance waves that operators requested.
     pub(crate) fn waves(&self) -> Vec<MaintenanceWave> {
         self.waves.borrow().values().cloned().collect()
     }
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Puts terms in force, unless they are older than those that are: a lagging answer of the
-    /// store must not bring back a key or a queue that operators have taken away.
+    /// Puts a policy in force unless it is older than the current one. A stale response of the
+    /// store must not bring back a key or a queue that operators have removed.
     fn replace_policy(&self, policy: FleetPolicy) {
         let held = self
             .policy
@@ -117,7 +117,7 @@
     fn apply(&self, event: StoreEvent) {
         match event {
             StoreEvent::Written(item) => self.apply_item(&item),
-            // Operators replace terms and never remove them.
+            // Operators replace the policy and never remove it.
             StoreEvent::Removed(key, _) => {
                 if let Some(wave) = self.codec.parse_wave_key(&key) {
                     self.waves.borrow_mut().remove(&wave);
--- a/crates/cell/src/host_limits.rs
+++ b/crates/cell/src/host_limits.rs
@@ -1,17 +1,17 @@
 use model::HostStrength;
 
-/// What the host of a process lets it use, as the settings say.
+/// What a process may use of its host, according to the settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HostLimits {
     /// Processor, in cores.
     pub cores: f64,
     /// Memory, in megabytes.
     pub memory_mb: f64,
-    /// Bandwidth of its link, in megabits a second.
+    /// Bandwidth of the network link, in megabits a second.
     pub link_mbps: f64,
 }
 
-/// What an owner of a few hundred targets uses at its busiest; more helps it little.
+/// What an owner of a few hundred targets uses at its peak; more resources make little difference.
 const FULL_STRENGTH: HostLimits = HostLimits {
     cores: 0.5,
     memory_mb: 256.0,
@@ -28,13 +28,13 @@
 const BYTES_PER_MEGABIT: f64 = 125_000.0;
 
 impl HostLimits {
-    /// What its link carries, in bytes a second.
+    /// Bandwidth of the network link, in bytes a second.
     pub fn link_bytes_per_second(&self) -> f64 {
         self.link_mbps * BYTES_PER_MEGABIT
     }
 
-    /// How much an owner on this host can carry, in thousandths of what it uses at its busiest.
-    /// The scarcest resource decides: with a fast processor behind a narrow link an owner is slow.
+    /// How much load an owner on this host can handle, in thousandths of its peak use. The scarcest
+    /// resource decides: a fast processor does not help an owner behind a narrow link.
     pub fn strength(&self) -> HostStrength {
         let scarcest = (self.cores / FULL_STRENGTH.cores)
             .min(self.memory_mb / FULL_STRENGTH.memory_mb)
--- a/crates/cell/src/host_loop.rs
+++ b/crates/cell/src/host_loop.rs
@@ -15,22 +15,23 @@
     term::Term,
 };
 
-/// How often hosts are considered. Demand doubles within a second at the start of a turn.
+/// How often moves and maintenance are planned. Demand doubles within a second at the start of a
+/// burst.
 const PLAN_INTERVAL: Duration = Duration::from_millis(100);
-/// How often the hosts are listed. A host that was moved is back after two seconds at the
-/// earliest, and each list is a call that is paid for.
+/// How often the hosts are listed. A moved host is back after two seconds at the earliest, and each
+/// list call has a cost.
 const LIST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Part of the lease that may have been left when an owner gave its last order.
+/// Part of the lease that may have remained when an owner sent its last order.
 const LEASE_SLACK: Duration = Duration::from_millis(200);
 
-/// How often hosts are listed while lives of targets are unknown that no look has reached: until
-/// two lists have shown that they ended, older jobs of their pools wait.
+/// How often the hosts are listed while there are incarnations of targets that no poll has reached.
+/// Older jobs of their pools wait until two lists have shown that these incarnations ended.
 const FAST_LIST_INTERVAL: Duration = Duration::from_millis(100);
-/// For how long after the begin of a term that is done.
+/// For how long after the start of a term hosts are listed that often.
 const FAST_LIST_PERIOD: Duration = Duration::from_secs(2);
 
-/// Tends the hosts of the fleet: their maintenance and their moves between pools.
+/// Runs the loop that manages the hosts: their maintenance and their moves between pools.
 pub(crate) async fn manage_hosts(term: Rc<Term>) {
     let begin = term.now().boot;
     let mut listed = BootTime::ZERO;
@@ -60,11 +61,12 @@
     }
 }
 
-/// How long a new owner leaves a host alone that was ordered lately, whatever the clocks say.
+/// How long a new owner sends no order to a host that its predecessor ordered recently, whatever
+/// the clocks say.
 ///
-/// Two owners must not order one host in turns. Each order is recorded with its time before it is
-/// given, but clocks of day may jump. The orders of an owner that was killed or cut off were
-/// given before its lease began to lapse, so that part of the pause has passed.
+/// Two owners must not send orders to one host in alternation. Each order is recorded with its time
+/// before it is sent, but the wall clock may jump. An owner that was killed or cut off sent its
+/// orders before its lease began to expire, so part of the pause has passed by then.
 fn predecessor_pause(term: &Term) -> Duration {
     if term.scheduler.borrow().board.handed_over {
         return Duration::ZERO;
@@ -156,10 +158,10 @@
     }
 }
 
-/// Writes down that a host is being ordered, so that a successor does not order it right after;
-/// true once that is stored. An owner that dies right after an order leaves none unrecorded, so
-/// its successor may order all other hosts at once. Not knowing that, it would have to leave all
-/// hosts alone for two seconds, and a queue's turn would be over.
+/// Records that an order to a host is about to be sent, so that a successor does not order the host
+/// right afterwards. Returns true once that is stored. Because no order goes unrecorded, even if
+/// the owner dies right after it, the successor may order all other hosts at once. Otherwise it
+/// would have to leave all hosts alone for two seconds, and a burst in a queue would be over.
 async fn record_host_order(term: &Term, host: &str) -> bool {
     let now = term.now();
     let ordered = HostOrdered {
@@ -171,7 +173,7 @@
     outcome == Ok(RecordOutcome::Stored)
 }
 
-/// Writes down that a host's maintenance began, for the successor.
+/// Records for a successor that the maintenance of a host began.
 fn record_maintenance(term: &Term, wave: WaveId, host: &str) {
     let progress = WaveProgress {
         wave,
@@ -181,7 +183,7 @@
     term.log_queue.push(order, term.now().boot);
 }
 
-/// Writes the state of waves for operators where it has changed.
+/// Writes the states of waves that changed, for operators.
 async fn publish_wave_states(term: &Rc<Term>) {
     let changed = term.hosts.borrow_mut().changed_waves();
     for (wave, completed) in changed {
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -1,9 +1,10 @@
 //! Ownership of a cell of the fleet, its job log and the orders to its targets.
 //!
-//! Start with [`CellHost`], everything that one process of the system does. Every process
-//! answers callers; one of them owns the cell by a lease of the store and decides for it in a
-//! [`Term`](term::Term). What it decides is in `decide::work`; here are the event loop, the
-//! log in the store and the calls. The design is argued in `docs/design/13-platform.md`.
+//! Start with [`CellHost`], which runs everything that one process of the cell does. Every process
+//! answers callers. One of them owns the cell by a lease in the store and schedules its work for
+//! one [`Term`](term::Term). The scheduling decisions are made in `decide::work`; this crate has
+//! the event loop, the job log in the store and the calls over the network.
+//! `docs/design/13-platform.md` explains the design.
 
 pub mod event;
 
@@ -14,7 +15,6 @@
 mod cell_ports;
 mod dependency_logger;
 mod election;
-mod election_promise;
 mod event_log;
 mod fleet_view;
 mod host_limits;
@@ -34,12 +34,13 @@
 mod peer_call;
 mod peer_service;
 mod prefix_watch;
-mod step_down;
+mod stand_pledge;
+mod step_aside;
 mod store_check;
 mod stored_cancellation;
-mod target_channel;
+mod target_lane;
+mod target_look;
 mod target_orders;
-mod target_poll;
 mod target_watch;
 mod term;
 mod term_run;
--- a/crates/cell/src/log_cache.rs
+++ b/crates/cell/src/log_cache.rs
@@ -8,8 +8,9 @@
 
 /// Pages of the job log that this process has read or written.
 ///
-/// A page never changes, so a successor that holds the pages reads only what was written since.
-/// Reading a long log takes longer than callers and targets wait, the more so behind a narrow link.
+/// A page never changes, so a successor that has the pages cached reads only the ones written
+/// since. Reading a long log takes longer than the timeouts of callers and targets, especially
+/// behind a narrow link.
 #[derive(Debug, Default)]
 pub(crate) struct LogCache {
     state: RefCell<CacheState>,
@@ -18,40 +19,40 @@
 #[derive(Debug, Default)]
 struct CacheState {
     pages: BTreeMap<PageNumber, Vec<u8>>,
-    /// Number of the oldest page in the store, where a page has told it.
+    /// Number of the oldest page in the store, if a page has recorded it.
     oldest: Option<PageNumber>,
 }
 
-/// What of a log is in the store.
+/// Which pages of a log are in the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LogSummary {
     /// Number of the oldest page.
     pub(crate) oldest: PageNumber,
     /// Number of the first page in force.
     pub(crate) start: PageNumber,
-    /// Number that the next page gets.
+    /// Number of the next page to be written.
     pub(crate) next: PageNumber,
     /// Bytes of the pages in force.
     pub(crate) bytes: usize,
 }
 
 impl LogSummary {
-    /// How many pages are in force.
+    /// Number of pages in force.
     pub(crate) fn pages(&self) -> u64 {
         self.next - self.start
     }
 }
 
 impl LogCache {
-    /// Number of the last page that is held.
+    /// Number of the last cached page.
     pub(crate) fn last_page(&self) -> Option<PageNumber> {
         let state = self.state.borrow();
         state.pages.last_key_value().map(|(&number, _)| number)
     }
 
-    /// Takes a page in, as it was written or read after the last one.
+    /// Adds a page that was written, or read, after the last one.
     ///
-    /// Pages are written without a gap. Where one is missing it has been replaced, and so have all
+    /// Pages are numbered without gaps. If one is missing, compaction has replaced it and all pages
     /// before it.
     pub(crate) fn insert(&self, number: PageNumber, value: Vec<u8>) {
         let expected = self.last_page().map(|last| last + 1);
@@ -59,7 +60,7 @@
         if expected.is_some_and(|expected| expected != number) {
             *state = CacheState::default();
         }
-        // Entries that can't be read are told of when the log is replayed.
+        // Replaying the log reports pages that can't be decoded.
         let bounds = LogPage::decode(value.as_slice()).unwrap_or_default();
         state.pages.insert(number, value);
         if bounds.start > 0 {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// What the pages tell of the log.
+    /// Summarises the cached pages.
     pub(crate) fn summary(&self) -> LogSummary {
         let state = self.state.borrow();
         let Some((&start, _)) = state.pages.first_key_value() else {
--- a/crates/cell/src/log_compact.rs
+++ b/crates/cell/src/log_compact.rs
@@ -14,18 +14,18 @@
     term::Term,
 };
 
-/// Pause after a failed call.
+/// Delay after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Writes what the log says in as few pages as hold it, if that is much shorter; the pages before
-/// them can go then. `None` once the term is over.
+/// Rewrites the log in as few pages as possible if that makes it much shorter. The pages before
+/// them can then be removed. Returns `None` once the term is over.
 ///
-/// A process that has just become the owner finds a log of unknown age. If each of a row of owners
-/// with short terms wrote it anew, it would grow by a copy of itself with each.
+/// A new owner finds a log of unknown age. If each owner in a series of short terms rewrote it
+/// unconditionally, the log would grow by a copy of itself with each of them.
 ///
-/// The old pages go only when the new ones are stored, oldest first, and whatever part of them is
-/// left says, with the new ones after it, the same as the new ones alone. So whenever the owner
-/// dies, its successor reads what is true.
+/// The old pages are removed, oldest first, only after the new ones are stored. Any remaining part
+/// of the old pages, followed by the new ones, has the same meaning as the new ones alone. So a
+/// successor reads the correct state whenever the owner dies.
 pub(crate) async fn compact_log(term: &Term, pages: &mut LogPages) -> Option<()> {
     let entries = term.scheduler.borrow().board.compacted_entries();
     let (count, share) = (entries.len(), job_byte_share(&entries));
@@ -59,14 +59,14 @@
     Some(())
 }
 
-/// Notes about how many bytes an open job takes in a log of so many bytes.
+/// Updates the estimate of the bytes that one open job takes, for a log of this many bytes.
 pub(crate) fn measure_job_bytes(term: &Term, share: f64, bytes: usize) {
     #[expect(clippy::cast_precision_loss, reason = "an estimate")]
     term.log_queue.job_bytes.set(bytes as f64 * share);
 }
 
-/// Part of the bytes of all entries that one open job takes. The log tells of ended jobs, targets and
-/// hosts as well, which do not grow with what is accepted.
+/// The share of the bytes of all entries that one open job takes. The log also describes ended
+/// jobs, targets and hosts, which do not grow with the number of accepted jobs.
 pub(crate) fn job_byte_share(entries: &[LogEntry]) -> f64 {
     let (mut jobs, mut job_bytes, mut all_bytes) = (0, 0.0, 0.0);
     for entry in entries {
@@ -84,15 +84,15 @@
     }
 }
 
-/// Makes a change that is harmless to repeat, until it is known to be made; `None` once this
-/// process no longer owns the cell.
+/// Retries an idempotent change until it is known to be made. Returns `None` once this process no
+/// longer owns the cell.
 async fn change_until_settled(term: &Term, change: StoreChange) -> Option<()> {
     loop {
         match term.ports.store.change(change.clone()).await {
             Ok(StoreOutcome::Done(_)) => return Some(()),
             Ok(StoreOutcome::Conflict(items)) => {
                 if term.holds_owner_entry(&items) {
-                    // An earlier sending of the same page has landed.
+                    // An earlier attempt to write the same page succeeded.
                     return Some(());
                 }
                 term.end("succeeded");
--- a/crates/cell/src/log_page.rs
+++ b/crates/cell/src/log_page.rs
@@ -7,12 +7,13 @@
 
 use crate::host_limits::HostLimits;
 
-/// Largest page, in bytes before it is deflated; the store takes values of up to a megabyte.
+/// Maximum size of a page in bytes, before compression; the store takes values of up to a megabyte.
 const MAX_PAGE_BYTES: usize = 256 << 10;
-/// Pages below this size, in bytes, are kept as they are: deflating them costs more processor
-/// time than the bytes are worth.
+/// Smaller pages, in bytes, are not compressed, because that would cost more processor time than
+/// the saved bytes are worth.
 const DEFLATE_MIN_BYTES: usize = 4 << 10;
-/// Largest page that is read, in bytes; a page is written with less, so more is damage.
+/// Maximum size of a page that is read, in bytes. Written pages are smaller, so a larger one is
+/// corrupt.
 const MAX_INFLATED_BYTES: u64 = 4 << 20;
 
 /// Why a page can't be read.
@@ -24,13 +25,13 @@
     Inflate(#[from] std::io::Error),
 }
 
-/// Largest page that an owner writes, in bytes before it is deflated.
+/// Maximum size of a page that an owner writes, in bytes before compression.
 pub(crate) fn max_page_bytes(limits: &HostLimits) -> usize {
     largest_write(limits.link_bytes_per_second(), MAX_PAGE_BYTES)
 }
 
-/// The bytes of a page of these entries. Large pages are deflated: ids and names repeat, and a
-/// successor on a narrow link waits for every byte.
+/// Encodes entries as a page. Large pages are compressed, because ids and names repeat and a
+/// successor behind a narrow link has to wait for every byte.
 pub(crate) fn encode_page(entries: Vec<LogEntry>) -> Vec<u8> {
     let plain = LogPage {
         entries,
@@ -53,10 +54,10 @@
     }
 }
 
-/// The entries of a page.
+/// Decodes the entries of a page.
 ///
 /// # Errors
-/// If the bytes are no page.
+/// If the bytes are not a valid page.
 pub(crate) fn decode_page(bytes: &[u8]) -> Result<Vec<LogEntry>, PageError> {
     let page = LogPage::decode(bytes)?;
     if page.packed.is_empty() {
--- a/crates/cell/src/log_pages.rs
+++ b/crates/cell/src/log_pages.rs
@@ -11,35 +11,37 @@
     log_cache::{LogCache, LogSummary, PageNumber},
 };
 
-/// Pages after which the log is replaced by a shorter one, however small they are.
+/// Number of pages after which the log is compacted, however small they are.
 const COMPACT_AFTER_PAGES: u64 = 480;
-/// Bytes after which it is, unless the shorter one had more. A successor reads at most twice the
-/// larger of both: within a second over 2 Mbit/s while what is open fits 90 KB.
+/// Bytes written after which the log is compacted again, unless the last compacted log was larger. A
+/// successor reads at most twice the larger of both. That takes less than a second over 2 Mbit/s
+/// while the open jobs fit in 90 KB.
 const COMPACT_AFTER_BYTES: usize = 96 << 10;
-/// A shorter log is written only if the log is at least so many times as long. Otherwise it would
-/// add more to what the next owner reads than it ever takes away.
+/// The log is compacted only if that makes it shorter by at least this factor. Otherwise compaction
+/// would add more to what the next owner reads than it ever removes.
 const MIN_COMPACTION_RATIO: usize = 2;
-/// Keys that a change which writes a page may remove beside: the store takes 32 entries, three of
-/// which are the owner's entry, the page as a condition, and the page.
+/// Maximum number of keys that a change may remove besides writing a page. The store takes 32
+/// entries in a change. Three of them are the owner's entry and the page as conditions, and the
+/// write of the page.
 const MAX_REMOVES_PER_CHANGE: usize = 28;
 
-/// Where the log stands: which pages are in force, which can go, and how large it has become.
+/// The state of the log: which pages are in force, which can be removed, and its size.
 #[derive(Debug, Default)]
 pub(crate) struct LogPages {
     /// Number of the first page in force.
     first: PageNumber,
-    /// Number that the next page gets.
+    /// Number of the next page to be written.
     next: PageNumber,
-    /// Bytes that the log had when it was last made shorter.
+    /// Bytes of the log after its last compaction.
     base_bytes: usize,
     /// Bytes written since.
     new_bytes: usize,
-    /// Pages that a shorter log has replaced, oldest first.
+    /// Pages that compaction has replaced, oldest first.
     replaced: VecDeque<PageNumber>,
 }
 
 impl LogPages {
-    /// The log as a new owner found it.
+    /// The state of the log that a new owner has read.
     pub(crate) fn from_summary(summary: LogSummary) -> Self {
         Self {
             first: summary.start,
@@ -50,13 +52,13 @@
         }
     }
 
-    /// Number that the next page gets.
+    /// Number of the next page to be written.
     pub(crate) fn next_page(&self) -> PageNumber {
         self.next
     }
 
-    /// The next page with what it tells of the log, so that whoever reads it need not ask the store
-    /// which pages are left.
+    /// Appends the bounds of the log to an encoded page, so that a reader need not list the
+    /// remaining pages in the store.
     pub(crate) fn with_bounds(&self, mut page: Vec<u8>) -> Vec<u8> {
         let oldest = self.replaced.get(MAX_REMOVES_PER_CHANGE);
         let bounds = LogPage {
@@ -64,17 +66,18 @@
             start: self.first,
             ..LogPage::default()
         };
-        // Messages that follow each other are read as one with the fields of both.
+        // Concatenated messages decode as one message that has the fields of both.
         page.extend(bounds.encode_to_vec());
         page
     }
 
-    /// The change that writes the next page and removes replaced ones: only while the writer's
-    /// entry as owner stands, so that what an earlier owner sent can't land after its successor
-    /// has read the log.
+    /// The change that writes the next page and removes replaced ones. It requires that the
+    /// writer's entry as owner exists. So a delayed write of an earlier owner fails once its
+    /// successor has read the log.
     ///
-    /// Replaced pages go with pages that are written anyway, oldest first: a call of its own for
-    /// each few of them would hold back what callers wait for, for seconds while the store is slow.
+    /// Replaced pages are removed, oldest first, by changes that write a page anyway. Separate
+    /// calls to remove a few of them each would delay writes that callers wait for, by seconds
+    /// while the store is slow.
     pub(crate) fn write_change(
         &self,
         options: &CellOptions,
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Takes in that the change which writes the next page was made, and keeps the page in the copy.
+    /// Updates the state after the change that writes the next page was made, and caches the page.
     pub(crate) fn page_written(&mut self, log_cache: &LogCache, value: Vec<u8>) {
         self.new_bytes += value.len();
         log_cache.insert(self.next, value);
@@ -104,13 +107,13 @@
         self.replaced.drain(..removed);
     }
 
-    /// True once the log should be replaced by a shorter one.
+    /// True once the log should be compacted.
     pub(crate) fn needs_compaction(&self) -> bool {
         self.next - self.first >= COMPACT_AFTER_PAGES
             || self.new_bytes >= COMPACT_AFTER_BYTES.max(self.base_bytes)
     }
 
-    /// Bytes of a log that says the same at which it is still short enough to be written.
+    /// Maximum size of a compacted log, in bytes, that is worth writing.
     pub(crate) fn max_compacted_bytes(&self) -> usize {
         if self.next - self.first >= COMPACT_AFTER_PAGES {
             return usize::MAX;
@@ -118,14 +121,16 @@
         (self.base_bytes + self.new_bytes) / MIN_COMPACTION_RATIO
     }
 
-    /// Takes in that of the log `bytes` have to stay, so that it is not long yet.
+    /// Skips a compaction: `bytes` of the log can't be saved, so they count as the base size and
+    /// the next compaction is due later.
     pub(crate) fn postpone_compaction(&mut self, bytes: usize) {
         let all = self.base_bytes + self.new_bytes;
         self.base_bytes = bytes.min(all);
         self.new_bytes = all - self.base_bytes;
     }
 
-    /// Takes in that the pages from `start` on say all that the log has to say.
+    /// Updates the state after compaction: the pages from `start` on contain the whole state of the
+    /// log.
     pub(crate) fn log_compacted(&mut self, start: PageNumber, bytes: usize) {
         self.replaced.extend(self.first..start);
         self.first = start;
@@ -134,7 +139,7 @@
     }
 }
 
-/// Key of a page; keys sort as their numbers.
+/// Key of a page. The keys sort in the order of the page numbers.
 pub(crate) fn page_key(options: &CellOptions, page: PageNumber) -> CompactString {
     compact_str::format_compact!("{}{page:012}", options.log_prefix())
 }
--- a/crates/cell/src/log_queue.rs
+++ b/crates/cell/src/log_queue.rs
@@ -8,7 +8,7 @@
 use tokio::sync::{Notify, oneshot};
 use wire::work::{LogEntry, log_entry::Event};
 
-/// What became of an entry that somebody waits for.
+/// The outcome of an entry whose sender waits for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RecordOutcome {
     /// It is stored.
@@ -17,26 +17,27 @@
     Refused,
 }
 
-/// An entry that is to be written.
+/// An entry waiting to be written.
 pub(crate) struct PendingRecord {
     pub(crate) order: RecordOrder,
-    /// When it was handed in.
+    /// When it was queued.
     pub(crate) queued_at: BootTime,
-    /// Told what became of it, if somebody waits for that.
+    /// Receives the outcome, if the sender waits for it.
     pub(crate) reply: Option<oneshot::Sender<RecordOutcome>>,
 }
 
 impl PendingRecord {
-    /// Tells whoever waits that the entry is not written and never will be.
+    /// Reports to the sender that the entry was not written and never will be.
     pub(crate) fn refuse(self) {
         if let Some(reply) = self.reply {
-            // Whoever waited may have gone.
+            // The receiver may have been dropped.
             let _ = reply.send(RecordOutcome::Refused);
         }
     }
 }
 
-/// An entry that settles no end and belongs to no job's state; urgent if somebody waits for it.
+/// An entry that acknowledges no end and belongs to no job's state. It is urgent if somebody waits
+/// for it.
 pub(crate) fn record_order(event: Event, urgent: bool) -> RecordOrder {
     RecordOrder {
         entry: LogEntry { event: Some(event) },
@@ -46,29 +47,29 @@
     }
 }
 
-/// Entries that wait for their page.
+/// Log entries that wait to be written.
 ///
-/// One write is under way at a time, and carries all that has come together since the last.
+/// At most one write is in progress. The next one carries all entries that were queued meanwhile.
 #[derive(Default)]
 pub(crate) struct LogQueue {
-    /// What has not been written yet, oldest first.
+    /// Entries that have not been written yet, oldest first.
     pub(crate) pending: RefCell<VecDeque<PendingRecord>>,
-    /// Told of entries that somebody waits for.
+    /// Notified of entries that somebody waits for.
     pub(crate) urgent_added: Notify,
-    /// Told of all entries.
+    /// Notified of all entries.
     pub(crate) entry_added: Notify,
-    /// Told after each page.
+    /// Notified after each stored page.
     pub(crate) page_stored: Notify,
-    /// Whether a page is being written, with entries that do not wait any more.
+    /// Whether a page is being written; its entries are no longer in `pending`.
     pub(crate) writing: Cell<bool>,
-    /// Bytes that the entries of an open job take, as of when the log was last looked through.
+    /// Estimated bytes that the entries of one open job take, as of the last measurement.
     pub(crate) job_bytes: Cell<f64>,
     /// Whether the last write failed, so that new work is refused at once.
     pub(crate) failing: Cell<bool>,
 }
 
 impl LogQueue {
-    /// Adds an entry that nobody waits for.
+    /// Queues an entry whose outcome nobody waits for.
     pub(crate) fn push(&self, order: RecordOrder, now: BootTime) {
         let urgent = order.urgent;
         self.pending.borrow_mut().push_back(PendingRecord {
@@ -82,7 +83,8 @@
         }
     }
 
-    /// Adds an entry and tells what became of it; a closed channel means that nobody knows.
+    /// Queues an entry and returns a receiver of its outcome; if the channel closes, the outcome is
+    /// unknown.
     pub(crate) fn push_awaited(
         &self,
         order: RecordOrder,
@@ -99,7 +101,8 @@
         outcome
     }
 
-    /// Takes back the acceptance of a job that nobody waits for any more; false if it may be written.
+    /// Removes a queued acceptance of a job whose caller no longer waits; false if it may have been
+    /// written.
     pub(crate) fn withdraw_acceptance(&self, job: &str) -> bool {
         let accepts = |record: &PendingRecord| match &record.order.entry.event {
             Some(Event::Accepted(accepted)) => accepted.job == job,
@@ -110,7 +113,7 @@
         found.and_then(|at| pending.remove(at)).is_some()
     }
 
-    /// Refuses what waits for its page when the term is over.
+    /// Refuses all queued entries when the term is over.
     pub(crate) fn refuse_pending(&self) {
         self.pending
             .borrow_mut()
--- a/crates/cell/src/log_reader.rs
+++ b/crates/cell/src/log_reader.rs
@@ -15,13 +15,13 @@
     prefix_watch::PrefixReader,
 };
 
-/// Pause after a failed call.
+/// Delay after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Reads the whole job log into a scheduler, trying until the store answers.
+/// Reads the whole job log into a scheduler, and retries until the store answers.
 ///
-/// The owner's entry was written before, and every page is written under the condition that
-/// its writer's entry still stands. So no page of an earlier owner can appear after this.
+/// The owner's entry was written before this, and every page is written under the condition that
+/// its writer's entry exists. So no page of an earlier owner can appear afterwards.
 pub(crate) async fn read_log(
     store: &dyn LeaseStore,
     options: &CellOptions,
@@ -46,8 +46,8 @@
     log_cache.summary()
 }
 
-/// Reads what was written of the job log since the last page that the copy holds. What comes before
-/// a call fails is kept.
+/// Reads the pages of the job log after the last cached one. Pages that were read before a call
+/// fails are kept.
 pub(crate) async fn fetch_new_pages(
     store: &dyn LeaseStore,
     options: &CellOptions,
--- a/crates/cell/src/log_writer.rs
+++ b/crates/cell/src/log_writer.rs
@@ -17,13 +17,13 @@
     term::Term,
 };
 
-/// How long an entry that somebody waits for is tried while the store refuses calls. Waiting
-/// longer would keep a caller from going elsewhere with work that is surely not recorded.
+/// How long an entry that somebody waits for is retried while the store refuses calls. Its caller
+/// knows that the entry is not recorded and can go elsewhere, so a longer wait would only delay it.
 const AWAITED_ENTRY_TIMEOUT: Duration = Duration::from_millis(150);
-/// Pause after a failed write.
+/// Delay after a failed write.
 const RETRY_DELAY: Duration = Duration::from_millis(25);
 
-/// Writes the log of a term, until the term is over.
+/// Writes the log of a term until the term is over.
 pub(crate) async fn write_log(term: Rc<Term>, found: LogSummary) {
     let mut pages = LogPages::from_summary(found);
     loop {
@@ -50,21 +50,22 @@
         .iter()
         .any(|record| record.order.urgent);
     if !urgent {
-        // A timeout is the ordinary case: nobody waits for these entries.
+        // A timeout is the usual case: nobody waits for these entries.
         let _ = timeout(term.options.max_record_delay, queue.urgent_added.notified()).await;
     }
 }
 
-/// The records of a page that is being written.
+/// The entries of the page that is being written.
 #[derive(Default)]
 struct PageBatch {
     records: Vec<PendingRecord>,
-    /// Whether the page may be in the store, or get there.
+    /// Whether the page may be in the store, or may still get there.
     sent: bool,
 }
 
 impl Drop for PageBatch {
-    /// What was not sent when the term ends is never written, and whoever waits can be told so.
+    /// Entries that were not sent when the term ends are never written, so those who wait for them
+    /// can be told so.
     fn drop(&mut self) {
         if !self.sent {
             self.records.drain(..).for_each(PendingRecord::refuse);
@@ -72,14 +73,14 @@
     }
 }
 
-/// Writes the next page, if there is something to write; `None` once the term is over.
+/// Writes the next page if there are entries; returns `None` once the term is over.
 async fn write_page(term: &Term, pages: &mut LogPages) -> Option<()> {
     let page = pages.next_page();
     let mut batch = PageBatch::default();
     loop {
         let unconfirmed = batch.sent;
         if !unconfirmed {
-            // Nothing of the last attempt can be in the store, so the page may still change.
+            // The last attempt can't have reached the store, so the page may still change.
             batch.refuse_expired(term);
             batch.take_pending(term);
         }
@@ -99,8 +100,8 @@
                 return Some(());
             }
             Ok(StoreOutcome::Conflict(items)) => {
-                // Only the owner writes pages, so a page that is there is the one whose
-                // answer was lost.
+                // Only the owner writes pages, so an existing page is the one whose response was
+                // lost.
                 let ours = term.holds_owner_entry(&items);
                 if ours && unconfirmed {
                     pages.page_written(&term.log_cache, value);
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Refuses what somebody waits for and could not be written for some time.
+    /// Refuses entries that somebody waits for and that could not be written for some time.
     fn refuse_expired(&mut self, term: &Term) {
         let now = term.now().boot;
         let old = |record: &PendingRecord| {
@@ -195,7 +196,7 @@
         }
         scheduler.recorded(&record.order, now);
         if let Some(reply) = record.reply {
-            // The caller may have gone; the entry counts all the same.
+            // The caller may have disconnected; the entry is valid all the same.
             let _ = reply.send(RecordOutcome::Stored);
         }
     }
@@ -204,8 +205,8 @@
     term.wake.notify_one();
 }
 
-/// The steps of a job in one word: tasks, thousandths of a core, estimate in milliseconds, and
-/// a letter for what matters beyond these.
+/// The steps of a job as one word: number of tasks, thousandths of a core, estimate in
+/// milliseconds, and letters for further properties.
 fn steps_text(job: &JobRecord) -> String {
     let step = |step: &StepRecord| {
         let letters = [
--- a/crates/cell/src/member_directory.rs
+++ b/crates/cell/src/member_directory.rs
@@ -30,40 +30,39 @@
 
 /// How often a process renews its entry.
 const RENEW_INTERVAL: Duration = Duration::from_secs(3);
-/// Length of the lease on an entry: a process that is gone is asked in vain for at most this
-/// time, and an owner can't rely on the pledges of all for as long.
+/// Length of the lease on an entry. For at most this time after a process is gone, it is still
+/// asked in vain, and an owner can't get the promises of all members.
 const ENTRY_LEASE: Duration = Duration::from_secs(10);
 /// How long a watch of the entries waits for changes, which are rare.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
-/// Least time between two questions to members, whatever callers ask: one process makes ten a
-/// second at most, while nobody owns the cell.
+/// Minimum time between two requests to members, however many callers wait. Without an owner of the
+/// cell, a process sends at most ten requests a second.
 const ASK_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest wait for an answer; a neighbouring data centre answers in some milliseconds, and one
-/// that looks at the store first gives that up a little earlier.
+/// Longest wait for an answer. A neighbouring data centre answers within some milliseconds. A
+/// member that has to check the store first gives up on that a little earlier.
 const ASK_TIMEOUT: Duration = Duration::from_millis(150);
-/// The duty of following the job log, for rendezvous hashing.
+/// Role of the processes that follow the job log, for rendezvous hashing.
 const STANDBY_ROLE: &str = "standby";
 
-/// Another process of the system.
+/// Another process of the cell.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct PeerMember {
-    /// Where it answers peers.
+    /// Address on which it serves peers.
     pub(crate) address: CompactString,
-    /// How much an owner there can carry.
+    /// How much load an owner on its host can handle.
     pub(crate) strength: HostStrength,
 }
 
-/// The processes of the system, as the store listed them when it last answered.
+/// The processes of the cell, as the store last listed them.
 ///
-/// A process that the store turns away, while it serves the others, does not hear that the
-/// ownership has changed. It would refuse all its callers for as long as that lasts; asking its
-/// neighbours who the owner is it serves them.
+/// A process that the store refuses, while it serves others, does not learn of a new owner. Without
+/// asking other members for the owner, it would refuse all its callers during that time.
 pub(crate) struct MemberDirectory {
     options: Rc<CellOptions>,
     client: CallClient,
-    /// The others, by their keys in the store.
+    /// The other processes, by their keys in the store.
     peers: RefCell<BTreeMap<CompactString, PeerMember>>,
-    /// Whether the entries have been read, and who is told of it.
+    /// Whether the entries have been read, and the notification of that.
     entries_read: Cell<bool>,
     on_entries_read: Notify,
     next_index: Cell<usize>,
@@ -83,28 +82,28 @@
         }
     }
 
-    /// Follows the entries of the others, for ever.
+    /// Watches the entries of the other processes, forever.
     pub(crate) async fn watch_entries(self: Rc<Self>, store: Rc<dyn LeaseStore>) {
         let prefix = self.options.member_prefix();
         watch_prefix(store, &prefix, WATCH_TIMEOUT, &*self).await;
     }
 
-    /// Waits until the entries of the others have been read, for `limit` at most.
+    /// Waits until the entries of the others have been read, for at most `limit`.
     pub(crate) async fn wait_entries_read(&self, limit: Duration) {
         let read = self.on_entries_read.notified();
         if !self.entries_read.get() {
-            // Without the entries all others count as no stronger.
+            // Without the entries, no other process counts as stronger.
             let _ = timeout(limit, read).await;
         }
     }
 
-    /// Keeps the entry of this process in the store, for ever.
+    /// Keeps the entry of this process in the store, forever.
     pub(crate) async fn keep_registered(self: Rc<Self>, store: Rc<dyn LeaseStore>) {
         let mut lease = None;
         loop {
             match self.renew_entry(&*store, lease).await {
                 Ok(current) => lease = current,
-                // The watches tell of a store that is away.
+                // The watches report a store that is unreachable.
                 Err(error) => log::debug!("renew the entry of the member: {error}"),
             }
             sleep(RENEW_INTERVAL).await;
@@ -137,15 +136,15 @@
         }
     }
 
-    /// One of the strongest of the others, if it has at least this strength.
+    /// One of the strongest other processes, if it has at least this strength.
     pub(crate) fn strongest(&self, least: HostStrength) -> Option<PeerMember> {
         let peers = self.peers.borrow();
         let best = peers.values().max_by_key(|peer| peer.strength);
         best.filter(|peer| peer.strength >= least).cloned()
     }
 
-    /// How many of the others come before this process as standbys: strong ones first, and among
-    /// those of the same strength the same ones for everybody.
+    /// How many other processes take precedence over this one as standbys. Stronger processes come
+    /// first. Among processes of the same strength, all processes compute the same order.
     pub(crate) fn standby_rank(&self) -> usize {
         let order_key = |strength, key: &str| (strength, rendezvous::score(STANDBY_ROLE, key));
         let own = order_key(self.options.limits.strength(), &self.entry_key());
@@ -175,7 +174,7 @@
         }
     }
 
-    /// Asks one of the others who owns the cell, unless one was asked just now.
+    /// Asks one of the other processes for the owner, unless one was asked just now.
     pub(crate) async fn find_owner(&self, owners: &OwnerView) {
         let now = BootClock.boot_now();
         if now.saturating_sub(self.last_asked.get()) < ASK_INTERVAL {
@@ -190,7 +189,7 @@
         }
     }
 
-    /// Asks another process who owns the cell; `None` if it does not answer soon.
+    /// Asks another process for the owner; `None` if it does not answer in time.
     pub(crate) async fn ask_for_owner(&self, address: &str) -> Option<OwnerAnswer> {
         let call = OwnerCall {
             ask: Some(Ask::Owner(true)),
@@ -199,13 +198,13 @@
         self.call(address, &call).await
     }
 
-    /// Where all others answer peers.
+    /// The addresses on which all other processes serve peers.
     pub(crate) fn addresses(&self) -> Vec<CompactString> {
         let peers = self.peers.borrow();
         peers.values().map(|peer| peer.address.clone()).collect()
     }
 
-    /// Asks another process; `None` if it does not answer soon.
+    /// Sends a call to another process; `None` if it does not answer in time.
     pub(crate) async fn call(&self, address: &str, call: &OwnerCall) -> Option<OwnerAnswer> {
         match call_peer(&self.client, address, call, ASK_TIMEOUT).await {
             Ok(answer) => Some(answer),
--- a/crates/cell/src/metric.rs
+++ b/crates/cell/src/metric.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-/// Calls of callers, by what they asked and how they were answered.
+/// Calls of callers, by request and answer.
 pub(crate) const CALLS: &str = "lws_cell_calls";
-/// Cancellations that were kept in the store since no owner recorded them.
+/// Cancellations that were written to the store because no owner recorded them.
 pub(crate) const CANCELLATIONS_KEPT: &str = "lws_cell_cancels_kept";
 /// Time from the arrival of a call to its answer.
 pub(crate) const CALL_SECONDS: &str = "lws_cell_call_seconds";
@@ -12,11 +12,11 @@
 pub(crate) const ACCEPT_SECONDS: &str = "lws_cell_accept_seconds";
 /// Time of one write of a page of the job log.
 pub(crate) const RECORD_SECONDS: &str = "lws_cell_record_seconds";
-/// Time that a new owner needs for what its copy lacks of the log.
+/// Time that a new owner needs to read the part of the log that its cache lacks.
 pub(crate) const LOG_READ_SECONDS: &str = "lws_cell_log_read_seconds";
-/// By how much jobs that were refused would have been begun too late.
+/// By how much refused jobs would have been started too late.
 pub(crate) const EXCESS_SECONDS: &str = "lws_cell_excess_seconds";
-/// Calls to the store, by operation and outcome.
+/// Writes of log pages, by outcome.
 pub(crate) const LOG_WRITES: &str = "lws_cell_log_writes";
 /// Orders to targets, by kind and outcome.
 pub(crate) const ORDERS: &str = "lws_cell_orders";
@@ -26,11 +26,11 @@
 pub(crate) const ORDER_WAIT_SECONDS: &str = "lws_cell_order_wait_seconds";
 /// Ends of runs, by how they ended.
 pub(crate) const ENDS: &str = "lws_cell_task_ends";
-/// Jobs that have something left to do, on the owner.
+/// Unfinished jobs, on the owner.
 pub(crate) const OPEN_JOBS: &str = "lws_cell_open_jobs";
 /// 1 on the owner, 0 elsewhere.
 pub(crate) const OWNER: &str = "lws_cell_owner";
-/// Terms that this process has begun.
+/// Terms that this process has started.
 pub(crate) const TERMS: &str = "lws_cell_terms";
 
 /// Records a duration in a histogram.
--- a/crates/cell/src/owner_service.rs
+++ b/crates/cell/src/owner_service.rs
@@ -14,10 +14,10 @@
     term::Term,
 };
 
-/// Answers, as the owner, what a host that serves callers asks.
+/// Handles, as the owner, the call of a process that serves callers.
 ///
-/// A call that was meant for an earlier owner does nothing: whoever sent it may have been told
-/// since that it did not take effect.
+/// A call that was sent to an earlier owner has no effect here, because its sender may have been
+/// told since that it did not take effect.
 pub(crate) async fn handle_call(term: &Rc<Term>, call: OwnerCall) -> OwnerAnswer {
     let deadline = Instant::now() + Duration::from_millis(call.patience_ms);
     if call.token != 0 && call.token != term.token {
@@ -41,22 +41,22 @@
             pending: term.scheduler.borrow_mut().pending(&queue, term.now()),
             ..answer_of_kind(AnswerKind::Counted)
         },
-        // Questions to any process are answered before; others are of a newer version.
+        // Calls to any process are handled before this; other ones come from a newer version.
         Some(Ask::Owner(_) | Ask::Store(_) | Ask::Release(_)) | None => refused_answer(term),
     }
 }
 
-/// Waits until the log has been read: that takes milliseconds, and asking again costs more.
+/// Waits until the log has been read. That takes milliseconds, and another call would cost more.
 async fn wait_ready(term: &Rc<Term>, deadline: Instant) -> bool {
     let ready = term.on_ready.notified();
     if !term.is_ready() && !term.is_over() {
-        // Whether it became ready or the time is up shows below.
+        // The return value shows whether the term became ready or the wait timed out.
         let _ = timeout_at(deadline, ready).await;
     }
     term.is_ready()
 }
 
-/// Accepts a job. The same id again is the same job, whoever asks and however often.
+/// Accepts a job. A repeated id is the same job, whoever submits it and however often.
 async fn submit_job(term: &Rc<Term>, record: JobRecord, deadline: Instant) -> OwnerAnswer {
     if term
         .scheduler
@@ -82,7 +82,8 @@
         .log_queue
         .push_awaited(record_order(Event::Accepted(record), true), boot_now(term));
     let (owning_term, submitted) = (term.clone(), job.clone());
-    // The entry is written whether or not the caller stays, so it is followed to its end.
+    // The entry is written even if the caller disconnects, so a separate task waits for the
+    // outcome.
     let recording = tokio::task::spawn_local(async move {
         let outcome = outcome.await;
         owning_term.submitting.borrow_mut().remove(&submitted);
@@ -96,7 +97,7 @@
     }
 }
 
-/// How long it takes until a job like this would be begun in time; `None` if it would be now.
+/// How long it takes until a job like this one could be started in time; `None` if it could be now.
 fn predict_lateness(term: &Term, record: &JobRecord) -> Option<Duration> {
     let plan = plan_of_record(record);
     let now = term.now();
@@ -116,8 +117,8 @@
     Some(wait)
 }
 
-/// True if the next owner would read what is open for too long, so that more work would not be done
-/// in time.
+/// True if the next owner would take too long to read the open jobs, so that additional work would
+/// not be done in time.
 fn has_long_backlog(term: &Term) -> bool {
     #[expect(clippy::cast_precision_loss, reason = "an estimate")]
     let open = term.scheduler.borrow().board.open.len() as f64;
@@ -125,7 +126,7 @@
         >= largest_backlog(term.options.limits.link_bytes_per_second())
 }
 
-/// Waits for a job that another call is handing in.
+/// Waits for a job that another call is submitting.
 async fn wait_for_submission(term: &Rc<Term>, job: &str, deadline: Instant) -> OwnerAnswer {
     loop {
         let stored = term.log_queue.page_stored.notified();
@@ -153,12 +154,12 @@
     }
 }
 
-/// Cancels a job. One that is not known is recorded as cancelled before its caller is told so:
-/// its submission may be under way to this owner or to the next.
+/// Cancels a job. The cancellation of an unknown job is recorded before the caller gets its answer,
+/// because the submission may be on its way to this owner or to the next.
 async fn cancel_job(term: &Rc<Term>, job: &str, deadline: Instant) -> OwnerAnswer {
     if term.submitting.borrow().contains(job) {
-        // It is being recorded by a call that its caller has given up on; what becomes of that
-        // shows below.
+        // The job is being recorded for a call that its caller has given up on. The code below
+        // reads the outcome from the scheduler.
         let _ = wait_for_submission(term, job, deadline).await;
     }
     let phase = term.scheduler.borrow().progress(job);
@@ -168,7 +169,7 @@
         None => answer_of_kind(AnswerKind::NotFound),
     };
     if phase.is_none() && term.scheduler.borrow().board.jobs.contains_key(job) {
-        // Recorded as cancelled before.
+        // Its cancellation is already recorded.
         return answered;
     }
     if !term.has_valid_lease() {
@@ -186,8 +187,9 @@
     }
 }
 
-/// Refuses a cancellation that can't be stored now. The job is held, and the entry is written once
-/// the store takes it, so that a caller who does not ask again is obeyed as well.
+/// Refuses a cancellation that can't be stored now. The job is marked as cancel pending, and the
+/// entry is written once the store accepts it, so that the cancellation takes effect even if the
+/// caller does not retry.
 fn refuse_cancel(term: &Term, job: &str, cause: &str) -> OwnerAnswer {
     if term.scheduler.borrow_mut().hold(job) {
         let order = record_order(Event::Cancelled(job.to_owned()), true);
--- a/crates/cell/src/owner_view.rs
+++ b/crates/cell/src/owner_view.rs
@@ -9,27 +9,27 @@
 
 use crate::{cell_options::CellOptions, event, prefix_watch::PrefixObserver};
 
-/// Who owns the cell, as the store says.
+/// The owner of the cell, according to the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct OwnerEntry {
-    /// Its name.
+    /// Name of the process.
     pub(crate) member: MemberId,
-    /// Where it answers peers.
+    /// Address on which it serves peers.
     pub(crate) address: CompactString,
     /// Revision of the entry, which is the owner's token.
     pub(crate) token: StoreRevision,
 }
 
-/// Follows the store's entry of the owner.
+/// Follows the owner's entry in the store.
 #[derive(Default)]
 pub(crate) struct OwnerView {
     key: CompactString,
     owner: RefCell<Option<OwnerEntry>>,
-    /// Entries of lower revisions are known to be gone.
+    /// Entries of lower revisions are known to be removed.
     removed_before: Cell<StoreRevision>,
     /// Whether the entry has been read at all.
     known: Cell<bool>,
-    /// Told of each change.
+    /// Notified of each change.
     pub(crate) changed: Notify,
 }
 
@@ -46,22 +46,23 @@
         self.owner.borrow().clone()
     }
 
-    /// True if it is known that there is no owner.
+    /// True if the cell is known to have no owner.
     pub(crate) fn is_vacant(&self) -> bool {
         self.known.get() && self.owner.borrow().is_none()
     }
 
-    /// Takes the entry as it was read or written; `None` if there is none.
+    /// Updates the view from an entry that was read or written; `None` if there is none.
     pub(crate) fn set(&self, item: Option<&StoreItem>) {
         if !self.known.replace(true) {
-            // That there is no owner is news too, though the view began with none: candidates wait
-            // for it, and would look for themselves only after two seconds.
+            // That there is no owner also counts as a change, although the view starts with none.
+            // Candidates wait for this notification; their own check would come only after two
+            // seconds.
             self.changed.notify_waiters();
         }
         self.replace(item.and_then(decode_owner));
     }
 
-    /// Takes that no entry of a lower revision stands any more.
+    /// Marks all entries of a lower revision as removed.
     fn mark_removed(&self, revision: StoreRevision) {
         self.removed_before
             .set(self.removed_before.get().max(revision));
@@ -70,7 +71,8 @@
         }
     }
 
-    /// Takes who another process says is the owner, if that is a later one than is known here.
+    /// Updates the view with the owner that another process reported, if it is later than the one
+    /// known here.
     pub(crate) fn update_from_peer(&self, record: Option<OwnerRecord>, token: StoreRevision) {
         let known = self.owner().map_or(0, |owner| owner.token);
         let Some(record) = record.filter(|_| token > known) else {
@@ -84,9 +86,10 @@
     }
 
     fn replace(&self, entry: Option<OwnerEntry>) {
-        // The answer to a read may come after the watch has told that the entry it found is gone.
-        // Believed, it would keep this process from ever standing: nothing more happens to that
-        // entry. An entry is written once, so one that is gone does not come back.
+        // The response to a read may arrive after the watch reported that the entry it contains was
+        // removed. If the view accepted such an entry, this process would never campaign again,
+        // because nothing more happens to that entry. An entry is written only once, so a removed
+        // one does not come back.
         let removed = |owner: &OwnerEntry| owner.token < self.removed_before.get();
         if *self.owner.borrow() == entry || entry.as_ref().is_some_and(removed) {
             return;
@@ -106,7 +109,8 @@
     }
 }
 
-/// The entry that says where this process answers peers, under a key and a lease.
+/// The write of an entry with the address on which this process serves peers, under a key and a
+/// lease.
 pub(crate) fn address_entry(
     options: &CellOptions,
     key: CompactString,
@@ -124,7 +128,7 @@
     }
 }
 
-/// Reads an owner's entry; an entry that can't be read is no owner to ask, and lapses.
+/// Decodes an owner's entry. An entry that can't be decoded names no process to call, and expires.
 pub(crate) fn decode_owner(item: &StoreItem) -> Option<OwnerEntry> {
     let record = match OwnerRecord::decode(item.value.as_slice()) {
         Ok(record) => record,
--- a/crates/cell/src/peer_call.rs
+++ b/crates/cell/src/peer_call.rs
@@ -5,13 +5,13 @@
 use prost::Message;
 use wire::work::{OwnerAnswer, OwnerCall};
 
-/// Path that processes answer each other at.
+/// Path on which processes of the cell answer each other.
 pub(crate) const OWNER_PATH: &str = "/owner";
 
-/// Asks another process as the owner.
+/// Sends a call to another process of the cell.
 ///
 /// # Errors
-/// [`CallError::NotSent`] if it can't have seen the call.
+/// [`CallError::NotSent`] if the process can't have received the call.
 pub(crate) async fn call_peer(
     client: &CallClient,
     address: &str,
--- a/crates/cell/src/peer_service.rs
+++ b/crates/cell/src/peer_service.rs
@@ -10,18 +10,18 @@
 use wire::work::{AnswerKind, OwnerAnswer, OwnerCall, OwnerRecord, owner_call::Ask};
 
 use crate::{
-    election_promise::ElectionPromise, event, owner_service, owner_view::OwnerView,
-    peer_call::OWNER_PATH, term::Term,
+    event, owner_service, owner_view::OwnerView, peer_call::OWNER_PATH,
+    stand_pledge::ElectionPromise, term::Term,
 };
 
-/// The term that this process runs, while it owns the cell.
+/// The term that this process runs while it owns the cell.
 pub(crate) type CurrentTerm = Rc<RefCell<Option<Rc<Term>>>>;
 
-/// Longest wait for the store before a process says that it does not reach it. Less than its
-/// asker waits.
+/// Longest wait for the store before a process reports that it does not reach it. This is less than
+/// the timeout of the process that asks.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Answers the other processes of the system.
+/// Answers the other processes of the cell.
 #[derive(Clone)]
 pub(crate) struct PeerService {
     pub(crate) current_term: CurrentTerm,
@@ -64,8 +64,9 @@
         }
     }
 
-    /// Looks whether the store is there, for an owner that does not reach it; if it is not, this
-    /// process keeps out of elections for a while, so that the owner knows to be the only one.
+    /// Checks whether this process reaches the store, for an owner that does not. If it does not
+    /// either, it promises not to campaign for a while, so that the owner knows that there is no
+    /// other one.
     async fn probe_store(&self, token: FencingToken, owns: bool) -> OwnerAnswer {
         let read = timeout(PROBE_TIMEOUT, self.store.read(&self.owner_key)).await;
         let Ok(Ok(item)) = read else {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Ends a lease for an owner that the store turns away.
+    /// Ends a lease for an owner that the store refuses.
     async fn release_lease(&self, lease: LeaseId) -> OwnerAnswer {
         if let Err(error) = self.store.end_lease(lease).await {
             log_event::warn(
@@ -96,7 +97,7 @@
     }
 }
 
-/// Says who the owner is, as far as this process has heard.
+/// The owner that this process knows of.
 fn owner_answer(owners: &OwnerView) -> OwnerAnswer {
     let owner = owners.owner();
     OwnerAnswer {
--- a/crates/cell/src/prefix_watch.rs
+++ b/crates/cell/src/prefix_watch.rs
@@ -8,22 +8,22 @@
 
 use crate::{dependency_logger::DependencyLogger, event};
 
-/// Pause after a failed call; a store that is down is asked this often.
+/// Delay after a failed call, and so the interval of retries while the store is down.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Hears what happens below a prefix.
+/// Receives the changes of the keys below a prefix.
 pub(crate) trait PrefixObserver {
-    /// All keys that there were at a revision; what was known before and isn't among them is gone.
+    /// Replaces the state by all keys that existed at a revision; keys not among them are gone.
     fn reset(&self, items: Vec<StoreItem>, revision: StoreRevision);
-    /// One change.
+    /// Applies one change.
     fn apply(&self, event: StoreEvent);
-    /// All is known that had happened when a call was sent.
+    /// Reports that all changes made before `_sent`, when a call was sent, have been received.
     fn caught_up_to(&self, _sent: BootTime) {}
 }
 
-/// Keeps a sink in step with the keys below a prefix, for ever.
+/// Keeps an observer up to date with the keys below a prefix, forever.
 ///
-/// Where the store has dropped the history that the watch needs, everything is read anew.
+/// If the store has dropped the history that the watch needs, all keys are read again.
 pub(crate) async fn watch_prefix(
     store: Rc<dyn LeaseStore>,
     prefix: &str,
@@ -61,8 +61,8 @@
     }
 }
 
-/// Reads all keys below a prefix for a sink, for as long as that takes. Returns the revision of the
-/// first page, so that a watch from there misses nothing that changed while the others were read.
+/// Reads all keys below a prefix for an observer, with retries. Returns the revision of the first
+/// page, so that a watch from there misses no change made while the other pages were read.
 async fn read_all(
     store: &dyn LeaseStore,
     prefix: &str,
@@ -86,11 +86,11 @@
     revision
 }
 
-/// Reads all keys below a prefix a page at a time, and keeps the pages that it has when a call
-/// fails: begun anew after each failure, a long list might never be read to its end.
+/// Reads all keys below a prefix, a page at a time. It keeps the pages that it has when a call
+/// fails. If it restarted after each failure, it might never finish reading a long list.
 pub(crate) struct PrefixReader<'a> {
     prefix: &'a str,
-    /// The key that the next page begins after.
+    /// The next page begins after this key.
     after: CompactString,
     /// The keys that were read.
     pub(crate) items: Vec<StoreItem>,
@@ -99,7 +99,7 @@
 }
 
 impl<'a> PrefixReader<'a> {
-    /// Reads the keys that come after one; all of them for an empty key.
+    /// Reads the keys after `after`; all of them if it is empty.
     pub(crate) fn new(prefix: &'a str, after: CompactString) -> Self {
         Self {
             prefix,
@@ -122,7 +122,7 @@
         if let Some(item) = page.items.last() {
             self.after = item.key.clone();
         }
-        // A page without keys would be asked for again for ever.
+        // A page without keys would be requested again forever.
         self.complete = !page.more || page.items.is_empty();
         self.items.append(&mut page.items);
         Ok(())
--- a/crates/cell/src/step_down.rs
+++ b/crates/cell/src/step_aside.rs
@@ -5,34 +5,34 @@
 
 use crate::{member_directory::PeerMember, term::Term};
 
-/// How often an owner considers whether another should have its place.
+/// How often an owner checks whether another process should replace it.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// How long an owner may read the log before it lets another try. It has read nearly all of it
-/// before it stood; a store that answers late takes a third of this time for the rest.
+/// How long an owner may take to read the log before it steps down. It read nearly all of the log
+/// before it campaigned; with a slow store, the rest takes a third of this time.
 const LOG_READ_TIMEOUT: Duration = Duration::from_secs(3);
-/// How many times as strong another process has to be to be worth a hand-over, which holds up
-/// callers for some tens of milliseconds.
+/// How many times stronger another process must be to justify a hand-over, which delays callers for
+/// some tens of milliseconds.
 const MIN_STRENGTH_RATIO: u32 = 2;
 
-/// How an owner leaves its place to another process.
+/// How an owner steps down.
 pub(crate) enum StepDownKind {
-    /// In order: the log is completed first.
+    /// After the log has been completed.
     HandOver,
-    /// At once, for a reason.
+    /// At once, for this reason.
     Immediate(&'static str),
-    /// At once; the store turns this process away, so the one at the address ends its lease.
+    /// At once. The store refuses this process, so the process at this address ends its lease.
     ReleaseThrough(CompactString),
 }
 
-/// Returns once another process should take the cell; waits for ever while this one does well.
+/// Returns once another process should own the cell, and never while this one serves well.
 ///
-/// Without it an owner that can't get ready, behind a link that has become too narrow, would keep
-/// renewing its lease: nobody serves then and nobody else may.
+/// Without this, an owner that can't finish reading the log, for example because its link has
+/// become too narrow, would keep renewing its lease. Then no process would serve the cell.
 pub(crate) async fn step_down(term: &Rc<Term>) -> StepDownKind {
     let begun = term.now().boot;
     loop {
         sleep(CHECK_INTERVAL).await;
-        // While the store is away nobody could take over, and the lease lapses by itself.
+        // During an outage of the store nobody could take over, and the lease expires by itself.
         if !term.has_valid_lease() || term.handing_over.get() {
             continue;
         }
@@ -46,7 +46,8 @@
     }
 }
 
-/// True if a much stronger process is there that knows this owner, so that it hears the store.
+/// True if a much stronger process is reachable and knows this owner, which shows that it reads the
+/// store.
 async fn has_stronger_member(term: &Term) -> bool {
     let least = term
         .options
--- a/crates/cell/src/store_check.rs
+++ b/crates/cell/src/store_check.rs
@@ -4,30 +4,30 @@
 use tokio::{task::JoinSet, time::sleep};
 use wire::work::{OwnerCall, owner_call::Ask};
 
-use crate::{election_promise::PROMISE_TRUSTED, step_down::StepDownKind, term::Term};
+use crate::{stand_pledge::PROMISE_TRUSTED, step_aside::StepDownKind, term::Term};
 
-/// How often an owner that does not reach the store asks the others whether they do.
+/// How often an owner that does not reach the store asks the other processes whether they do.
 const ASK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Rounds of questions in a row that have to find the store in place.
+/// Number of consecutive rounds in which another process has to reach the store.
 const CONFIRMING_ROUNDS: u32 = 2;
 
-/// What the others say of the store.
+/// What the other processes report about the store.
 enum StoreVerdict {
-    /// One of them, at this address, reaches it and knows this owner.
+    /// The process at this address reaches the store and knows this owner.
     Reached(CompactString),
-    /// None of them reaches it, and all keep out of elections.
+    /// No other process reaches the store, and all promise not to campaign.
     Unreachable,
-    /// Not all answered, or they differ.
+    /// Some did not answer, or the answers differ.
     Unclear,
 }
 
-/// Asks the other processes about the store whenever this owner does not reach it, and returns
-/// once one of them should end its lease.
+/// Asks the other processes about the store whenever this owner does not reach it. Returns once one
+/// of them should end its lease.
 ///
-/// A store that turns away only the owner would leave the cell without one until the lease has
-/// lapsed; it is handed over at once. A store that is away for all leaves no way to a successor,
-/// so the owner may go on starting what it has accepted.
+/// If the store refuses only the owner, waiting for the lease to expire would leave the cell
+/// without an owner, so the lease is ended at once. If the store is unreachable for all, there can
+/// be no successor, so the owner may go on starting accepted tasks.
 pub(crate) async fn check_with_members(term: &Rc<Term>) -> StepDownKind {
     let mut reached = 0;
     loop {
@@ -40,7 +40,7 @@
         match ask_members(term).await {
             StoreVerdict::Reached(address) => {
                 reached += 1;
-                // A store that has just come back is reached by this one too, a moment later.
+                // If the store has only just recovered, this process reaches it a moment later too.
                 if reached >= CONFIRMING_ROUNDS && term.seems_cut_off() {
                     return StepDownKind::ReleaseThrough(address);
                 }
--- a/crates/cell/src/stored_cancellation.rs
+++ b/crates/cell/src/stored_cancellation.rs
@@ -1,8 +1,8 @@
-//! Cancellations that no owner could record when they were asked for.
+//! Cancellations that no owner could record when they were requested.
 //!
-//! The process that a caller reached keeps them in the store itself, so that they last whether or
-//! not somebody owns the cell. Each owner reads them before it starts anything, follows them, and
-//! moves them into its log. `docs/design/13-platform.md` argues why.
+//! The process that received such a call writes the cancellation to the store itself, so that it
+//! persists even if the cell has no owner. Each owner reads these cancellations before it starts
+//! anything, watches them, and moves them into its log. `docs/design/13-platform.md` explains why.
 
 use std::{cell::RefCell, collections::BTreeSet, rc::Rc, time::Duration};
 
@@ -25,26 +25,29 @@
     term::Term,
 };
 
-/// Pause after a failed call, or an entry that was refused.
+/// Delay after a failed call or a refused entry.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How long a watch waits for cancellations. While it waits nothing shows that the store is heard.
+/// How long a watch waits for cancellations. Until it returns, nothing shows that the store is
+/// reachable.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(250);
-/// Cancellations that a process tries to keep at once; callers of others have to ask again.
+/// Maximum number of cancellations that a process retries at once; callers of further ones have to
+/// retry themselves.
 const MAX_PENDING: usize = 256;
-/// For how long that is tried: as long as the store is away at a time.
+/// For how long writes are retried without success; outages of the store last about as long.
 const PERSIST_TIMEOUT: Duration = Duration::from_secs(30);
-/// Pause before that is tried again.
+/// Delay before a failed write is retried.
 const PERSIST_RETRY_DELAY: Duration = Duration::from_millis(300);
-/// Keys of one change: the store takes 32 entries, one of which may be the owner's.
+/// Maximum number of keys in one change: the store takes 32 entries, one of which may be the
+/// owner's.
 const MAX_KEYS_PER_CHANGE: usize = 28;
 
-/// Keeps cancellations in the store, for the process that callers asked.
+/// Writes cancellations to the store, for the process that callers called.
 pub(crate) struct CancellationWriter {
     store: Rc<dyn LeaseStore>,
     options: Rc<CellOptions>,
-    /// Jobs whose cancellations are tried until the store takes them.
+    /// Jobs whose cancellations are retried until the store accepts them.
     pending: RefCell<BTreeSet<JobId>>,
-    /// Told when none waits any more.
+    /// Notified when none is pending any more.
     flushed: Notify,
 }
 
@@ -58,7 +61,7 @@
         }
     }
 
-    /// Waits until the store has taken all cancellations that wait, or they are given up.
+    /// Waits until all pending cancellations are stored or given up.
     pub(crate) async fn flush(&self) {
         let flushed = self.flushed.notified();
         if !self.pending.borrow().is_empty() {
@@ -66,7 +69,7 @@
         }
     }
 
-    /// Keeps the cancellation of a job, for the owner to record.
+    /// Stores the cancellation of a job, for the owner to record.
     ///
     /// # Errors
     /// If it is not known to be stored.
@@ -74,7 +77,8 @@
         self.write(&[job.into()]).await
     }
 
-    /// Goes on trying to keep the cancellation of a job, whether or not its caller asks again.
+    /// Retries storing the cancellation of a job in the background, whether or not its caller
+    /// retries.
     pub(crate) fn persist_with_retry(self: &Rc<Self>, job: &str) {
         let mut pending = self.pending.borrow_mut();
         if pending.len() >= MAX_PENDING {
@@ -87,7 +91,7 @@
         }
     }
 
-    /// Tries until all that wait are kept, or none could be for a long time.
+    /// Retries until all pending cancellations are stored, or none could be stored for a long time.
     async fn persist_pending(self: Rc<Self>) {
         let mut end = Instant::now() + PERSIST_TIMEOUT;
         loop {
@@ -133,7 +137,7 @@
     }
 }
 
-/// Follows the cancellations that are kept for as long as the term lasts, and records them.
+/// Watches the stored cancellations for as long as the term lasts, and records them in the log.
 pub(crate) async fn watch_cancellations(term: Rc<Term>) {
     let prefix = term.options.cancellation_prefix();
     let observer = CancellationObserver { term: term.clone() };
@@ -151,7 +155,7 @@
         if jobs.is_empty() {
             return;
         }
-        // What is kept lasts, so it is in force before it is in the log.
+        // A stored cancellation is durable, so it takes effect before it is in the log.
         let now = self.term.now();
         for job in &jobs {
             self.term.scheduler.borrow_mut().cancel(job, now);
@@ -185,7 +189,7 @@
     names.map(JobId::from).collect()
 }
 
-/// Moves cancellations into the log: they are removed only once their entries are stored.
+/// Moves cancellations into the log. Their keys are removed only once the log entries are stored.
 async fn record_cancellations(term: Rc<Term>, jobs: Vec<JobId>) {
     let mut left = jobs.clone();
     while !left.is_empty() {
@@ -199,7 +203,7 @@
     }
 }
 
-/// Writes an entry for each job; returns those of which it is not known to be stored.
+/// Writes a log entry for each job; returns the jobs whose entries are not known to be stored.
 async fn record_once(term: &Term, jobs: Vec<JobId>) -> Vec<JobId> {
     let now = term.now().boot;
     let record = |job: JobId| {
@@ -216,8 +220,8 @@
     left
 }
 
-/// Removes the keys of cancellations that are recorded. One that stays is recorded once more by
-/// the next owner, which changes nothing.
+/// Removes the keys of recorded cancellations. If a key remains, the next owner records it once
+/// more, which changes nothing.
 async fn remove_recorded(term: &Term, jobs: &[JobId]) {
     let change = StoreChange {
         expect: vec![(term.options.owner_key(), term.token)],
--- a/crates/cell/src/target_channel.rs
+++ b/crates/cell/src/target_lane.rs
@@ -1,14 +1,14 @@
 use tokio::sync::{Notify, Semaphore};
 
-/// Orders to one target at the same time, each on a connection of its own. New connections
-/// are paid for; with three, a step of twenty tasks reaches a target in 25 ms.
+/// Maximum number of concurrent orders to one target, each on its own connection. New connections
+/// have a cost; with three, a step of twenty tasks reaches a target in 25 ms.
 const MAX_CONCURRENT_ORDERS: usize = 3;
 
-/// The way to one target.
+/// Limits the orders to one target and triggers its polls.
 pub(crate) struct TargetChannel {
-    /// Orders that may be under way at once.
+    /// Permits for concurrent orders.
     pub(crate) orders: Semaphore,
-    /// Told when a look is wanted at once.
+    /// Notified when the target should be polled at once.
     pub(crate) poll_now: Notify,
 }
 
--- a/crates/cell/src/target_poll.rs
+++ b/crates/cell/src/target_look.rs
@@ -9,24 +9,24 @@
 };
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-use crate::{call_limiter::CallPermit, event, metric, target_channel::TargetChannel, term::Term};
+use crate::{call_limiter::CallPermit, event, metric, target_lane::TargetChannel, term::Term};
 
-/// How often an idle target is considered for a look.
+/// How often an idle target is considered for a poll.
 const IDLE_INTERVAL: Duration = Duration::from_millis(200);
-/// Pause after a look that brought ends. Until they are stored, which takes some 10 ms, the
-/// target answers each look at once with the same ends; on a busy day that made six looks of
-/// one. Longer would delay the next end.
+/// Delay after a poll that returned ends. Until they are stored, which takes some 10 ms, the target
+/// answers each poll at once with the same ends. Without a delay, that turned one poll into six
+/// under high load. A longer delay would hold back the next end.
 const ENDS_DELAY: Duration = Duration::from_millis(25);
-/// Longest wait for ends to be stored before the next look. Other ends come meanwhile, and tasks
-/// that wait for their room would wait with them.
+/// Longest wait for ends to be stored before the next poll. Other tasks end meanwhile, and tasks
+/// that wait for their resources would be delayed too.
 const ENDS_STORED_TIMEOUT: Duration = Duration::from_millis(250);
-/// Pause after a look that brought nothing; a target that is down is asked this often.
+/// Delay after a failed poll, and so the interval of polls while a target is down.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
-/// How long a look waits for its turn before its class is considered anew: the time that was granted
-/// to what runs goes on.
+/// How long a poll waits for a permit before its priority is computed again, because the time that
+/// was granted to running tasks is running out.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Opens the lane of a target and begins to look at it.
+/// Opens the channel to a target and starts polling it.
 pub(crate) fn open_channel(term: &Rc<Term>, id: HostId) {
     let channel = Rc::new(TargetChannel::default());
     term.channels
@@ -36,7 +36,7 @@
     term.spawn(poll_loop(polling, channel, id));
 }
 
-/// Looks at a target for as long as the scheduler knows it.
+/// Polls a target for as long as the scheduler knows it.
 async fn poll_loop(term: Weak<Term>, channel: Rc<TargetChannel>, id: HostId) {
     loop {
         let Some(term) = term.upgrade() else {
@@ -49,7 +49,7 @@
         };
         let Some((order, permit)) = poll.filter(|_| term.may_send_orders()) else {
             drop(term);
-            // Whether it was told or time passed, the scheduler is asked again.
+            // After a notification as well as after a timeout, the scheduler is asked again.
             let _ = timeout(IDLE_INTERVAL, channel.poll_now.notified()).await;
             continue;
         };
@@ -67,7 +67,7 @@
     }
 }
 
-/// The look that a target needs, once it may be sent; `None` if it needs none.
+/// The next poll of a target, once it may be sent; `None` if it needs none.
 pub(crate) async fn next_poll(term: &Term, id: &HostId) -> Option<(PollOrder, CallPermit)> {
     loop {
         let now = term.now();
@@ -81,11 +81,11 @@
     }
 }
 
-/// Waits until the target can be told to forget the ends that it lists, or for some time.
+/// Waits until the ends that the target reported can be acknowledged, or until a timeout.
 ///
-/// Until then each look brings the same ends again. While the log is slow, behind a narrow link or
-/// at a slow store, these answers would take the bytes that the log needs: the slower it gets, the
-/// more ends are listed, and in the end neither gets through.
+/// Until then each poll returns the same ends again. While writes of the log are slow, because of a
+/// narrow link or a slow store, these responses would take the bandwidth that the log needs. The
+/// slower the log gets, the more ends each response lists, until neither gets through.
 async fn wait_ends_stored(term: &Term, id: &HostId, observed: u64) {
     let limit = Instant::now() + ENDS_STORED_TIMEOUT;
     loop {
@@ -102,18 +102,18 @@
     }
 }
 
-/// What a look brought.
+/// The result of a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PollOutcome {
-    /// No end that the target has not been told to forget.
+    /// No ends that have not been acknowledged yet.
     NoEnds,
-    /// Ends, which the target lists again until it is told to forget them.
+    /// Ends, which the target reports again until they are acknowledged.
     Ends,
     /// No answer, or a refusal.
     Failed,
 }
 
-/// Looks at a target and tells the scheduler.
+/// Polls a target and passes its answer to the scheduler.
 pub(crate) async fn poll_once(
     term: &Rc<Term>,
     id: &HostId,
@@ -152,7 +152,7 @@
     outcome
 }
 
-/// Where a target is reached; `None` if the scheduler does not know it any more.
+/// Address of a target; `None` if the scheduler no longer knows it.
 pub(crate) fn target_address(term: &Term, id: &HostId) -> Option<TargetAddress> {
     let scheduler = term.scheduler.borrow();
     let target = scheduler.targets.get(id)?;
@@ -162,13 +162,13 @@
     })
 }
 
-/// The lane of a target and where it is reached.
+/// The channel to a target and its address.
 pub(crate) fn channel_to(term: &Term, id: &HostId) -> Option<(Rc<TargetChannel>, TargetAddress)> {
     let channel = term.channels.borrow().get(id).cloned()?;
     Some((channel, target_address(term, id)?))
 }
 
-/// Writes a log line of an order that was not answered or was refused.
+/// Logs an order that was not answered or was refused.
 pub(crate) fn log_failure(term: &Term, kind: &str, id: &HostId, answer: &str) {
     let answer = answer.replace('"', "'");
     log_event::warn(
--- a/crates/cell/src/target_orders.rs
+++ b/crates/cell/src/target_orders.rs
@@ -10,17 +10,17 @@
 use crate::{
     call_limiter::CallPermit,
     event, metric,
-    target_channel::TargetChannel,
-    target_poll::{channel_to, log_failure, next_poll, poll_once, target_address},
+    target_lane::TargetChannel,
+    target_look::{channel_to, log_failure, next_poll, poll_once, target_address},
     term::Term,
 };
 
-/// Wait of a start for a connection that is worth a log line.
+/// A start that waits this long for a connection is logged.
 const LOGGED_WAIT: Duration = Duration::from_millis(500);
 /// Why an order was not sent.
 const NOT_SENT_CAUSE: &str = "the term is over, or it is not known what has been cancelled";
 
-/// Carries out an order to a target.
+/// Sends an order to a target.
 pub(crate) fn send_order(term: &Rc<Term>, order: DeskOrder) {
     let cloned = term.clone();
     match order {
@@ -29,7 +29,7 @@
         DeskOrder::Pace(id, order) => term.spawn(send_throttle(cloned, id, order)),
         DeskOrder::Look(id) => term.spawn(poll_at_once(cloned, id)),
         DeskOrder::Advise(key, targets) => term.spawn(request_advice(cloned, key, targets)),
-        // Orders to the log and to the term itself; the term carries them out.
+        // Actions for the log and for the term itself, which the term executes.
         DeskOrder::Record(_) | DeskOrder::Resign(_) => {}
     }
 }
@@ -49,7 +49,7 @@
         );
         return;
     }
-    // It may have waited for its turn for longer than the lease goes.
+    // It may have waited for its permit until after the lease expired.
     let permit = permit.filter(|_| term.may_start_tasks() && term.cancellations_are_current());
     let Some(_permit) = permit else {
         log_failure(&term, "start", &id, NOT_SENT_CAUSE);
@@ -94,7 +94,7 @@
     }
     let sent = now.boot;
     let Some(_permit) = permit.filter(|_| term.may_send_orders()) else {
-        // The scheduler sends it again if it is still wanted.
+        // The scheduler sends it again if it is still needed.
         log_failure(&term, "stop", &id, NOT_SENT_CAUSE);
         return;
     };
@@ -108,7 +108,7 @@
     term.wake.notify_one();
 }
 
-/// Sets a task's share of time. The next look shows whether that helped, so the scheduler does not
+/// Sets a task's share of processor time. The next poll shows the effect, so the scheduler does not
 /// wait for the answer.
 async fn send_throttle(term: Rc<Term>, id: HostId, order: ThrottleOrder) {
     let Some((channel, address)) = channel_to(&term, &id) else {
@@ -164,8 +164,8 @@
     }
 }
 
-/// Waits until few enough orders to the target and calls at all are under way; `None` once its lane
-/// is closed.
+/// Waits until the number of orders to the target and the limit on all calls allow one more; `None`
+/// once the channel is closed.
 async fn acquire_permits<'a>(
     term: &Term,
     channel: &'a TargetChannel,
--- a/crates/cell/src/target_watch.rs
+++ b/crates/cell/src/target_watch.rs
@@ -9,12 +9,12 @@
     term::Term,
 };
 
-/// Tells the scheduler of a term what the host list says.
+/// Passes the host list to the scheduler of a term.
 struct TargetListObserver {
     term: Rc<Term>,
 }
 
-/// Follows the host list for as long as the term lasts.
+/// Watches the host list for as long as the term lasts.
 pub(crate) async fn watch_targets(term: Rc<Term>) {
     let observer = TargetListObserver { term: term.clone() };
     let prefix = term.ports.codec.target_prefix();
--- a/crates/cell/src/term.rs
+++ b/crates/cell/src/term.rs
@@ -31,87 +31,89 @@
     log_cache::LogCache,
     log_queue::{LogQueue, record_order},
     member_directory::MemberDirectory,
-    target_channel::TargetChannel,
+    target_lane::TargetChannel,
 };
 
-/// Part of the lease that is not counted on: the clocks of store and host may differ a little.
+/// Part of the lease that the owner does not rely on, because the clocks of the store and the host
+/// may differ a little.
 const LEASE_MARGIN: Duration = Duration::from_millis(100);
-/// A renewal that takes this long is waited for, and others are sent meanwhile; one that fails
-/// earlier was refused.
+/// A renewal that fails earlier than this was refused. One that takes longer is still pending, and
+/// further renewals are sent meanwhile.
 const RENEWAL_GRACE: Duration = Duration::from_millis(100);
-/// How old the knowledge of cancellations may be for work to be begun: less than the time in which
-/// one has to be in force, by the way of a start to its target.
+/// Maximum age of the last read of stored cancellations for new work to be started. It is less than
+/// the time in which a cancellation has to take effect, minus the time that a start takes to reach
+/// its target.
 const CANCELLATIONS_MAX_AGE: Duration = Duration::from_secs(2);
-/// How long a handing over waits for the last entries of the log.
+/// How long a hand-over waits for the last entries of the log to be stored.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(300);
-/// How often a hand-over looks whether the last entries of the log are stored.
+/// How often a hand-over checks whether the last entries of the log are stored.
 const STORED_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a process gets by winning the ownership.
+/// The lease and the token of a process that won an election.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TermLease {
-    /// Revision of its entry.
+    /// Revision of the owner's entry in the store.
     pub(crate) token: FencingToken,
-    /// The lease that the entry stands under.
+    /// The lease that the owner's entry is attached to.
     pub(crate) lease: LeaseId,
-    /// When the lease was asked for.
+    /// When the lease was requested.
     pub(crate) sent: BootTime,
 }
 
-/// What a term needs of its process.
+/// The parts of its process that a term uses.
 #[derive(Clone)]
 pub(crate) struct TermContext {
     pub(crate) options: Rc<CellOptions>,
     pub(crate) ports: CellPorts,
     pub(crate) view: Rc<FleetView>,
     pub(crate) members: Rc<MemberDirectory>,
-    /// Kept from one term to the next.
+    /// Reused by the next term of the same process.
     pub(crate) log_cache: Rc<LogCache>,
 }
 
-/// One term: the scheduler that decides, the log that it writes and the lanes to its targets.
+/// One term of ownership: the scheduler, the job log that it writes and the channels to its
+/// targets.
 pub(crate) struct Term {
     pub(crate) options: Rc<CellOptions>,
     pub(crate) ports: CellPorts,
     pub(crate) view: Rc<FleetView>,
     pub(crate) members: Rc<MemberDirectory>,
     pub(crate) log_cache: Rc<LogCache>,
-    /// Revision of the owner's entry: fences earlier owners.
+    /// Revision of the owner's entry. It fences earlier owners.
     pub(crate) token: FencingToken,
     pub(crate) lease: LeaseId,
     pub(crate) scheduler: RefCell<WorkDesk>,
     pub(crate) hosts: RefCell<HostPlanner>,
     pub(crate) log_queue: LogQueue,
-    /// Jobs that are being recorded.
+    /// Jobs whose acceptance is being written to the log.
     pub(crate) submitting: RefCell<HashSet<String>>,
     pub(crate) channels: RefCell<HashMap<HostId, Rc<TargetChannel>>>,
-    /// Orders the calls to all targets.
+    /// Limits and prioritises the calls to all targets.
     pub(crate) call_limiter: Rc<CallLimiter>,
-    /// Tells the driver that something has changed.
+    /// Wakes the scheduling loop after a change.
     pub(crate) wake: Notify,
     pub(crate) over: ShutdownSignal,
     pub(crate) ready: Cell<bool>,
-    /// Set once nothing more is to be begun.
+    /// Set once no new work may be started, because the cell is being handed over.
     pub(crate) handing_over: Cell<bool>,
-    /// Told once the log has been read.
+    /// Notified once the log has been read.
     pub(crate) on_ready: Notify,
-    /// Whether the process gave the cell up for another to take it.
+    /// Whether the process released the cell so that another process can take it.
     pub(crate) stepped_down: Cell<bool>,
     lease_valid_until: Cell<BootTime>,
-    /// Until when all other processes keep out of elections.
+    /// Until when all other processes have promised not to campaign.
     promised_until: Cell<BootTime>,
-    /// When the last renewal was sent that was answered.
+    /// When the last renewal that succeeded was sent.
     last_renewal_sent: Cell<BootTime>,
     /// Whether the last renewal failed at once.
     last_renewal_refused: Cell<bool>,
     ownership_uncertain: Cell<bool>,
-    /// Up to when all cancellations are known that are kept in the store; `None` before the first
-    /// reading.
+    /// All cancellations stored before this time have been read; `None` before the first read.
     cancellations_read_at: Cell<Option<BootTime>>,
 }
 
 impl Term {
-    /// A term that was just won.
+    /// Creates the term of an election that was just won.
     pub(crate) fn new(context: TermContext, won: TermLease) -> Rc<Self> {
         let TermContext {
             options,
@@ -155,7 +157,7 @@
         })
     }
 
-    /// The present.
+    /// The current time.
     pub(crate) fn now(&self) -> DeskTime {
         DeskTime {
             boot: BootClock.boot_now(),
@@ -163,7 +165,7 @@
         }
     }
 
-    /// True once the log has been read, until the term is over.
+    /// True from when the log has been read until the term is over.
     pub(crate) fn is_ready(&self) -> bool {
         self.ready.get() && !self.over.begun()
     }
@@ -173,40 +175,40 @@
         self.over.begun()
     }
 
-    /// True while no other process can have become the owner.
+    /// True while the lease guarantees that no other process is the owner.
     pub(crate) fn has_valid_lease(&self) -> bool {
         !self.over.begun() && BootClock.boot_now() < self.lease_valid_until.get()
     }
 
-    /// True while what was accepted may be started: no other process can be the owner, by the
-    /// lease or by the pledges of all.
+    /// True while accepted tasks may be started: either the lease or the promises of all other
+    /// processes guarantee that there is no other owner.
     pub(crate) fn may_start_tasks(&self) -> bool {
         !self.over.begun() && BootClock.boot_now() < self.sole_owner_until()
     }
 
-    /// True if among the entries that a change conflicted with is the one of this term.
+    /// True if the entry of this term as owner is among the entries that a change conflicted with.
     pub(crate) fn holds_owner_entry(&self, items: &[StoreItem]) -> bool {
         let key = self.options.owner_key();
         let owner = items.iter().find(|item| item.key == key);
         owner.is_some_and(|item| item.revision == self.token)
     }
 
-    /// Takes in that all cancellations are known that were kept when a call was sent.
+    /// Marks that all cancellations stored before `sent` have been read.
     pub(crate) fn cancellations_read(&self, sent: BootTime) {
         self.cancellations_read_at.set(Some(sent));
     }
 
-    /// True while it is known what callers have cancelled, so that work may be begun.
+    /// True while the stored cancellations were read recently enough to start work.
     ///
-    /// Callers count on a cancellation that is kept in the store. An owner that hears the store
-    /// late, behind a narrow link, would start what they were told does not run. While the store is
-    /// away for all, nobody can keep one.
+    /// Callers rely on a stored cancellation. An owner that reads the store late, for example
+    /// behind a narrow link, would otherwise start jobs that their callers were told are cancelled.
+    /// While the store is unreachable for all processes, no cancellation can be stored.
     pub(crate) fn cancellations_are_current(&self) -> bool {
         let now = BootClock.boot_now();
         let Some(known) = self.cancellations_read_at.get() else {
             return false;
         };
-        // Counted up to the time at which the store was last there for all.
+        // During an outage for all, age is measured up to when the store was last reachable.
         let needed = match now < self.promised_until.get() {
             true => self.last_renewal_sent.get(),
             false => now,
@@ -219,17 +221,19 @@
         self.lease_valid_until.get().max(self.promised_until.get())
     }
 
-    /// True while orders may be given: also for a bounded time in which the store is away.
+    /// True while orders may be sent. This includes a bounded time after the lease, for an outage
+    /// of the store.
     ///
-    /// The clock counts suspended time, so a process that stood still learns here that its
-    /// time is over before it gives another order.
+    /// The clock also counts time in which the host was suspended. So a process that was paused
+    /// finds its lease expired here before it sends another order.
     pub(crate) fn may_send_orders(&self) -> bool {
         let limit = self.sole_owner_until() + self.options.scheduler.alone;
         !self.over.begun() && BootClock.boot_now() < limit
     }
 
-    /// True if this process seems not to reach the store: it was refused just now, or no renewal
-    /// was answered for some time. Single answers get lost; the renewal after them is in time.
+    /// True if this process seems to be cut off from the store: the last renewal was refused, or no
+    /// renewal has succeeded for some time. A single lost response does not count, because the next
+    /// renewal is in time.
     pub(crate) fn seems_cut_off(&self) -> bool {
         let limit = self.options.renew_interval * 2 + RENEWAL_GRACE;
         let unanswered = BootClock
@@ -238,10 +242,10 @@
         self.last_renewal_refused.get() || unanswered >= limit
     }
 
-    /// Takes in that all other processes keep out of elections until a time.
+    /// Extends the time for which all other processes have promised not to campaign.
     ///
-    /// That counts only while this one was sure until now: an election in a gap before would be
-    /// over, and nobody need tell of it.
+    /// Promises count only while this process has been the sole owner without a gap. During a gap
+    /// another process could have won an election, and nobody would be obliged to report it.
     pub(crate) fn trust_promises_until(&self, until: BootTime) {
         if !self.may_start_tasks() {
             return;
@@ -254,7 +258,7 @@
             .set(self.promised_until.get().max(until));
     }
 
-    /// Takes in that a renewal which was sent at `sent` was answered.
+    /// Extends the lease after a renewal that was sent at `sent` succeeded.
     pub(crate) fn renewal_succeeded(&self, sent: BootTime) {
         self.last_renewal_refused.set(false);
         self.last_renewal_sent
@@ -267,8 +271,7 @@
         }
     }
 
-    /// Takes in that a renewal which was sent at `sent` failed, and tells when the lease may have
-    /// lapsed by that.
+    /// Handles a failed renewal that was sent at `sent`, and logs when the lease may have expired.
     pub(crate) fn renewal_failed(&self, sent: BootTime, cause: &str) {
         let took = BootClock.boot_now().saturating_sub(sent);
         self.last_renewal_refused
@@ -293,8 +296,8 @@
         self.over.begin();
     }
 
-    /// Hands the cell over: writes what is left and ends the lease, so that a successor need
-    /// not wait until it lapses.
+    /// Hands the cell over: writes the remaining log entries and ends the lease, so that a
+    /// successor need not wait for it to expire.
     pub(crate) async fn hand_over(&self) {
         let deadline = Instant::now() + HAND_OVER_TIMEOUT;
         let order = record_order(Event::HandedOver(self.token), true);
@@ -306,7 +309,7 @@
         self.step_down_now("handed over").await;
     }
 
-    /// Ends the term and its lease, so that another process can take the cell at once.
+    /// Ends the term and its lease at once, so that another process can take the cell.
     pub(crate) async fn step_down_now(&self, reason: &str) {
         self.stepped_down.set(true);
         self.end(reason);
@@ -318,7 +321,7 @@
         }
     }
 
-    /// Runs a task until it or the term ends.
+    /// Runs a task until it completes or the term ends.
     pub(crate) fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         let over = self.over.clone();
         tokio::task::spawn_local(async move {
--- a/crates/cell/src/term_run.rs
+++ b/crates/cell/src/term_run.rs
@@ -15,18 +15,19 @@
     log_reader::read_log,
     log_writer::write_log,
     metric,
-    step_down::{StepDownKind, step_down},
+    step_aside::{StepDownKind, step_down},
     store_check::check_with_members,
     stored_cancellation::watch_cancellations,
+    target_look::open_channel,
     target_orders::send_order,
-    target_poll::open_channel,
     target_watch::watch_targets,
     term::Term,
 };
 
-/// Pause after a renewal that failed: a store that is back should be known to be.
+/// Delay after a failed renewal. It is short, so that the owner soon notices when the store
+/// recovers.
 const RENEWAL_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How often the scheduler is told the time.
+/// How often the scheduler is ticked when nothing else happens.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs a term until it is over.
@@ -56,7 +57,7 @@
     term.channels.borrow_mut().clear();
 }
 
-/// Ends the term, and has another process end its lease.
+/// Ends the term and asks another process to end its lease.
 async fn release_through_peer(term: &Term, address: &str) {
     log_event::info(
         &event::TERM_RELEASED,
@@ -67,12 +68,12 @@
         ask: Some(Ask::Release(term.lease)),
         ..OwnerCall::default()
     };
-    // Without an answer the lease lapses by itself.
+    // If there is no answer, the lease expires by itself.
     term.members.call(address, &call).await;
 }
 
-/// Renews the lease until the term is over. A renewal does not wait for the one before: its answer
-/// may be lost, and waiting for that would let the lease lapse.
+/// Renews the lease until the term is over. A renewal does not wait for the previous one, whose
+/// response may be lost; waiting for it would let the lease expire.
 async fn renew_until_over(term: Rc<Term>) {
     loop {
         let pause = match term.seems_cut_off() {
@@ -93,7 +94,7 @@
     }
 }
 
-/// Reads the log, then decides until the term is over.
+/// Reads the log, then schedules work until the term is over.
 async fn read_log_and_schedule(term: Rc<Term>) {
     let started = term.now().boot;
     let mut scheduler = term.scheduler.borrow().clone();
@@ -129,7 +130,8 @@
     term.hosts
         .borrow_mut()
         .replay_arrivals(&scheduler.board, now);
-    // Calls that wait for the log are answered at once after it, and some are to be refused.
+    // Calls that wait for the log are answered right after this, and some have to be refused
+    // because of the size of the backlog.
     measure_job_bytes(
         &term,
         job_byte_share(&scheduler.board.compacted_entries()),
@@ -145,11 +147,11 @@
     schedule_loop(term).await;
 }
 
-/// Lets the scheduler plan whenever something has changed.
+/// Lets the scheduler plan after every change and on every tick.
 async fn schedule_loop(term: Rc<Term>) {
     let mut applied_version = 0;
-    // The ticks go on by themselves: a sleep begun anew after each event would never end
-    // while events come in more often, and what time alone brings would not happen.
+    // The ticks are independent of other events. A sleep that restarted after each event would
+    // never elapse while events are frequent, and timeouts would not be handled.
     let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -159,7 +161,8 @@
             () = term.wake.notified() => false,
             () = term.view.changed.notified() => false,
         };
-        // Other answers that have arrived are taken in first: one plan serves them all.
+        // Lets other responses that have already arrived be processed first, so that one plan
+        // covers all of them.
         yield_now().await;
         let version = term.view.version.get();
         if version != applied_version {
@@ -189,7 +192,7 @@
     }
 }
 
-/// Carries out what the scheduler has ordered.
+/// Executes the actions that the scheduler requested.
 fn execute_actions(term: &Rc<Term>) {
     let (orders, events, dropped, targets) = {
         let mut scheduler = term.scheduler.borrow_mut();
