--- a/crates/cell/tests/cancels.rs
+++ b/crates/cell/tests/cancels.rs
@@ -1,4 +1,4 @@
-//! Jobs that are cancelled while owners change, calls overtake each other, or orders wait.
+//! Cancellations while owners change, calls overtake each other, or orders wait.
 
 mod common;
 
@@ -14,9 +14,9 @@
 
 const LOG: &str = "cell/log/";
 const CANCELLATIONS: &str = "cell/cancel/";
-/// Time in which a cancellation has to be acknowledged while the store is well.
+/// Time in which a cancellation has to be acknowledged while the store is healthy.
 const ACK_LIMIT: Duration = Duration::from_secs(4);
-/// Time in which an owner that wanted to start something would have.
+/// Time after which an owner would have started any task that it intends to start.
 const SETTLED: Duration = Duration::from_secs(2);
 
 async fn cancel(service: &Rc<dyn CallerService>, job: &str) -> CallerAnswer {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Guards against an owner that starts a job whose caller cancelled it while nobody decided.
+/// Guards against an owner that starts a job which was cancelled while the cell had no owner.
 #[test]
 fn cancel_persists_without_owner() {
     run_local(async {
@@ -97,7 +97,7 @@
     });
 }
 
-/// Guards against an owner that goes on with a job whose cancellation reached the store only.
+/// Guards against an owner that continues a job whose cancellation was only written to the store.
 #[test]
 fn stored_cancel_reaches_owner() {
     run_local(async {
@@ -109,13 +109,16 @@
         wait_for_progress(&service, "job1", JobProgress::Cancelled).await;
         let end = Instant::now() + LIMIT;
         while !cell.store.keys(CANCELLATIONS).is_empty() {
-            assert!(Instant::now() < end, "not moved into the log");
+            assert!(
+                Instant::now() < end,
+                "the cancellation was not moved into the log"
+            );
             sleep(Duration::from_millis(10)).await;
         }
     });
 }
 
-/// Guards against an owner that hears the store late and starts what callers have cancelled.
+/// Guards against an owner that can't read the stored cancellations and starts a cancelled job.
 #[test]
 fn unread_cancels_block_starts() {
     run_local(async {
@@ -136,7 +139,7 @@
     });
 }
 
-/// Guards against sending a start that waited until it was not known any more what is cancelled.
+/// Guards against sending a start that waited until the last read of the cancellations was too old.
 #[test]
 fn unread_cancels_block_waiting_starts() {
     run_local(async {
@@ -151,13 +154,13 @@
         wait_for_answer(&service, request, CallerAnswer::Accepted).await;
         handle.set_unreadable_prefix(CANCELLATIONS);
         sleep(Duration::from_secs(5)).await;
-        // Three at once, and three more before the knowledge is two seconds old.
+        // Three are sent at once, and three more before the last read is two seconds old.
         assert_eq!(cell.targets.start_count(), 6);
     });
 }
 
-/// Guards against an owner that starts nothing more since it never gets to the end of what is kept:
-/// it began anew with the first page after each call that failed.
+/// Guards against an owner that starts nothing because it never finishes reading the stored
+/// cancellations: the read restarted with the first page after each failed call.
 #[test]
 fn stored_cancels_read_despite_failures() {
     run_local(async {
@@ -175,8 +178,8 @@
     });
 }
 
-/// Guards against a process that forgets, when it stops, what the store could not take: its caller
-/// was left without an answer, and the job would be started after all.
+/// Guards against a process that drops, when it stops, the cancellations that the store could not
+/// take. Their callers got no answer, and the jobs would be started after all.
 #[test]
 fn stop_persists_pending_cancels() {
     run_local(async {
@@ -186,7 +189,7 @@
         let service = host.service();
         submit_until_accepted(&service, "job1").await;
         handle.set_cut_off(true);
-        // The lease lapses, so that nobody can record it.
+        // The lease expires, so that no owner can record the cancellation.
         sleep(Duration::from_millis(1500)).await;
         assert_eq!(cancel(&service, "job1").await, CallerAnswer::Unknown);
         let back = async {
@@ -198,6 +201,6 @@
             cell.store.value(&format!("{CANCELLATIONS}job1")).is_some()
         };
         let (kept, ()) = tokio::join!(stopped, back);
-        assert!(kept, "forgotten");
+        assert!(kept, "the cancellation was dropped");
     });
 }
--- a/crates/cell/tests/cell_host.rs
+++ b/crates/cell/tests/cell_host.rs
@@ -1,4 +1,4 @@
-//! Processes of a cell on ports in memory: jobs, lost answers, refusals and hand-over.
+//! Processes of a cell on in-memory ports: jobs, lost responses, refusals and hand-over.
 
 mod common;
 
@@ -32,9 +32,9 @@
     });
 }
 
-/// Ends can't be stored for a while, and the target lists them again in each answer. Looking as
-/// often as ends come takes the bytes that the log needs on a narrow link, until neither gets
-/// through; so the next look waits, for a quarter of a second at most.
+/// Guards against polling as often as tasks end while the ends can't be stored. The target reports
+/// them again in each response, and on a narrow link these take the bandwidth that the log needs,
+/// until neither gets through. The next poll has to wait, for at most a quarter of a second.
 #[test]
 fn polls_wait_for_stored_ends() {
     run_local(async {
@@ -44,18 +44,18 @@
         submit_until_accepted(&service, "job1").await;
         cell.targets.wait_for_started(3).await;
         cell.store.set_mode(StoreMode::Refuses);
-        // Two ends are listed, and the target is looked at for the third.
+        // Two ends are reported, and the target is polled for the third.
         cell.targets.hold_last(1);
         sleep(Duration::from_millis(200)).await;
         let before = cell.targets.polls.get();
         sleep(Duration::from_millis(800)).await;
-        // Four waits and what is looked at for other reasons; one each 30 ms would be 26.
+        // Four waits, plus polls for other reasons; one poll each 30 ms would be 26.
         assert!(cell.targets.polls.get() - before <= 8);
     });
 }
 
-/// A caller's job is stored and the store's answer is lost. The owner writes the same page
-/// again, finds it there, and accepts the job once.
+/// Guards against losing or repeating a job that was stored although the store's response was lost.
+/// The owner writes the same page again, finds it in the store, and accepts the job once.
 #[test]
 fn submit_accepted_once_after_lost_answer() {
     run_local(async {
@@ -75,8 +75,8 @@
     });
 }
 
-/// The store refuses calls. A caller is told at once to come back, and what it was told is
-/// true: the job is not there afterwards.
+/// Guards against a late or wrong answer while the store refuses calls. The caller is told at once
+/// to retry later, and the job does not exist afterwards.
 #[test]
 fn submit_refused_while_store_refuses() {
     run_local(async {
@@ -99,8 +99,8 @@
     });
 }
 
-/// The owner is told to stop. Callers of another process go on at once: ownership is handed
-/// over and need not lapse, and the successor knows the jobs.
+/// Guards against an interruption when the owner is stopped. Ownership is handed over without
+/// waiting for the lease to expire, and the successor knows the jobs.
 #[test]
 fn stopped_owner_hands_over() {
     run_local(async {
@@ -123,9 +123,8 @@
     });
 }
 
-/// The store turns one process away and serves the others; meanwhile the ownership changes. The
-/// callers of that process were refused until the store came back: it hears of the new owner from
-/// its neighbours.
+/// Guards against a process that refuses its callers because the store refuses it and it does not
+/// notice a new owner. It has to ask other members for the owner.
 #[test]
 fn cut_off_process_finds_owner() {
     run_local(async {
@@ -145,9 +144,9 @@
     });
 }
 
-/// All processes lose power and come back; the old owner's lease has lapsed meanwhile. Callers were
-/// refused for two seconds more, until the candidates looked by themselves whether there is an
-/// owner: that there is none was no change from what they had begun with.
+/// Guards against a delayed election after a restart of all processes with an expired lease. That
+/// the cell has no owner did not count as a change, so candidates waited two seconds until their
+/// own check.
 #[test]
 fn cold_process_campaigns_at_once() {
     run_local(async {
@@ -160,8 +159,8 @@
     });
 }
 
-/// A store that lags shows older terms than those in force. A key that operators have taken
-/// away must not come back with them.
+/// Guards against an older policy that replaces the current one when the store returns stale data.
+/// A removed key must not become valid again.
 #[test]
 fn older_policy_ignored() {
     run_local(async {
@@ -185,8 +184,8 @@
     });
 }
 
-/// The log grows with each job. After some hundred pages it is replaced by a shorter one, and
-/// a successor still knows each job.
+/// Guards against a log that grows with each job. After some hundred pages it is compacted, and a
+/// successor still knows each job.
 #[test]
 fn long_log_is_compacted() {
     run_local(async {
@@ -201,7 +200,10 @@
         let end = tokio::time::Instant::now() + LIMIT;
         let mut number = 400;
         while cell.store.keys("cell/log/").len() > 300 {
-            assert!(tokio::time::Instant::now() < end, "not compacted");
+            assert!(
+                tokio::time::Instant::now() < end,
+                "the log was not compacted"
+            );
             submit_until_accepted(&service, &format!("job{number}")).await;
             number += 1;
         }
--- a/crates/cell/tests/certain_answers.rs
+++ b/crates/cell/tests/certain_answers.rs
@@ -1,4 +1,4 @@
-//! Callers are told for certain what became of a job that they hand in, as far as anybody can know.
+//! Callers get a definite answer to a submission wherever that is possible.
 
 mod common;
 
@@ -12,7 +12,7 @@
     time::{Instant, sleep},
 };
 
-/// Hands a job in, beside what the test does.
+/// Submits a job in the background of the test.
 fn submit_in_background(host: &CellHost, job: &str, timeout: Duration) -> JoinHandle<CallerAnswer> {
     let call = CallerCall {
         timeout,
@@ -21,7 +21,8 @@
     tokio::task::spawn_local(host.service().answer(call))
 }
 
-/// An owner one of whose pages is under way for long, and others wait for the next.
+/// Starts an owner with one slow page write in progress, so that further entries wait for the next
+/// page.
 async fn owner_with_slow_page(handle: &MemoryStore) -> std::rc::Rc<CellHost> {
     let host = start_host("a", handle, strong_limits());
     wait_for_owner(handle, "a").await;
@@ -32,8 +33,8 @@
     host
 }
 
-/// Guards against a caller that is told its job may have been accepted, and can't try again, though
-/// the job waited all the time for a page of the log to be written before its own.
+/// Guards against telling a caller that its job may have been accepted, so that it can't retry,
+/// although the job only waited for another page to be written first.
 #[test]
 fn submit_refused_while_page_is_pending() {
     run_local(async {
@@ -44,7 +45,7 @@
     });
 }
 
-/// Guards against the same answer where the owner's term ends before the job's page is written.
+/// Guards against the same answer if the owner's term ends before the job's page is written.
 #[test]
 fn submit_refused_when_term_ends() {
     run_local(async {
@@ -63,8 +64,8 @@
     });
 }
 
-/// Guards against a caller that is told its job may have been accepted by an owner that did not
-/// answer, though the next one has read the log and knows that it was not.
+/// Guards against telling a caller that an owner which did not answer may have accepted its job,
+/// although the next owner has read the log and knows that it was not recorded.
 #[test]
 fn submit_refused_when_no_owner_recorded_it() {
     run_local(async {
@@ -75,7 +76,7 @@
         targets.hold_last(usize::MAX);
         let _first = start_host_with_targets("a", &handle, strong_limits(), &targets);
         wait_for_owner(&store, "a").await;
-        // Its link is too narrow for what is open, so that it accepts nothing more.
+        // Its link is too narrow for the open jobs, so it accepts no further ones.
         let second = start_host_with_targets("b", &store, narrow_limits(), &targets);
         sleep(Duration::from_secs(2)).await;
         handle.delay_changes(Duration::from_secs(20));
--- a/crates/cell/tests/common/memory_ports.rs
+++ b/crates/cell/tests/common/memory_ports.rs
@@ -22,33 +22,33 @@
 
 use super::{LIMIT, MemoryStore};
 
-/// Targets that do each task at once, but for those that are held back.
+/// Targets that complete each task at once, except for the last ones if told so.
 #[derive(Clone, Default)]
 pub struct MemoryTargets {
-    /// How many of the tasks that a target was given last do not end.
+    /// Number of tasks, the last ones that a target was given, that do not end.
     unfinished: Rc<Cell<usize>>,
-    /// How often a target was looked at.
+    /// Number of polls.
     pub polls: Rc<Cell<usize>>,
-    /// Looks that are under way.
+    /// Polls in progress.
     active_polls: Rc<Cell<usize>>,
-    /// Most looks that were under way at once.
+    /// Maximum number of concurrent polls so far.
     pub max_concurrent_polls: Rc<Cell<usize>>,
-    /// When each target was last granted time, by a look or a start.
+    /// When each target was last granted time, by a poll or a start.
     last_grant: Rc<RefCell<BTreeMap<HostId, Instant>>>,
-    /// How long an order to start a task is under way.
+    /// How long a start takes.
     start_delay: Rc<Cell<Duration>>,
     ended: Rc<RefCell<BTreeMap<HostId, Vec<EndReport>>>>,
-    /// How often each task was started.
+    /// Number of starts of each task.
     pub starts_by_task: Rc<RefCell<BTreeMap<String, usize>>>,
 }
 
 impl MemoryTargets {
-    /// Tasks do not end, or end at once.
+    /// Sets whether all tasks run forever or end at once.
     pub fn set_blocked(&self, blocked: bool) {
         self.hold_last(if blocked { usize::MAX } else { 0 });
     }
 
-    /// Orders to start a task are under way for so long.
+    /// Sets how long a start takes.
     pub fn delay_starts(&self, delay: Duration) {
         self.start_delay.set(delay);
     }
@@ -60,7 +60,7 @@
         times.map(Instant::elapsed).max().unwrap_or_default()
     }
 
-    /// How many starts were sent.
+    /// Number of starts that were sent.
     pub fn start_count(&self) -> usize {
         self.starts_by_task.borrow().values().sum()
     }
@@ -73,16 +73,16 @@
             .all(|&count| count == 1)
     }
 
-    /// Waits until so many tasks were started.
+    /// Waits until this many tasks were started.
     pub async fn wait_for_started(&self, count: usize) {
         let end = Instant::now() + LIMIT;
         while self.starts_by_task.borrow().len() < count {
-            assert!(Instant::now() < end, "not started");
+            assert!(Instant::now() < end, "fewer tasks were started");
             sleep(Duration::from_millis(1)).await;
         }
     }
 
-    /// The tasks that a target was given last, so many of them, do not end.
+    /// Keeps this many tasks, the last ones that a target was given, from ending.
     pub fn hold_last(&self, tasks: usize) {
         self.unfinished.set(tasks);
     }
@@ -159,7 +159,7 @@
     }
 }
 
-/// A task that will end later, while it is at work.
+/// Reports a task, which would end later, as running.
 fn running_report(end: EndReport) -> RunReport {
     RunReport {
         task: end.task,
@@ -168,7 +168,7 @@
     }
 }
 
-/// Reads the few things that the tests write as plain words.
+/// Decodes the plain words that the tests write.
 pub struct TextCodec;
 
 impl FleetCodec for TextCodec {
@@ -192,7 +192,7 @@
         (format!("status/{wave}"), vec![u8::from(completed)])
     }
 
-    /// The revision, then the keys of the one workspace, separated by spaces.
+    /// The revision, then the keys of the only workspace, separated by spaces.
     fn read_policy(&self, value: &[u8]) -> Result<FleetPolicy, String> {
         let text = std::str::from_utf8(value).map_err(|error| error.to_string())?;
         let mut words = text.split(' ');
@@ -247,7 +247,7 @@
     }
 }
 
-/// What [`TextCodec`] reads as terms.
+/// The text that [`TextCodec`] decodes as a policy.
 pub fn policy_text(revision: u64, key: &str) -> String {
     format!("{revision} {key}")
 }
@@ -255,9 +255,9 @@
 /// A control of no hosts.
 #[derive(Clone, Default)]
 pub struct EmptyHostControl {
-    /// How long a list of hosts is under way.
+    /// How long a list of hosts takes.
     pub list_delay: Duration,
-    /// How often the hosts were listed.
+    /// Number of lists of hosts.
     pub list_count: Rc<Cell<usize>>,
 }
 
@@ -292,7 +292,7 @@
     }
 }
 
-/// Ports of one process on a store and targets that several may share.
+/// Ports of one process on a store and targets that several processes may share.
 pub fn ports_on(store: &MemoryStore, targets: &MemoryTargets) -> CellPorts {
     CellPorts {
         store: Rc::new(store.clone()),
--- a/crates/cell/tests/common/memory_store.rs
+++ b/crates/cell/tests/common/memory_store.rs
@@ -14,50 +14,50 @@
     time::{Instant, sleep, timeout},
 };
 
-/// Keys that a list brings at most.
+/// Maximum number of keys in one list.
 const LIST_KEYS: usize = 100;
-/// How long a change may be under way.
+/// Time after which a change times out.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// What goes wrong at the store.
+/// Which fault the store simulates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreMode {
-    /// Nothing.
+    /// None.
     #[default]
     Normal,
     /// Refuses every call.
     Refuses,
-    /// Makes changes and loses their answers.
+    /// Makes changes and loses the responses.
     LosesAnswers,
 }
 
-/// A store in memory. Each answer takes a millisecond.
+/// An in-memory store. Each response takes a millisecond.
 #[derive(Clone, Default)]
 pub struct MemoryStore {
     state: Rc<StoreState>,
-    /// Whether the store turns away who calls through this handle.
+    /// Whether the store refuses the calls through this handle.
     cut_off: Rc<Cell<bool>>,
-    /// How lists are answered through this handle.
+    /// Faults of lists through this handle.
     list_fault: Rc<RefCell<ListFault>>,
-    /// How long answers to reads of a key are under way through this handle.
+    /// How long responses to reads of a key take through this handle.
     read_delay: Rc<Cell<Duration>>,
-    /// How long changes are under way through this handle before they are made.
+    /// How long changes take through this handle before they are made.
     change_delay: Rc<Cell<Duration>>,
-    /// Bytes of a change that get through this handle in time; 0 for any.
+    /// Maximum bytes of a change through this handle that does not time out; 0 for no limit.
     change_bytes: Rc<Cell<usize>>,
-    /// Bytes of lists a second that this handle carries; 0 for any.
+    /// Bytes of lists a second through this handle; 0 for no limit.
     list_rate: Rc<Cell<usize>>,
-    /// Prefix of which no list and no watch is answered through this handle; empty for none.
+    /// Prefix whose lists and watches fail through this handle; empty for none.
     unreadable_prefix: Rc<RefCell<String>>,
 }
 
-/// What goes wrong with lists of the keys below a prefix.
+/// Faults of lists of the keys below a prefix.
 #[derive(Clone, Default)]
 struct ListFault {
     prefix: String,
-    /// Keys that one call brings; 0 for as many as usual.
+    /// Maximum number of keys in one list; 0 for the usual number.
     page: usize,
-    /// Each so many-th call fails, beginning with the first; 0 for none.
+    /// One call in this many fails, beginning with the first; 0 for none.
     fail_every: usize,
     calls: usize,
 }
@@ -79,7 +79,7 @@
         self.state.mode.set(mode);
     }
 
-    /// Another handle on the same store, for a process that the store is to turn away.
+    /// Another handle on the same store, for a process with its own faults.
     pub fn new_handle(&self) -> Self {
         Self {
             state: self.state.clone(),
@@ -93,27 +93,27 @@
         }
     }
 
-    /// Answers to reads of a key are under way for so long through this handle.
+    /// Sets how long responses to reads of a key take through this handle.
     pub fn delay_reads(&self, delay: Duration) {
         self.read_delay.set(delay);
     }
 
-    /// Changes are under way for so long through this handle before they are made.
+    /// Sets how long changes take through this handle before they are made.
     pub fn delay_changes(&self, delay: Duration) {
         self.change_delay.set(delay);
     }
 
-    /// Lists come through this handle with so many bytes a second.
+    /// Limits the bytes of lists a second through this handle.
     pub fn limit_list_rate(&self, bytes_per_second: usize) {
         self.list_rate.set(bytes_per_second);
     }
 
-    /// How often a lease was renewed.
+    /// Number of lease renewals.
     pub fn renewals(&self) -> usize {
         self.state.renewals.get()
     }
 
-    /// Changes with more bytes than these time out on their way through this handle.
+    /// Lets larger changes through this handle time out.
     pub fn limit_change_bytes(&self, bytes: usize) {
         self.change_bytes.set(bytes);
     }
@@ -128,7 +128,7 @@
         Err(StoreError::Unanswered("timed out".to_owned()))
     }
 
-    /// No list and no watch of this prefix is answered through this handle; empty for none.
+    /// Lets lists and watches of this prefix fail through this handle; empty for none.
     pub fn set_unreadable_prefix(&self, prefix: &str) {
         *self.unreadable_prefix.borrow_mut() = prefix.to_owned();
     }
@@ -140,7 +140,7 @@
         Ok(())
     }
 
-    /// Lists of the keys below a prefix bring `page` keys, and each `fail_every`-th fails.
+    /// Limits lists of the keys below a prefix to `page` keys, and lets each `fail_every`-th fail.
     pub fn limit_lists(&self, prefix: &str, page: usize, fail_every: usize) {
         *self.list_fault.borrow_mut() = ListFault {
             prefix: prefix.to_owned(),
@@ -150,17 +150,17 @@
         };
     }
 
-    /// No list of the keys below a prefix is answered through this handle.
+    /// Lets all lists of the keys below a prefix fail through this handle.
     pub fn fail_lists(&self, prefix: &str) {
         self.limit_lists(prefix, 0, 1);
     }
 
-    /// All lists through this handle are answered again.
+    /// Ends all faults of lists through this handle.
     pub fn restore_lists(&self) {
         *self.list_fault.borrow_mut() = ListFault::default();
     }
 
-    /// Most keys that a list may bring.
+    /// Maximum number of keys in the next list.
     fn list_limit(&self, prefix: &str) -> Result<usize, StoreError> {
         let mut fault = self.list_fault.borrow_mut();
         if prefix != fault.prefix {
@@ -188,7 +188,7 @@
         items.get(key).map(|item| item.value.clone())
     }
 
-    /// Turns away who calls through this handle, or serves it again.
+    /// Sets whether the store refuses the calls through this handle.
     pub fn set_cut_off(&self, cut_off: bool) {
         self.cut_off.set(cut_off);
     }
--- a/crates/cell/tests/common/mod.rs
+++ b/crates/cell/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A cell on ports in memory: a store with leases and faults, targets that do their work at
-//! once, a host list of two targets.
+//! A cell on in-memory ports: a store with leases and faults, targets that complete tasks at once,
+//! and a host list of two targets.
 #![allow(dead_code, unused_imports)]
 
 mod caller_calls;
@@ -23,7 +23,7 @@
 
 use tokio::task::LocalSet;
 
-/// Runs a test on an event loop of its own.
+/// Runs a test on its own event loop.
 pub fn run_local(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/cell/tests/common/successors.rs
+++ b/crates/cell/tests/common/successors.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// The small link of a fleet whose lists and logs fill it.
+/// The narrow link of a fleet whose lists and logs fill it.
 pub fn narrow_limits() -> HostLimits {
     HostLimits {
         link_mbps: 2.0,
@@ -72,7 +72,7 @@
     }
 }
 
-/// A page of the log that an owner wrote whose token was `token`.
+/// Writes a page of the log as an owner with this token.
 pub fn put_page(store: &MemoryStore, page: usize, token: u64) {
     put_entry(store, page, Event::HandedOver(token));
 }
@@ -86,14 +86,14 @@
     store.put(&format!("{LOG}{page:012}"), &value.encode_to_vec());
 }
 
-/// Text that does not get shorter by deflating.
+/// Text that compression does not make shorter.
 fn incompressible_text(length: usize, seed: u64) -> String {
     let mut dice = StdRng::seed_from_u64(seed);
     let letters = (0..length).map(|_| char::from(dice.sample(Alphanumeric)));
     letters.collect()
 }
 
-/// A job whose record does not get shorter by deflating.
+/// A job whose record is not compressible.
 pub fn large_job(number: u64) -> JobRecord {
     JobRecord {
         job: format!("job{number}"),
@@ -108,14 +108,15 @@
     }
 }
 
-/// A log of a hundred pages, of jobs whose entries can't be made shorter.
+/// Writes a log of a hundred pages, of jobs whose entries are not compressible.
 pub fn put_long_log(store: &MemoryStore) {
     for number in 0..100 {
         put_entry(store, number as usize, Event::Accepted(large_job(number)));
     }
 }
 
-/// Waits until a page of the log is there; the owner's first shows that it has read those before.
+/// Waits until a page of the log exists. The first page of an owner shows that it has read the ones
+/// before.
 pub async fn wait_for_page(store: &MemoryStore, page: usize) {
     let end = Instant::now() + LIMIT;
     while store.value(&format!("{LOG}{page:012}")).is_none() {
--- a/crates/cell/tests/common/test_cell.rs
+++ b/crates/cell/tests/common/test_cell.rs
@@ -8,7 +8,7 @@
 
 use super::{KEY, MemoryStore, MemoryTargets, call, free_address, policy_text, ports_on, submit};
 
-/// Longest wait for something that takes milliseconds; reached only by a failing test.
+/// Longest wait for something that takes milliseconds; only a failing test reaches it.
 pub const LIMIT: Duration = Duration::from_secs(10);
 
 /// A store and targets that the processes of a test share.
@@ -24,7 +24,7 @@
         cell
     }
 
-    /// The same with no target that takes tasks.
+    /// A cell without a target that accepts tasks.
     pub fn without_targets() -> Self {
         let cell = Self {
             store: store_with_policy(),
@@ -34,7 +34,7 @@
         cell
     }
 
-    /// Adds a target that takes tasks.
+    /// Adds a target that accepts tasks.
     pub fn add_target(&self) {
         self.store.put("targets/t1", b"ready");
     }
@@ -52,7 +52,7 @@
     }
 }
 
-/// A store that holds the terms alone.
+/// A store that contains only the policy.
 pub fn store_with_policy() -> MemoryStore {
     let store = MemoryStore::default();
     store.put("op/terms", policy_text(1, KEY).as_bytes());
@@ -66,7 +66,7 @@
     host
 }
 
-/// Waits until callers are shown that a job is so far.
+/// Waits until a status call returns this progress of a job.
 pub async fn wait_for_progress(service: &Rc<dyn CallerService>, job: &str, progress: JobProgress) {
     let request = CallerRequest::Status(job.into());
     wait_for_answer(service, request, CallerAnswer::Found(progress)).await;
--- a/crates/cell/tests/narrow_link.rs
+++ b/crates/cell/tests/narrow_link.rs
@@ -1,4 +1,4 @@
-//! What an owner does behind a link that does not carry all of its calls and its log.
+//! An owner behind a link that is too narrow for all of its calls and its log.
 
 mod common;
 
@@ -10,8 +10,8 @@
 use tokio::time::{Instant, sleep};
 use wire::work::{TargetUse, log_entry::Event};
 
-/// Guards against a log that each owner of a row of short terms makes longer by a copy of itself:
-/// behind a narrow link the next one reads for longer than its lease lasts.
+/// Guards against a log that grows by a copy of itself with each of several owners with short
+/// terms. Behind a narrow link, the next owner reads it for longer than its lease lasts.
 #[test]
 fn log_stays_compact_across_successors() {
     run_local(async {
@@ -36,15 +36,15 @@
     });
 }
 
-/// Lists come so slowly through this handle that the log of [`put_long_log`] takes so many seconds.
+/// A handle through which listing the log of [`put_long_log`] takes this many seconds.
 fn slow_handle(store: &MemoryStore, seconds: usize) -> MemoryStore {
     let handle = store.new_handle();
     handle.limit_list_rate(log_bytes(store) / seconds);
     handle
 }
 
-/// Guards against a cell without an owner for as long as each that reads the log is told to let
-/// another try before it has read it.
+/// Guards against a cell without an owner because each new one has to step down before it has read
+/// the whole log.
 #[test]
 fn long_log_is_read_behind_narrow_link() {
     run_local(async {
@@ -55,7 +55,7 @@
     });
 }
 
-/// Guards against a successor that begins to read the log when its predecessor has gone, while
+/// Guards against a successor that begins to read the log only after its predecessor is gone, while
 /// callers and targets wait.
 #[test]
 fn standby_reads_log_in_advance() {
@@ -75,8 +75,8 @@
     });
 }
 
-/// Guards against an owner behind a narrow link that writes the shorter log in pages which never get
-/// through in time: it tries the first again and again, and nothing else is recorded.
+/// Guards against an owner behind a narrow link that writes the compacted log in pages which time
+/// out. It retries the first page again and again, and nothing else is recorded.
 #[test]
 fn compacted_log_fits_narrow_link() {
     run_local(async {
@@ -103,8 +103,7 @@
     });
 }
 
-/// Guards against an owner that accepts work until the log is longer than the link of the next one
-/// carries in time.
+/// Guards against an owner that accepts jobs until the log is too long for the next owner's link.
 #[test]
 fn long_backlog_refuses_jobs() {
     run_local(async {
@@ -120,8 +119,8 @@
     });
 }
 
-/// Guards against an owner that takes what its log says of targets for a backlog of jobs, and refuses
-/// the few that come.
+/// Guards against an owner that counts log entries about targets as a backlog of jobs and refuses
+/// the few jobs that arrive.
 #[test]
 fn used_targets_do_not_count_as_backlog() {
     run_local(async {
@@ -151,13 +150,13 @@
     pages.iter().map(bytes).sum()
 }
 
-/// Guards against an owner whose narrow link is taken by lists of hosts, one after the other, so
-/// that the renewals of its lease don't get through.
+/// Guards against an owner whose narrow link is filled with lists of hosts, one after the other, so
+/// that renewals of its lease don't get through.
 #[test]
 fn host_lists_leave_bandwidth() {
     run_local(async {
         let store = new_store();
-        // A life that no look reaches and that the host list lacks.
+        // An incarnation of a target that no poll reaches and that the host list lacks.
         let used = TargetUse {
             target: "t9".to_owned(),
             pool: "pool".to_owned(),
@@ -182,8 +181,8 @@
     });
 }
 
-/// Guards against a new owner that looks at all targets at once: behind a narrow link their answers
-/// hold back the renewals of its lease.
+/// Guards against a new owner that polls all targets at once. Behind a narrow link, their responses
+/// delay the renewals of its lease.
 #[test]
 fn first_polls_leave_bandwidth() {
     run_local(async {
@@ -194,10 +193,10 @@
         let _host = start_host_with_targets("a", &store, narrow_limits(), &targets);
         let end = Instant::now() + LIMIT;
         while targets.polls.get() < 61 {
-            assert!(Instant::now() < end, "{} looks", targets.polls.get());
+            assert!(Instant::now() < end, "{} polls", targets.polls.get());
             sleep(Duration::from_millis(5)).await;
         }
-        // 1.5 KB each are 0.1 s of the link.
+        // Responses of 1.5 KB each take 0.1 s of the link.
         assert!(
             targets.max_concurrent_polls.get() <= 16,
             "{}",
@@ -206,8 +205,8 @@
     });
 }
 
-/// Guards against starts that keep an owner behind a narrow link from looking at what runs until the
-/// time that was granted to it is over.
+/// Guards against starts that keep an owner behind a narrow link from polling running tasks until
+/// the time granted to them is over.
 #[test]
 fn starts_do_not_starve_polls() {
     run_local(async {
@@ -224,15 +223,15 @@
         }
         for _ in 0..80 {
             sleep(Duration::from_millis(100)).await;
-            let ungranted = targets.longest_since_grant();
+            let since_grant = targets.longest_since_grant();
             // Five seconds are granted.
-            assert!(ungranted < Duration::from_millis(4500), "{ungranted:?}");
+            assert!(since_grant < Duration::from_millis(4500), "{since_grant:?}");
         }
     });
 }
 
 /// Guards against an owner that has to open connections for the renewals of its lease while the log
-/// is on its way through a narrow link.
+/// is being transferred over a narrow link.
 #[test]
 fn renewals_open_connections_before_log() {
     run_local(async {
--- a/crates/cell/tests/succession.rs
+++ b/crates/cell/tests/succession.rs
@@ -1,4 +1,4 @@
-//! Who becomes the owner, and how a successor gets ready, on ports in memory.
+//! Elections, and how a successor gets ready, on in-memory ports.
 
 mod common;
 
@@ -11,9 +11,8 @@
 use tokio::time::{Instant, sleep};
 use wire::work::{LogEntry, LogPage, OwnerRecord, log_entry::Event};
 
-/// The fleet mixes strong hosts and hosts behind narrow links. A weak process happens to win the
-/// first election, before any other is known. The work would wait behind its link all day; it
-/// hands the cell over to a strong one once that is there.
+/// Guards against a weak owner that stays for long. A weak process wins the first election before
+/// it knows any other, and has to hand the cell over once a strong one is there.
 #[test]
 fn owner_hands_over_to_stronger() {
     run_local(async {
@@ -27,8 +26,8 @@
     });
 }
 
-/// The owner goes, and both weak and strong processes are there. A weak one that is faster at
-/// the election would lead the fleet for the rest of the day; strong ones stand first.
+/// Guards against a weak process that wins the election after the owner is gone because it is
+/// faster. Strong processes have to campaign first.
 #[test]
 fn owner_is_strong_after_loss() {
     run_local(async {
@@ -39,14 +38,14 @@
             hosts.push(start_host(name, &store, weak_limits()));
         }
         hosts.push(start_host("strong-b", &store, strong_limits()));
-        // All have read by then who else is there.
+        // By then all processes have read the list of members.
         sleep(Duration::from_secs(6)).await;
         let stopping = hosts[0].clone();
         tokio::task::spawn_local(async move { stopping.stop(async {}).await });
         let end = Instant::now() + LIMIT;
         loop {
             let now = owner_name(&store).unwrap_or_default();
-            assert!(!now.starts_with("weak"), "{now} leads");
+            assert!(!now.starts_with("weak"), "{now} is the owner");
             if now == "strong-b" {
                 return;
             }
@@ -56,9 +55,9 @@
     });
 }
 
-/// All processes lose power and come back within some tenths of a second, a weak one first. It
-/// stood before it had read who else is there, and decided behind its narrow link for more than a
-/// second, until it had handed over. The entries of the others' last lives tell it to wait.
+/// Guards against a weak process that campaigns before it has read the list of members, after all
+/// processes restarted within some tenths of a second. It owned the cell for more than a second
+/// before it handed over. The old entries of the others tell it to wait.
 #[test]
 fn cold_weak_process_lets_strong_campaign() {
     run_local(async {
@@ -70,7 +69,7 @@
         };
         store.put("cell/member/strong", &entry.encode_to_vec());
         let narrow_handle = store.new_handle();
-        // The first list fails, so that the entries are known a moment after the owner's.
+        // The first list fails, so the members are known a moment after the owner's entry.
         narrow_handle.limit_lists("cell/member/", 0, 2);
         let _weak = start_host("weak", &narrow_handle, weak_limits());
         sleep(Duration::from_millis(100)).await;
@@ -84,7 +83,8 @@
     });
 }
 
-/// Strong processes are not there. A weak one stands after a short wait: better than nobody.
+/// Guards against a cell without an owner if there are no strong processes. A weak one campaigns
+/// after a short wait.
 #[test]
 fn owner_is_weak_without_others() {
     run_local(async {
@@ -96,9 +96,9 @@
     });
 }
 
-/// A successor reads a long log, and half of its calls to list it fail. Begun anew at each
-/// failure the log would not be read before the day ends, while the lease is renewed and nobody
-/// else may serve; the pages that came are kept.
+/// Guards against a successor that restarts reading a long log after each failed call. With half of
+/// the calls failing it would never finish, while it renews its lease and no other process may
+/// serve.
 #[test]
 fn log_is_read_despite_failures() {
     run_local(async {
@@ -114,8 +114,8 @@
     });
 }
 
-/// An owner renews its lease and can't read the log, since its way to the store has become too
-/// narrow for that. It lets another process take the cell, which serves.
+/// Guards against an owner that renews its lease but can't read the log because its link to the
+/// store has become too narrow. Another process has to take over.
 #[test]
 fn owner_steps_down_with_unread_log() {
     run_local(async {
@@ -132,8 +132,8 @@
     });
 }
 
-/// Guards against a caller that is told its job may have been accepted while the owner had not read
-/// the log: it can't try again elsewhere, though nothing was done.
+/// Guards against telling a caller that its job may have been accepted while the owner had not read
+/// the log. The caller could not retry elsewhere, although nothing was done.
 #[test]
 fn call_to_unready_owner_is_refused() {
     run_local(async {
@@ -152,8 +152,8 @@
     });
 }
 
-/// The store turns the owner away and serves the others. Waiting until its lease has lapsed would
-/// leave the work without an owner for more than a second; it has another process end the lease.
+/// Guards against a cell without an owner for more than a second when the store refuses only the
+/// owner. Another process has to end its lease.
 #[test]
 fn cut_off_owner_has_lease_released() {
     run_local(async {
@@ -166,12 +166,12 @@
         let begun = Instant::now();
         first_handle.set_cut_off(true);
         wait_for_owner(&store, "second").await;
-        // Its lease lapses after 0.8 s at the earliest.
+        // The lease expires after 0.8 s at the earliest.
         assert!(begun.elapsed() < Duration::from_millis(700));
     });
 }
 
-/// Accepts a job of two steps, of which the first takes until the store is away.
+/// Submits a job of two steps whose first step runs until after the outage of the store began.
 async fn submit_before_outage(host: &CellHost, store: &MemoryStore, targets: &MemoryTargets) {
     let service = host.service();
     submit_until_accepted(&service, "job1").await;
@@ -181,8 +181,9 @@
     targets.set_blocked(false);
 }
 
-/// The store is away for all, longer than the owner's lease. A job's next step is due then. As
-/// all other processes keep out of elections, there is no other owner, and the step starts.
+/// Guards against an idle owner during an outage of the store that is longer than its lease. All
+/// other processes promise not to campaign, so there is no other owner and the job's next step has
+/// to start.
 #[test]
 fn owner_starts_tasks_during_store_outage() {
     run_local(async {
@@ -203,8 +204,8 @@
     });
 }
 
-/// The store is away, and one process does not answer: it may be the next owner, in a part of the
-/// network that this one does not see. Nothing is started before the store is back.
+/// Guards against starting tasks during an outage of the store while one process does not answer.
+/// That process may be the next owner, in another part of a split network.
 #[test]
 fn owner_starts_nothing_with_unresponsive_member() {
     run_local(async {
@@ -226,8 +227,8 @@
     });
 }
 
-/// A process reads the owner's entry, and the answer is under way while the entry lapses: the
-/// watch tells of that first. Believing the answer it would take the cell for owned for ever, and
+/// Guards against accepting a late response to a read of the owner's entry, after the watch has
+/// already reported that the entry expired. The process would consider the cell owned forever, and
 /// nobody would serve.
 #[test]
 fn owner_view_ignores_late_answer() {
@@ -241,19 +242,19 @@
         }
         let token = store.revision(OWNER);
         store.delay_reads(Duration::from_secs(2));
-        // Another's pages in its way end its term, while its entry stands.
+        // Pages of another writer end its term while its entry exists.
         (1..20).for_each(|number| put_page(&store, number, 1));
         store.put("targets/t3", b"ready");
         let end = Instant::now() + LIMIT;
         while store.revision(OWNER).is_none_or(|now| Some(now) == token) {
-            assert!(Instant::now() < end, "nobody stands");
+            assert!(Instant::now() < end, "no process campaigns");
             sleep(Duration::from_millis(20)).await;
         }
     });
 }
 
-/// Guards against ending the lease while the last page of the log is under way: its successor would
-/// not know that no order is left, nor of what had been recorded last.
+/// Guards against ending the lease before the last page of the log is stored. The successor would
+/// not know that no order is pending, nor the last recorded entries.
 #[test]
 fn hand_over_waits_for_last_page() {
     run_local(async {
@@ -271,8 +272,8 @@
     });
 }
 
-/// Guards against an owner that hears a cancellation, can't record it while the store is away, and
-/// starts the job's next step.
+/// Guards against an owner that receives a cancellation, can't record it during an outage of the
+/// store, and starts the job's next step.
 #[test]
 fn unrecorded_cancel_blocks_job() {
     run_local(async {
@@ -289,7 +290,11 @@
         sleep(Duration::from_secs(1)).await;
         let request = CallerRequest::Cancel("job1".into());
         let answer = service.answer(call(request)).await;
-        assert_eq!(answer, CallerAnswer::Unknown, "it is tried on");
+        assert_eq!(
+            answer,
+            CallerAnswer::Unknown,
+            "it is retried in the background"
+        );
         targets.set_blocked(false);
         sleep(Duration::from_secs(1)).await;
         assert_eq!(targets.start_count(), 3);
@@ -299,8 +304,8 @@
     });
 }
 
-/// Guards against a standby that takes pages which were replaced while it could not read for the whole
-/// log, and forgets what the shorter one tells.
+/// Guards against a standby that missed pages which were replaced while it could not read. It must
+/// not treat what it has as the whole log, and must read the compacted one.
 #[test]
 fn standby_restarts_log_after_gap() {
     run_local(async {
@@ -321,7 +326,7 @@
             if oldest() != begun {
                 break;
             }
-            assert!(Instant::now() < end, "the log was not made shorter");
+            assert!(Instant::now() < end, "the log was not compacted");
         }
         submit_until_accepted(&service, "after").await;
         wait_for_progress(&service, "after", JobProgress::Completed).await;
