--- a/crates/cell/src/call_limiter.rs
+++ b/crates/cell/src/call_limiter.rs
@@ -32,7 +32,7 @@
         CallPermit {
             limiter: self.clone(),
             class,
-            begun: BootClock.boot_now(),
+            started_at: BootClock.boot_now(),
             counted: true,
         }
     }
@@ -69,7 +69,7 @@
 pub(crate) struct CallPermit {
     limiter: Rc<CallLimiter>,
     class: CallClass,
-    begun: BootTime,
+    started_at: BootTime,
     counted: bool,
 }
 
@@ -90,7 +90,7 @@
             return;
         }
         let now = BootClock.boot_now();
-        let took = now.saturating_sub(self.begun);
+        let took = now.saturating_sub(self.started_at);
         let mut budget = self.limiter.budget.borrow_mut();
         budget.end(self.class, took, now);
         drop(budget);
--- a/crates/cell/src/caller_gateway.rs
+++ b/crates/cell/src/caller_gateway.rs
@@ -58,7 +58,7 @@
 /// State of one call to the owner across its retries.
 struct OwnerCallState {
     deadline: Instant,
-    begun: Instant,
+    started_at: Instant,
     /// The last owner that did not answer: the call may have taken effect there.
     unanswered_by: Option<FencingToken>,
     owner: CompactString,
@@ -73,9 +73,9 @@
     fn answer(&self, call: CallerCall) -> PortFuture<CallerAnswer> {
         let gateway = self.clone();
         Box::pin(async move {
-            let begun = Instant::now();
+            let started_at = Instant::now();
             let (answer, owner) = gateway.handle(&call).await;
-            gateway.log_call(&call, &answer, &owner, begun);
+            gateway.log_call(&call, &answer, &owner, started_at);
             answer
         })
     }
@@ -174,7 +174,7 @@
     /// different owner. Retries are harmless because ids make all calls idempotent.
     async fn ask_owner(&self, ask: Ask, timeout: Duration) -> (CallerAnswer, CompactString) {
         let timeout = effective_timeout(timeout);
-        let begun = Instant::now();
+        let started_at = Instant::now();
         if timeout < ANSWER_MARGIN + MIN_OWNER_TIMEOUT {
             // The answer would come too late, and the caller would not know whether the call took
             // effect.
@@ -184,8 +184,8 @@
             );
         }
         let mut state = OwnerCallState {
-            deadline: begun + timeout.saturating_sub(ANSWER_MARGIN),
-            begun,
+            deadline: started_at + timeout.saturating_sub(ANSWER_MARGIN),
+            started_at,
             unanswered_by: None,
             owner: CompactString::default(),
         };
@@ -195,7 +195,7 @@
             }
             self.members.find_owner(&self.owners).await;
             let now = Instant::now();
-            let waited = now.duration_since(state.begun);
+            let waited = now.duration_since(state.started_at);
             if state.unanswered_by.is_none() && waited >= self.options.owner_timeout {
                 return (CallerAnswer::Refused(self.options.retry_after), state.owner);
             }
@@ -280,7 +280,7 @@
         }
     }
 
-    fn log_call(&self, call: &CallerCall, answer: &CallerAnswer, owner: &str, begun: Instant) {
+    fn log_call(&self, call: &CallerCall, answer: &CallerAnswer, owner: &str, started_at: Instant) {
         let (wish, job) = match &call.request {
             CallerRequest::Submit(job, _) => ("submit", job.as_str()),
             CallerRequest::Status(job) => ("look", job.as_str()),
@@ -288,7 +288,7 @@
             CallerRequest::Pending => ("pending", ""),
         };
         let (name, refused) = answer_name(answer);
-        let took = begun.elapsed();
+        let took = started_at.elapsed();
         metrics::counter!(metric::CALLS, "wish" => wish, "answer" => name).increment(1);
         metric::record_duration(metric::CALL_SECONDS, took);
         let revision = self
--- a/crates/cell/src/host_loop.rs
+++ b/crates/cell/src/host_loop.rs
@@ -71,8 +71,8 @@
     if term.scheduler.borrow().board.handed_over {
         return Duration::ZERO;
     }
-    let lapsed = term.options.owner_lease - LEASE_SLACK;
-    term.options.host_order_pause.saturating_sub(lapsed)
+    let min_lapsed = term.options.owner_lease - LEASE_SLACK;
+    term.options.host_order_pause.saturating_sub(min_lapsed)
 }
 
 async fn list_hosts(term: &Rc<Term>) {
--- a/crates/cell/src/step_aside.rs
+++ b/crates/cell/src/step_aside.rs
@@ -29,14 +29,14 @@
 /// Without this, an owner that can't finish reading the log, for example because its link has
 /// become too narrow, would keep renewing its lease. Then no process would serve the cell.
 pub(crate) async fn step_down(term: &Rc<Term>) -> StepDownKind {
-    let begun = term.now().boot;
+    let started_at = term.now().boot;
     loop {
         sleep(CHECK_INTERVAL).await;
         // During an outage of the store nobody could take over, and the lease expires by itself.
         if !term.has_valid_lease() || term.handing_over.get() {
             continue;
         }
-        let age = term.now().boot.saturating_sub(begun);
+        let age = term.now().boot.saturating_sub(started_at);
         if !term.is_ready() && age >= LOG_READ_TIMEOUT {
             return StepDownKind::Immediate("the log was not read in time");
         }
--- a/crates/cell/src/target_orders.rs
+++ b/crates/cell/src/target_orders.rs
@@ -39,9 +39,9 @@
         return;
     };
     let (task, attempt) = (order.task.clone(), order.attempt);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let permit = acquire_permits(&term, &channel, CallClass::Start).await;
-    record_start_wait(&order, &id, begun.elapsed());
+    record_start_wait(&order, &id, started_at.elapsed());
     if !term.scheduler.borrow().wants_start(&id, &task, attempt) {
         log_event::info(
             &event::START_DROPPED,
@@ -65,7 +65,7 @@
         .renew_start(&id, &mut order, now);
     let answer = term.ports.targets.start(&address, order).await;
     channel.poll_now.notify_one();
-    metric::record_duration(metric::ORDER_SECONDS, begun.elapsed());
+    metric::record_duration(metric::ORDER_SECONDS, started_at.elapsed());
     let done = matches!(answer, StartAnswer::Started { .. });
     record_outcome(&term, "start", &id, done, &(&task, &answer));
     let now = term.now();
--- a/crates/cell/tests/cancels.rs
+++ b/crates/cell/tests/cancels.rs
@@ -26,13 +26,13 @@
 }
 
 async fn wait_for_cancelled(service: &Rc<dyn CallerService>, job: &str) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     loop {
         let answer = cancel(service, job).await;
         if answer == CallerAnswer::Found(JobProgress::Cancelled) {
             return;
         }
-        assert!(begun.elapsed() < ACK_LIMIT, "still {answer:?}");
+        assert!(started_at.elapsed() < ACK_LIMIT, "still {answer:?}");
         sleep(Duration::from_millis(100)).await;
     }
 }
--- a/crates/cell/tests/cell_host.rs
+++ b/crates/cell/tests/cell_host.rs
@@ -84,10 +84,10 @@
         let service = cell.start_host("a").service();
         submit_until_accepted(&service, "job1").await;
         cell.store.set_mode(StoreMode::Refuses);
-        let begun = tokio::time::Instant::now();
+        let started_at = tokio::time::Instant::now();
         let answer = service.answer(submit("job2")).await;
         assert!(matches!(answer, CallerAnswer::Refused(wait) if wait >= Duration::from_secs(1)));
-        assert!(begun.elapsed() < Duration::from_secs(1));
+        assert!(started_at.elapsed() < Duration::from_secs(1));
         cell.store.set_mode(StoreMode::Normal);
         sleep(Duration::from_millis(100)).await;
         wait_for_answer(
@@ -110,11 +110,11 @@
         let second = cell.start_host("b");
         let service = second.service();
         wait_for_progress(&service, "job1", JobProgress::Completed).await;
-        let begun = tokio::time::Instant::now();
+        let started_at = tokio::time::Instant::now();
         first.stop(std::future::ready(())).await;
         submit_until_accepted(&service, "job2").await;
         assert!(
-            begun.elapsed() < Duration::from_millis(1000),
+            started_at.elapsed() < Duration::from_millis(1000),
             "the lease lasts 1.1 s"
         );
         wait_for_progress(&service, "job2", JobProgress::Completed).await;
@@ -151,10 +151,10 @@
 fn cold_process_campaigns_at_once() {
     run_local(async {
         let cell = TestCell::new();
-        let begun = tokio::time::Instant::now();
+        let started_at = tokio::time::Instant::now();
         let host = cell.start_host("a");
         submit_until_accepted(&host.service(), "job1").await;
-        let took = begun.elapsed();
+        let took = started_at.elapsed();
         assert!(took < Duration::from_millis(1000), "{took:?}");
     });
 }
--- a/crates/cell/tests/certain_answers.rs
+++ b/crates/cell/tests/certain_answers.rs
@@ -54,13 +54,13 @@
         let host = owner_with_slow_page(&handle).await;
         let _second = start_host("b", &store, strong_limits());
         sleep(Duration::from_millis(500)).await;
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let waiting = submit_in_background(&host, "waiting", Duration::from_secs(4));
         sleep(Duration::from_millis(100)).await;
         handle.set_cut_off(true);
         let answer = waiting.await;
         assert!(matches!(answer, Ok(CallerAnswer::Refused(_))), "{answer:?}");
-        assert!(begun.elapsed() < Duration::from_secs(2));
+        assert!(started_at.elapsed() < Duration::from_secs(2));
     });
 }
 
--- a/crates/cell/tests/common/memory_store.rs
+++ b/crates/cell/tests/common/memory_store.rs
@@ -376,12 +376,12 @@
         &self,
         prefix: &str,
         after: StoreRevision,
-        patience: Duration,
+        timeout_after: Duration,
     ) -> PortFuture<Result<StoreChanges, StoreError>> {
         let (state, prefix) = (self.state.clone(), prefix.to_owned());
         let handle = self.clone();
         Box::pin(async move {
-            let end = Instant::now() + patience;
+            let end = Instant::now() + timeout_after;
             loop {
                 handle.call().await?;
                 handle.check_readable(&prefix)?;
--- a/crates/cell/tests/narrow_link.rs
+++ b/crates/cell/tests/narrow_link.rs
@@ -68,10 +68,10 @@
         let second = start_host("b", &slow_handle(&store, 2), strong_limits());
         sleep(Duration::from_secs(4)).await;
         first_handle.set_cut_off(true);
-        let begun = Instant::now();
+        let started_at = Instant::now();
         wait_for_owner(&store, "b").await;
         submit_until_accepted(&second.service(), "job").await;
-        assert!(begun.elapsed() < Duration::from_millis(1500));
+        assert!(started_at.elapsed() < Duration::from_millis(1500));
     });
 }
 
@@ -97,9 +97,9 @@
         let service = host.service();
         wait_for_answer(&service, submit("first").request, CallerAnswer::Accepted).await;
         sleep(Duration::from_millis(500)).await;
-        let begun = Instant::now();
+        let started_at = Instant::now();
         wait_for_answer(&service, submit("second").request, CallerAnswer::Accepted).await;
-        assert!(begun.elapsed() < Duration::from_secs(1));
+        assert!(started_at.elapsed() < Duration::from_secs(1));
     });
 }
 
--- a/crates/cell/tests/succession.rs
+++ b/crates/cell/tests/succession.rs
@@ -89,10 +89,10 @@
 fn owner_is_weak_without_others() {
     run_local(async {
         let store = new_store();
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let _weak = start_host("weak", &store, weak_limits());
         wait_for_owner(&store, "weak").await;
-        assert!(begun.elapsed() < Duration::from_secs(1));
+        assert!(started_at.elapsed() < Duration::from_secs(1));
     });
 }
 
@@ -145,10 +145,10 @@
         wait_for_owner(&store, "owner").await;
         let other = start_host("other", &store, strong_limits());
         sleep(Duration::from_millis(300)).await;
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let answer = other.service().answer(submit("job1")).await;
         assert!(matches!(answer, CallerAnswer::Refused(_)), "{answer:?}");
-        assert!(begun.elapsed() < Duration::from_secs(1));
+        assert!(started_at.elapsed() < Duration::from_secs(1));
     });
 }
 
@@ -163,11 +163,11 @@
         wait_for_owner(&store, "first").await;
         let _second = start_host("second", &store, strong_limits());
         sleep(Duration::from_millis(500)).await;
-        let begun = Instant::now();
+        let started_at = Instant::now();
         first_handle.set_cut_off(true);
         wait_for_owner(&store, "second").await;
         // The lease expires after 0.8 s at the earliest.
-        assert!(begun.elapsed() < Duration::from_millis(700));
+        assert!(started_at.elapsed() < Duration::from_millis(700));
     });
 }
 
@@ -320,10 +320,10 @@
         second_handle.fail_lists(LOG);
         let oldest = || store.keys(LOG).first().cloned();
         let end = Instant::now() + LIMIT;
-        let begun = oldest();
+        let started_at = oldest();
         for number in 0.. {
             submit_until_accepted(&service, &format!("{}{number}", "x".repeat(3000))).await;
-            if oldest() != begun {
+            if oldest() != started_at {
                 break;
             }
             assert!(Instant::now() < end, "the log was not compacted");
