--- a/crates/decide/src/work/demand_meter.rs
+++ b/crates/decide/src/work/demand_meter.rs
@@ -2,26 +2,26 @@
 
 use model::{BootTime, PoolId};
 
-/// Time over which the present rate of arrivals is averaged. Shorter follows single jobs, which
-/// ask for up to a hundred core-seconds each.
+/// Time constant in seconds of the current arrival rate. A shorter one follows single jobs, which
+/// request up to a hundred core-seconds each.
 const FAST_WINDOW_SECS: f64 = 0.8;
-/// Time over which the rate is averaged that the present one is compared with.
+/// Time constant in seconds of the arrival rate that the current one is compared with.
 const SLOW_WINDOW_SECS: f64 = 2.5;
-/// How far ahead demand is foreseen: a host takes about two seconds from the order until its
-/// first task.
+/// How far ahead demand is forecast, in seconds: a host takes about two seconds from the order to
+/// its first task.
 const LOOKAHEAD_SECS: f64 = 2.0;
-/// Room beyond the foreseen demand, as a factor: tasks do not fill hosts without gaps. With 1.4
-/// the hosts cost as much more as the work that it brings in time is worth.
+/// Capacity beyond the forecast demand, as a factor, since tasks do not pack onto hosts without
+/// gaps. At 1.4 the additional hosts cost more than the work that they complete in time is worth.
 const HEADROOM: f64 = 1.2;
-/// How long a peak of demand is remembered before hosts are given back. Giving a host away and
-/// taking it back costs two moves, as much as 2.3 s of an idle host at the prices measured.
+/// How long a peak of demand is remembered before hosts are released. Releasing a host and getting
+/// it back takes two moves, which cost as much as 2.3 s of an idle host at the measured prices.
 const PEAK_HOLD: Duration = Duration::from_millis(2500);
 
-/// Foresees how many cores a pool will need.
+/// Forecasts how many cores a pool will need.
 ///
-/// The pattern it answers: demand that rises and falls by turns within some seconds, each pool
-/// in its time asking for several times its mean. Turns may come once a day, so that nothing
-/// can be learned of their order; what shows in time is that arrivals rise.
+/// Demand of the pools rises and falls in bursts of some seconds, at different times, to several
+/// times the mean of a pool. Bursts may come once a day, so their order can't be learned; only a
+/// rise of the arrival rate shows in time.
 #[derive(Clone, Debug, Default)]
 pub struct DemandMeter {
     pools: BTreeMap<PoolId, PoolArrivals>,
@@ -31,18 +31,19 @@
 struct PoolArrivals {
     fast_rate: f64,
     slow_rate: f64,
-    /// Sums of the work of late arrivals and of its squares, each counting less with its age.
+    /// Sum of the work of recent arrivals and sum of its squares, with exponentially decaying
+    /// weights.
     work_sum: f64,
     work_squares: f64,
     updated: BootTime,
     desired: f64,
-    /// The highest need of the last while, and when it was seen.
+    /// Highest recent demand in cores, and when it occurred.
     peak: f64,
     peak_at: BootTime,
 }
 
 impl DemandMeter {
-    /// Notes the work of a job that was handed in, in core-seconds.
+    /// Records the arrival of a job with its work in core-seconds.
     pub fn record_arrival(&mut self, pool: &PoolId, work: f64, now: BootTime) {
         let demand = self.pools.entry(pool.clone()).or_default();
         demand.decay(now);
@@ -52,50 +53,50 @@
         demand.work_squares += work * work;
     }
 
-    /// Notes what a pool needs at present, in cores: for tasks at work and for those that
-    /// could start. `lasting` is the part of tasks that go on.
-    pub fn observe(&mut self, pool: &PoolId, present: f64, lasting: f64, now: BootTime) {
+    /// Updates the forecast of a pool from its current demand in cores. `present` is for running
+    /// tasks and those that could start, `long_running` for long-running tasks.
+    pub fn observe(&mut self, pool: &PoolId, present: f64, long_running: f64, now: BootTime) {
         let demand = self.pools.entry(pool.clone()).or_default();
         demand.decay(now);
         let trend = (demand.fast_rate - demand.slow_rate) / (SLOW_WINDOW_SECS - FAST_WINDOW_SECS);
-        let foreseen = ((demand.fast_rate + trend * LOOKAHEAD_SECS) * demand.confidence()).max(0.0);
-        demand.desired = (present.max(foreseen) + lasting) * HEADROOM;
-        let lapsed = now.saturating_sub(demand.peak_at) > PEAK_HOLD;
-        if demand.desired >= demand.peak || lapsed {
+        let forecast = ((demand.fast_rate + trend * LOOKAHEAD_SECS) * demand.confidence()).max(0.0);
+        demand.desired = (present.max(forecast) + long_running) * HEADROOM;
+        let peak_expired = now.saturating_sub(demand.peak_at) > PEAK_HOLD;
+        if demand.desired >= demand.peak || peak_expired {
             demand.peak = demand.desired;
             demand.peak_at = now;
         }
     }
 
-    /// Cores that a pool should have soon.
+    /// Returns the number of cores that a pool should have soon.
     pub fn desired(&self, pool: &PoolId) -> f64 {
         self.pools.get(pool).map_or(0.0, |demand| demand.desired)
     }
 
-    /// Cores below which nothing is given back.
+    /// Returns the number of cores below which the pool releases no host.
     pub fn floor(&self, pool: &PoolId) -> f64 {
         self.pools.get(pool).map_or(0.0, |demand| demand.peak)
     }
 }
 
 impl PoolArrivals {
-    /// How far the arrivals are to be believed, from 0 to 1. One large job looks like a steep
-    /// rise, several of a size are one: so it depends on how many arrivals of equal size would
-    /// scatter as much as these.
+    /// Returns how far the arrival rate can be trusted, from 0 to 1. One large job looks like a
+    /// steep rise, but several jobs of similar size are one. So the result depends on how many
+    /// arrivals of equal size would have the same variance.
     fn confidence(&self) -> f64 {
         if self.work_squares <= 0.0 {
             return 0.0;
         }
-        let alike = self.work_sum * self.work_sum / self.work_squares;
-        (1.0 - 1.0 / alike).max(0.0)
+        let effective_arrivals = self.work_sum * self.work_sum / self.work_squares;
+        (1.0 - 1.0 / effective_arrivals).max(0.0)
     }
 
     fn decay(&mut self, now: BootTime) {
-        let passed = now.saturating_sub(self.updated).as_secs_f64();
+        let elapsed = now.saturating_sub(self.updated).as_secs_f64();
         self.updated = now;
-        self.fast_rate *= (-passed / FAST_WINDOW_SECS).exp();
-        self.slow_rate *= (-passed / SLOW_WINDOW_SECS).exp();
-        self.work_sum *= (-passed / SLOW_WINDOW_SECS).exp();
-        self.work_squares *= (-passed / SLOW_WINDOW_SECS).exp();
+        self.fast_rate *= (-elapsed / FAST_WINDOW_SECS).exp();
+        self.slow_rate *= (-elapsed / SLOW_WINDOW_SECS).exp();
+        self.work_sum *= (-elapsed / SLOW_WINDOW_SECS).exp();
+        self.work_squares *= (-elapsed / SLOW_WINDOW_SECS).exp();
     }
 }
--- a/crates/decide/src/work/host_moves.rs
+++ b/crates/decide/src/work/host_moves.rs
@@ -7,19 +7,19 @@
 
 use super::{HostOrder, HostPlanner, WorkDesk, host_planner::HostView};
 
-/// Idle time after which a host that its pool does not need is switched off. A move costs as
-/// much as 1.1 s of a host at the prices measured, and it may be needed back.
+/// Idle time after which a host that its pool does not need is switched off. A move costs as much
+/// as 1.1 s of a host at the measured prices, and the host may be needed again.
 const SWITCH_OFF_AFTER: Duration = Duration::from_millis(1500);
-/// Idle time after which another pool that lacks hosts may have one.
+/// Idle time after which a host may be moved to another pool that lacks hosts.
 const LEND_AFTER: Duration = Duration::from_millis(100);
-/// Hosts that a pool keeps at least, however large the fleet.
+/// Minimum number of hosts of a pool, however large the fleet.
 const MIN_IDLE_HOSTS: usize = 2;
-/// Part of an equal share of the fleet's hosts that an idle pool keeps: one third. A turn of a
-/// queue begins within a second, and a host that is off takes two to come. Keeping two hosts of a
-/// share of twelve was worth 0.002 to 0.015 less a day, in work that was late.
+/// An idle pool keeps one third of an equal share of the fleet's hosts. A burst of a queue starts
+/// within a second, and a host that is switched off takes two seconds to start. With only two hosts
+/// of a share of twelve, a day's result was 0.002 to 0.015 lower because of late work.
 const IDLE_SHARE_DIVISOR: usize = 3;
 
-/// Hosts of one pool, in cores.
+/// Capacity of one pool.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PoolCapacity {
     cores: f64,
@@ -27,13 +27,13 @@
 }
 
 impl HostPlanner {
-    /// Gives hosts to pools that lack room, and switches off what no pool needs.
-    pub(super) fn plan_moves(&mut self, desk: &WorkDesk, now: BootTime) {
-        self.observe_pools(desk, now);
-        self.min_idle_hosts = self.min_idle_hosts(desk);
-        let standby = standby_pool(desk);
-        let mut rooms = self.pool_capacities();
-        let pools: Vec<PoolId> = desk
+    /// Moves hosts to pools that lack capacity, and switches off hosts that no pool needs.
+    pub(super) fn plan_moves(&mut self, scheduler: &WorkDesk, now: BootTime) {
+        self.observe_pools(scheduler, now);
+        self.min_idle_hosts = self.min_idle_hosts(scheduler);
+        let standby = standby_pool(scheduler);
+        let mut capacities = self.pool_capacities();
+        let pools: Vec<PoolId> = scheduler
             .terms
             .pools
             .iter()
@@ -41,26 +41,26 @@
             .map(|pool| pool.name.clone())
             .collect();
         for pool in &pools {
-            self.fill_pool(pool, standby.as_ref(), &mut rooms, now);
+            self.fill_pool(pool, standby.as_ref(), &mut capacities, now);
         }
-        self.provision_replacements(desk, standby.as_ref(), &mut rooms, now);
+        self.provision_replacements(scheduler, standby.as_ref(), &mut capacities, now);
         if let Some(standby) = &standby {
-            self.switch_off(&pools, standby, &mut rooms, now);
+            self.switch_off(&pools, standby, &mut capacities, now);
         }
     }
 
-    /// True if a host that is switched off can be brought to a pool.
-    pub(super) fn has_standby_host(&self, desk: &WorkDesk, now: BootTime) -> bool {
-        let standby = standby_pool(desk);
+    /// Returns true if a host that is switched off can be moved to a pool.
+    pub(super) fn has_standby_host(&self, scheduler: &WorkDesk, now: BootTime) -> bool {
+        let standby = standby_pool(scheduler);
         let mut hosts = self.hosts.values();
         hosts.any(|view| standby.as_ref() == Some(&view.fleet.pool) && is_free(view, now))
     }
 
-    /// Pools that have less room than they need.
+    /// Returns the pools that have less capacity than they need.
     pub(super) fn pools_below_demand(&self) -> BTreeSet<PoolId> {
-        let rooms = self.pool_capacities();
+        let capacities = self.pool_capacities();
         let pools = self.hosts.values().map(|view| &view.fleet.pool);
-        let short = pools.filter(|pool| self.surplus(pool, &rooms) < 0.0);
+        let short = pools.filter(|pool| self.surplus(pool, &capacities) < 0.0);
         short.cloned().collect()
     }
 
@@ -72,8 +72,9 @@
         now: BootTime,
     ) {
         loop {
-            let room = pool_capacities.get(pool).copied().unwrap_or_default();
-            if room.cores >= self.meter.desired(pool) && room.hosts >= self.min_hosts(pool) {
+            let capacity = pool_capacities.get(pool).copied().unwrap_or_default();
+            if capacity.cores >= self.meter.desired(pool) && capacity.hosts >= self.min_hosts(pool)
+            {
                 return;
             }
             let Some(host) = self.donor(pool, standby, pool_capacities, now, |_| true) else {
@@ -83,8 +84,8 @@
         }
     }
 
-    /// A host that another pool can lend and that suits: one that is switched off, otherwise an
-    /// idle one.
+    /// Returns a host that another pool can donate and that `suits` accepts: preferably one that is
+    /// switched off, otherwise an idle one from the pool with the largest surplus.
     pub(super) fn donor(
         &self,
         pool: &PoolId,
@@ -103,18 +104,19 @@
         };
         let mut best: Option<(bool, f64, &HostView)> = None;
         for view in self.hosts.values().filter(free) {
-            let off = standby == Some(&view.fleet.pool);
+            let switched_off = standby == Some(&view.fleet.pool);
             let idle = view
                 .idle_since
                 .map_or(Duration::ZERO, |since| now.saturating_sub(since));
-            if !off && (idle < LEND_AFTER || !self.can_lend(view, pool_capacities)) {
+            if !switched_off && (idle < LEND_AFTER || !self.can_lend(view, pool_capacities)) {
                 continue;
             }
             let surplus = self.surplus(&view.fleet.pool, pool_capacities);
-            let better =
-                best.is_none_or(|(off_before, most, _)| (off, surplus) > (off_before, most));
+            let better = best.is_none_or(|(best_switched_off, best_surplus, _)| {
+                (switched_off, surplus) > (best_switched_off, best_surplus)
+            });
             if better {
-                best = Some((off, surplus, view));
+                best = Some((switched_off, surplus, view));
             }
         }
         best.map(|(_, _, view)| view.fleet.host.clone())
@@ -147,13 +149,13 @@
             let Some(view) = self.hosts.get(&host) else {
                 continue;
             };
-            let room = pool_capacities
+            let capacity = pool_capacities
                 .get(&view.fleet.pool)
                 .copied()
                 .unwrap_or_default();
-            let left = room.cores - host_cores(view);
-            let least = self.min_hosts(&view.fleet.pool);
-            if left >= self.meter.floor(&view.fleet.pool) && room.hosts > least {
+            let left = capacity.cores - host_cores(view);
+            let min_hosts = self.min_hosts(&view.fleet.pool);
+            if left >= self.meter.floor(&view.fleet.pool) && capacity.hosts > min_hosts {
                 self.order_move(&host, standby, pool_capacities);
             }
         }
@@ -169,30 +171,33 @@
             return;
         };
         let size = host_cores(view);
-        if let Some(room) = pool_capacities.get_mut(&view.fleet.pool) {
-            room.cores -= size;
-            room.hosts = room.hosts.saturating_sub(1);
+        if let Some(capacity) = pool_capacities.get_mut(&view.fleet.pool) {
+            capacity.cores -= size;
+            capacity.hosts = capacity.hosts.saturating_sub(1);
         }
-        let room = pool_capacities.entry(to.clone()).or_default();
-        room.cores += size;
-        room.hosts += 1;
+        let capacity = pool_capacities.entry(to.clone()).or_default();
+        capacity.cores += size;
+        capacity.hosts += 1;
         self.begin_operation(host, HostOrder::Move(host.clone(), to.clone()));
     }
 
-    fn can_lend(&self, view: &HostView, rooms: &BTreeMap<PoolId, PoolCapacity>) -> bool {
-        let room = rooms.get(&view.fleet.pool).copied().unwrap_or_default();
-        let least = self.min_hosts(&view.fleet.pool);
-        room.hosts > least && self.surplus(&view.fleet.pool, rooms) >= host_cores(view)
+    fn can_lend(&self, view: &HostView, capacities: &BTreeMap<PoolId, PoolCapacity>) -> bool {
+        let capacity = capacities
+            .get(&view.fleet.pool)
+            .copied()
+            .unwrap_or_default();
+        let min_hosts = self.min_hosts(&view.fleet.pool);
+        capacity.hosts > min_hosts && self.surplus(&view.fleet.pool, capacities) >= host_cores(view)
     }
 
-    /// Hosts that an idle pool keeps for the first tasks of a turn.
-    fn min_idle_hosts(&self, desk: &WorkDesk) -> usize {
-        let serving = desk.terms.pools.iter().filter(|pool| !pool.standby);
+    /// Returns the number of hosts that an idle pool keeps for the first tasks of a burst.
+    fn min_idle_hosts(&self, scheduler: &WorkDesk) -> usize {
+        let serving = scheduler.terms.pools.iter().filter(|pool| !pool.standby);
         let share = self.hosts.len() / serving.count().max(1);
         (share / IDLE_SHARE_DIVISOR).max(MIN_IDLE_HOSTS)
     }
 
-    /// Hosts below which a pool does not go.
+    /// Returns the minimum number of hosts of a pool.
     fn min_hosts(&self, pool: &PoolId) -> usize {
         let needed = self
             .anti_affinity_hosts
@@ -202,43 +207,43 @@
         needed.max(self.min_idle_hosts)
     }
 
-    fn surplus(&self, pool: &PoolId, rooms: &BTreeMap<PoolId, PoolCapacity>) -> f64 {
-        let room = rooms.get(pool).copied().unwrap_or_default();
-        room.cores - self.meter.desired(pool)
+    fn surplus(&self, pool: &PoolId, capacities: &BTreeMap<PoolId, PoolCapacity>) -> f64 {
+        let capacity = capacities.get(pool).copied().unwrap_or_default();
+        capacity.cores - self.meter.desired(pool)
     }
 
-    /// What each pool has or will have, moves under way included.
+    /// Returns the capacity of each pool, including hosts that are being moved to it.
     fn pool_capacities(&self) -> BTreeMap<PoolId, PoolCapacity> {
-        let mut rooms: BTreeMap<PoolId, PoolCapacity> = BTreeMap::new();
+        let mut capacities: BTreeMap<PoolId, PoolCapacity> = BTreeMap::new();
         for view in self.hosts.values() {
             let pool = match view.operation.as_ref().map(|errand| &errand.order) {
                 Some(HostOrder::Move(_, pool)) => pool,
                 Some(HostOrder::Maintain(..)) | None => &view.fleet.pool,
             };
-            let gone = view.fleet.condition == HostCondition::Down && view.operation.is_none();
-            if gone {
+            let is_lost = view.fleet.condition == HostCondition::Down && view.operation.is_none();
+            if is_lost {
                 continue;
             }
-            let room = rooms.entry(pool.clone()).or_default();
-            room.cores += host_cores(view);
-            room.hosts += 1;
+            let capacity = capacities.entry(pool.clone()).or_default();
+            capacity.cores += host_cores(view);
+            capacity.hosts += 1;
         }
-        rooms
+        capacities
     }
 
-    fn observe_pools(&mut self, desk: &WorkDesk, now: BootTime) {
-        for pool in &desk.terms.pools {
-            let (present, lasting) = desk.core_demand(&pool.name);
-            self.meter.observe(&pool.name, present, lasting, now);
+    fn observe_pools(&mut self, scheduler: &WorkDesk, now: BootTime) {
+        for pool in &scheduler.terms.pools {
+            let (present, long_running) = scheduler.core_demand(&pool.name);
+            self.meter.observe(&pool.name, present, long_running, now);
             self.anti_affinity_hosts
-                .insert(pool.name.clone(), desk.anti_affinity_hosts(&pool.name));
+                .insert(pool.name.clone(), scheduler.anti_affinity_hosts(&pool.name));
         }
     }
 }
 
 impl WorkDesk {
-    /// Cores that the open jobs of a pool need: for what runs or could start now, and, apart,
-    /// for tasks that last.
+    /// Returns the cores that the open jobs of a pool need: first for tasks that run or could start
+    /// now, then for long-running tasks.
     fn core_demand(&self, pool: &PoolId) -> (f64, f64) {
         let need = self.index.jobs.demand(pool);
         (
@@ -247,8 +252,8 @@
         )
     }
 
-    /// Hosts that a pool needs for the tasks of one step that may not share a host, and one
-    /// more: a task that has to leave its host needs another to go to.
+    /// Returns the number of hosts that a pool needs for the tasks of a step with anti-affinity,
+    /// plus one: a task that has to leave its host needs another host to move to.
     fn anti_affinity_hosts(&self, pool: &PoolId) -> usize {
         let hosts = self.index.jobs.anti_affinity_hosts(pool);
         let spare = usize::from(hosts > 0);
@@ -260,8 +265,8 @@
     }
 }
 
-fn standby_pool(desk: &WorkDesk) -> Option<PoolId> {
-    let standby = desk.terms.pools.iter().find(|pool| pool.standby);
+fn standby_pool(scheduler: &WorkDesk) -> Option<PoolId> {
+    let standby = scheduler.terms.pools.iter().find(|pool| pool.standby);
     standby.map(|pool| pool.name.clone())
 }
 
--- a/crates/decide/src/work/host_planner.rs
+++ b/crates/decide/src/work/host_planner.rs
@@ -12,30 +12,30 @@
 
 /// Pause after an order that was refused because the host was busy.
 const BUSY_PAUSE: Duration = Duration::from_millis(700);
-/// Pause after an order that was not answered or refused for now.
+/// Pause after an order that was not answered or that was refused for now.
 const RETRY_PAUSE: Duration = Duration::from_millis(400);
-/// Time after which a host that was ordered is believed to be back though the list has not
-/// shown it, so that a list that lags for ever does not block its wave.
+/// Time after which an ordered host is assumed to be back although the host list does not show it,
+/// so that a list that never catches up does not block its wave.
 const RETURN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How far the clocks of day of two owners may be apart: they are set within milliseconds, and
-/// jump by some seconds at times.
+/// Maximum assumed difference between the wall clocks of two owners: they are synchronized to
+/// within milliseconds, but jump by some seconds at times.
 const MAX_CLOCK_DIFFERENCE: Duration = Duration::from_secs(5);
 
-/// Arrivals before that count for next to nothing in the rates that are compared.
+/// Age beyond which an arrival has almost no weight in the arrival rates.
 const RECENT_ARRIVALS: Duration = Duration::from_secs(10);
 
 /// An order to a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HostOrder {
-    /// Move it to a pool.
+    /// Move the host to a pool.
     Move(HostId, PoolId),
-    /// Take it down for the maintenance of a wave.
+    /// Take the host down for the maintenance of a wave.
     Maintain(HostId, WaveId),
 }
 
 impl HostOrder {
-    /// The host that it is for.
+    /// Returns the host that the order is for.
     pub fn host(&self) -> &HostId {
         match self {
             Self::Move(host, _) | Self::Maintain(host, _) => host,
@@ -45,55 +45,55 @@
 
 /// Decides which hosts are moved and maintained, and when.
 ///
-/// No order ends work: a host is kept free of new tasks first, and ordered once it is empty.
+/// Orders never interrupt tasks: a host is drained first and is only ordered once it is empty.
 #[derive(Clone, Debug, Default)]
 pub struct HostPlanner {
-    /// The hosts as they were listed last.
+    /// Hosts of the latest host list.
     pub(super) hosts: BTreeMap<HostId, HostView>,
     pub(super) waves: BTreeMap<WaveId, WaveView>,
-    /// What the pools need.
+    /// Demand of the pools.
     pub meter: DemandMeter,
     pub(super) refused_moves: BTreeSet<(HostId, PoolId)>,
-    /// Whether the orders of earlier owners have been taken in.
+    /// Whether the orders of earlier owners have been applied.
     pub(super) earlier_orders_applied: bool,
-    /// Hosts that an idle pool keeps.
+    /// Number of hosts that an idle pool keeps.
     pub(super) min_idle_hosts: usize,
-    /// Hosts that pools need for tasks that may not share one.
+    /// Number of hosts that each pool needs for tasks with anti-affinity.
     pub(super) anti_affinity_hosts: BTreeMap<PoolId, usize>,
 }
 
-/// What is known of a host.
+/// State of a host.
 #[derive(Clone, Debug, Default)]
 pub(super) struct HostView {
     pub(super) fleet: FleetHost,
     pub(super) operation: Option<HostOperation>,
-    /// Since when nothing has run on it; `None` while something does.
+    /// Time since which nothing has run on the host; `None` while something does.
     pub(super) idle_since: Option<BootTime>,
     pub(super) not_before: BootTime,
-    /// Until then an earlier owner's order to it may still show.
+    /// Time until which an earlier owner's order to the host may still take effect.
     pub(super) earlier_order_until: BootTime,
 }
 
-/// What a host is being used for.
+/// A move or maintenance of a host that is in progress.
 #[derive(Clone, Debug)]
 pub(super) struct HostOperation {
     pub(super) order: HostOrder,
     pub(super) state: OperationState,
-    /// Its life as a target before the order.
+    /// Target id of the host before the order.
     pub(super) target: HostId,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OperationState {
-    /// It is being emptied.
+    /// The host is draining.
     Draining,
-    /// The order is under way, or was not answered and may still be carried out.
+    /// The order was sent. It is unanswered and may still be carried out.
     Sent,
-    /// The order was carried out at this time.
+    /// The order was carried out; with the time of the answer.
     Done(BootTime),
 }
 
-/// What is known of a wave.
+/// State of a maintenance wave.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WaveView {
     pub(super) wave: MaintenanceWave,
@@ -103,48 +103,50 @@
 }
 
 impl HostPlanner {
-    /// Takes in what earlier owners accepted lately, so that a rise of demand does not go unseen for
-    /// as long as it takes to measure the arrivals anew.
+    /// Replays recent arrivals that earlier owners accepted, so that a rise in demand is noticed
+    /// without first measuring the arrival rate anew.
     pub fn replay_arrivals(&mut self, board: &JobTable, now: BootTime) {
         let jobs = board.jobs.values();
-        let mut lately: Vec<_> = jobs
+        let mut recent: Vec<_> = jobs
             .filter(|job| now.saturating_sub(job.arrived) < RECENT_ARRIVALS)
             .collect();
-        lately.sort_by_key(|job| job.arrived);
-        for job in lately {
+        recent.sort_by_key(|job| job.arrived);
+        for job in recent {
             self.meter
                 .record_arrival(&job.pool, job.plan.core_seconds(), job.arrived);
         }
     }
 
-    /// Takes the list of hosts that was asked for at `asked`.
-    pub fn apply_host_list(&mut self, hosts: Vec<FleetHost>, asked: BootTime) {
+    /// Applies a host list that was requested at `requested_at`.
+    pub fn apply_host_list(&mut self, hosts: Vec<FleetHost>, requested_at: BootTime) {
         let present: BTreeSet<HostId> = hosts.iter().map(|host| host.host.clone()).collect();
         self.hosts.retain(|host, _| present.contains(host));
         for fleet in hosts {
             let view = self.hosts.entry(fleet.host.clone()).or_default();
             view.fleet = fleet;
-            let Some(errand) = &view.operation else {
+            let Some(operation) = &view.operation else {
                 continue;
             };
-            let OperationState::Done(at) = errand.state else {
+            let OperationState::Done(done_at) = operation.state else {
                 continue;
             };
-            // A host that is switched off has no life as a target, before and after.
-            let another = view.fleet.target != errand.target || errand.target.is_empty();
-            let arrived = match &errand.order {
+            // A host that is switched off has no target id, neither before nor after the operation.
+            let is_new_target =
+                view.fleet.target != operation.target || operation.target.is_empty();
+            let is_in_place = match &operation.order {
                 HostOrder::Move(_, pool) => view.fleet.pool == *pool,
-                HostOrder::Maintain(..) => another,
+                HostOrder::Maintain(..) => is_new_target,
             };
-            let back = view.fleet.condition == HostCondition::Up && arrived;
-            if asked > at && (back || asked > at + RETURN_TIMEOUT) {
+            let is_back = view.fleet.condition == HostCondition::Up && is_in_place;
+            if requested_at > done_at && (is_back || requested_at > done_at + RETURN_TIMEOUT) {
                 view.operation = None;
                 view.idle_since = None;
             }
         }
     }
 
-    /// Takes the waves that operators ask for, and which hosts of them are recorded as begun.
+    /// Applies the waves that operators request. `begun` lists the hosts whose maintenance is
+    /// recorded as begun.
     pub fn apply_waves(
         &mut self,
         waves: &[MaintenanceWave],
@@ -163,45 +165,45 @@
         }
     }
 
-    /// Takes when hosts were ordered by earlier owners; each is left alone for `pause` after,
-    /// and one that was ordered lately for at least `least` from now.
+    /// Applies the times at which earlier owners last ordered hosts. A host gets no order until
+    /// `pause` after the last one, and if that was recent, for at least `min_pause` from now.
     pub fn apply_earlier_orders(
         &mut self,
         ordered: &BTreeMap<String, Duration>,
         pause: Duration,
-        least: Duration,
+        min_pause: Duration,
         now: DeskTime,
     ) {
         if std::mem::replace(&mut self.earlier_orders_applied, !self.hosts.is_empty()) {
             return;
         }
-        for (host, &at) in ordered {
-            let age = now.unix.saturating_sub(at);
-            let least = if age < pause + MAX_CLOCK_DIFFERENCE {
-                least
+        for (host, &ordered_at) in ordered {
+            let age = now.unix.saturating_sub(ordered_at);
+            let min_pause = if age < pause + MAX_CLOCK_DIFFERENCE {
+                min_pause
             } else {
                 Duration::ZERO
             };
-            let left = pause.saturating_sub(age).max(least);
+            let remaining = pause.saturating_sub(age).max(min_pause);
             if let Some(view) = self.hosts.get_mut(host.as_str()) {
-                view.earlier_order_until = now.boot + left;
+                view.earlier_order_until = now.boot + remaining;
                 view.not_before = view.not_before.max(view.earlier_order_until);
             }
         }
     }
 
-    /// What to order now. Keeps hosts free on `desk` that are to be ordered next.
-    pub fn plan(&mut self, desk: &mut WorkDesk, now: BootTime) -> Vec<HostOrder> {
-        desk.sync(now);
-        self.update_idle(desk, now);
-        self.plan_waves(desk, now);
-        self.plan_moves(desk, now);
-        let orders = self.ready_orders(desk, now);
-        self.drain_hosts(desk);
+    /// Returns the orders to send now, and drains hosts on `scheduler` that are to be ordered next.
+    pub fn plan(&mut self, scheduler: &mut WorkDesk, now: BootTime) -> Vec<HostOrder> {
+        scheduler.sync(now);
+        self.update_idle(scheduler, now);
+        self.plan_waves(scheduler, now);
+        self.plan_moves(scheduler, now);
+        let orders = self.ready_orders(scheduler, now);
+        self.drain_hosts(scheduler);
         orders
     }
 
-    /// Takes the answer to an order; true if the host began to do what was ordered.
+    /// Applies the answer to an order; returns true if the host began to carry it out.
     pub fn apply_answer(
         &mut self,
         order: &HostOrder,
@@ -211,16 +213,16 @@
         let Some(view) = self.hosts.get_mut(order.host()) else {
             return false;
         };
-        let Some(errand) = view
+        let Some(operation) = view
             .operation
             .as_mut()
-            .filter(|errand| errand.order == *order)
+            .filter(|operation| operation.order == *order)
         else {
             return false;
         };
         match answer {
             HostOrderAnswer::Done => {
-                errand.state = OperationState::Done(now);
+                operation.state = OperationState::Done(now);
                 if let HostOrder::Maintain(host, wave) = order
                     && let Some(view) = self.waves.get_mut(wave)
                 {
@@ -228,8 +230,8 @@
                 }
                 return true;
             }
-            // The order may still be carried out, so the host stays free of tasks, and the
-            // same order is repeated until it is known: it is idempotent.
+            // The order may still be carried out, so the host stays drained. The same order, which
+            // is idempotent, is repeated until its outcome is known.
             HostOrderAnswer::Unanswered(_) | HostOrderAnswer::Refused(_) => {
                 view.not_before = now + RETRY_PAUSE;
             }
@@ -255,13 +257,13 @@
         false
     }
 
-    /// The life of a host as a target that its present order ends; `None` without one.
+    /// Returns the target id that the host's current operation ends; `None` without one.
     pub fn operation_target(&self, host: &HostId) -> Option<HostId> {
-        let errand = self.hosts.get(host)?.operation.as_ref()?;
-        Some(errand.target.clone()).filter(|target| !target.is_empty())
+        let operation = self.hosts.get(host)?.operation.as_ref()?;
+        Some(operation.target.clone()).filter(|target| !target.is_empty())
     }
 
-    /// Waves whose state for operators has changed, and whether they are completed.
+    /// Returns the waves whose published state has changed, and whether they are completed.
     pub fn changed_waves(&mut self) -> Vec<(WaveId, bool)> {
         let mut changed = Vec::new();
         let listed = !self.hosts.is_empty();
@@ -279,16 +281,16 @@
         changed
     }
 
-    /// A wave's state has been written for operators.
+    /// Marks the state of a wave as published to operators.
     pub fn mark_wave_published(&mut self, wave: WaveId, completed: bool) {
         if let Some(view) = self.waves.get_mut(&wave) {
             view.published = Some(completed);
         }
     }
 
-    fn update_idle(&mut self, desk: &WorkDesk, now: BootTime) {
+    fn update_idle(&mut self, scheduler: &WorkDesk, now: BootTime) {
         for view in self.hosts.values_mut() {
-            let target = desk.targets.get(&view.fleet.target);
+            let target = scheduler.targets.get(&view.fleet.target);
             let busy = target.is_some_and(|target| !target.is_empty());
             if busy {
                 view.idle_since = None;
@@ -298,36 +300,36 @@
         }
     }
 
-    fn drain_hosts(&self, desk: &mut WorkDesk) {
-        let wanted = self.hosts.values().filter_map(|view| {
-            let vacancy = match view.operation.as_ref()?.state {
+    fn drain_hosts(&self, scheduler: &mut WorkDesk) {
+        let drains = self.hosts.values().filter_map(|view| {
+            let drain = match view.operation.as_ref()?.state {
                 OperationState::Draining => HostDrainState::Draining,
                 OperationState::Sent | OperationState::Done(_) => HostDrainState::Ordered,
             };
-            Some((view.fleet.target.clone(), vacancy))
+            Some((view.fleet.target.clone(), drain))
         });
-        desk.keep_free(&wanted.collect());
+        scheduler.keep_free(&drains.collect());
     }
 
-    /// Orders for hosts that are empty.
-    fn ready_orders(&mut self, desk: &WorkDesk, now: BootTime) -> Vec<HostOrder> {
+    /// Returns the orders for hosts that are empty.
+    fn ready_orders(&mut self, scheduler: &WorkDesk, now: BootTime) -> Vec<HostOrder> {
         let mut orders = Vec::new();
         for view in self.hosts.values_mut() {
-            let target = desk.targets.get(&view.fleet.target);
+            let target = scheduler.targets.get(&view.fleet.target);
             let empty = target.is_none_or(super::TargetState::is_empty);
-            let Some(errand) = &mut view.operation else {
+            let Some(operation) = &mut view.operation else {
                 continue;
             };
-            let due = match errand.state {
+            let due = match operation.state {
                 OperationState::Draining => empty,
                 OperationState::Sent => now >= view.not_before && !view.not_before.is_zero(),
                 OperationState::Done(_) => false,
             };
             if due {
-                errand.state = OperationState::Sent;
-                // Until the answer comes the order is not repeated.
+                operation.state = OperationState::Sent;
+                // The order is not repeated before its answer or timeout.
                 view.not_before = BootTime::ZERO;
-                orders.push(errand.order.clone());
+                orders.push(operation.order.clone());
             }
         }
         orders
--- a/crates/decide/src/work/host_replacements.rs
+++ b/crates/decide/src/work/host_replacements.rs
@@ -10,16 +10,17 @@
 };
 
 impl HostPlanner {
-    /// Brings a host to each pool that has tasks with nowhere to go from hosts that are being
-    /// emptied. By its cores the pool has room enough, but on these hosts, or not for such tasks.
+    /// Moves a host to each pool that has tasks on draining hosts and no target to move them to.
+    /// The total capacity of the pool may be sufficient, but it is on draining hosts or on hosts
+    /// that can't run such tasks.
     pub(super) fn provision_replacements(
         &mut self,
-        desk: &WorkDesk,
+        scheduler: &WorkDesk,
         standby: Option<&PoolId>,
         rooms: &mut BTreeMap<PoolId, PoolCapacity>,
         now: BootTime,
     ) {
-        for (pool, task) in &desk.stranded {
+        for (pool, task) in &scheduler.stranded {
             if self.has_replacement(pool, task) {
                 continue;
             }
@@ -30,7 +31,8 @@
         }
     }
 
-    /// True if a host that takes the task is on its way to the pool, or is there and empty.
+    /// Returns true if a host that can run the task is being moved to the pool, or is in the pool
+    /// and empty.
     fn has_replacement(&self, pool: &PoolId, task: &StrandedTask) -> bool {
         let mut hosts = self.hosts.values().filter(|view| can_host(view, task));
         hosts.any(|view| match &view.operation {
--- a/crates/decide/src/work/host_waves.rs
+++ b/crates/decide/src/work/host_waves.rs
@@ -10,40 +10,41 @@
 
 use super::{HostOrder, HostPlanner, WorkDesk, host_planner::WaveView};
 
-/// Time that one host of a wave takes: emptying, going down and coming back.
+/// Estimated time for the maintenance of one host: draining, going down and coming back.
 const HOST_MAINTENANCE_TIME: Duration = Duration::from_millis(3500);
 
-/// Hosts of a pool during a wave.
+/// Number of hosts of a pool by their state during a wave.
 #[derive(Clone, Copy, Debug, Default)]
 struct PoolHostCounts {
-    /// Hosts that take tasks.
+    /// Hosts that accept tasks.
     open: usize,
-    /// Hosts that are being emptied or maintained.
+    /// Hosts that are draining or under maintenance.
     leaving: usize,
 }
 
 impl HostPlanner {
-    /// Chooses the hosts of each wave that are maintained next.
-    pub(super) fn plan_waves(&mut self, desk: &WorkDesk, now: BootTime) {
+    /// Selects the next hosts of each wave to maintain.
+    pub(super) fn plan_waves(&mut self, scheduler: &WorkDesk, now: BootTime) {
         let ids: Vec<WaveId> = self.waves.keys().copied().collect();
-        let short = self.pools_below_demand();
+        let pools_below_demand = self.pools_below_demand();
         for id in ids {
             let Some(view) = self.waves.get(&id) else {
                 continue;
             };
-            let room =
+            let slots =
                 (view.wave.max_down as usize).saturating_sub(self.hosts_in_maintenance(view, now));
-            let chosen = self.next_hosts(view, room, &short, desk, now);
+            let chosen = self.next_hosts(view, slots, &pools_below_demand, scheduler, now);
             for host in chosen {
                 self.begin_operation(&host.clone(), HostOrder::Maintain(host, id));
             }
         }
     }
 
-    /// Hosts of a wave that are down for it, or may be, or are on the way there. Those count that
-    /// an earlier owner has just ordered: the order may be under way, and the list not show it.
+    /// Returns the number of hosts of a wave that are under maintenance, may be, or are draining
+    /// for it. A host that an earlier owner has just ordered counts too: the order may still be on
+    /// its way, and the list may not show it yet.
     fn hosts_in_maintenance(&self, wave: &WaveView, now: BootTime) -> usize {
-        let of_wave = |view: &&super::host_planner::HostView| {
+        let counts = |view: &&super::host_planner::HostView| {
             let errand = view.operation.as_ref();
             let ordered = errand.is_some_and(
                 |errand| matches!(&errand.order, HostOrder::Maintain(_, own) if *own == wave.wave.wave),
@@ -54,49 +55,54 @@
                 && !wave.maintained.contains(host);
             ordered || inherited || view.fleet.condition == HostCondition::UnderMaintenance
         };
-        self.hosts.values().filter(of_wave).count()
+        self.hosts.values().filter(counts).count()
     }
 
-    /// The hosts that cost least at present: empty ones first, then those with the least work;
-    /// busy ones of a pool that needs them only when time gets short.
+    /// Returns the next hosts to maintain, those with the least load first. Busy hosts of a pool
+    /// that needs them are only selected when the deadline is near.
     fn next_hosts(
         &self,
         wave: &WaveView,
-        room: usize,
-        short: &BTreeSet<PoolId>,
-        desk: &WorkDesk,
+        slots: usize,
+        pools_below_demand: &BTreeSet<PoolId>,
+        scheduler: &WorkDesk,
         now: BootTime,
     ) -> Vec<HostId> {
-        let left: Vec<&HostId> = wave
+        let remaining: Vec<&HostId> = wave
             .wave
             .hosts
             .iter()
             .filter(|host| !wave.maintained.contains(*host))
             .collect();
-        if left.is_empty() || room == 0 {
+        if remaining.is_empty() || slots == 0 {
             return Vec::new();
         }
-        let rounds = left.len().div_ceil((wave.wave.max_down as usize).max(1));
-        let end = wave.first_seen + wave.wave.deadline;
+        let rounds = remaining
+            .len()
+            .div_ceil((wave.wave.max_down as usize).max(1));
+        let deadline = wave.first_seen + wave.wave.deadline;
         let rounds = u32::try_from(rounds).unwrap_or(u32::MAX);
-        let urgent = now + HOST_MAINTENANCE_TIME.saturating_mul(rounds.saturating_add(1)) >= end;
-        let mut candidates: Vec<(u64, HostId)> = left
+        let urgent =
+            now + HOST_MAINTENANCE_TIME.saturating_mul(rounds.saturating_add(1)) >= deadline;
+        let mut candidates: Vec<(u64, HostId)> = remaining
             .into_iter()
-            .filter_map(|host| self.maintenance_load(host, urgent, short, desk, now))
+            .filter_map(|host| {
+                self.maintenance_load(host, urgent, pools_below_demand, scheduler, now)
+            })
             .collect();
         candidates.sort();
         let mut open = self.open_hosts();
-        let held = !urgent && !self.has_standby_host(desk, now);
+        let keep_last_open = !urgent && !self.has_standby_host(scheduler, now);
         let mut chosen = Vec::new();
-        for (used, host) in candidates {
-            if chosen.len() == room {
+        for (load, host) in candidates {
+            if chosen.len() == slots {
                 break;
             }
             let Some(view) = self.hosts.get(&host) else {
                 continue;
             };
             let pool = open.entry(view.fleet.pool.clone()).or_default();
-            if held && used > 0 && pool.open <= 1 && pool.leaving > 0 {
+            if keep_last_open && load > 0 && pool.open <= 1 && pool.leaving > 0 {
                 continue;
             }
             pool.open = pool.open.saturating_sub(1);
@@ -106,10 +112,12 @@
         chosen
     }
 
-    /// How many hosts of each pool take tasks, and how many are being emptied or maintained.
+    /// Returns the number of hosts of each pool that accept tasks, and of those that are draining
+    /// or under maintenance.
     ///
-    /// While no host can be brought, the last one of a pool that takes tasks waits until another
-    /// is back: the tasks that last would have nowhere to go, and no host would ever be empty.
+    /// While no replacement host is available, the last host of a pool that accepts tasks is not
+    /// drained until another one is back. Otherwise the long-running tasks could not move, and no
+    /// host would ever become empty.
     fn open_hosts(&self) -> BTreeMap<PoolId, PoolHostCounts> {
         let mut pools: BTreeMap<PoolId, PoolHostCounts> = BTreeMap::new();
         for view in self.hosts.values() {
@@ -123,13 +131,14 @@
         pools
     }
 
-    /// What runs on a host, in thousandths of a core; `None` if it can't be taken now.
+    /// Returns the load of a host in thousandths of a core; `None` if the host can't be maintained
+    /// now.
     fn maintenance_load(
         &self,
         host: &HostId,
         urgent: bool,
-        short: &BTreeSet<PoolId>,
-        desk: &WorkDesk,
+        pools_below_demand: &BTreeSet<PoolId>,
+        scheduler: &WorkDesk,
         now: BootTime,
     ) -> Option<(u64, HostId)> {
         let view = self.hosts.get(host)?;
@@ -139,15 +148,15 @@
         if view.fleet.condition != HostCondition::Up {
             return None;
         }
-        let target = desk.targets.get(&view.fleet.target);
+        let target = scheduler.targets.get(&view.fleet.target);
         if target.is_some_and(|target| !target.is_state_known()) {
             return None;
         }
-        let used = target.map_or(0, |target| target.used.cpu);
-        let needed = short.contains(&view.fleet.pool);
-        if needed && !urgent && used > 0 {
+        let load = target.map_or(0, |target| target.used.cpu);
+        let is_needed = pools_below_demand.contains(&view.fleet.pool);
+        if is_needed && !urgent && load > 0 {
             return None;
         }
-        Some((used, host.clone()))
+        Some((load, host.clone()))
     }
 }
--- a/crates/decide/src/work/share_meter.rs
+++ b/crates/decide/src/work/share_meter.rs
@@ -2,17 +2,17 @@
 
 use model::{BootTime, WorkspaceId};
 
-/// Tells which jobs a workspace hands in beyond its share.
+/// Detects jobs that a workspace submits beyond its share.
 ///
-/// The pattern it answers: one workspace sends many times its usual. What is within its weight,
-/// in jobs a second, is owed to it; the rest goes last, so that nobody else is crowded out, and
-/// its own owed jobs are not either.
+/// A workspace may send many times its usual load. Its weight, in jobs a second, is its share; jobs
+/// beyond it are started last, so that they delay neither the jobs of other workspaces nor the
+/// workspace's own jobs within the share. The implementation is a token bucket for each workspace.
 #[derive(Clone, Debug, Default)]
 pub struct ShareMeter {
     buckets: BTreeMap<WorkspaceId, ShareBucket>,
 }
 
-/// Jobs that a workspace may still hand in at once.
+/// Number of jobs that a workspace may submit at once within its share.
 #[derive(Clone, Copy, Debug)]
 struct ShareBucket {
     tokens: f64,
@@ -20,8 +20,8 @@
 }
 
 impl ShareMeter {
-    /// Notes a job; true if it is beyond the workspace's `weight` in jobs a second. A weight of
-    /// zero means no share of its own, and then nothing is beyond it.
+    /// Records a submitted job and returns true if it is beyond the workspace's `weight` in jobs a
+    /// second. A weight of zero means that the workspace has no share; no job is beyond it.
     pub fn record_job(&mut self, workspace: &WorkspaceId, weight: u32, now: BootTime) -> bool {
         if weight == 0 {
             return false;
@@ -43,7 +43,7 @@
         false
     }
 
-    /// True if a job that a workspace hands in now would be beyond its `weight`.
+    /// Returns true if a job submitted now would be beyond the workspace's `weight`.
     pub fn would_be_beyond(&self, workspace: &str, weight: u32, now: BootTime) -> bool {
         let bucket = self.buckets.get(workspace);
         weight > 0 && bucket.is_some_and(|bucket| bucket.tokens_at(f64::from(weight), now) < 1.0)
@@ -52,7 +52,7 @@
 
 impl ShareBucket {
     fn tokens_at(&self, weight: f64, now: BootTime) -> f64 {
-        let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
-        (self.tokens + passed * weight).min(weight)
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        (self.tokens + elapsed * weight).min(weight)
     }
 }
