--- a/crates/decide/src/budget.rs
+++ b/crates/decide/src/budget.rs
@@ -1,9 +1,8 @@
-//! The pool map and the availability budgets that hold on it.
+//! The pool map and its availability budgets.
 //!
-//! Start with [`FleetMap`], which says what pool each host belongs to, and
-//! [`PoolLedger`], which says whether a pool can spare a host now. A host has one entry
-//! in the map and an entry names one pool, so no host is ever in two pools. See
-//! `docs/design/07-fleet.md`.
+//! Start with [`FleetMap`], which assigns hosts to pools, and [`PoolLedger`], which decides whether
+//! a pool can spare a host now. A host has one entry in the map and an entry names one pool, so no
+//! host is ever in two pools. See `docs/design/07-fleet.md`.
 
 mod fleet_map;
 mod host_state;
--- a/crates/decide/src/budget/fleet_map.rs
+++ b/crates/decide/src/budget/fleet_map.rs
@@ -5,12 +5,12 @@
 
 use super::HostState;
 
-/// Which pool each host belongs to and which hosts are out, at one revision.
+/// The pool and state of each host, at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetMap {
-    /// Count of the changes that made it.
+    /// Number of changes that produced this map.
     pub revision: u64,
-    /// The hosts. A key occurs once, so a host is in one pool.
+    /// The hosts. Keys are unique, so a host is in one pool.
     pub hosts: BTreeMap<HostId, HostState>,
 }
 
@@ -22,11 +22,11 @@
 pub struct MapChange {
     /// New states; each replaces the older one.
     pub hosts: BTreeMap<HostId, HostState>,
-    /// Hosts that leave the map.
+    /// Hosts to remove from the map.
     pub removed: Vec<HostId>,
 }
 
-/// Why a map can't be brought up to a record: the record's tail begins later.
+/// Error of a catch-up: the tail of the record begins after the revision of the map.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("pool map at revision {held} is older than the tail, the base is needed")]
 pub struct MapGap {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The value of the base key for this revision. Equal maps make equal bytes.
+    /// The value of the base key for this revision. Equal maps have equal bytes.
     pub fn to_base(&self) -> FleetRecord {
         FleetRecord {
             revision: self.revision,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Applies those changes of the head's tail that this map lacks.
+    /// Applies the changes of the head's tail that this map lacks.
     ///
     /// # Errors
     /// If changes in between are missing, so that the base has to be read.
@@ -105,7 +105,7 @@
             .filter(move |(_, state)| state.pool == *pool)
     }
 
-    /// All hosts, grouped by the pool that they belong to.
+    /// All hosts, grouped by pool.
     pub fn by_pool(&self) -> BTreeMap<&PoolId, PoolHosts<'_>> {
         let mut pools: BTreeMap<&PoolId, PoolHosts<'_>> = BTreeMap::new();
         for (host, state) in &self.hosts {
@@ -132,7 +132,7 @@
         self.hosts.is_empty() && self.removed.is_empty()
     }
 
-    /// The change as the head's tail records it.
+    /// The change as recorded in the tail of the head.
     pub fn to_record(&self, revision: u64, author: &str, now: Duration) -> FleetChange {
         FleetChange {
             revision,
--- a/crates/decide/src/budget/host_state.rs
+++ b/crates/decide/src/budget/host_state.rs
@@ -3,18 +3,18 @@
 use model::{DataCentreId, HostId, HostRole, PoolId, RackId, ServiceId};
 use wire::fleet::{HostPhase, HostRecord, OutCause};
 
-/// What the host list says of a host, apart from whether it leaves.
+/// Facts of a host from the host list, apart from whether it is leaving.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HostFacts {
-    /// Where it listens, as `ip:port`.
+    /// Listen address, as `ip:port`.
     pub address: String,
     /// What it can do.
     pub role: HostRole,
-    /// Service whose requests it answers, for an executor.
+    /// For an executor, the service whose requests it answers.
     pub service: ServiceId,
-    /// Data centre that it stands in.
+    /// Data centre of the host.
     pub data_centre: DataCentreId,
-    /// Rack that it stands in.
+    /// Rack of the host.
     pub rack: RackId,
     /// Processors.
     pub cores: u32,
@@ -29,24 +29,24 @@
 pub struct HostState {
     /// The pool that it belongs to.
     pub pool: PoolId,
-    /// Whether it is in service, and if not, how far its return is.
+    /// Whether it is in service, and if not, how far its return has progressed.
     pub phase: HostPhase,
     /// Why it is not in service; unspecified while it is.
     pub cause: OutCause,
     /// When the phase began, since the Unix epoch.
     pub since: Duration,
-    /// When maintenance was last completed, since the Unix epoch; at first, when it joined.
+    /// When maintenance was last completed, since the Unix epoch; at first, when the host joined.
     pub maintained: Duration,
     /// Maintenances completed since it joined.
     pub maintenances: u32,
-    /// Pool that it moves to; empty unless it moves.
+    /// Pool that it moves to; empty if it is not moving.
     pub next_pool: PoolId,
-    /// What the host list last said of it.
+    /// Latest facts from the host list.
     pub facts: HostFacts,
 }
 
 impl HostState {
-    /// A host that belongs to `pool` and still has to pass its health check.
+    /// Creates a host that belongs to `pool` and has yet to pass its health check.
     pub fn joining(pool: PoolId, facts: HostFacts, now: Duration) -> Self {
         Self {
             pool,
@@ -65,21 +65,21 @@
         self.phase == HostPhase::Serving
     }
 
-    /// True if the host was to come back from maintenance and did not.
+    /// True if the host failed to return from maintenance.
     pub fn failed_return(&self) -> bool {
         matches!(self.phase, HostPhase::Lost | HostPhase::Retired)
             && self.cause == OutCause::Maintenance
     }
 
-    /// True if it came back from maintenance after `time`.
+    /// True if it returned from maintenance after `time`.
     ///
-    /// A host that joined lately is not meant: it carries the time of that as its last
-    /// maintenance, which proves nothing of reboots.
+    /// Hosts that joined recently are excluded: their join time is stored as their last
+    /// maintenance, which is no evidence about reboots.
     pub fn returned_since(&self, time: Duration) -> bool {
         self.maintained > time && self.maintenances > 0
     }
 
-    /// Its stay in the phase it is in, which no other stay of it equals.
+    /// Its phase and when it entered it; unique among all phases of the host.
     pub fn phase_entry(&self) -> (HostPhase, Duration) {
         (self.phase, self.since)
     }
@@ -96,7 +96,7 @@
 }
 
 impl HostState {
-    /// Reads the record of the store.
+    /// Reads a stored record.
     pub fn from_record(record: &HostRecord) -> Self {
         Self {
             pool: record.pool.as_str().into(),
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The record that the store keeps of this host.
+    /// The record to store for this host.
     pub fn to_record(&self, host: &HostId) -> HostRecord {
         HostRecord {
             host: host.to_string(),
--- a/crates/decide/src/budget/pool_ledger.rs
+++ b/crates/decide/src/budget/pool_ledger.rs
@@ -4,26 +4,26 @@
 
 use super::{FleetMap, HostPhase, HostState, OutCause};
 
-/// What a pool has in service and what it lacks, counted on one revision of the map.
+/// Counts of a pool's hosts at one revision of the map.
 ///
-/// The count is taken on the map that the permit is written to with compare-and-swap.
-/// Counted anywhere else, two planners could each see the last spare host and take two.
+/// The counts come from the same map that the permit is written to with compare-and-swap. Otherwise
+/// two planners could each see the last spare host and take two.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PoolLedger {
-    /// Hosts that serve.
+    /// Hosts in service.
     pub in_service: u32,
-    /// Hosts out for maintenance or on the way to another pool.
+    /// Hosts out for maintenance or moving to another pool.
     pub planned_out: u32,
-    /// Hosts that were to come back from maintenance and did not.
+    /// Hosts that failed to return from maintenance.
     pub failed_returns: u32,
-    /// Racks that have a host out, with their data centres.
+    /// Racks with a host out, with their data centres.
     pub out_domains: BTreeSet<(DataCentreId, RackId)>,
 }
 
 /// Why a pool can't spare a host now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OutageRefusal {
-    /// One host fewer would leave the pool below its budget and reserve.
+    /// With one host fewer, the pool would be below its budget and reserve.
     #[error("at its availability budget")]
     AtBudget,
     /// As many hosts are out as the window allows.
@@ -32,13 +32,13 @@
     /// Hosts of another failure domain are out.
     #[error("another failure domain is out")]
     OtherDomain,
-    /// A host did not come back from maintenance.
+    /// A host did not return from maintenance.
     #[error("a host did not return from maintenance")]
     FailedReturn,
 }
 
 impl PoolLedger {
-    /// Counts `pool` on `map`.
+    /// Counts the hosts of `pool` in `map`.
     pub fn count(map: &FleetMap, pool: &PoolId) -> Self {
         Self::of_hosts(map.pool_hosts(pool).map(|(_, state)| state))
     }
@@ -52,22 +52,22 @@
         ledger
     }
 
-    /// Hosts that the pool keeps above its budget while hosts are out by plan.
+    /// Hosts that the pool keeps above its budget during planned outages.
     ///
-    /// An unplanned loss can come at any moment of a planned outage. With one host in
-    /// reserve the first loss leaves the pool at its budget and not below it. A pool
-    /// with a single host to spare has no room for a reserve.
+    /// An unplanned loss can happen at any time during a planned outage. With one host in reserve,
+    /// the first loss leaves the pool at its budget and not below it. A pool that can spare only
+    /// one host keeps no reserve, because it could then never spare it.
     pub fn reserve(spec: &PoolSpec) -> u32 {
         u32::from(spec.size >= spec.budget.saturating_add(2))
     }
 
-    /// Most hosts that `spec` and a window let out at once.
+    /// Maximum number of hosts that `spec` and a window let out at once.
     pub fn max_out(spec: &PoolSpec, at_once: u32) -> u32 {
         let slack = spec.size.saturating_sub(spec.budget);
         at_once.min(slack.saturating_sub(Self::reserve(spec)))
     }
 
-    /// Says whether `state`, a host in service, may go out for maintenance.
+    /// Checks whether `state`, a host in service, may go out for maintenance.
     ///
     /// # Errors
     /// The first reason against it.
@@ -91,7 +91,7 @@
         Ok(())
     }
 
-    /// Says whether the pool can lose one host in service by plan.
+    /// Checks whether the pool can spare one host in service for a planned outage.
     ///
     /// # Errors
     /// `AtBudget` if it can't.
--- a/crates/decide/src/job/job_state.rs
+++ b/crates/decide/src/job/job_state.rs
@@ -3,20 +3,20 @@
 use model::{HostId, JobId, PoolId, RequestId, ServiceId, TeamId};
 use wire::fleet::{JobPhase, JobRecord};
 
-/// What was submitted; it never changes.
+/// The submission of a job; immutable.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct JobSpec {
     /// Id of the job.
     pub job: JobId,
-    /// Id that makes repeating the submission idempotent.
+    /// Id that makes repeated submissions idempotent.
     pub request: RequestId,
-    /// Team that it belongs to.
+    /// Team that submitted it.
     pub team: TeamId,
     /// Service that it was submitted to.
     pub service: ServiceId,
     /// Pool whose workers run it.
     pub pool: PoolId,
-    /// What the worker is handed.
+    /// Payload passed to the worker.
     pub payload: Vec<u8>,
     /// Declared processors.
     pub cores: u32,
@@ -32,20 +32,20 @@
     pub accepted: Duration,
 }
 
-/// A job and how far it is.
+/// A job and its progress.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct JobState {
-    /// What was submitted.
+    /// The submission.
     pub spec: Arc<JobSpec>,
-    /// How far it is.
+    /// Current phase.
     pub phase: JobPhase,
-    /// Attempts so far, the current one included.
+    /// Number of attempts, the current one included.
     pub attempt: u32,
-    /// Attempts that ran and failed, or may have run and were cut off.
+    /// Attempts that failed, or were interrupted and may have run.
     pub failures: u32,
-    /// Worker of the current attempt; empty while none has it.
+    /// Worker of the current attempt; empty while no worker has it.
     pub worker: HostId,
-    /// Which incarnation of the worker the attempt was recorded for.
+    /// Boot id of the worker for which the attempt was recorded.
     pub worker_boot: String,
     /// Distinct healthy workers that it failed on.
     pub failed_on: Vec<HostId>,
@@ -53,7 +53,7 @@
     pub reason: String,
     /// When it ended, since the Unix epoch; zero before.
     pub ended: Duration,
-    /// Not started again before this time, since the Unix epoch.
+    /// Earliest time of the next attempt, since the Unix epoch.
     pub next_try: Duration,
     /// True once its cancellation was recorded.
     pub cancelling: bool,
@@ -62,16 +62,16 @@
 /// Groups of phases that are treated alike.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PhaseKind {
-    /// No worker has it.
+    /// No worker has the job.
     Waiting,
-    /// A worker has it or may have it.
+    /// A worker has the job or may have it.
     Placed,
-    /// Nothing more will be done.
+    /// The job has ended.
     Ended,
 }
 
 impl JobState {
-    /// A job that waits for its first attempt.
+    /// Creates a job that waits for its first attempt.
     pub fn queued(spec: JobSpec) -> Self {
         Self {
             spec: Arc::new(spec),
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Which group its phase is in.
+    /// The group of the current phase.
     pub fn kind(&self) -> PhaseKind {
         match self.phase {
             JobPhase::Queued | JobPhase::Unspecified => PhaseKind::Waiting,
@@ -105,10 +105,10 @@
         }
     }
 
-    /// The job once an operator or caller cancelled it.
+    /// The job after an operator or caller cancelled it.
     ///
-    /// One that a worker has is stopped there first: only its answer proves that nothing
-    /// runs any more.
+    /// If a worker has the job, it is stopped there first: only the worker's response proves that
+    /// the task no longer runs.
     pub fn cancelled(&self, now: Duration) -> Self {
         match self.kind() {
             PhaseKind::Waiting => self.ended_as(JobPhase::Cancelled, "cancelled", now),
@@ -120,7 +120,7 @@
         }
     }
 
-    /// The job once it ended in `phase`.
+    /// The job after it ended in `phase`.
     pub fn ended_as(&self, phase: JobPhase, reason: &str, now: Duration) -> Self {
         Self {
             phase,
@@ -132,7 +132,7 @@
 }
 
 impl JobState {
-    /// Reads the record of the store.
+    /// Reads a stored record.
     pub fn from_record(record: JobRecord) -> Self {
         let phase = record.phase();
         let spec = JobSpec {
@@ -164,9 +164,9 @@
         }
     }
 
-    /// The record that the store keeps of this job.
+    /// The record to store for this job.
     ///
-    /// The payload of a job that ended is not needed again and is left out.
+    /// The payload of an ended job is no longer needed and is left out.
     pub fn to_record(&self) -> JobRecord {
         let spec = &self.spec;
         let ended = self.kind() == PhaseKind::Ended;
--- a/crates/decide/src/wave.rs
+++ b/crates/decide/src/wave.rs
@@ -1,9 +1,9 @@
-//! Maintenance: which hosts go out when, and how each comes back.
+//! Maintenance: which hosts are taken out of service when, and how each returns.
 //!
-//! Start with [`RoundPlan::make`], which turns what is known of the fleet into the next
-//! change of the pool map. It is called again and again with fresh observations; whatever
-//! it needs to remember is in the map, so that another entry host can go on where one
-//! stopped. See `docs/design/07-fleet.md`.
+//! Start with [`RoundPlan::plan`], which turns the observed state of the fleet into the next change
+//! of the pool map. It is called repeatedly with fresh observations. All state that it needs
+//! between rounds is in the map, so that another entry host can continue. See
+//! `docs/design/07-fleet.md`.
 
 mod lend;
 mod observation;
--- a/crates/decide/src/wave/lend.rs
+++ b/crates/decide/src/wave/lend.rs
@@ -5,19 +5,18 @@
 use super::RoundInput;
 use crate::budget::{FleetMap, HostPhase, HostState, OutCause};
 
-/// Workers of the spare pool that set out for pools which lack hosts.
+/// Moves workers of the spare pool, and surplus workers, to pools that lack hosts.
 ///
-/// A pool that lost a host has no slack left for the next loss, and no maintenance. A host
-/// that comes back later finds its place taken and stays all the same: it is reassigned on when
-/// another pool lacks one.
+/// A pool that lost a host has no slack for the next loss and gets no maintenance. A lost host that
+/// returns finds its place filled. It stays, and is reassigned when another pool lacks a host.
 pub(super) fn reassign_spares(
-    view: &RoundInput<'_>,
+    input: &RoundInput<'_>,
     map: &FleetMap,
 ) -> BTreeMap<HostId, HostState> {
     let mut available = count_available(map);
-    let mut donors = donors(view, map, &available);
+    let mut donors = donors(input, map, &available);
     let mut reassigned = BTreeMap::new();
-    for (pool, spec) in &view.manifest.pools {
+    for (pool, spec) in &input.manifest.pools {
         if spec.spare || spec.role != HostRole::Worker {
             continue;
         }
@@ -26,7 +25,7 @@
             let Some((host, state)) = take_donor(&mut donors, map, pool) else {
                 break;
             };
-            let mut next = state.entering(HostPhase::Draining, OutCause::Move, view.now);
+            let mut next = state.entering(HostPhase::Draining, OutCause::Move, input.now);
             next.next_pool = pool.clone();
             *available.entry(pool.clone()).or_default() += 1;
             reassigned.insert(host, next);
@@ -35,7 +34,7 @@
     reassigned
 }
 
-/// Hosts that serve a pool or will soon, counted where they are going.
+/// Hosts that serve a pool or soon will; a moving host counts in its destination.
 fn count_available(map: &FleetMap) -> BTreeMap<PoolId, u32> {
     let mut available = BTreeMap::new();
     for state in map.hosts.values() {
@@ -56,16 +55,16 @@
     available
 }
 
-/// Hosts that may be reassigned: those in service in spare pools, and what others have beyond
-/// their size.
+/// Hosts that may be reassigned: those in service in spare pools, and those that other pools have
+/// beyond their size.
 fn donors<'a>(
-    view: &RoundInput<'_>,
+    input: &RoundInput<'_>,
     map: &'a FleetMap,
     available: &BTreeMap<PoolId, u32>,
 ) -> Vec<(&'a HostId, &'a HostState)> {
     let mut donors = Vec::new();
     for (pool, hosts) in map.by_pool() {
-        let Some(spec) = view.manifest.pools.get(pool) else {
+        let Some(spec) = input.manifest.pools.get(pool) else {
             continue;
         };
         let serving = hosts.into_iter().filter(|(_, state)| state.in_service());
--- a/crates/decide/src/wave/observation.rs
+++ b/crates/decide/src/wave/observation.rs
@@ -2,34 +2,34 @@
 
 use crate::budget::{HostFacts, HostPhase, HostState};
 
-/// What this entry host has lately seen of one host.
+/// Recent observations of one host by this entry host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HostObservation {
-    /// What the host list says of it; `None` if the list does not show it.
+    /// What the host list says about the host; `None` if the host is not listed.
     pub facts: Option<HostFacts>,
-    /// True if the list shows that the platform takes the host away.
+    /// True if the list shows that the platform is removing the host.
     pub leaving: bool,
-    /// How long the list has not shown it; zero while it does.
+    /// How long the host has been missing from the list; zero while it is listed.
     pub missing_for: Duration,
-    /// What its health endpoint answered.
+    /// Last response of its health endpoint.
     pub health: HealthStatus,
-    /// The stay in which it was asked, see [`HostObservation::health_in_phase`].
+    /// The phase entry in which it was probed, see [`HostObservation::health_in_phase`].
     pub probed_in: PhaseEntry,
 }
 
-/// One stay of a host in a phase: the phase and when it began.
+/// A phase of a host and when the host entered it.
 pub type PhaseEntry = (HostPhase, Duration);
 
 impl HostObservation {
-    /// True if the list shows the host and does not say that it leaves.
+    /// True if the host is listed and not leaving.
     pub fn is_staying(&self) -> bool {
         self.facts.is_some() && !self.leaving
     }
 
-    /// What the health endpoint answered since the host entered the phase it is in.
+    /// The response of the health endpoint since the host entered its present phase.
     ///
-    /// An answer from before proves nothing: a host about to reboot that said it serves
-    /// a second ago, before it was told to drain, would pass for one that is back, and
+    /// An earlier response proves nothing. A host about to reboot may have reported a second ago
+    /// that it serves, before it was told to drain. It would pass for one that has returned, and
     /// its maintenance would count as done without a reboot.
     pub fn health_in_phase(&self, state: &HostState) -> HealthStatus {
         if self.probed_in == state.phase_entry() {
@@ -39,25 +39,25 @@
     }
 }
 
-/// What the health endpoint of a host showed, unless that is long ago.
+/// Recent state of a host's health endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum HealthStatus {
-    /// Not asked lately.
+    /// Not probed recently.
     #[default]
     Unknown,
-    /// It answered.
+    /// It responded.
     Answering {
-        /// True if it takes no new work.
+        /// True if it accepts no new work.
         draining: bool,
         /// Requests and tasks that it runs.
         running: u32,
     },
-    /// It did not answer several times in a row.
+    /// Several consecutive probes got no response.
     Failing,
 }
 
 impl HealthStatus {
-    /// True if the host answered that it takes new work.
+    /// True if the host reports that it accepts new work.
     pub fn is_serving(self) -> bool {
         matches!(
             self,
@@ -68,7 +68,7 @@
         )
     }
 
-    /// True if the host answered that it takes no new work and runs none.
+    /// True if the host reports that it accepts no new work and runs none.
     pub fn is_drained(self) -> bool {
         matches!(
             self,
@@ -80,30 +80,30 @@
     }
 }
 
-/// Times and counts by which hosts are judged.
+/// Time limits and host counts of maintenance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetLimits {
     /// How far the host list may lag; a host missing for longer is lost.
     pub list_lag: Duration,
     /// How long a lost host keeps its place in its pool.
     pub forget_after: Duration,
-    /// How long the map remembers a host that was given up.
+    /// How long the map keeps a retired host.
     pub retired_retention: Duration,
-    /// Longest time from reboot to a passed health check.
+    /// Maximum time from reboot to a passed health check.
     pub return_limit: Duration,
-    /// Shortest time between coming back and serving.
+    /// Minimum time between returning and serving.
     pub settle_time: Duration,
-    /// Hosts of the whole fleet that may fail to return before no more go out.
+    /// Number of hosts in the fleet that may fail to return before maintenance halts.
     pub failed_returns: u32,
-    /// Fewest hosts of the whole fleet that go out first; see [`FleetLimits::allowance`].
+    /// Minimum number of hosts in the fleet that go out first; see [`FleetLimits::allowance`].
     pub min_first_out: u32,
-    /// The fleet divided by this is the number that go out first, if that is more.
+    /// Divisor of the fleet size that gives the number of hosts that go out first, if that is more.
     pub first_divisor: u32,
-    /// How long a host that returned counts as a proof that hosts do.
+    /// How long a returned host counts as evidence that hosts return from maintenance.
     pub return_evidence_age: Duration,
-    /// The fleet divided by this is the most that may be out for maintenance at once.
+    /// Divisor of the fleet size that gives the maximum number of hosts out for maintenance.
     pub fleet_divisor: u32,
-    /// Time a host is expected to be out, used to end waves within the window.
+    /// Expected duration of an outage. A host goes out only if that much of its window is left.
     pub expected_outage: Duration,
 }
 
@@ -126,14 +126,14 @@
 }
 
 impl FleetLimits {
-    /// Hosts of the whole fleet that may be out for maintenance at once.
+    /// Number of hosts of the whole fleet that may be out for maintenance at once.
     ///
-    /// What breaks one host on its reboot, such as a bad image, breaks them all, and
-    /// pools that are each within their budget would go down together. So only a few
-    /// hosts go first, and each that returned lets two more go: the number out triples
-    /// from one turn to the next, and a fault shows while it is still small. Proofs last
-    /// a little longer than a day, or a nightly window of an hour would start anew each
-    /// night and 1,200 hosts would not be through in eight weeks.
+    /// A fault that breaks one host on reboot, such as a bad image, breaks them all, and pools that
+    /// each keep to their budget would go down together. So only a few hosts go first, and each one
+    /// that returned allows two more: the number out triples from one round of reboots to the next,
+    /// and a fault shows while few hosts are out. Evidence lasts a little longer than a day.
+    /// Otherwise a nightly window of an hour would start over each night, and 1,200 hosts would
+    /// take more than eight weeks.
     pub fn allowance(&self, fleet: u32, returned_lately: u32) -> u32 {
         let first = (fleet / self.first_divisor.max(1)).max(self.min_first_out);
         let most = (fleet / self.fleet_divisor.max(1)).max(first);
--- a/crates/decide/src/wave/outage_planner.rs
+++ b/crates/decide/src/wave/outage_planner.rs
@@ -5,51 +5,51 @@
 use super::{FleetLimits, HealthStatus, RoundInput, WindowClock};
 use crate::budget::{FleetMap, HostPhase, HostState, OutCause, PoolHosts, PoolLedger};
 
-/// Grants outages for maintenance, pool by pool, on the map that the round will write.
+/// Grants outages for maintenance pool by pool, based on the map that the round will write.
 pub(super) struct OutagePlanner<'a> {
-    view: &'a RoundInput<'a>,
+    input: &'a RoundInput<'a>,
     map: &'a FleetMap,
     pools: BTreeMap<&'a PoolId, PoolHosts<'a>>,
 }
 
-/// What one pool was granted and what has to be probed before it can be granted more.
+/// Outages granted in one pool, and hosts to probe before more can be granted.
 #[derive(Default)]
 pub(super) struct PoolPermits {
-    /// Hosts that go out.
+    /// Hosts that are taken out of service.
     pub(super) granted: BTreeMap<HostId, HostState>,
-    /// Hosts in service whose health is not known.
+    /// Hosts in service whose health is unknown.
     pub(super) probes: Vec<HostId>,
 }
 
 impl<'a> OutagePlanner<'a> {
-    pub(super) fn new(view: &'a RoundInput<'a>, map: &'a FleetMap) -> Self {
+    pub(super) fn new(input: &'a RoundInput<'a>, map: &'a FleetMap) -> Self {
         let pools = map.by_pool();
-        Self { view, map, pools }
+        Self { input, map, pools }
     }
 
     fn pool_hosts(&self, pool: &PoolId) -> &[(&'a HostId, &'a HostState)] {
         self.pools.get(pool).map_or(&[], Vec::as_slice)
     }
 
-    /// True once so many hosts failed to return, anywhere, that no more may go out.
+    /// True once enough hosts failed to return that no more may go out anywhere.
     ///
-    /// A bad image or a broken rack shows as hosts that stay away after their reboot.
-    /// Each pool alone would notice after one host; the fleet notices here, before the
-    /// same fault takes one host of every pool.
+    /// A bad image or a broken rack shows as hosts that do not return from their reboot. Each pool
+    /// alone would notice after one host. This check counts across the fleet, before the same fault
+    /// takes one host of every pool.
     pub(super) fn halted(&self) -> bool {
         let failed = self.map.hosts.values().filter(|s| s.failed_return());
-        failed.count() >= self.view.limits.failed_returns as usize
+        failed.count() >= self.input.limits.failed_returns as usize
     }
 
-    /// Hosts that may go out in this round, over all pools.
+    /// Number of hosts that may go out in this round, over all pools.
     ///
-    /// A host that never returned counts as out for as long as the map remembers it.
+    /// A host that never returned counts as out as long as the map keeps it.
     pub(super) fn remaining_outages(&self) -> u32 {
         let (mut fleet, mut out, mut returned) = (0, 0, 0);
         let proof_since = self
-            .view
+            .input
             .now
-            .saturating_sub(self.view.limits.return_evidence_age);
+            .saturating_sub(self.input.limits.return_evidence_age);
         for state in self.map.hosts.values() {
             let serving = state.in_service();
             let retired = state.phase == HostPhase::Retired;
@@ -57,7 +57,7 @@
             out += u32::from(!serving && state.cause == OutCause::Maintenance);
             returned += u32::from(serving && state.returned_since(proof_since));
         }
-        let allowance = self.view.limits.allowance(fleet, returned);
+        let allowance = self.input.limits.allowance(fleet, returned);
         allowance.saturating_sub(out)
     }
 
@@ -89,16 +89,16 @@
                 continue;
             }
             ledger.take_out(state);
-            let out = state.entering(HostPhase::Draining, OutCause::Maintenance, self.view.now);
+            let out = state.entering(HostPhase::Draining, OutCause::Maintenance, self.input.now);
             permits.granted.insert(host.clone(), out);
         }
         permits
     }
 
     fn open_window(&self, spec: &PoolSpec) -> Option<&'a WindowSpec> {
-        let window = self.view.manifest.windows.get(&spec.window)?;
-        let left = WindowClock::new(window).time_left(self.view.now)?;
-        (left >= self.view.limits.expected_outage.min(window.length)).then_some(window)
+        let window = self.input.manifest.windows.get(&spec.window)?;
+        let left = WindowClock::new(window).time_left(self.input.now)?;
+        (left >= self.input.limits.expected_outage.min(window.length)).then_some(window)
     }
 
     /// Hosts in service that are due, those of the most overdue rack first.
@@ -109,7 +109,7 @@
             .iter()
             .copied()
             .filter(|(_, state)| {
-                state.in_service() && clock.is_due(state.maintained, self.view.now)
+                state.in_service() && clock.is_due(state.maintained, self.input.now)
             })
             .collect();
         let mut oldest: BTreeMap<&RackId, Duration> = BTreeMap::new();
@@ -124,17 +124,18 @@
         due
     }
 
-    /// Hosts counted as in service that have not lately answered that they are.
+    /// Hosts in service that have not recently reported that they serve.
     ///
-    /// The map learns of a loss late. A permit granted on the map alone could take the
-    /// last spare host while another is down already.
+    /// The map learns of a loss late. A permit based on the map alone could take the last spare
+    /// host while another is already down.
     fn unconfirmed_hosts(&self, pool: &PoolId) -> Vec<HostId> {
         self.pool_hosts(pool)
             .iter()
             .filter(|(host, state)| {
-                let observation = self.view.observations.get(*host);
-                let health =
-                    observation.map_or(HealthStatus::Unknown, |seen| seen.health_in_phase(state));
+                let observation = self.input.observations.get(*host);
+                let health = observation.map_or(HealthStatus::Unknown, |observed| {
+                    observed.health_in_phase(state)
+                });
                 state.in_service() && !health.is_serving()
             })
             .map(|(host, _)| (*host).clone())
@@ -142,22 +143,22 @@
     }
 }
 
-/// The state of a draining host whose window is not open any more; `None` if it stays.
+/// The next state of a draining host whose window has closed; `None` if it does not change.
 ///
-/// A host that has not been rebooted yet goes back to work. One that has finishes, as
-/// nothing is gained by stopping half-way.
-pub(super) fn cancel_drain(view: &RoundInput<'_>, state: &HostState) -> Option<HostState> {
+/// A host that was not rebooted yet returns to service. A rebooted host finishes its maintenance,
+/// because stopping halfway gains nothing.
+pub(super) fn cancel_drain(input: &RoundInput<'_>, state: &HostState) -> Option<HostState> {
     if state.phase != HostPhase::Draining || state.cause != OutCause::Maintenance {
         return None;
     }
-    let spec = view.manifest.pools.get(&state.pool)?;
-    let window = view.manifest.windows.get(&spec.window);
-    let open = window.is_some_and(|window| WindowClock::new(window).time_left(view.now).is_some());
-    (!open).then(|| state.entering(HostPhase::Checking, OutCause::Joining, view.now))
+    let spec = input.manifest.pools.get(&state.pool)?;
+    let window = input.manifest.windows.get(&spec.window);
+    let open = window.is_some_and(|window| WindowClock::new(window).time_left(input.now).is_some());
+    (!open).then(|| state.entering(HostPhase::Checking, OutCause::Joining, input.now))
 }
 
 impl FleetLimits {
-    /// True if a retired host may be forgotten.
+    /// True if a retired host may be removed from the map.
     pub(super) fn retention_expired(&self, state: &HostState, now: Duration) -> bool {
         state.phase == HostPhase::Retired && now >= state.since + self.retired_retention
     }
--- a/crates/decide/src/wave/pool_choice.rs
+++ b/crates/decide/src/wave/pool_choice.rs
@@ -4,7 +4,7 @@
 
 use crate::budget::{FleetMap, HostFacts, HostPhase, HostState};
 
-/// Chooses the pools of hosts that have none.
+/// Chooses pools for hosts that have none.
 #[derive(Clone, Debug)]
 pub struct PoolChoice<'a> {
     manifest: &'a Manifest,
@@ -13,7 +13,7 @@
 }
 
 impl<'a> PoolChoice<'a> {
-    /// A choice among the pools of `manifest`, filled as `map` says.
+    /// Creates a choice among the pools of `manifest`, with the hosts of `map` counted.
     pub fn new(manifest: &'a Manifest, map: &FleetMap) -> Self {
         let mut choice = Self {
             manifest,
@@ -26,10 +26,9 @@
         choice
     }
 
-    /// Counts a host that is given to a pool.
+    /// Counts a host that is assigned to a pool.
     ///
-    /// A host on its way counts in the pool that it goes to, so that its place is not
-    /// filled a second time.
+    /// A moving host counts in its destination, so that its place is not filled twice.
     pub fn add(&mut self, state: &HostState) {
         if state.phase == HostPhase::Retired {
             return;
@@ -46,9 +45,9 @@
 
     /// The pool that a host with these facts should belong to; `None` if no pool takes it.
     ///
-    /// An executor belongs to the pool of its service. A worker goes where most hosts
-    /// are missing, and among equals where its rack has the fewest, so that one rack
-    /// takes as little of a pool with it as can be.
+    /// An executor belongs to the pool of its service. A worker goes to the pool that lacks most
+    /// hosts and, among equals, to the one with the fewest hosts in its rack, so that the loss of a
+    /// rack takes as little of a pool as possible.
     pub fn pool_for(&self, facts: &HostFacts) -> Option<PoolId> {
         if facts.role == HostRole::Executor {
             let service = self.manifest.services.get(&facts.service)?;
--- a/crates/decide/src/wave/progress.rs
+++ b/crates/decide/src/wave/progress.rs
@@ -5,25 +5,26 @@
 use super::{FleetLimits, HealthStatus, HostObservation};
 use crate::budget::{HostPhase, HostState, OutCause};
 
-/// The next state of one host by what was seen of it; `None` if it stays as it is.
+/// The next state of one host according to its observation; `None` if it does not change.
 ///
-/// Only steps that take nothing from a pool's budget by choice are made here: losses,
-/// leavings, and the way of a host that is out already.
+/// Only transitions that do not use a pool's budget by choice are made here: losses, removals by
+/// the platform, and the progress of a host that is already out.
 pub(super) fn next_state(
     state: &HostState,
     observation: &HostObservation,
     limits: &FleetLimits,
     now: Duration,
 ) -> Option<HostState> {
-    let seen = HostTransition {
+    let transition = HostTransition {
         state,
         observation,
         limits,
         now,
     };
-    seen.after_leaving()
-        .or_else(|| seen.after_loss())
-        .or_else(|| seen.after_progress())
+    transition
+        .after_leaving()
+        .or_else(|| transition.after_loss())
+        .or_else(|| transition.after_progress())
 }
 
 struct HostTransition<'a> {
--- a/crates/decide/src/wave/round_plan.rs
+++ b/crates/decide/src/wave/round_plan.rs
@@ -9,64 +9,64 @@
 };
 use crate::budget::{FleetMap, HostState, MapChange};
 
-/// What a planning round knows.
+/// Input of a planning round.
 #[derive(Clone, Copy, Debug)]
 pub struct RoundInput<'a> {
     /// Time since the Unix epoch.
     pub now: Duration,
     /// The pool map that the round's change will be written against.
     pub map: &'a FleetMap,
-    /// The manifest in force.
+    /// The active manifest.
     pub manifest: &'a Manifest,
-    /// What was seen of each host.
+    /// Observations by host.
     pub observations: &'a BTreeMap<HostId, HostObservation>,
-    /// True if the host list was read lately.
+    /// True if the host list was read recently.
     pub list_fresh: bool,
-    /// Times and counts by which hosts are judged.
+    /// Time limits and host counts of maintenance.
     pub limits: &'a FleetLimits,
 }
 
 /// The next change of the pool map.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RoundPlan {
-    /// What to write, with compare-and-swap against the map of the view.
+    /// The change to write, with compare-and-swap against the map of the input.
     pub change: MapChange,
-    /// Hosts whose health decides what may come next.
+    /// Hosts to probe, whose health decides the next changes.
     pub probes: Vec<HostId>,
-    /// True while hosts that failed to return keep all others from going out.
+    /// True while maintenance is halted because hosts failed to return.
     pub halted: bool,
 }
 
 impl RoundPlan {
-    /// Plans one round: what was lost, what came back, what joins, and last what may go out.
+    /// Plans one round: losses, returns, new hosts, moves, and last the outages for maintenance.
     ///
-    /// The order matters: outages are granted on the map that holds the losses of the
-    /// same round, so a loss and a permit can't both use the last spare host.
-    pub fn plan(view: &RoundInput<'_>) -> Self {
-        if view.manifest.pools.is_empty() {
+    /// The order matters: outages are granted on the map that includes the losses of the same
+    /// round, so a loss and a permit can't both use the last spare host.
+    pub fn plan(input: &RoundInput<'_>) -> Self {
+        if input.manifest.pools.is_empty() {
             return Self::default();
         }
         let mut plan = Self::default();
-        plan.follow_hosts(view);
-        plan.join_hosts(view);
-        plan.rehome_hosts(view);
-        plan.grant_permits(view);
+        plan.follow_hosts(input);
+        plan.join_hosts(input);
+        plan.rehome_hosts(input);
+        plan.grant_permits(input);
         plan
     }
 
-    fn follow_hosts(&mut self, view: &RoundInput<'_>) {
+    fn follow_hosts(&mut self, input: &RoundInput<'_>) {
         let unseen = HostObservation::default();
-        for (host, state) in &view.map.hosts {
-            let observation = view.observations.get(host).unwrap_or(&unseen);
-            if observation.facts.is_none() && view.limits.retention_expired(state, view.now) {
+        for (host, state) in &input.map.hosts {
+            let observation = input.observations.get(host).unwrap_or(&unseen);
+            if observation.facts.is_none() && input.limits.retention_expired(state, input.now) {
                 self.change.removed.push(host.clone());
                 continue;
             }
             if !state.in_service() {
                 self.probes.push(host.clone());
             }
-            let next = progress::next_state(state, observation, view.limits, view.now)
-                .or_else(|| cancel_drain(view, state));
+            let next = progress::next_state(state, observation, input.limits, input.now)
+                .or_else(|| cancel_drain(input, state));
             let next = with_facts(next, state, observation);
             if let Some(next) = next {
                 self.change.hosts.insert(host.clone(), next);
@@ -74,42 +74,42 @@
         }
     }
 
-    fn join_hosts(&mut self, view: &RoundInput<'_>) {
-        let mut choice = PoolChoice::new(view.manifest, &view.map.with_change(&self.change));
-        for (host, observation) in view.observations {
+    fn join_hosts(&mut self, input: &RoundInput<'_>) {
+        let mut choice = PoolChoice::new(input.manifest, &input.map.with_change(&self.change));
+        for (host, observation) in input.observations {
             let Some(facts) = &observation.facts else {
                 continue;
             };
-            if observation.leaving || view.map.hosts.contains_key(host) {
+            if observation.leaving || input.map.hosts.contains_key(host) {
                 continue;
             }
             let Some(pool) = choice.pool_for(facts) else {
                 continue;
             };
-            let state = HostState::joining(pool, facts.clone(), view.now);
+            let state = HostState::joining(pool, facts.clone(), input.now);
             choice.add(&state);
             self.change.hosts.insert(host.clone(), state);
         }
     }
 
-    fn rehome_hosts(&mut self, view: &RoundInput<'_>) {
-        let map = view.map.with_change(&self.change);
-        self.change.hosts.extend(rehome::rehome_hosts(view, &map));
-        if view.list_fresh {
-            let map = view.map.with_change(&self.change);
-            self.change.hosts.extend(lend::reassign_spares(view, &map));
+    fn rehome_hosts(&mut self, input: &RoundInput<'_>) {
+        let map = input.map.with_change(&self.change);
+        self.change.hosts.extend(rehome::rehome_hosts(input, &map));
+        if input.list_fresh {
+            let map = input.map.with_change(&self.change);
+            self.change.hosts.extend(lend::reassign_spares(input, &map));
         }
     }
 
-    fn grant_permits(&mut self, view: &RoundInput<'_>) {
-        let map = view.map.with_change(&self.change);
-        let planner = OutagePlanner::new(view, &map);
+    fn grant_permits(&mut self, input: &RoundInput<'_>) {
+        let map = input.map.with_change(&self.change);
+        let planner = OutagePlanner::new(input, &map);
         self.halted = planner.halted();
-        if self.halted || !view.list_fresh {
+        if self.halted || !input.list_fresh {
             return;
         }
         let mut left = planner.remaining_outages();
-        for (pool, spec) in &view.manifest.pools {
+        for (pool, spec) in &input.manifest.pools {
             let permits = planner.grant_pool(pool, spec, left);
             left = left.saturating_sub(u32::try_from(permits.granted.len()).unwrap_or(left));
             self.change.hosts.extend(permits.granted);
@@ -118,7 +118,7 @@
     }
 }
 
-/// Takes over what the host list now says of a host that is otherwise unchanged.
+/// Copies the facts of the host list into the state of an otherwise unchanged host.
 fn with_facts(
     next: Option<HostState>,
     state: &HostState,
--- a/crates/decide/src/wave/window_clock.rs
+++ b/crates/decide/src/wave/window_clock.rs
@@ -4,18 +4,18 @@
 
 const DAY: Duration = Duration::from_secs(24 * 3600);
 
-/// Part of the interval by which maintenance begins before it is due, so that every
-/// host is done in time even if some windows are lost.
+/// Divisor of the interval that gives how long before the due time maintenance begins, so that
+/// every host is done in time even if some windows are lost.
 const LEAD_DIVISOR: u32 = 4;
 
-/// Answers when a window is open and when a host is due.
+/// Computes when a maintenance window is open and when a host is due.
 #[derive(Clone, Copy, Debug)]
 pub struct WindowClock<'a> {
     spec: &'a WindowSpec,
 }
 
 impl<'a> WindowClock<'a> {
-    /// A clock of the window that `spec` describes.
+    /// Creates a clock of the window `spec`.
     pub fn new(spec: &'a WindowSpec) -> Self {
         Self { spec }
     }
--- a/crates/decide/tests/job.rs
+++ b/crates/decide/tests/job.rs
@@ -1,5 +1,5 @@
-//! Properties of jobs under lost messages, late messages, restarts of workers and holders,
-//! on seeded models. A failing case prints its seed.
+//! Randomized models of jobs with lost messages, late messages, and restarts of workers and
+//! holders. A failing case prints its seed.
 #![allow(clippy::expect_used)]
 
 use std::{collections::BTreeMap, time::Duration};
@@ -13,19 +13,19 @@
 const SEEDS: u64 = 3000;
 const STEPS: usize = 400;
 
-/// A guard that a test takes away, to see that the check notices.
+/// A guard that a test disables to show that the check notices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum GuardFault {
     None,
     /// A start is sent before it is recorded.
     SentUnrecorded,
-    /// A holder whose log was taken over goes on writing.
+    /// A holder whose log was taken over keeps writing.
     WriteUnfenced,
     /// A worker forgets which starts it refused.
     RefusalForgotten,
-    /// A worker runs starts that were meant for its life before.
+    /// A worker runs starts that were meant for its previous incarnation.
     BootIgnored,
-    /// A worker says of a start meant for its life before that it was not run.
+    /// A worker reports a start meant for its previous incarnation as not run.
     OtherLifeRefused,
     /// A worker runs a task id again.
     RepeatsRun,
@@ -44,7 +44,7 @@
     task: String,
 }
 
-/// An entry host with the job in memory, in the term in which it took the log over.
+/// An entry host with the job in memory, in the term in which it took over the log.
 #[derive(Clone, Debug)]
 struct HolderModel {
     term: u64,
@@ -95,12 +95,12 @@
                 4..8 => self.restart_worker(),
                 8..10 => self.kill_holder(),
                 10..35 => self.deliver(),
-                _ => self.act(),
+                _ => self.step_holder(),
             }
         }
     }
 
-    /// A new holder reads what is recorded; the one before may live on.
+    /// A new holder reads what is recorded; the previous one may still run.
     fn take_over(&mut self) {
         self.term += 1;
         let state = self.recorded.clone();
@@ -128,13 +128,13 @@
         self.workers[index].tasks.clear();
     }
 
-    /// One holder does one thing.
-    fn act(&mut self) {
+    /// One holder performs one step.
+    fn step_holder(&mut self) {
         let index = self.random.random_range(0..self.holders.len());
         let mut holder = self.holders[index].clone();
         match holder.state.kind() {
             PhaseKind::Waiting => self.place(&mut holder),
-            PhaseKind::Placed => self.push_on(&mut holder),
+            PhaseKind::Placed => self.advance(&mut holder),
             PhaseKind::Ended => {}
         }
         let alive = self.flush(&mut holder);
@@ -158,7 +158,7 @@
         }
     }
 
-    fn push_on(&mut self, holder: &mut HolderModel) {
+    fn advance(&mut self, holder: &mut HolderModel) {
         self.send_once(holder);
         if holder.sent_attempt != holder.state.attempt {
             return;
@@ -215,14 +215,14 @@
         true
     }
 
-    /// One start arrives, in any order; its answer is lost, and the holder asks later.
+    /// One start arrives, in any order. Its response is lost, and the holder polls later.
     fn deliver(&mut self) {
         if self.flying.is_empty() {
             return;
         }
         let index = self.random.random_range(0..self.flying.len());
         let message = self.flying.swap_remove(index);
-        // Some arrive twice, as a retry below the holder's report.
+        // Some arrive twice, as with a retry at the transport level.
         if self.random.random_bool(0.2) {
             self.flying.push(message.clone());
         }
@@ -238,7 +238,7 @@
         let other_life = message.boot != worker.boot.to_string();
         let kept = [GuardFault::BootIgnored, GuardFault::OtherLifeRefused];
         if other_life && !kept.contains(&self.fault) {
-            // Nothing is remembered: the task may have run in the life before.
+            // Nothing is remembered: the task may have run in the previous incarnation.
             return;
         }
         if (other_life && self.fault != GuardFault::BootIgnored) || refuses {
@@ -251,7 +251,7 @@
     }
 }
 
-fn first_double(fault: GuardFault) -> Option<(u64, u32)> {
+fn first_double_run(fault: GuardFault) -> Option<(u64, u32)> {
     (0..SEEDS).find_map(|seed| {
         let mut world = JobWorld::new(fault, seed);
         world.run();
@@ -261,9 +261,9 @@
 
 #[test]
 fn job_not_idempotent_runs_at_most_once() {
-    // Holders die or are taken over while alive, workers restart, starts come late, twice
-    // or are refused. A second run would bill a customer twice.
-    assert_eq!(first_double(GuardFault::None), None);
+    // Guards against a second run, which would bill a customer twice. Holders die or are taken over
+    // while alive, workers restart, and starts arrive late, twice or are refused.
+    assert_eq!(first_double_run(GuardFault::None), None);
 }
 
 #[rstest]
@@ -274,12 +274,12 @@
 #[case::other_life_refused(GuardFault::OtherLifeRefused)]
 #[case::repeats_run(GuardFault::RepeatsRun)]
 fn check_catches_missing_guard(#[case] fault: GuardFault) {
-    let caught = first_double(fault);
+    let caught = first_double_run(fault);
     assert!(caught.is_some(), "no seed of {SEEDS} shows {fault:?}");
 }
 
 #[test]
-fn job_told_done_has_run() {
+fn job_reported_done_has_run() {
     let mut ended = BTreeMap::new();
     for seed in 0..SEEDS {
         let mut world = JobWorld::new(GuardFault::None, seed);
--- a/crates/decide/tests/lend.rs
+++ b/crates/decide/tests/lend.rs
@@ -1,4 +1,5 @@
-//! The spare pool fills pools that lost hosts, and a fleet that shrinks keeps its pools.
+//! The spare pool fills pools that lost hosts, and a shrinking fleet keeps its pools at their
+//! budgets.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -16,7 +17,7 @@
 }
 
 impl Fleet {
-    /// Two pools of eight and a spare of four.
+    /// Two pools of eight and a spare pool of four.
     fn new() -> Self {
         let mut manifest = Manifest::default();
         let mut map = FleetMap::default();
@@ -95,9 +96,9 @@
 }
 
 #[test]
-fn lend_lost_host_is_replaced() {
-    // A worker dies. Its pool is at its budget from then on, so the next loss would break
-    // the promise; the spare pool must stand in within seconds.
+fn reassign_spares_replaces_lost_host() {
+    // A worker dies. Its pool is then at its budget, and the next loss would violate it. The spare
+    // pool must replace the worker within seconds.
     let mut fleet = Fleet::new();
     fleet.dead.push("coding-3".into());
     fleet.run(10);
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn lend_returned_host_is_lent_on() {
+fn reassign_spares_moves_returned_host_on() {
     let mut fleet = Fleet::new();
     fleet.dead.push("coding-3".into());
     fleet.run(10);
@@ -122,9 +123,9 @@
 }
 
 #[test]
-fn lend_fleet_shrinks_by_a_fifth() {
-    // A fifth of the workers retires for good. The spare pool gives what it has, pools
-    // keep their budgets, and none gives to another below its own size.
+fn reassign_spares_keeps_budgets_of_shrinking_fleet() {
+    // A fifth of the workers retires for good. The spare pool gives all its hosts, pools keep their
+    // budgets, and no pool gives hosts below its own size.
     let mut fleet = Fleet::new();
     let lost = ["coding-0", "coding-1", "weights-0", "weights-1"];
     fleet.dead = lost.map(HostId::from).to_vec();
--- a/crates/decide/tests/wave.rs
+++ b/crates/decide/tests/wave.rs
@@ -1,5 +1,5 @@
-//! Properties of maintenance under losses, store outages and two planners at once, on
-//! seeded models. A failing case prints its seed.
+//! Randomized models of maintenance with losses, store outages and two concurrent planners. A
+//! failing case prints its seed.
 #![allow(clippy::expect_used)]
 
 mod common;
@@ -28,10 +28,10 @@
 }
 
 #[test]
-fn plan_round_keeps_budgets() {
-    // Hosts fail while others are out for maintenance, the store goes away, and two
-    // entry hosts plan at once from maps of different age. A pool that a plan takes
-    // below its budget shows as refused or late work.
+fn plan_keeps_budgets() {
+    // Guards against a pool below its budget, which shows as refused or late work. Hosts fail while
+    // others are out for maintenance, the store becomes unreachable, and two entry hosts plan at
+    // once from maps of different age.
     assert_eq!(first_violation(GuardFault::None), None);
 }
 
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn plan_round_maintains_every_host() {
+fn plan_maintains_every_host() {
     let options = WorldOptions {
         losses_per_hour: 0.0,
         store_outages: false,
@@ -58,13 +58,13 @@
     world.run(RUN);
     let reboots = world.reboots();
     assert!(reboots.iter().all(|count| *count >= 1), "{reboots:?}");
-    assert!(world.conflicts > 0, "two planners never met");
+    assert!(world.conflicts > 0, "two planners never conflicted");
 }
 
 #[test]
-fn plan_round_stops_when_hosts_stay_away() {
-    // A bad image: every host that reboots stays down, and callers of all pools would
-    // notice together. Only the first two hosts of the fleet may be lost to it.
+fn plan_stops_when_hosts_stay_away() {
+    // Guards against a bad image that takes down all pools: every rebooted host stays down, and
+    // only the first two hosts of the fleet may be lost to it.
     let options = WorldOptions {
         pools: 12,
         losses_per_hour: 0.0,
