--- a/crates/decide/src/call_budget.rs
+++ b/crates/decide/src/call_budget.rs
@@ -1,50 +1,51 @@
-//! Which of an owner's calls go first when its link can't carry them all.
+//! Prioritizes an owner's calls when its link can't carry them all.
 //!
-//! Start with [`CallBudget`]; `docs/design/13-platform.md` says what an owner calls for.
+//! Start with [`CallBudget`]; `docs/design/13-platform.md` describes the calls of an owner.
 
 use std::time::Duration;
 
 use model::BootTime;
 
-/// Bytes that a short call takes of a link together with its answer, on average.
+/// Average size of a short call with its response on the link, in bytes.
 const CALL_BYTES: f64 = 1500.0;
-/// How long the calls under way may keep the link busy at first.
+/// How long the calls in flight may keep the link busy at first.
 const INITIAL_FILL: Duration = Duration::from_millis(100);
-/// How long they may keep it busy at most.
+/// Maximum time for which the calls in flight may keep the link busy.
 const MAX_FILL: Duration = Duration::from_millis(250);
-/// Least part of the first limit that is left when answers come late.
+/// Lower bound of the limit, as a fraction of the initial limit, when responses are late.
 const MIN_LIMIT_FACTOR: f64 = 0.4;
-/// Calls that may be under way on the narrowest link.
+/// Calls that may be in flight on the narrowest link.
 const MIN_CALLS: f64 = 4.0;
-/// Answers that take longer are late: something on the way holds them back.
+/// Responses that take longer than this are late: something on the path delays them.
 const LATE_AFTER: Duration = Duration::from_millis(150);
-/// What is left of the limit after a late answer.
+/// Factor applied to the limit after a late response.
 const LATE_DECREASE: f64 = 0.7;
-/// Least time between two such steps, as calls that were sent together are late together.
+/// Minimum time between two such decreases, because calls that were sent together are late
+/// together.
 const DECREASE_INTERVAL: Duration = Duration::from_millis(200);
-/// Lists of hosts are under way for at most one such part of the time.
+/// Lists of hosts are in flight for at most this part of the time: one in six.
 const LIST_SPACING_FACTOR: u32 = 6;
-/// Longest time that one list is counted for.
+/// Maximum duration that is counted for one list.
 const MAX_LIST_TIME: Duration = Duration::from_millis(300);
 
-/// What a call to a target is for, in the order in which calls go ahead.
+/// Purpose of a call to a target, in order of priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallClass {
     /// Stops a task.
     Stop,
-    /// Looks at a target whose tasks need more time granted soon, or at one of a predecessor that
+    /// Polls a target whose tasks need their time extended soon, or a target of a predecessor that
     /// has not been reached.
     Renew,
     /// Starts a task.
     Start,
-    /// Looks at a target.
+    /// Polls a target.
     Poll,
-    /// Looks at a target that did not answer the last call.
+    /// Polls a target that did not respond to the last call.
     Probe,
 }
 
 impl CallClass {
-    /// Part of the limit up to which calls of this class go ahead.
+    /// Fraction of the limit up to which calls of this class are admitted.
     fn limit_fraction(self) -> f64 {
         match self {
             Self::Stop => f64::INFINITY,
@@ -55,11 +56,11 @@
     }
 }
 
-/// Bounds the calls that an owner has under way, by what its link carries and by how soon answers
-/// come.
+/// Limits the calls that an owner has in flight, by the bandwidth of its link and by the latency of
+/// responses.
 ///
-/// More calls than the link carries are answered too late: they time out and are repeated, and the
-/// renewals of the owner's lease wait behind them.
+/// If more calls are sent than the link carries, responses are late. The calls time out and are
+/// repeated, and the renewals of the owner's lease wait behind them.
 #[derive(Clone, Debug)]
 pub struct CallBudget {
     initial_limit: f64,
@@ -67,13 +68,13 @@
     limit: f64,
     decreased_at: BootTime,
     in_flight: f64,
-    /// Calls under way to targets that did not answer the last. They may last until they time out
-    /// and take nothing of the link, so they have a part of their own.
+    /// Calls in flight to targets that did not respond to the last call. They may last until they
+    /// time out but use little of the link, so they are counted separately.
     probes: f64,
 }
 
 impl CallBudget {
-    /// The budget of an owner whose link carries so many bytes a second.
+    /// Creates the budget of an owner whose link carries `bytes_per_second`.
     pub fn new(bytes_per_second: f64) -> Self {
         let calls = |fill: Duration| bytes_per_second * fill.as_secs_f64() / CALL_BYTES;
         let initial_limit = calls(INITIAL_FILL).max(MIN_CALLS);
@@ -97,15 +98,15 @@
         used + 1.0 <= most
     }
 
-    /// A call is sent.
+    /// Counts a call that is sent.
     pub fn begin(&mut self, class: CallClass) {
         *self.in_flight_mut(class) += 1.0;
     }
 
-    /// A call was answered or given up, so long after its sending.
+    /// Handles the end of a call that was answered or given up after `took`.
     pub fn end(&mut self, class: CallClass, took: Duration, now: BootTime) {
         self.release(class);
-        // A target that did not answer before may be gone, which says nothing of the link.
+        // A target that was unresponsive before may be gone, which says nothing about the link.
         if class == CallClass::Probe {
             return;
         }
@@ -118,7 +119,7 @@
         }
     }
 
-    /// A call is under way whose answer comes when the target has something to tell.
+    /// Stops counting a call whose response is delayed until the target has something to report.
     pub fn release(&mut self, class: CallClass) {
         let used = self.in_flight_mut(class);
         *used = (*used - 1.0).max(0.0);
@@ -132,15 +133,16 @@
     }
 }
 
-/// Spaces lists of hosts out by the time that they take.
+/// Spaces out list requests for hosts according to their duration.
 ///
-/// A list grows with the fleet. On a narrow link one list after the other leaves no room for the
-/// renewals of the owner's lease.
+/// The size of a list grows with the fleet. On a narrow link, consecutive lists would leave no
+/// bandwidth for the renewals of the owner's lease.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ListThrottle {
-    /// Up to when lists have used their part of the time.
+    /// Until then, lists have used up their part of the time.
     busy_until: BootTime,
-    /// How long before that the next list may begin: two in a row show that a incarnation has ended.
+    /// How much earlier the next list may begin: two lists in a row show that an incarnation has
+    /// ended.
     lead: Duration,
 }
 
@@ -150,10 +152,10 @@
         now + self.lead >= self.busy_until
     }
 
-    /// A list that began at `begun` took so long.
+    /// Records a list that began at `begun` and lasted `took`.
     pub fn record_list(&mut self, begun: BootTime, took: Duration) {
-        let part = took.min(MAX_LIST_TIME) * LIST_SPACING_FACTOR;
-        self.busy_until = self.busy_until.max(begun) + part;
-        self.lead = part;
+        let counted = took.min(MAX_LIST_TIME) * LIST_SPACING_FACTOR;
+        self.busy_until = self.busy_until.max(begun) + counted;
+        self.lead = counted;
     }
 }
--- a/crates/decide/src/claim.rs
+++ b/crates/decide/src/claim.rs
@@ -1,27 +1,27 @@
-//! Which request ids may still run: the state of the host that minted them.
+//! Claims of request ids: the host that minted an id records whether it may still run.
 //!
-//! Start with [`ClaimLedger`]; `docs/design/04-at-most-once.md` says why it is enough.
+//! Start with [`ClaimLedger`]; `docs/design/04-at-most-once.md` explains why that is sufficient.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use model::{Incarnation, MemberId, RequestId, TeamId};
 
-/// How many granted claims are remembered for a repeated question.
+/// Number of granted claims that are remembered for repeated requests.
 const MAX_REMEMBERED_GRANTS: usize = 1024;
 
-/// A request id taken apart: the host that minted it, which incarnation of it, and a count.
+/// A parsed request id: the host that minted it, its incarnation, and a counter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MintedId {
     /// The host that minted the id: its home.
     pub home: MemberId,
-    /// Which incarnation of the home.
+    /// Incarnation of the home.
     pub incarnation: Incarnation,
-    /// Count of the home's ids.
+    /// Counter of the home's ids.
     pub counter: u64,
 }
 
 impl MintedId {
-    /// Takes an id apart; `None` if no entry host minted it.
+    /// Parses an id; `None` if no entry host minted it.
     pub fn parse(request: &RequestId) -> Option<Self> {
         let (rest, counter) = request.rsplit_once('.')?;
         let (home, incarnation) = rest.rsplit_once('.')?;
@@ -30,7 +30,7 @@
             incarnation: incarnation.parse().ok()?,
             counter: counter.parse().ok()?,
         };
-        // Only the canonical spelling: `e1.1.07` must not pass for another id than `e1.1.7`.
+        // Only the canonical form: `e1.1.07` must not pass for another id than `e1.1.7`.
         (!home.is_empty() && minted.to_request() == *request).then_some(minted)
     }
 
@@ -43,21 +43,21 @@
     }
 }
 
-/// Who asks to run a request; a repeated question carries the same values.
+/// The claimant of a request; a repeated claim carries the same values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claimant {
-    /// The entry host that asks.
+    /// The entry host that claims the id.
     pub member: MemberId,
-    /// Which incarnation of it.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Its count of claims.
+    /// Its counter of claims.
     pub call: u64,
 }
 
-/// Whether a claim was granted.
+/// Result of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimGrant {
-    /// The asker may run the request, once.
+    /// The claimant may run the request, once.
     First,
     /// The id was used before, or is no longer open.
     Taken,
@@ -67,14 +67,14 @@
 struct GrantedClaim {
     counter: u64,
     team: TeamId,
-    asker: Claimant,
+    claimant: Claimant,
 }
 
 /// The ids that one incarnation of an entry host minted and that may still run.
 ///
-/// An id runs only while it is in `open`, and claiming takes it out. Whatever the ledger
-/// does not hold, because it was claimed, pushed out by newer ids, or never minted, does
-/// not run. So memory stays bounded and forgetting is safe.
+/// An id runs only while it is in `open`, and a claim removes it. An id that the ledger does not
+/// hold does not run: it was claimed, evicted by newer ids, or never minted. So memory stays
+/// bounded, and forgetting an id is safe.
 #[derive(Clone, Debug)]
 pub struct ClaimLedger {
     next: u64,
@@ -84,7 +84,7 @@
 }
 
 impl ClaimLedger {
-    /// A ledger that keeps at most `capacity` ids open.
+    /// Creates a ledger that keeps at most `capacity` ids open.
     pub fn new(capacity: usize) -> Self {
         Self {
             next: 1,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// A fresh id that `team` may claim once; the oldest open id makes room.
+    /// Mints an id that `team` may claim once; the oldest open id is evicted if the ledger is full.
     pub fn mint(&mut self, team: &TeamId) -> u64 {
         if self.open.len() >= self.capacity {
             self.open.pop_first();
@@ -104,29 +104,28 @@
         counter
     }
 
-    /// A fresh id that nobody can claim: its one run is under way where it was minted.
+    /// Mints an id that can't be claimed, because its only run takes place where it is minted.
     pub fn mint_claimed(&mut self) -> u64 {
         let counter = self.next;
         self.next += 1;
         counter
     }
 
-    /// Claims an id. At most one asker ever gets `First` for it; that asker may repeat its
-    /// question, since an answer can be lost on the way.
-    pub fn claim(&mut self, counter: u64, team: &TeamId, asker: &Claimant) -> ClaimGrant {
+    /// Claims an id. At most one claimant ever gets `First` for it. That claimant may repeat its
+    /// request, because a response can be lost.
+    pub fn claim(&mut self, counter: u64, team: &TeamId, claimant: &Claimant) -> ClaimGrant {
         if self.open.get(&counter).is_some_and(|owner| owner == team) {
             self.open.remove(&counter);
             self.remember(GrantedClaim {
                 counter,
                 team: team.clone(),
-                asker: asker.clone(),
+                claimant: claimant.clone(),
             });
             return ClaimGrant::First;
         }
-        let repeated = self
-            .granted
-            .iter()
-            .any(|grant| grant.counter == counter && grant.team == *team && grant.asker == *asker);
+        let repeated = self.granted.iter().any(|grant| {
+            grant.counter == counter && grant.team == *team && grant.claimant == *claimant
+        });
         if repeated {
             ClaimGrant::First
         } else {
@@ -134,12 +133,12 @@
         }
     }
 
-    /// True while nobody has claimed the id, so that it was never run.
+    /// True while the id is unclaimed, which proves that it never ran.
     pub fn is_open(&self, counter: u64) -> bool {
         self.open.contains_key(&counter)
     }
 
-    /// How many ids are open.
+    /// Number of open ids.
     pub fn open_count(&self) -> usize {
         self.open.len()
     }
--- a/crates/decide/src/config/plan.rs
+++ b/crates/decide/src/config/plan.rs
@@ -6,12 +6,12 @@
 
 use super::ConfigState;
 
-/// Bounds on what the store keeps.
+/// Size limits of stored values.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigLimits {
-    /// Most bytes of changes in the record; beyond it they are folded into a base.
+    /// Maximum size of the changes in the record, in bytes; beyond it they are folded into a base.
     pub tail_bytes: usize,
-    /// Most bytes of a base.
+    /// Maximum size of a base, in bytes.
     pub base_bytes: usize,
 }
 
@@ -24,16 +24,16 @@
     }
 }
 
-/// A change as an operator asks for it.
+/// A change requested by an operator.
 #[derive(Clone, Copy, Debug)]
 pub struct PlanInput<'a> {
     /// Id of the change.
     pub change_id: &'a str,
-    /// Who asks.
+    /// The operator.
     pub author: &'a str,
-    /// Wall-clock time of the request, in milliseconds of the Unix epoch.
+    /// Wall-clock time of the request, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
-    /// Revision that the change was made against; `None` for the newest.
+    /// Revision that the change is based on; `None` for the newest.
     pub base: Option<Revision>,
     /// Sections to replace or remove.
     pub sections: &'a [SectionEdit],
@@ -41,38 +41,38 @@
     pub keys: &'a [KeyEdit],
 }
 
-/// What to do with a change.
+/// The result of planning a change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangePlan {
-    /// The same change made this revision before.
+    /// The same change already created this revision.
     Repeated(Revision),
-    /// Another change came first.
+    /// Another change was made first.
     Conflict {
-        /// Revision that the change was made against.
+        /// Revision that the change is based on.
         base: Revision,
         /// Newest revision.
         newest: Revision,
         /// Sections and keys that changed in between, as far back as the tail reaches.
         touched: Vec<String>,
     },
-    /// The result would not be valid.
+    /// The resulting configuration would be invalid.
     Invalid(String),
-    /// Write this.
+    /// Values to write.
     Write(Box<ConfigWrite>),
 }
 
-/// What to write for a change: the base, if there is one, and then the record.
+/// Values to write for a change: first the base, if there is one, then the record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigWrite {
     /// The record.
     pub record: ConfigRecord,
-    /// The base that the record is to name, where it needs a new one.
+    /// The new base that the record refers to, if it needs one.
     pub base: Option<ConfigBase>,
-    /// The configuration that the change makes.
+    /// The configuration after the change.
     pub next: ConfigState,
 }
 
-/// Plans a change on top of `state`, which is that of `record`.
+/// Plans a change on top of `state`, the state of `record`.
 #[must_use]
 pub fn plan_change(
     state: &ConfigState,
@@ -98,8 +98,8 @@
         keys: input.keys.to_vec(),
         ..Change::default()
     });
-    // A change of keys alone is not held up by the manifest: administration keys come
-    // before the first manifest, and a withdrawal must pass whatever the sections hold.
+    // A change of keys alone does not require a valid manifest: administration keys are granted
+    // before the first manifest, and a withdrawal must succeed whatever the sections contain.
     if !input.sections.is_empty()
         && let Err(error) = Manifest::from_sections(&next.sections)
     {
--- a/crates/decide/src/config/state.rs
+++ b/crates/decide/src/config/state.rs
@@ -6,16 +6,16 @@
     Change, ChangeMark, ConfigBase, ConfigRecord, KeyRecord, SectionEdit, SectionMark,
 };
 
-/// Change ids that are remembered beyond the tail.
+/// Number of change ids that are remembered beyond the tail.
 const MAX_MARKS: usize = 1024;
 
-/// Why a change or a record can't be taken.
+/// Why a change or a record can't be applied.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    /// The change does not follow on the revision held.
+    /// The change does not follow the present revision.
     #[error("change {found} does not follow revision {held}")]
     Gap {
-        /// Revision held.
+        /// Present revision.
         held: Revision,
         /// Revision of the change.
         found: Revision,
@@ -23,17 +23,17 @@
     /// Two configurations of the same revision differ: the store or a host is corrupt.
     #[error("revision {0} has two different hashes")]
     Diverged(Revision),
-    /// The record refers to a base that is needed and not at hand.
+    /// The record refers to a base that is needed but was not given.
     #[error("the base {0} is needed")]
     BaseNeeded(String),
 }
 
-/// What a record from the store or a peer brought.
+/// Result of applying a record from the store or a peer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CatchUp {
-    /// Nothing new.
+    /// No change.
     Same,
-    /// The record is older than what is held: a stale watch, or a store that went back.
+    /// The record is older than the present state: a stale watch, or a store that lost writes.
     Stale,
     /// A newer configuration.
     Newer(ConfigState),
@@ -42,7 +42,7 @@
 /// The whole configuration at one revision.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConfigState {
-    /// Count of changes.
+    /// Number of changes.
     pub revision: Revision,
     /// Hash of sections and keys.
     pub hash: u64,
@@ -55,7 +55,7 @@
 }
 
 impl ConfigState {
-    /// The configuration that a base holds.
+    /// Reads the configuration from a base.
     #[must_use]
     pub fn from_base(base: &ConfigBase) -> Self {
         let sections = base.sections.iter();
@@ -107,13 +107,13 @@
         }
     }
 
-    /// The revision of the change that last touched a section.
+    /// The revision of the last change to a section.
     #[must_use]
     pub fn touched_at(&self, section: &str) -> Revision {
         self.touched.get(section).copied().unwrap_or_default()
     }
 
-    /// The revision that a change id made, if it is still remembered.
+    /// The revision that a change id created, if it is still remembered.
     #[must_use]
     pub fn revision_of(&self, change_id: &str) -> Option<Revision> {
         let mark = self.marks.iter().rev().find(|(id, _)| id == change_id);
@@ -140,7 +140,7 @@
         Ok(())
     }
 
-    /// Completes a drafted change with the revision and the hash that it makes.
+    /// Completes a drafted change with the revision and the hash that it creates.
     #[must_use]
     pub fn draft(&self, mut change: Change) -> (Change, Self) {
         let mut next = self.clone();
@@ -150,7 +150,7 @@
         (change, next)
     }
 
-    /// Applies those of `changes` that follow, in order.
+    /// Applies the changes that follow the present revision, in order.
     ///
     /// # Errors
     /// See [`ConfigError`].
@@ -167,11 +167,11 @@
         Ok(CatchUp::Newer(next))
     }
 
-    /// Follows a record; `base` is the base that it names, if it was read.
+    /// Applies a record; `base` is the base that it refers to, if it was read.
     ///
-    /// A record older than what is held is never followed. The failure this guards against:
-    /// a watch or a peer delivers an old value after a newer one, and a withdrawn key works
-    /// again on that host.
+    /// A record older than the present state is never applied. The failure this guards against: a
+    /// watch or a peer delivers an old value after a newer one, and a withdrawn key works again on
+    /// that host.
     ///
     /// # Errors
     /// `BaseNeeded` if the tail does not reach back far enough.
@@ -192,7 +192,7 @@
         let next = match self.apply_tail(&record.tail) {
             Ok(CatchUp::Newer(next)) => next,
             Ok(_) | Err(ConfigError::Gap { .. }) => Self::from_record(record, base)?,
-            Err(fault) => return Err(fault),
+            Err(error) => return Err(error),
         };
         if (next.revision, next.hash) != (record.revision, record.hash) {
             return Err(ConfigError::Diverged(record.revision));
@@ -257,7 +257,7 @@
     }
 }
 
-/// Feeds the fields one by one: hosts of a later schema hash what hosts of this one see.
+/// Hashes the fields one by one, so that hosts with a newer schema compute the same hash.
 fn hash_key(hasher: &mut Sha256, record: &KeyRecord) {
     hash_part(hasher, record.team.as_bytes());
     hash_part(hasher, &[u8::from(record.admin)]);
@@ -267,7 +267,7 @@
     hash_part(hasher, &record.expires_unix_ms.to_be_bytes());
 }
 
-/// Feeds a part with its length, so that no two lists of parts look alike.
+/// Hashes a part with its length, so that different lists of parts have different input.
 fn hash_part(hasher: &mut Sha256, part: &[u8]) {
     hasher.update((part.len() as u64).to_be_bytes());
     hasher.update(part);
--- a/crates/decide/src/eject.rs
+++ b/crates/decide/src/eject.rs
@@ -1,4 +1,4 @@
-//! Which targets get no requests because they fail everything.
+//! Ejection of targets that fail all their requests.
 //!
 //! Start with [`TargetHealth`]; `docs/design/04-at-most-once.md` has the reasons.
 
@@ -6,18 +6,18 @@
 
 use model::BootTime;
 
-/// Failures in a row after which a target counts as failing everything.
+/// Number of consecutive failures after which a target is ejected.
 const EJECT_AFTER_FAILURES: u32 = 5;
-/// How long the first ejection lasts; it doubles with each one in a row.
+/// Duration of the first ejection; doubles with each consecutive one.
 const FIRST_EJECTION: Duration = Duration::from_secs(1);
-/// How long a failed target is tried after the others, doubling with each failure in a row.
+/// How long a failed target is tried only after the others; doubles with each consecutive failure.
 const FIRST_SUSPICION: Duration = Duration::from_millis(100);
-/// How long it is tried after the others at most.
+/// Longest time for which it is tried only after the others.
 const LONGEST_SUSPICION: Duration = Duration::from_secs(5);
-/// How long an ejection lasts at most.
+/// Longest ejection.
 const LONGEST_EJECTION: Duration = Duration::from_secs(60);
 
-/// How a target did lately, as one entry host saw it.
+/// Recent health of a target, as observed by one entry host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TargetHealth {
     failures: u32,
@@ -30,32 +30,32 @@
 /// How much work a target may get.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetUse {
-    /// All that its slots allow.
+    /// As much as its slots allow.
     Full,
-    /// One request at a time, to see whether it is back.
+    /// One request at a time, to check whether it has recovered.
     Probe,
     /// None.
     Ejected,
 }
 
 impl TargetHealth {
-    /// Notes that the target answered.
+    /// Records that the target responded.
     pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
-    /// Notes that the target failed a request. `may_eject` says whether the pool can spare
-    /// it: ejecting must never leave fewer targets than the pool's budget, because a fault
+    /// Records that the target failed a request. `may_eject` says whether the pool can spare the
+    /// target. Ejections must never leave fewer targets than the pool's budget, because a fault
     /// that all targets share would otherwise empty the pool.
     ///
-    /// True if this failure ejected the target.
+    /// Returns true if this failure ejected the target.
     pub fn record_failure(&mut self, now: BootTime, may_eject: bool) -> bool {
         self.failures = self.failures.saturating_add(1);
         self.suspect_until =
             now + exponential_backoff(FIRST_SUSPICION, self.failures - 1, LONGEST_SUSPICION);
-        // A target on probe does not count as in use, so ejecting it again takes nothing out.
-        let due = self.probing || (may_eject && self.failures >= EJECT_AFTER_FAILURES);
-        if !due || now < self.ejected_until {
+        // A target on probe does not count as in use, so ejecting it again needs no spare.
+        let should_eject = self.probing || (may_eject && self.failures >= EJECT_AFTER_FAILURES);
+        if !should_eject || now < self.ejected_until {
             return false;
         }
         self.ejected_until =
@@ -65,8 +65,8 @@
         true
     }
 
-    /// Whether the target failed so lately that others should be tried first. No bound of
-    /// the pool limits this, since it takes no target out of use.
+    /// True if the target failed so recently that others should be tried first. The pool's budget
+    /// does not limit this, because the target stays in use.
     pub fn is_suspect(&self, now: BootTime) -> bool {
         now < self.suspect_until
     }
@@ -87,7 +87,7 @@
     first.saturating_mul(1 << doublings.min(16)).min(longest)
 }
 
-/// Whether a pool with `in_use` targets, none of them ejected, can spare one more.
+/// True if a pool with `in_use` targets, none of them ejected, can spare one.
 pub fn can_spare(in_use: usize, budget: u32) -> bool {
     let budget = usize::try_from(budget).unwrap_or(usize::MAX).max(1);
     in_use > budget
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,8 +1,8 @@
-//! Pure decisions on leases, quotas, shares, placement and maintenance.
+//! Pure decision logic for leases, quotas, shares, placement and maintenance.
 //!
-//! Time, state and messages come in as values, and what to do comes out as values: nothing
-//! here reads a clock, starts a thread or opens a socket. `scripts/check` holds the crate
-//! to that. The design notes in `docs/design/` argue each mechanism.
+//! Time, state and messages are passed in as values, and actions are returned as values. Nothing
+//! here reads a clock, starts a thread or opens a socket; `scripts/check` enforces that. The design
+//! notes in `docs/design/` explain each mechanism.
 
 pub mod budget;
 pub mod call_budget;
--- a/crates/decide/src/member.rs
+++ b/crates/decide/src/member.rs
@@ -1,15 +1,15 @@
-//! The member list: who may vouch for whom, and what makes a quorum while the list changes.
+//! The member list and its quorums, also while the list changes.
 //!
-//! Start with [`MemberList`]. Every function maps a list to its successor; the caller writes
-//! it by compare-and-swap. `docs/design/01-membership.md` argues why any two quorums in use
-//! share a member.
+//! Start with [`MemberList`]. Every function maps a list to its successor; the caller writes it by
+//! compare-and-swap. `docs/design/01-membership.md` explains why any two quorums in use share a
+//! member.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
 use model::{Incarnation, MemberId, Revision};
 use wire::state::{Member, MemberRecord};
 
-/// How many members must vouch, of `count` in the list.
+/// Size of a majority of `count` members.
 #[must_use]
 pub const fn majority(count: usize) -> usize {
     count / 2 + 1
@@ -17,9 +17,9 @@
 
 /// The member list at one revision.
 ///
-/// It holds the members and the *settled* members: those of the last list that a quorum was
-/// known to hold. A quorum is a majority of both. So the list may change at any time and by
-/// any number of steps: a quorum of the new list always meets one of the settled list.
+/// It holds the members and the *settled* members: those of the last list that a quorum was known
+/// to hold. A quorum is a majority of both. So the list may change at any time and by any number of
+/// members: a quorum of the new list always overlaps one of the settled list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MemberList {
     record: MemberRecord,
@@ -40,25 +40,25 @@
 }
 
 impl MemberList {
-    /// The list that `record` holds.
+    /// Wraps a stored record.
     #[must_use]
     pub fn new(record: MemberRecord) -> Self {
         Self { record }
     }
 
-    /// The record as the store keeps it.
+    /// The record to store.
     #[must_use]
     pub fn record(&self) -> &MemberRecord {
         &self.record
     }
 
-    /// Count of changes of the list.
+    /// Number of changes of the list.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.record.revision
     }
 
-    /// Whoever holds this list must hold a configuration of at least this revision.
+    /// A host that holds this list must hold a configuration of at least this revision.
     #[must_use]
     pub fn config_floor(&self) -> Revision {
         self.record.config_floor
@@ -76,7 +76,7 @@
         self.record.members.iter().find(|m| m.id == member)
     }
 
-    /// True if this very incarnation of the member is listed.
+    /// True if exactly this incarnation of the member is listed.
     #[must_use]
     pub fn contains(&self, member: &str, incarnation: Incarnation) -> bool {
         self.find(member)
@@ -92,13 +92,13 @@
 
 /// Quorums.
 impl MemberList {
-    /// True if the incarnations for which `agrees` holds make a quorum.
+    /// True if the incarnations for which `agrees` is true form a quorum.
     pub fn has_quorum(&self, agrees: impl Fn(&Member) -> bool) -> bool {
         let stamp = |member: &Member| agrees(member).then_some(());
         self.quorum_value(stamp).is_some()
     }
 
-    /// The largest value that a quorum reaches, where `value` gives that of one incarnation.
+    /// The largest value that a quorum reaches, where `value` returns the value of one incarnation.
     pub fn quorum_value<V: Ord>(&self, value: impl Fn(&Member) -> Option<V>) -> Option<V> {
         let members = majority_value(self.members().iter(), &value)?;
         if self.is_settled() {
@@ -108,8 +108,8 @@
         Some(members.min(settled))
     }
 
-    /// The list without the incarnations that are known to have ended. They vouch for nobody, so a
-    /// majority of the others shares a member with every quorum that may still form.
+    /// The list without the incarnations that are known to have ended. They acknowledge nothing any
+    /// more, so a majority of the others shares a member with every quorum that may still form.
     #[must_use]
     pub fn without_ended(&self, acks: &ListAcks) -> Self {
         let mut living = self.clone();
@@ -128,11 +128,11 @@
     }
 }
 
-/// Changes of the list. Each takes the list's newest state and `floor`, the configuration
-/// revision that the caller read from the store after it had read the list.
+/// Changes of the list. Each is applied to the newest list. `floor` is the configuration revision
+/// that the caller read from the store after it had read the list.
 impl MemberList {
-    /// The list with the next incarnation handed out; its members and revision stay. `mark`
-    /// is unique to the caller, who can so tell its own write from another's.
+    /// The list with the next incarnation allocated; members and revision do not change. `mark` is
+    /// unique to the caller, so that it can tell its own write from another's.
     #[must_use]
     pub fn with_next_incarnation(&self, mark: &[u8]) -> (Self, Incarnation) {
         let mut next = self.clone();
@@ -197,12 +197,12 @@
         Ok(next)
     }
 
-    /// Hands `member` the votes of settled incarnations whose id or address it has taken over. They
-    /// have ended, since both belong to one process at a time.
+    /// Transfers the votes of settled incarnations to `member` if it has taken over their id or
+    /// address. They have ended, because an id and an address belong to one process at a time.
     ///
-    /// A vote must not just lapse. The failure this guards against: the only settled member
-    /// restarts, others join, and make a quorum without it; cut off, it takes itself for a
-    /// quorum of the list that it joined, and goes on serving with a withdrawn key.
+    /// A vote must not simply expire. The failure this guards against: the only settled member
+    /// restarts, others join, and they form a quorum without it. Disconnected, it considers itself
+    /// a quorum of the list that it joined and keeps serving with a withdrawn key.
     fn inherit_votes(&mut self, member: &Member) {
         for settled in &mut self.record.settled {
             let is_same_id = settled.id == member.id && settled.incarnation < member.incarnation;
@@ -212,8 +212,8 @@
         }
     }
 
-    /// The next revision. Its settled members are those settled before; the very first list
-    /// has none before it and is settled as it is.
+    /// The next revision. Its settled members are those settled before; the very first list has no
+    /// predecessor and is settled as it is.
     fn successor(&self, floor: Revision) -> Self {
         let mut next = self.clone();
         next.record.revision += 1;
@@ -225,35 +225,36 @@
     }
 }
 
-/// Which revision each incarnation of a member is known to hold, and which incarnations have ended.
+/// The revision that each incarnation of a member is known to hold, and the incarnations that have
+/// ended.
 #[derive(Clone, Debug, Default)]
 pub struct ListAcks {
     held: BTreeMap<(MemberId, Incarnation), Revision>,
-    gone: BTreeMap<MemberId, Incarnation>,
+    ended: BTreeMap<MemberId, Incarnation>,
 }
 
 impl ListAcks {
-    /// Notes that this incarnation of `member` holds at least `revision`.
+    /// Records that this incarnation of `member` holds at least `revision`.
     pub fn record_held(&mut self, member: &MemberId, incarnation: Incarnation, revision: Revision) {
         let held = self.held.entry((member.clone(), incarnation)).or_default();
         *held = (*held).max(revision);
     }
 
-    /// Notes that this incarnation of `member` and those before it have ended: they neither serve
-    /// nor vouch any more.
+    /// Records that this incarnation of `member` and all earlier ones have ended: they neither
+    /// serve nor acknowledge any more.
     pub fn record_ended(&mut self, member: &MemberId, incarnation: Incarnation) {
-        let gone = self.gone.entry(member.clone()).or_default();
-        *gone = (*gone).max(incarnation);
+        let ended = self.ended.entry(member.clone()).or_default();
+        *ended = (*ended).max(incarnation);
     }
 
-    /// True if this incarnation has ended for certain.
+    /// True if this incarnation is known to have ended.
     #[must_use]
     pub fn has_ended(&self, member: &Member) -> bool {
-        let gone = self.gone.get(member.id.as_str());
-        gone.is_some_and(|incarnation| *incarnation >= member.incarnation)
+        let ended = self.ended.get(member.id.as_str());
+        ended.is_some_and(|incarnation| *incarnation >= member.incarnation)
     }
 
-    /// Forgets incarnations that `list` does not name, so that memory stays bounded.
+    /// Removes incarnations that `list` does not name, so that memory stays bounded.
     pub fn prune_unlisted(&mut self, list: &MemberList) {
         let names = |id: &str, incarnation| {
             let settled = list.record().settled.iter();
@@ -262,7 +263,7 @@
         };
         self.held
             .retain(|(id, incarnation), _| names(id, *incarnation));
-        self.gone.retain(|id, incarnation| names(id, *incarnation));
+        self.ended.retain(|id, incarnation| names(id, *incarnation));
     }
 
     fn revision_of(&self, member: &Member) -> Revision {
@@ -271,7 +272,7 @@
     }
 }
 
-/// True if both name the same address of a host; the wildcard address names none.
+/// True if both have the same host address; the wildcard address never matches.
 fn has_address_of(new: &Member, old: &Member) -> bool {
     let address = old.peer_address.parse::<SocketAddr>();
     new.peer_address == old.peer_address && address.is_ok_and(|a| !a.ip().is_unspecified())
--- a/crates/decide/src/moves.rs
+++ b/crates/decide/src/moves.rs
@@ -1,8 +1,8 @@
-//! Moves of hosts between pools whose demand alternates.
+//! Moves of hosts between pools whose demand peaks alternate.
 //!
-//! Start with [`MovePlanner::plan`], which is given the load of each pool every second and
-//! says which pools give how many hosts to which. Hosts are not sent home after a peak:
-//! they stay until another pool needs them, which saves every second move. See
+//! Start with [`MovePlanner::plan`]. It is called every second with the load of each pool and
+//! returns how many hosts move from which pool to which. Hosts do not return to their original pool
+//! after a peak. They stay until another pool needs them, which saves every second move. See
 //! `docs/design/10-moves.md`.
 
 mod move_planner;
--- a/crates/decide/src/moves/move_planner.rs
+++ b/crates/decide/src/moves/move_planner.rs
@@ -11,43 +11,43 @@
     pub pool: PoolId,
     /// Hosts in service.
     pub serving: u32,
-    /// Hosts on their way to it.
+    /// Hosts moving to it.
     pub incoming: u32,
-    /// Fewest hosts that it must have in service.
+    /// Minimum number of hosts in service.
     pub budget: u32,
-    /// Hosts' worth of work that arrives, averaged over the last seconds.
+    /// Arriving work in hosts, averaged over the last seconds.
     pub demand: f64,
-    /// Host-seconds of work that waits.
+    /// Waiting work, in host-seconds.
     pub backlog: f64,
-    /// True for a pool that only lends.
+    /// True for a spare pool, which only gives hosts.
     pub spare: bool,
 }
 
-/// A number of hosts that go from one pool to another.
+/// A number of hosts that move from one pool to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HostMove {
-    /// Pool that gives.
+    /// Pool that gives the hosts.
     pub from: PoolId,
-    /// Pool that takes.
+    /// Pool that gets the hosts.
     pub to: PoolId,
-    /// Hosts.
+    /// Number of hosts.
     pub count: u32,
 }
 
-/// When a move pays.
+/// Policy that decides when a move is worthwhile.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MovePolicy {
     /// Time from the decision until a host serves in its new pool.
     pub move_time: Duration,
-    /// Host-seconds that a move must save; its own time out of service is among them.
+    /// Host-seconds that a move must save, including its own time out of service.
     pub min_saving: f64,
     /// Demand above this multiple of a pool's mean is a peak.
     pub peak_factor: f64,
-    /// Part of its demand that a pool keeps as room before it gives hosts away.
+    /// Fraction of its demand that a pool keeps as spare capacity before it gives hosts away.
     pub headroom: f64,
-    /// Time in which a backlog should be worked off.
+    /// Time within which a backlog should be worked off.
     pub backlog_time: Duration,
-    /// How sure the forecast must be to move hosts ahead of a peak, from 0 to 1.
+    /// Minimum confidence in the forecast, from 0 to 1, for moving hosts ahead of a peak.
     pub min_confidence: f64,
 }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// Decides moves from loads and from what it learnt of earlier peaks.
+/// Plans moves from pool loads and from the peaks observed so far.
 #[derive(Clone, Debug, Default)]
 pub struct MovePlanner {
     policy: MovePolicy,
@@ -72,7 +72,7 @@
 }
 
 impl MovePlanner {
-    /// A planner that has seen nothing yet.
+    /// Creates a planner without observations.
     pub fn new(policy: MovePolicy) -> Self {
         Self {
             policy,
@@ -80,8 +80,8 @@
         }
     }
 
-    /// The moves to begin now. To be called about once a second, with all pools whose
-    /// hosts can stand in for each other.
+    /// The moves to start now. Call it about once a second, with all pools that can use each
+    /// other's hosts.
     pub fn plan(&mut self, loads: &[PoolLoad], now: Duration) -> Vec<HostMove> {
         for load in loads.iter().filter(|load| !load.spare) {
             self.forecast
@@ -103,64 +103,64 @@
     /// Hosts that each pool can give without falling below its need or its budget.
     fn free_hosts(&self, loads: &[PoolLoad]) -> BTreeMap<PoolId, u32> {
         let free = loads.iter().map(|load| {
-            let kept = if load.spare {
+            let retained = if load.spare {
                 0
             } else {
                 self.retained_hosts(load)
             };
-            (load.pool.clone(), load.serving.saturating_sub(kept))
+            (load.pool.clone(), load.serving.saturating_sub(retained))
         });
         free.filter(|(_, count)| *count > 0).collect()
     }
 
     fn retained_hosts(&self, load: &PoolLoad) -> u32 {
-        let room = 1.0 + self.policy.headroom;
-        let need = whole_hosts(load.demand * room + self.backlog_hosts(load));
+        let margin = 1.0 + self.policy.headroom;
+        let need = whole_hosts(load.demand * margin + self.backlog_hosts(load));
         need.max(load.budget)
     }
 
-    /// Hosts that pools lack for what already waits or arrives, the largest lack first.
+    /// Hosts that pools shortfall for waiting and arriving work, largest shortfall first.
     ///
-    /// A lack that will be over before hosts have arrived and paid for their way is left
-    /// alone: moving for each second's demand would keep hosts on the way and out of
-    /// service most of the time.
+    /// A shortfall that ends before moved hosts would have saved more than their move costs is
+    /// ignored. Following each second's demand would keep hosts moving and out of service most of
+    /// the time.
     fn urgent_shortfalls(&self, loads: &[PoolLoad], now: Duration) -> Vec<(PoolId, u32)> {
-        let mut wants: Vec<(PoolId, u32)> = loads
+        let mut shortfalls: Vec<(PoolId, u32)> = loads
             .iter()
             .filter(|load| !load.spare)
             .filter_map(|load| {
                 let need = load.demand + self.backlog_hosts(load);
                 let held = load.serving + load.incoming;
-                let lack = whole_hosts(need)
+                let shortfall = whole_hosts(need)
                     .checked_sub(held)
-                    .filter(|lack| *lack > 0)?;
-                self.is_worthwhile(load, lack, now)
-                    .then(|| (load.pool.clone(), lack))
+                    .filter(|shortfall| *shortfall > 0)?;
+                self.is_worthwhile(load, shortfall, now)
+                    .then(|| (load.pool.clone(), shortfall))
             })
             .collect();
-        wants.sort_by_key(|(_, lack)| std::cmp::Reverse(*lack));
-        wants
+        shortfalls.sort_by_key(|(_, shortfall)| std::cmp::Reverse(*shortfall));
+        shortfalls
     }
 
-    /// True if hosts that set out now save more than their price.
-    fn is_worthwhile(&self, load: &PoolLoad, lack: u32, now: Duration) -> bool {
+    /// True if hosts that move now save at least `min_saving`.
+    fn is_worthwhile(&self, load: &PoolLoad, shortfall: u32, now: Duration) -> bool {
         let left = self.forecast.remaining_peak(&load.pool, now);
         let known = self.forecast.remaining_peak(&load.pool, Duration::ZERO) > Duration::ZERO;
         let useful = left.saturating_sub(self.policy.move_time).as_secs_f64();
-        let saved_each = useful + load.backlog / f64::from(lack.max(1));
+        let saved_each = useful + load.backlog / f64::from(shortfall.max(1));
         !known || saved_each >= self.policy.min_saving
     }
 
-    /// Hosts for the pool whose peak is expected next, from those that are free anyway.
+    /// Hosts for the pool whose peak is expected next, taken from free hosts only.
     fn forecast_shortfall(&self, loads: &[PoolLoad]) -> Option<(PoolId, u32)> {
-        let (next, sure) = self.forecast.next_pool()?;
-        if sure < self.policy.min_confidence || self.forecast.in_peak(next) {
+        let (next, confidence) = self.forecast.next_pool()?;
+        if confidence < self.policy.min_confidence || self.forecast.in_peak(next) {
             return None;
         }
         let load = loads.iter().find(|load| load.pool == *next)?;
         let level = whole_hosts(self.forecast.peak_level(next));
-        let lack = level.saturating_sub(load.serving + load.incoming);
-        (lack > 0).then(|| (next.clone(), lack))
+        let shortfall = level.saturating_sub(load.serving + load.incoming);
+        (shortfall > 0).then(|| (next.clone(), shortfall))
     }
 
     fn backlog_hosts(&self, load: &PoolLoad) -> f64 {
@@ -168,7 +168,7 @@
     }
 }
 
-/// Takes up to `wanted` hosts for `pool`, from the pools that have most to give.
+/// Takes up to `wanted` hosts for `pool`, from the pools with most free hosts.
 fn take_hosts(
     free: &mut BTreeMap<PoolId, u32>,
     pool: &PoolId,
@@ -177,12 +177,12 @@
 ) {
     let mut left = wanted;
     while left > 0 {
-        let giver = free
+        let donor = free
             .iter()
             .filter(|(from, count)| *from != pool && **count > 0)
             .max_by_key(|(_, count)| **count)
             .map(|(from, _)| from.clone());
-        let Some(from) = giver else {
+        let Some(from) = donor else {
             return;
         };
         let Some(held) = free.get_mut(&from) else {
--- a/crates/decide/src/moves/peak_forecast.rs
+++ b/crates/decide/src/moves/peak_forecast.rs
@@ -2,14 +2,13 @@
 
 use model::PoolId;
 
-/// Part that a new observation has in an estimate.
+/// Weight of a new observation in an estimate.
 const WEIGHT: f64 = 0.3;
 
-/// What is learnt of the peaks that pools take at their peak.
+/// Forecast of alternating demand peaks of pools.
 ///
-/// A peak begins when a pool's demand is above its running mean by a factor. For each
-/// pool the forecast keeps how high and how long its peaks were, and which pool peaked
-/// next.
+/// A peak begins when a pool's demand exceeds its running mean by a factor. For each pool the
+/// forecast keeps the height and length of its peaks, and which pool peaked next.
 #[derive(Clone, Debug, Default)]
 pub struct PeakForecast {
     pools: BTreeMap<PoolId, PoolPeaks>,
@@ -26,7 +25,7 @@
 }
 
 impl PeakForecast {
-    /// Learns the demand of a pool, in hosts, at a time.
+    /// Updates the forecast with the demand of a pool, in hosts, at `now`.
     pub fn observe(&mut self, pool: &PoolId, demand: f64, now: Duration, factor: f64) {
         let peaks = self.pools.entry(pool.clone()).or_insert_with(|| PoolPeaks {
             mean: demand,
@@ -62,7 +61,7 @@
         self.pools.get(pool).map_or(0.0, |peaks| peaks.peak_height)
     }
 
-    /// Time that the peak of a pool is expected to go on from `now`.
+    /// Time after `now` for which the peak of a pool is expected to last.
     pub fn remaining_peak(&self, pool: &PoolId, now: Duration) -> Duration {
         let Some((peaking, began)) = &self.current_peak else {
             return Duration::ZERO;
@@ -72,13 +71,13 @@
         Duration::from_secs_f64(length).saturating_sub(now.saturating_sub(*began))
     }
 
-    /// The pool that will most probably peak next, and how sure that is, from 0 to 1.
+    /// The pool most likely to peak next, with the confidence from 0 to 1.
     pub fn next_pool(&self) -> Option<(&PoolId, f64)> {
         let (peaking, _) = self.current_peak.as_ref()?;
         let followers = self.successors.get(peaking)?;
         let total: f64 = followers.values().sum();
         let best = followers.iter().max_by(|a, b| a.1.total_cmp(b.1))?;
-        // With one observation nothing is sure yet.
+        // The constant keeps the confidence low after a single observation.
         Some((best.0, best.1 / (total + 0.5)))
     }
 
--- a/crates/decide/src/placement.rs
+++ b/crates/decide/src/placement.rs
@@ -1,7 +1,7 @@
-//! Which worker a job goes to, and which workers are not to be trusted.
+//! Placement of jobs on workers, and detection of workers that fail their jobs.
 //!
-//! Start with [`WorkerTable`]. It holds what one entry host knows of the workers: what it
-//! has placed, what usage they reported some seconds ago, and which jobs failed where.
+//! Start with [`WorkerTable`]. It holds what one entry host knows about the workers: the jobs that
+//! it placed, the usage that the workers reported some seconds ago, and which jobs failed where.
 //! See `docs/design/09-jobs.md`.
 
 mod size_estimates;
--- a/crates/decide/src/placement/worker_table.rs
+++ b/crates/decide/src/placement/worker_table.rs
@@ -7,11 +7,11 @@
 
 use crate::budget::HostFacts;
 
-/// Distinct jobs that must fail on a worker, with no success between, to suspect it.
+/// A worker is suspect once this many distinct jobs failed on it without a success in between.
 const SUSPECT_AFTER: usize = 3;
-/// First time that a suspect worker gets no jobs; doubled with each time.
+/// Duration of the first suspension of a suspect worker; doubles with each further one.
 const FIRST_SUSPENSION: Duration = Duration::from_secs(30);
-/// Longest such time.
+/// Longest suspension.
 const LONGEST_SUSPENSION: Duration = Duration::from_secs(1800);
 
 /// Processors, memory and accelerators.
@@ -25,29 +25,29 @@
     pub accelerators: u32,
 }
 
-/// What a worker reported of its use.
+/// A worker's report of its resource usage.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WorkerUsage {
-    /// Which incarnation of the worker reported.
+    /// Boot id of the worker that reported.
     pub boot: String,
-    /// What its tasks use, whoever sent them.
+    /// Resources used by all its tasks, whoever sent them.
     pub used: JobSize,
-    /// When it was asked, on the caller's clock.
+    /// When the report was requested, on the caller's clock.
     pub asked: Duration,
 }
 
-/// Why no worker takes a job now.
+/// Why no worker accepts a job now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlacementRefusal {
-    /// No worker of the pool is large enough, full or not.
+    /// No worker of the pool is large enough, even if empty.
     #[error("no worker is large enough")]
     NeverFits,
-    /// Those that are large enough are full, out of service or suspect.
+    /// All workers that are large enough are full, out of service or suspect.
     #[error("no worker has room now")]
     NoRoom,
 }
 
-/// One worker of a pool, as seen from this entry host.
+/// One worker of a pool, as known to this entry host.
 #[derive(Clone, Debug, Default)]
 struct PoolWorker {
     facts: HostFacts,
@@ -66,52 +66,52 @@
 }
 
 impl WorkerTable {
-    /// Takes over which workers the pool has, and which of them take new work.
+    /// Replaces the workers of the pool and whether each accepts new work.
     pub fn set_workers(&mut self, workers: impl IntoIterator<Item = (HostId, HostFacts, bool)>) {
-        let mut kept = BTreeMap::new();
+        let mut retained = BTreeMap::new();
         for (host, facts, serving) in workers {
-            let mut note = self.workers.remove(&host).unwrap_or_default();
-            note.facts = facts;
-            note.serving = serving;
-            kept.insert(host, note);
+            let mut entry = self.workers.remove(&host).unwrap_or_default();
+            entry.facts = facts;
+            entry.serving = serving;
+            retained.insert(host, entry);
         }
-        self.workers = kept;
+        self.workers = retained;
     }
 
-    /// Takes over what a worker reported.
+    /// Stores a worker's report of its resource usage.
     pub fn record_usage(&mut self, worker: &HostId, usage: WorkerUsage) {
-        if let Some(note) = self.workers.get_mut(worker) {
-            note.usage = Some(usage);
+        if let Some(entry) = self.workers.get_mut(worker) {
+            entry.usage = Some(usage);
         }
     }
 
     /// Counts a job that was placed at `now`.
     pub fn record_placed(&mut self, worker: &HostId, job: &JobId, size: JobSize, now: Duration) {
-        if let Some(note) = self.workers.get_mut(worker) {
-            note.placed.insert(job.clone(), (size, now));
+        if let Some(entry) = self.workers.get_mut(worker) {
+            entry.placed.insert(job.clone(), (size, now));
         }
     }
 
-    /// Forgets a job that a worker no longer has.
+    /// Removes a job that a worker no longer has.
     pub fn record_released(&mut self, worker: &HostId, job: &JobId) {
-        if let Some(note) = self.workers.get_mut(worker) {
-            note.placed.remove(job);
+        if let Some(entry) = self.workers.get_mut(worker) {
+            entry.placed.remove(job);
         }
     }
 
-    /// Clears a worker's failures after a job ended well on it.
+    /// Clears a worker's failures after a job succeeded on it.
     pub fn record_success(&mut self, worker: &HostId) {
-        if let Some(note) = self.workers.get_mut(worker) {
-            note.failed.clear();
-            note.suspensions = 0;
+        if let Some(entry) = self.workers.get_mut(worker) {
+            entry.failed.clear();
+            entry.suspensions = 0;
         }
     }
 
-    /// Notes that `job` failed on `worker`, after it had failed on `elsewhere`.
+    /// Records that `job` failed on `worker`, after it had failed on `elsewhere`.
     ///
-    /// A job that fails on several workers is bad itself, and its failures no longer
-    /// speak against any of them. Without this, one team's bad jobs would have worker
-    /// after worker suspected.
+    /// A job that fails on several workers is itself faulty, and its failures no longer count
+    /// against any of them. Without this, one team's faulty jobs would make one worker after
+    /// another suspect.
     pub fn record_failure(
         &mut self,
         worker: &HostId,
@@ -121,37 +121,37 @@
     ) {
         let failed_before = elsewhere.iter().any(|other| other != worker);
         for other in elsewhere {
-            if let Some(note) = self.workers.get_mut(other) {
-                note.failed.remove(job);
+            if let Some(entry) = self.workers.get_mut(other) {
+                entry.failed.remove(job);
             }
         }
-        let Some(note) = self.workers.get_mut(worker) else {
+        let Some(entry) = self.workers.get_mut(worker) else {
             return;
         };
         if failed_before {
             return;
         }
-        note.failed.insert(job.clone());
-        if note.failed.len() >= SUSPECT_AFTER && now >= note.suspended_until {
-            let time = FIRST_SUSPENSION * 2_u32.saturating_pow(note.suspensions.min(8));
-            note.suspended_until = now + time.min(LONGEST_SUSPENSION);
-            note.suspensions += 1;
+        entry.failed.insert(job.clone());
+        if entry.failed.len() >= SUSPECT_AFTER && now >= entry.suspended_until {
+            let suspension = FIRST_SUSPENSION * 2_u32.saturating_pow(entry.suspensions.min(8));
+            entry.suspended_until = now + suspension.min(LONGEST_SUSPENSION);
+            entry.suspensions += 1;
         }
     }
 
-    /// True if a worker fails whatever it runs, as far as is known here.
+    /// True if so many distinct jobs failed on the worker that the worker itself is suspect.
     pub fn is_suspect(&self, worker: &HostId) -> bool {
-        let note = self.workers.get(worker);
-        note.is_some_and(|note| note.failed.len() >= SUSPECT_AFTER)
+        let entry = self.workers.get(worker);
+        entry.is_some_and(|entry| entry.failed.len() >= SUSPECT_AFTER)
     }
 
-    /// Workers that are suspect.
+    /// All suspect workers.
     pub fn suspects(&self) -> Vec<HostId> {
         let suspects = self.workers.keys().filter(|host| self.is_suspect(host));
         suspects.cloned().collect()
     }
 
-    /// The incarnation of a worker that last reported.
+    /// Boot id of a worker's last report.
     pub fn boot_of(&self, worker: &HostId) -> Option<&str> {
         let usage = self.workers.get(worker)?.usage.as_ref()?;
         Some(&usage.boot)
@@ -159,17 +159,17 @@
 
     /// Chooses a worker for a job of `size` that failed on `avoid`.
     ///
-    /// The fullest worker that has room is taken, so that room for large jobs is kept.
+    /// Takes the fullest worker with enough capacity, so that capacity for large jobs is retained.
     ///
     /// # Errors
-    /// `NeverFits` if no worker of the pool would have room if it were empty.
+    /// `NeverFits` if no worker of the pool would have the capacity even if empty.
     pub fn choose_worker(
         &self,
         size: JobSize,
         avoid: &[HostId],
         now: Duration,
     ) -> Result<HostId, PlacementRefusal> {
-        if !self.workers.values().any(|note| note.capacity_fits(size)) {
+        if !self.workers.values().any(|entry| entry.capacity_fits(size)) {
             return Err(PlacementRefusal::NeverFits);
         }
         let suspended = self.suspended(now);
@@ -177,8 +177,8 @@
             self.workers
                 .iter()
                 .filter(|(host, _)| !avoid.contains(host) && !suspended.contains(host))
-                .filter(|(_, note)| note.serving && note.usage.is_some())
-                .filter_map(|(host, note)| Some((note.remaining_capacity(size)?, host)))
+                .filter(|(_, entry)| entry.serving && entry.usage.is_some())
+                .filter_map(|(host, entry)| Some((entry.remaining_capacity(size)?, host)))
                 .min()
                 .map(|(_, host)| host.clone())
         };
@@ -187,13 +187,13 @@
             .ok_or(PlacementRefusal::NoRoom)
     }
 
-    /// Workers that get no jobs now: suspects, but at most half of the pool, or bad jobs
-    /// could stop a pool that is sound.
+    /// Workers that get no jobs now: suspects, but at most half of the pool. Otherwise faulty jobs
+    /// could stop a healthy pool.
     fn suspended(&self, now: Duration) -> BTreeSet<&HostId> {
         let suspended = self
             .workers
             .iter()
-            .filter(|(_, note)| now < note.suspended_until);
+            .filter(|(_, entry)| now < entry.suspended_until);
         suspended
             .map(|(host, _)| host)
             .take(self.workers.len() / 2)
@@ -208,10 +208,10 @@
             && size.accelerators <= self.facts.accelerators
     }
 
-    /// Room that would be left with the job, by processors and memory; `None` if it
-    /// does not fit.
+    /// Capacity that would be left with the job, by processors and memory; `None` if it does not
+    /// fit.
     ///
-    /// Reported use lags, so jobs placed since the report was asked for are added to it.
+    /// Reported usage lags, so jobs placed since the report was requested are added to it.
     fn remaining_capacity(&self, size: JobSize) -> Option<(u32, u64)> {
         let used = self.used();
         let cores = self.facts.cores.checked_sub(used.cores)?;
--- a/crates/decide/src/rendezvous.rs
+++ b/crates/decide/src/rendezvous.rs
@@ -1,7 +1,8 @@
-//! Rendezvous hashing: which member holds a duty.
+//! Rendezvous hashing: assigns duties, which are named pieces of work, to members.
 //!
-//! Each member scores each duty, and the highest score holds it. When a member comes or
-//! goes, only its own duties move. The hash is fixed, so that all versions agree.
+//! Each member has a score for each duty, and the member with the highest score holds it. When a
+//! member joins or leaves, only its own duties move. The hash function is fixed, so that all
+//! versions agree.
 
 use model::MemberId;
 
@@ -18,7 +19,7 @@
         .max_by_key(|member| (score(duty, member), *member))
 }
 
-/// How much a member is preferred for a duty; the highest score holds it.
+/// Score of a member for a duty; the highest score holds the duty.
 pub fn score(duty: &str, member: &str) -> u64 {
     let mut hash = OFFSET_BASIS;
     for byte in duty.bytes().chain([0]).chain(member.bytes()) {
@@ -27,7 +28,7 @@
     mix(hash)
 }
 
-// FNV alone leaves the scores of similar names correlated; this spreads them.
+// FNV alone leaves the scores of similar names correlated; this step removes the correlation.
 fn mix(mut hash: u64) -> u64 {
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/decide/src/retry.rs
+++ b/crates/decide/src/retry.rs
@@ -1,18 +1,18 @@
-//! When a failed request may be sent again, and how soon.
+//! Retry budget and back-off of failed requests.
 //!
-//! Start with [`RetryBudget`]; `docs/design/04-at-most-once.md` says which failures may be
-//! retried at all.
+//! Start with [`RetryBudget`]; `docs/design/04-at-most-once.md` says which failures may be retried
+//! at all.
 
 use std::time::Duration;
 
-/// Hundredths of a retry that one retry costs.
+/// Cost of one retry, in hundredths of a retry.
 const RETRY_COST: u32 = 100;
 
-/// Keeps the retries of one pool below a part of its first attempts.
+/// Limits the retries of one pool to a fraction of its first attempts.
 ///
-/// Without it a pool that fails for a moment gets each request several times, just when it
-/// has least to spare, and can't come back. The budget is earned by traffic and not by
-/// time, so an idle pool saves up no storm.
+/// Without it, a pool that fails for a moment would get each request several times just when it has
+/// least capacity, and could not recover. The budget is earned by traffic and not by time, so an
+/// idle pool saves up no burst of retries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RetryBudget {
     balance: u32,
@@ -21,8 +21,8 @@
 }
 
 impl RetryBudget {
-    /// A budget that earns `percent` of a retry with each first attempt, saves up at most
-    /// `burst` retries, and begins full.
+    /// Creates a full budget that earns `percent` hundredths of a retry with each first attempt and
+    /// saves up at most `burst` retries.
     pub fn new(percent: u32, burst: u32) -> Self {
         let most = burst.max(1).saturating_mul(RETRY_COST);
         Self {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Notes a first attempt.
+    /// Records a first attempt.
     pub fn record_first_attempt(&mut self) {
         self.balance = self
             .balance
@@ -40,7 +40,7 @@
             .min(self.most);
     }
 
-    /// Takes one retry; false if there is none left.
+    /// Takes one retry; false if none is left.
     pub fn take(&mut self) -> bool {
         if self.balance < RETRY_COST {
             return false;
@@ -53,9 +53,9 @@
 /// Bounds of the wait before a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryWait {
-    /// Longest wait before the first retry; it doubles with each one.
+    /// Longest wait before the first retry; doubles with each further one.
     pub first: Duration,
-    /// Longest wait at all.
+    /// Upper bound of all waits.
     pub longest: Duration,
 }
 
@@ -69,8 +69,9 @@
 }
 
 impl RetryWait {
-    /// The wait before retry number `retry`, counted from 1, with full jitter: `chance` is
-    /// drawn evenly from 0 to 1, so that requests which failed together come back apart.
+    /// The wait before retry number `retry`, counted from 1, with full jitter. `chance` is
+    /// uniformly distributed from 0 to 1, so that requests which failed together are retried at
+    /// different times.
     pub fn wait(&self, retry: u32, chance: f64) -> Duration {
         let doublings = retry.saturating_sub(1).min(16);
         let ceiling = self.first.saturating_mul(1 << doublings).min(self.longest);
--- a/crates/decide/tests/call_budget.rs
+++ b/crates/decide/tests/call_budget.rs
@@ -1,4 +1,4 @@
-//! Which of an owner's calls go ahead on a link that can't carry them all.
+//! Tests of the priorities and limits of an owner's calls on a narrow link.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 const NARROW: f64 = 250_000.0;
 /// 200 Mbit/s.
 const WIDE: f64 = 25_000_000.0;
-/// Bytes of a call with its answer.
+/// Bytes of a call with its response.
 const BYTES: f64 = 1500.0;
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// Sends calls until no more are admitted; at most 10,000.
+/// Sends calls until no more are admitted, at most 10,000.
 fn fill(budget: &mut CallBudget, class: CallClass) -> usize {
     let sent = (0..10_000).take_while(|_| {
         let admitted = budget.admits(class);
@@ -27,20 +27,20 @@
     sent.count()
 }
 
-/// Guards against an owner that asks all targets at once: their answers fill its link for longer
-/// than a renewal of its lease may take.
+/// Guards against an owner that polls all targets at once: their responses would fill its link for
+/// longer than a renewal of its lease may take.
 #[test]
-fn call_budget_leaves_room_for_renewals() {
+fn call_budget_leaves_bandwidth_for_renewals() {
     let mut budget = CallBudget::new(NARROW);
     #[expect(clippy::cast_precision_loss, reason = "some calls")]
     let bytes = fill(&mut budget, CallClass::Start) as f64 * BYTES;
-    assert!(bytes / NARROW <= 0.1, "{bytes} bytes under way");
+    assert!(bytes / NARROW <= 0.1, "{bytes} bytes in flight");
 }
 
-/// Guards against answers that stay late for good: a link carries less than its setting says where
-/// others share it.
+/// Guards against responses that stay late permanently: a shared link carries less than its setting
+/// says.
 #[test]
-fn call_budget_follows_late_answers() {
+fn call_budget_lowers_limit_after_late_responses() {
     let mut budget = CallBudget::new(NARROW);
     let before = fill(&mut budget, CallClass::Poll);
     for round in 1..=20_u64 {
@@ -59,9 +59,9 @@
     assert!(recovered >= before, "{after} became {recovered}");
 }
 
-/// Guards against looks that hold back starts, and starts that hold back the renewals of what runs.
+/// Guards against polls that delay starts, and starts that delay the renewals of running tasks.
 #[test]
-fn call_budget_keeps_order() {
+fn call_budget_keeps_priority_order() {
     let mut budget = CallBudget::new(NARROW);
     fill(&mut budget, CallClass::Poll);
     assert!(budget.admits(CallClass::Start));
@@ -71,10 +71,10 @@
     assert!(CallClass::Stop < CallClass::Renew && CallClass::Renew < CallClass::Start);
 }
 
-/// Guards against targets that are gone, whose calls last until they time out and keep the owner
-/// from those that answer.
+/// Guards against lost targets whose calls last until they time out and keep the owner from polling
+/// targets that respond.
 #[test]
-fn call_budget_spares_others_from_probes() {
+fn call_budget_counts_probes_separately() {
     let mut budget = CallBudget::new(NARROW);
     let before = fill(&mut budget.clone(), CallClass::Poll);
     fill(&mut budget, CallClass::Probe);
@@ -85,10 +85,10 @@
     assert_eq!(fill(&mut budget, CallClass::Poll), before);
 }
 
-/// Guards against a bound that binds where the link is wide: 300 targets with three starts and a
-/// look each, half of them late.
+/// Guards against a limit that is too low on a wide link: 300 targets with three starts and a poll
+/// each, half of them late.
 #[test]
-fn call_budget_is_ample_on_wide_link() {
+fn call_budget_does_not_limit_wide_link() {
     let mut budget = CallBudget::new(WIDE);
     for round in 1..=100_u64 {
         budget.begin(CallClass::Poll);
@@ -98,10 +98,10 @@
     assert!(fill(&mut budget, CallClass::Start) >= 400);
 }
 
-/// Guards against lists of hosts that take most of a narrow link, and against a new owner that
-/// waits between the two that show which lives have ended.
+/// Guards against lists of hosts that use most of a narrow link, and against a new owner that waits
+/// between the two lists that show which incarnations have ended.
 #[test]
-fn list_pace_bounds_slow_lists() {
+fn list_throttle_bounds_slow_lists() {
     let mut pace = ListThrottle::default();
     let mut lists = Vec::new();
     let mut now = ms(1000);
@@ -118,9 +118,9 @@
     assert_eq!(lists[1], ms(1200));
 }
 
-/// Guards against lists that are held back though they take no time.
+/// Guards against a delay between lists that take no time.
 #[test]
-fn list_pace_allows_fast_lists() {
+fn list_throttle_allows_fast_lists() {
     let mut pace = ListThrottle::default();
     for round in 1..100 {
         let now = ms(100 * round);
--- a/crates/decide/tests/claim.rs
+++ b/crates/decide/tests/claim.rs
@@ -1,4 +1,4 @@
-//! Claims of request ids under any order of minting, claiming and repeating.
+//! Claims of request ids with any order of minting, claiming and repeating.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,7 +31,7 @@
     ]
 }
 
-fn asker(member: u8, call: u64) -> Claimant {
+fn claimant(member: u8, call: u64) -> Claimant {
     Claimant {
         member: format!("e{member}").into(),
         incarnation: 1,
@@ -40,8 +40,8 @@
 }
 
 proptest! {
-    /// Whatever callers and entry hosts do, at most one question is ever granted an id,
-    /// only the team it was minted for gets it, and the ledger stays within its bound.
+    /// At most one claimant is ever granted an id, only the team it was minted for gets it, and the
+    /// ledger stays within its capacity.
     #[test]
     fn claim_granted_once(steps in prop::collection::vec(step(), 1..400), capacity in 1_usize..20) {
         let mut ledger = ClaimLedger::new(capacity);
@@ -60,12 +60,12 @@
                 }
                 Step::Claim { counter, team, member, call } => {
                     let team = TeamId::from(format!("team{team}"));
-                    let asker = asker(member, call);
-                    if ledger.claim(counter, &team, &asker) == ClaimGrant::First {
+                    let claimant = claimant(member, call);
+                    if ledger.claim(counter, &team, &claimant) == ClaimGrant::First {
                         prop_assert_eq!(owners.get(&counter), Some(&team));
                         prop_assert!(!spent.contains(&counter));
-                        let first = granted.entry(counter).or_insert_with(|| asker.clone());
-                        prop_assert_eq!(&*first, &asker);
+                        let first = granted.entry(counter).or_insert_with(|| claimant.clone());
+                        prop_assert_eq!(&*first, &claimant);
                     }
                 }
             }
@@ -89,56 +89,59 @@
 #[case::negative("e1.1.-7")]
 #[case::huge("e1.1.99999999999999999999999")]
 #[case::empty("")]
-fn minted_id_foreign(#[case] text: &str) {
+fn minted_id_rejects_foreign_text(#[case] text: &str) {
     assert_eq!(MintedId::parse(&RequestId::from(text)), None);
 }
 
-/// The home's answer is lost and the asking host repeats its question: the same call gets
-/// the same answer, and a later call of the same host does not.
+/// The home's response is lost and the claimant repeats its request: the same call gets the same
+/// response, and a later call of the same host does not.
 #[test]
-fn claim_repeated_call() {
+fn claim_repeated_call_is_granted_again() {
     let mut ledger = ClaimLedger::new(4);
     let team = TeamId::from("panels");
     let counter = ledger.mint(&team);
     assert_eq!(
-        ledger.claim(counter, &team, &asker(1, 7)),
+        ledger.claim(counter, &team, &claimant(1, 7)),
         ClaimGrant::First
     );
     assert_eq!(
-        ledger.claim(counter, &team, &asker(1, 7)),
+        ledger.claim(counter, &team, &claimant(1, 7)),
         ClaimGrant::First
     );
     assert_eq!(
-        ledger.claim(counter, &team, &asker(1, 8)),
+        ledger.claim(counter, &team, &claimant(1, 8)),
         ClaimGrant::Taken
     );
     let reborn = Claimant {
         incarnation: 2,
-        ..asker(1, 7)
+        ..claimant(1, 7)
     };
     assert_eq!(ledger.claim(counter, &team, &reborn), ClaimGrant::Taken);
 }
 
-/// Another team guesses an id. It gets nothing and does not use the id up.
+/// Another team guesses an id. Its claim is refused and does not use up the id.
 #[test]
-fn claim_of_another_team() {
+fn claim_of_another_team_is_refused() {
     let mut ledger = ClaimLedger::new(4);
     let team = TeamId::from("panels");
     let counter = ledger.mint(&team);
-    let guess = ledger.claim(counter, &TeamId::from("planners"), &asker(1, 1));
+    let guess = ledger.claim(counter, &TeamId::from("planners"), &claimant(1, 1));
     assert_eq!(guess, ClaimGrant::Taken);
     assert_eq!(
-        ledger.claim(counter, &team, &asker(2, 1)),
+        ledger.claim(counter, &team, &claimant(2, 1)),
         ClaimGrant::First
     );
 }
 
 #[test]
-fn claim_pushed_out() {
+fn claim_of_evicted_id_is_refused() {
     let mut ledger = ClaimLedger::new(2);
     let team = TeamId::from("panels");
     let oldest = ledger.mint(&team);
     ledger.mint(&team);
     ledger.mint(&team);
-    assert_eq!(ledger.claim(oldest, &team, &asker(1, 1)), ClaimGrant::Taken);
+    assert_eq!(
+        ledger.claim(oldest, &team, &claimant(1, 1)),
+        ClaimGrant::Taken
+    );
 }
--- a/crates/decide/tests/config_state.rs
+++ b/crates/decide/tests/config_state.rs
@@ -1,4 +1,4 @@
-//! The configuration: changes, conflicts, repeated requests, and hosts that follow.
+//! Tests of configuration changes, conflicts, repeated requests, and hosts that apply records.
 
 #![allow(clippy::unwrap_used)]
 
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn plan_change_conflict_names_touched() {
+fn plan_change_conflict_lists_touched() {
     let mut store = SimStore::default();
     store.submit(&input("c1", None, &[grant("k1", 1)]));
     let keys = [grant("k2", 2)];
@@ -94,10 +94,10 @@
     assert_eq!(plan, conflict);
 }
 
-// An operator's tool repeats a change because the answer was lost, after others came and the
-// change itself is folded away. It must not be made a second time.
+// Guards against a change applied twice: an operator's tool repeats it because the response was
+// lost, after other changes followed and the change itself was folded away.
 #[test]
-fn plan_change_repeated_after_fold() {
+fn plan_change_recognizes_repeat_after_fold() {
     let mut store = SimStore::default();
     store.submit(&input("c1", None, &[grant("k1", 1)]));
     store.submit(&input("c2", None, &[withdraw("k1")]));
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn follow_other_hash_is_diverged() {
+fn follow_record_other_hash_is_diverged() {
     let mut store = SimStore::default();
     store.submit(&input("c1", None, &[grant("k1", 1)]));
     let mut other = SimStore::default();
@@ -143,16 +143,16 @@
     assert_eq!(again, store.state);
 }
 
-/// How a host takes a record.
+/// How a host applies a record.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Follower {
     Guarded,
-    /// Takes whatever comes, as long as it is whole.
+    /// Applies any complete record, also an older one.
     TakesAll,
 }
 
-/// Hosts follow records that come late, twice, out of order or not at all, and restart; the
-/// error says which host went back or holds something else than the store did.
+/// Hosts apply records that arrive late, twice, out of order or not at all, and restart. The error
+/// names the host that went back or differs from the store.
 fn run_followers(seed: u64, follower: Follower) -> Result<(), String> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut store = SimStore::default();
@@ -165,7 +165,7 @@
         } else {
             grant(&key, rng.random_range(0..9))
         };
-        // Two operators race: both plan on what they read, and only one may win.
+        // Two operators race: both plan on the same state, and only one may succeed.
         let base = rng.random_bool(0.5).then_some(store.state.revision);
         let edits = [edit];
         store.submit(&input(&format!("c{round}"), base, &edits));
@@ -214,7 +214,7 @@
     })]
 
     #[test]
-    fn follow_never_goes_back(seed in any::<u64>()) {
+    fn follow_record_never_goes_back(seed in any::<u64>()) {
         let outcome = run_followers(seed, Follower::Guarded);
         prop_assert!(outcome.is_ok(), "seed {seed}: {}", outcome.unwrap_err());
     }
--- a/crates/decide/tests/link_bounds.rs
+++ b/crates/decide/tests/link_bounds.rs
@@ -1,4 +1,4 @@
-//! What an owner may write, accept and rely on behind a link of a given width.
+//! Tests of the limits that follow from the bandwidth of an owner's link.
 
 use std::time::Duration;
 
@@ -17,8 +17,8 @@
     Duration::from_millis(millis)
 }
 
-/// Guards against pages of the log that a narrow link does not carry before their answer counts as
-/// lost, and against more pages than needed where it is wide.
+/// Guards against log pages that a narrow link does not carry before their response times out, and
+/// against more pages than needed on a wide link.
 #[test]
 fn largest_write_follows_link() {
     let most = 256 << 10;
@@ -27,8 +27,8 @@
     assert!(largest_write(1.0, most) >= 4 << 10);
 }
 
-/// Guards against a lease that lapses while its owner reads the log behind a narrow link, and against
-/// one so long that callers wait for a successor where the link is wide.
+/// Guards against a lease that expires while its owner reads the log over a narrow link, and
+/// against one so long that callers wait for a successor on a wide link.
 #[test]
 fn lease_length_follows_link() {
     let least = ms(1100);
@@ -38,10 +38,10 @@
     assert!(lease_length(least, 1.0) <= ms(3100));
 }
 
-/// Guards against a lease that lapses since no connection for its renewals can be opened while the
-/// log is on its way, and against renewals that nobody needs where the link is wide.
+/// Guards against a lease that expires because no connection for its renewals can be opened while
+/// the log arrives, and against unneeded renewals on a wide link.
 #[test]
-fn renewals_ahead_last_while_log_is_read() {
+fn renewals_ahead_cover_log_read() {
     let every = ms(280);
     let renewals = u32::try_from(renewals_ahead(NARROW, every)).unwrap_or_default();
     let log = Duration::from_secs_f64(LOG_BYTES / NARROW);
@@ -50,15 +50,15 @@
     assert_eq!(renewals_ahead(WIDE, every), 0);
 }
 
-/// Guards against a backlog that the next owner reads for longer than its lease lasts, and against a
-/// bound that refuses work where the link is wide.
+/// Guards against a backlog that the next owner reads for longer than its lease lasts, and against
+/// a limit that refuses work on a wide link.
 #[test]
 fn largest_backlog_follows_link() {
     assert!(largest_backlog(NARROW) * 2.0 <= LOG_BYTES);
     assert!(largest_backlog(WIDE) >= 10_000_000.0);
 }
 
-/// Guards against a bound on starts that refuses work where the link is wide.
+/// Guards against a limit on starts that refuses work on a wide link.
 #[test]
 fn most_starts_follows_link() {
     assert!((100.0..200.0).contains(&max_starts_per_second(NARROW)));
--- a/crates/decide/tests/retry.rs
+++ b/crates/decide/tests/retry.rs
@@ -1,4 +1,4 @@
-//! The retry budget and the ejection of targets under any course of outcomes.
+//! The retry budget and the ejection of targets with any sequence of outcomes.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// However first attempts and failures come, retries stay under their part of the first
-    /// attempts and the burst.
+    /// For any sequence of first attempts and failures, retries stay below their fraction of the
+    /// first attempts plus the burst.
     #[test]
     fn budget_bounds_retries(outcomes in prop::collection::vec(any::<bool>(), 1..2000), burst in 1_u32..20, percent in 0_u32..30) {
         let mut budget = RetryBudget::new(percent, burst);
@@ -32,8 +32,8 @@
         prop_assert!(wait.wait(retry, chance) <= ceiling);
     }
 
-    /// Any course of successes and failures on a pool: it never has fewer targets in use
-    /// than its budget, also when all of them fail everything.
+    /// For any sequence of successes and failures, a pool never has fewer targets in use than its
+    /// budget, even when all of them fail everything.
     #[test]
     fn ejection_keeps_budget(
         events in prop::collection::vec((0_usize..6, any::<bool>(), 0_u64..3000), 1..400),
--- a/crates/entry/src/claim/claim_desk.rs
+++ b/crates/entry/src/claim/claim_desk.rs
@@ -148,7 +148,7 @@
             .any(|info| info.member == minted.home && info.incarnation == minted.incarnation)
     }
 
-    fn next_asker(&self) -> Claimant {
+    fn next_claimant(&self) -> Claimant {
         Claimant {
             member: self.members.own_id(),
             incarnation: self.members.own_incarnation(),
@@ -156,8 +156,8 @@
         }
     }
 
-    fn claim_here(&self, counter: u64, team: &TeamId, asker: &Claimant) -> ClaimVerdict {
-        match self.ledger.lock().claim(counter, team, asker) {
+    fn claim_here(&self, counter: u64, team: &TeamId, claimant: &Claimant) -> ClaimVerdict {
+        match self.ledger.lock().claim(counter, team, claimant) {
             ClaimGrant::First => ClaimVerdict::First,
             ClaimGrant::Taken => ClaimVerdict::Taken,
         }
@@ -219,7 +219,7 @@
     }
 
     fn answer_claim(&self, message: &InboundMessage, request: &ClaimRequest) {
-        let asker = Claimant {
+        let claimant = Claimant {
             member: message.from.clone(),
             incarnation: message.incarnation,
             call: request.call,
@@ -227,7 +227,7 @@
         let minted = MintedId::parse(&RequestId::from(request.request.as_str()));
         let verdict = match minted {
             Some(minted) if self.is_own(&minted) => {
-                self.claim_here(minted.counter, &request.team.as_str().into(), &asker)
+                self.claim_here(minted.counter, &request.team.as_str().into(), &claimant)
             }
             _ => ClaimVerdict::Unknown,
         };
@@ -235,7 +235,7 @@
             call: request.call,
             verdict: encode(verdict).into(),
         };
-        // A lost reply costs the asker a repeated question, and then a cautious answer.
+        // A lost reply costs the claimant a repeated question, and then a cautious answer.
         let _ = self.link.send(&message.from, Body::ClaimReply(reply));
     }
 
@@ -264,14 +264,14 @@
         let Some(minted) = MintedId::parse(request) else {
             return ClaimVerdict::Unknown;
         };
-        let asker = self.next_asker();
+        let claimant = self.next_claimant();
         if self.is_own(&minted) {
-            return self.claim_here(minted.counter, team, &asker);
+            return self.claim_here(minted.counter, team, &claimant);
         }
         if !self.is_member(&minted) {
             return ClaimVerdict::Unknown;
         }
-        self.claim_remote(&minted, team, asker.call, patience)
+        self.claim_remote(&minted, team, claimant.call, patience)
     }
 }
 
