--- a/crates/cell/src/cell_options.rs
+++ b/crates/cell/src/cell_options.rs
@@ -1,7 +1,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use compact_str::CompactString;
-use decide::work::DeskTuning;
+use decide::work::SchedulerTuning;
 use model::MemberId;
 
 use crate::host_limits::HostLimits;
@@ -50,7 +50,7 @@
     /// What this process may use of its host; strong processes campaign first.
     pub limits: HostLimits,
     /// Settings of the scheduler.
-    pub scheduler: DeskTuning,
+    pub scheduler: SchedulerTuning,
 }
 
 impl CellOptions {
@@ -72,7 +72,7 @@
             drain_period: Duration::from_millis(2200),
             stop_timeout: Duration::from_millis(5200),
             limits: HostLimits::default(),
-            scheduler: DeskTuning::default(),
+            scheduler: SchedulerTuning::default(),
         }
     }
 
--- a/crates/cell/src/event_log.rs
+++ b/crates/cell/src/event_log.rs
@@ -1,6 +1,6 @@
 use std::collections::VecDeque;
 
-use decide::work::DeskEvent;
+use decide::work::SchedulerEvent;
 use model::event::{self as log_event, EventInfo};
 
 use crate::{event, metric};
@@ -9,7 +9,7 @@
 ///
 /// `dropped` is the number of further events that the scheduler discarded because they came too
 /// fast.
-pub(crate) fn log_events(events: VecDeque<DeskEvent>, dropped: u64) {
+pub(crate) fn log_events(events: VecDeque<SchedulerEvent>, dropped: u64) {
     if dropped > 0 {
         log_event::warn(
             &event::DECISIONS_DROPPED,
@@ -21,57 +21,57 @@
     }
 }
 
-fn log_decision(event: &DeskEvent) {
+fn log_decision(event: &SchedulerEvent) {
     match event {
-        DeskEvent::Placed(task, attempt, target, inputs) => log_event::info(
+        SchedulerEvent::Placed(task, attempt, target, inputs) => log_event::info(
             &event::TASK_PLACED,
             format_args!(
                 "task={task} attempt={attempt} target={target} class={:?} heard_ms={} free_cpu={}",
                 inputs.class,
-                inputs.heard_ago.as_millis(),
+                inputs.last_response_age.as_millis(),
                 inputs.free_cpu
             ),
         ),
-        DeskEvent::Adopted(task, attempt, target) => {
+        SchedulerEvent::Adopted(task, attempt, target) => {
             log_run(&event::TASK_ADOPTED, task, *attempt, target, "");
         }
-        DeskEvent::Unwanted(task, attempt, target) => {
+        SchedulerEvent::Unwanted(task, attempt, target) => {
             log_run(&event::TASK_UNWANTED, task, *attempt, target, "");
         }
-        DeskEvent::Unsure(task, attempt, target) => {
+        SchedulerEvent::Unconfirmed(task, attempt, target) => {
             log_run(&event::TASK_UNSURE, task, *attempt, target, "");
         }
-        DeskEvent::Vanished(task, attempt, target) => {
+        SchedulerEvent::Vanished(task, attempt, target) => {
             log_run(&event::TASK_VANISHED, task, *attempt, target, "");
         }
-        DeskEvent::Stalled(task, attempt, target) => {
+        SchedulerEvent::Stalled(task, attempt, target) => {
             log_run(&event::TASK_STALLED, task, *attempt, target, "");
         }
-        DeskEvent::Ended(task, attempt, target, how) => {
+        SchedulerEvent::Ended(task, attempt, target, how) => {
             metrics::counter!(metric::ENDS, "how" => *how).increment(1);
             log_run(&event::TASK_ENDED, task, *attempt, target, how);
         }
-        DeskEvent::StartRefused(task, attempt, target, why) => {
+        SchedulerEvent::StartRefused(task, attempt, target, why) => {
             log_run(&event::TASK_REFUSED, task, *attempt, target, why);
         }
-        DeskEvent::JobEnded(job, how) => {
+        SchedulerEvent::JobEnded(job, how) => {
             log_event::info(&event::JOB_ENDED, format_args!("job={job} how={how}"));
         }
-        DeskEvent::TargetRaised(target) => {
+        SchedulerEvent::TargetUsable(target) => {
             log_event::info(&event::TARGET_RAISED, format_args!("target={target}"));
         }
-        DeskEvent::TargetLost(target, why, runs) => log_event::warn(
+        SchedulerEvent::TargetLost(target, why, runs) => log_event::warn(
             &event::TARGET_LOST,
             format_args!("target={target} why={why} runs={runs}"),
         ),
-        DeskEvent::TargetMissed(target, runs) => log_event::info(
+        SchedulerEvent::TargetUnreachable(target, runs) => log_event::info(
             &event::TARGET_MISSED,
             format_args!("target={target} runs={runs}"),
         ),
-        DeskEvent::SilenceAwaited(listed) => {
+        SchedulerEvent::MassUnresponsive(listed) => {
             log_event::warn(&event::SILENCE_AWAITED, format_args!("listed={listed}"));
         }
-        DeskEvent::TargetSilent(target) => {
+        SchedulerEvent::TargetUnresponsive(target) => {
             log_event::warn(&event::TARGET_SILENT, format_args!("target={target}"));
         }
     }
--- a/crates/cell/src/host_loop.rs
+++ b/crates/cell/src/host_loop.rs
@@ -45,7 +45,7 @@
             continue;
         }
         let list_fast =
-            now < begin + FAST_LIST_PERIOD && term.scheduler.borrow().has_unknown_lives();
+            now < begin + FAST_LIST_PERIOD && term.scheduler.borrow().has_unknown_incarnations();
         let every = if list_fast {
             FAST_LIST_INTERVAL
         } else {
@@ -68,7 +68,7 @@
 /// before it is sent, but the wall clock may jump. An owner that was killed or cut off sent its
 /// orders before its lease began to expire, so part of the pause has passed by then.
 fn predecessor_pause(term: &Term) -> Duration {
-    if term.scheduler.borrow().board.handed_over {
+    if term.scheduler.borrow().job_table.handed_over {
         return Duration::ZERO;
     }
     let min_lapsed = term.options.owner_lease - LEASE_SLACK;
@@ -86,7 +86,7 @@
             let now = term.now();
             term.scheduler
                 .borrow_mut()
-                .take_lives(&incarnations, asked, now);
+                .update_incarnations(&incarnations, asked, now);
             term.hosts.borrow_mut().apply_host_list(hosts, asked);
         }
         Err(error) => log::warn!("list hosts: {error}"),
@@ -101,8 +101,8 @@
     let orders = {
         let mut scheduler = term.scheduler.borrow_mut();
         let mut hosts = term.hosts.borrow_mut();
-        hosts.apply_waves(&waves, &scheduler.board.maintained_hosts, now);
-        hosts.apply_earlier_orders(&scheduler.board.last_host_orders, pause, least, time);
+        hosts.apply_waves(&waves, &scheduler.job_table.maintained_hosts, now);
+        hosts.apply_earlier_orders(&scheduler.job_table.last_host_orders, pause, least, time);
         hosts.plan(&mut scheduler, now)
     };
     for order in orders {
@@ -143,7 +143,9 @@
         return;
     }
     if let Some(target) = target {
-        term.scheduler.borrow_mut().end_target(&target, now);
+        term.scheduler
+            .borrow_mut()
+            .end_target_after_host_order(&target, now);
         term.wake.notify_one();
     }
     if let HostOrder::Maintain(host, wave) = &order {
--- a/crates/cell/src/log_compact.rs
+++ b/crates/cell/src/log_compact.rs
@@ -27,7 +27,7 @@
 /// of the old pages, followed by the new ones, has the same meaning as the new ones alone. So a
 /// successor reads the correct state whenever the owner dies.
 pub(crate) async fn compact_log(term: &Term, pages: &mut LogPages) -> Option<()> {
-    let entries = term.scheduler.borrow().board.compacted_entries();
+    let entries = term.scheduler.borrow().job_table.compacted_entries();
     let (count, share) = (entries.len(), job_byte_share(&entries));
     let largest = max_page_bytes(&term.options.limits);
     let values =
--- a/crates/cell/src/log_queue.rs
+++ b/crates/cell/src/log_queue.rs
@@ -3,7 +3,7 @@
     collections::VecDeque,
 };
 
-use decide::work::RecordOrder;
+use decide::work::LogAppend;
 use model::BootTime;
 use tokio::sync::{Notify, oneshot};
 use wire::work::{LogEntry, log_entry::Event};
@@ -19,7 +19,7 @@
 
 /// An entry waiting to be written.
 pub(crate) struct PendingRecord {
-    pub(crate) order: RecordOrder,
+    pub(crate) order: LogAppend,
     /// When it was queued.
     pub(crate) queued_at: BootTime,
     /// Receives the outcome, if the sender waits for it.
@@ -38,8 +38,8 @@
 
 /// An entry that acknowledges no end and belongs to no job's state. It is urgent if somebody waits
 /// for it.
-pub(crate) fn record_order(event: Event, urgent: bool) -> RecordOrder {
-    RecordOrder {
+pub(crate) fn record_order(event: Event, urgent: bool) -> LogAppend {
+    LogAppend {
         entry: LogEntry { event: Some(event) },
         origin: None,
         job: None,
@@ -70,7 +70,7 @@
 
 impl LogQueue {
     /// Queues an entry whose outcome nobody waits for.
-    pub(crate) fn push(&self, order: RecordOrder, now: BootTime) {
+    pub(crate) fn push(&self, order: LogAppend, now: BootTime) {
         let urgent = order.urgent;
         self.pending.borrow_mut().push_back(PendingRecord {
             order,
@@ -87,7 +87,7 @@
     /// unknown.
     pub(crate) fn push_awaited(
         &self,
-        order: RecordOrder,
+        order: LogAppend,
         now: BootTime,
     ) -> oneshot::Receiver<RecordOutcome> {
         let (reply, outcome) = oneshot::channel();
--- a/crates/cell/src/log_reader.rs
+++ b/crates/cell/src/log_reader.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use compact_str::CompactString;
-use decide::work::{DeskTime, WorkDesk};
+use decide::work::{SchedulerTime, WorkScheduler};
 use model::event as log_event;
 use ports::{LeaseStore, StoreError, StoreItem};
 use tokio::time::sleep;
@@ -26,8 +26,8 @@
     store: &dyn LeaseStore,
     options: &CellOptions,
     log_cache: &LogCache,
-    scheduler: &mut WorkDesk,
-    now: impl Fn() -> DeskTime,
+    scheduler: &mut WorkScheduler,
+    now: impl Fn() -> SchedulerTime,
 ) -> LogSummary {
     while let Err(error) = fetch_new_pages(store, options, log_cache).await {
         log_fault(&error);
@@ -42,7 +42,7 @@
             format_args!("key={} cause=\"{error}\"", page_key(options, page)),
         ),
     });
-    scheduler.begin(now());
+    scheduler.finish_replay(now());
     log_cache.summary()
 }
 
--- a/crates/cell/src/log_writer.rs
+++ b/crates/cell/src/log_writer.rs
@@ -167,10 +167,10 @@
     for record in batch {
         match &record.order.entry.event {
             Some(Event::Accepted(job)) => {
-                scheduler.accept(job, now);
+                scheduler.accept_job(job, now);
                 let waited = now.boot.saturating_sub(record.queued_at);
                 metric::record_duration(metric::ACCEPT_SECONDS, waited);
-                let work = scheduler.board.jobs.get(job.job.as_str());
+                let work = scheduler.job_table.jobs.get(job.job.as_str());
                 let work = work.map_or(0.0, |job| job.plan.core_seconds());
                 let mut hosts = term.hosts.borrow_mut();
                 hosts
@@ -189,12 +189,12 @@
                 );
             }
             Some(Event::Cancelled(job)) => {
-                scheduler.cancel(&job.as_str().into(), now);
+                scheduler.cancel_job(&job.as_str().into(), now);
                 log_event::info(&event::JOB_CANCELLED, format_args!("job={job} page={page}"));
             }
             _ => {}
         }
-        scheduler.recorded(&record.order, now);
+        scheduler.handle_stored_entry(&record.order, now);
         if let Some(reply) = record.reply {
             // The caller may have disconnected; the entry is valid all the same.
             let _ = reply.send(RecordOutcome::Stored);
--- a/crates/cell/src/owner_service.rs
+++ b/crates/cell/src/owner_service.rs
@@ -38,7 +38,7 @@
         Some(Ask::Look(job)) => status(term, &job),
         Some(Ask::Cancel(job)) => cancel_job(term, &job, deadline).await,
         Some(Ask::Pending(queue)) => OwnerAnswer {
-            pending: term.scheduler.borrow_mut().pending(&queue, term.now()),
+            pending: term.scheduler.borrow_mut().pending_jobs(&queue, term.now()),
             ..answer_of_kind(AnswerKind::Counted)
         },
         // Calls to any process are handled before this; other ones come from a newer version.
@@ -61,7 +61,7 @@
     if term
         .scheduler
         .borrow()
-        .board
+        .job_table
         .jobs
         .contains_key(record.job.as_str())
     {
@@ -102,7 +102,7 @@
     let plan = plan_of_record(record);
     let now = term.now();
     let mut scheduler = term.scheduler.borrow_mut();
-    let wait = scheduler.foresees_late(&plan, &record.queue, &record.workspace, now)?;
+    let wait = scheduler.predict_lateness(&plan, &record.queue, &record.workspace, now)?;
     metric::record_duration(metric::EXCESS_SECONDS, wait);
     log_event::info(
         &event::JOB_FORESEEN_LATE,
@@ -121,7 +121,7 @@
 /// not be done in time.
 fn has_long_backlog(term: &Term) -> bool {
     #[expect(clippy::cast_precision_loss, reason = "an estimate")]
-    let open = term.scheduler.borrow().board.open.len() as f64;
+    let open = term.scheduler.borrow().job_table.open.len() as f64;
     open * term.log_queue.job_bytes.get()
         >= largest_backlog(term.options.limits.link_bytes_per_second())
 }
@@ -130,7 +130,7 @@
 async fn wait_for_submission(term: &Rc<Term>, job: &str, deadline: Instant) -> OwnerAnswer {
     loop {
         let stored = term.log_queue.page_stored.notified();
-        if term.scheduler.borrow().board.jobs.contains_key(job) {
+        if term.scheduler.borrow().job_table.jobs.contains_key(job) {
             return answer_of_kind(AnswerKind::Accepted);
         }
         if !term.submitting.borrow().contains(job) {
@@ -143,7 +143,7 @@
 }
 
 fn status(term: &Rc<Term>, job: &str) -> OwnerAnswer {
-    if let Some(phase) = term.scheduler.borrow().progress(job) {
+    if let Some(phase) = term.scheduler.borrow().job_phase(job) {
         return found_answer(phase);
     }
     if term.has_valid_lease() {
@@ -162,13 +162,13 @@
         // reads the outcome from the scheduler.
         let _ = wait_for_submission(term, job, deadline).await;
     }
-    let phase = term.scheduler.borrow().progress(job);
+    let phase = term.scheduler.borrow().job_phase(job);
     let answered = match phase {
         Some(JobPhase::Queued | JobPhase::Running) => found_answer(JobPhase::Cancelled),
         Some(ended) => return found_answer(ended),
         None => answer_of_kind(AnswerKind::NotFound),
     };
-    if phase.is_none() && term.scheduler.borrow().board.jobs.contains_key(job) {
+    if phase.is_none() && term.scheduler.borrow().job_table.jobs.contains_key(job) {
         // Its cancellation is already recorded.
         return answered;
     }
@@ -191,7 +191,7 @@
 /// entry is written once the store accepts it, so that the cancellation takes effect even if the
 /// caller does not retry.
 fn refuse_cancel(term: &Term, job: &str, cause: &str) -> OwnerAnswer {
-    if term.scheduler.borrow_mut().hold(job) {
+    if term.scheduler.borrow_mut().mark_cancel_pending(job) {
         let order = record_order(Event::Cancelled(job.to_owned()), true);
         term.log_queue.push(order, boot_now(term));
     }
--- a/crates/cell/src/target_look.rs
+++ b/crates/cell/src/target_look.rs
@@ -71,12 +71,12 @@
 pub(crate) async fn next_poll(term: &Term, id: &HostId) -> Option<(PollOrder, CallPermit)> {
     loop {
         let now = term.now();
-        let class = term.scheduler.borrow().look_class(id, now)?;
+        let class = term.scheduler.borrow().poll_class(id, now)?;
         let Ok(permit) = timeout(PERMIT_TIMEOUT, term.call_limiter.acquire(class)).await else {
             continue;
         };
         let now = term.now();
-        let order = term.scheduler.borrow_mut().look_order(id, now)?;
+        let order = term.scheduler.borrow_mut().poll_order(id, now)?;
         return Some((order, permit));
     }
 }
@@ -147,7 +147,7 @@
     let now = term.now();
     term.scheduler
         .borrow_mut()
-        .saw(id, sent, observed, &answer, now);
+        .apply_report(id, sent, observed, &answer, now);
     term.wake.notify_one();
     outcome
 }
--- a/crates/cell/src/target_orders.rs
+++ b/crates/cell/src/target_orders.rs
@@ -1,6 +1,6 @@
 use std::{rc::Rc, time::Duration};
 
-use decide::{call_budget::CallClass, work::DeskOrder};
+use decide::{call_budget::CallClass, work::SchedulerAction};
 use model::{
     HostId, event as log_event,
     work::{OrderAnswer, PollOrder, StartAnswer, StartOrder, StopOrder, TaskKey, ThrottleOrder},
@@ -21,16 +21,18 @@
 const NOT_SENT_CAUSE: &str = "the term is over, or it is not known what has been cancelled";
 
 /// Sends an order to a target.
-pub(crate) fn send_order(term: &Rc<Term>, order: DeskOrder) {
+pub(crate) fn send_order(term: &Rc<Term>, order: SchedulerAction) {
     let cloned = term.clone();
     match order {
-        DeskOrder::Start(id, order) => term.spawn(send_start(cloned, id, order)),
-        DeskOrder::Stop(id, order) => term.spawn(send_stop(cloned, id, order)),
-        DeskOrder::Pace(id, order) => term.spawn(send_throttle(cloned, id, order)),
-        DeskOrder::Look(id) => term.spawn(poll_at_once(cloned, id)),
-        DeskOrder::Advise(key, targets) => term.spawn(request_advice(cloned, key, targets)),
+        SchedulerAction::Start(id, order) => term.spawn(send_start(cloned, id, order)),
+        SchedulerAction::Stop(id, order) => term.spawn(send_stop(cloned, id, order)),
+        SchedulerAction::Throttle(id, order) => term.spawn(send_throttle(cloned, id, order)),
+        SchedulerAction::Poll(id) => term.spawn(poll_at_once(cloned, id)),
+        SchedulerAction::RequestAdvice(key, targets) => {
+            term.spawn(request_advice(cloned, key, targets))
+        }
         // Actions for the log and for the term itself, which the term executes.
-        DeskOrder::Record(_) | DeskOrder::Resign(_) => {}
+        SchedulerAction::AppendLog(_) | SchedulerAction::StepDown(_) => {}
     }
 }
 
@@ -42,7 +44,11 @@
     let started_at = Instant::now();
     let permit = acquire_permits(&term, &channel, CallClass::Start).await;
     record_start_wait(&order, &id, started_at.elapsed());
-    if !term.scheduler.borrow().wants_start(&id, &task, attempt) {
+    if !term
+        .scheduler
+        .borrow()
+        .should_send_start(&id, &task, attempt)
+    {
         log_event::info(
             &event::START_DROPPED,
             format_args!("task={task} attempt={attempt} target={id}"),
@@ -55,14 +61,14 @@
         log_failure(&term, "start", &id, NOT_SENT_CAUSE);
         term.scheduler
             .borrow_mut()
-            .start_withdrawn(&id, &task, attempt);
+            .withdraw_unsent_start(&id, &task, attempt);
         term.wake.notify_one();
         return;
     };
     let now = term.now();
     term.scheduler
         .borrow_mut()
-        .renew_start(&id, &mut order, now);
+        .renew_start_deadline(&id, &mut order, now);
     let answer = term.ports.targets.start(&address, order).await;
     channel.poll_now.notify_one();
     metric::record_duration(metric::ORDER_SECONDS, started_at.elapsed());
@@ -70,7 +76,7 @@
     record_outcome(&term, "start", &id, done, &(&task, &answer));
     let now = term.now();
     let mut scheduler = term.scheduler.borrow_mut();
-    scheduler.started(&id, &task, attempt, &answer, now);
+    scheduler.handle_start_answer(&id, &task, attempt, &answer, now);
     term.wake.notify_one();
 }
 
@@ -84,7 +90,7 @@
     if !term
         .scheduler
         .borrow_mut()
-        .wants_stop(&id, &task, attempt, now)
+        .should_send_stop(&id, &task, attempt, now)
     {
         log_event::info(
             &event::STOP_DROPPED,
@@ -104,7 +110,7 @@
     record_outcome(&term, "stop", &id, done, &(&task, &answer));
     let now = term.now();
     let mut scheduler = term.scheduler.borrow_mut();
-    scheduler.stopped(&id, &task, attempt, sent, &answer, now);
+    scheduler.handle_stop_answer(&id, &task, attempt, sent, &answer, now);
     term.wake.notify_one();
 }
 
@@ -145,7 +151,7 @@
     let tickets = tickets.into_iter().map(|row| (row.target, row.ticket));
     let now = term.now();
     let mut scheduler = term.scheduler.borrow_mut();
-    scheduler.advised(&key, tickets.collect(), now);
+    scheduler.handle_advice(&key, tickets.collect(), now);
     term.wake.notify_one();
 }
 
--- a/crates/cell/src/target_watch.rs
+++ b/crates/cell/src/target_watch.rs
@@ -38,13 +38,16 @@
         };
         let now = self.term.now();
         match self.term.ports.codec.read_target(id, &item.value) {
-            Ok(entry) => self.term.scheduler.borrow_mut().list_target(entry, now),
+            Ok(entry) => self.term.scheduler.borrow_mut().upsert_target(entry, now),
             Err(error) => {
                 log_event::warn(
                     &event::ENTRY_UNREADABLE,
                     format_args!("key={} cause=\"{error}\"", item.key),
                 );
-                self.term.scheduler.borrow_mut().unlist_target(&id.into());
+                self.term
+                    .scheduler
+                    .borrow_mut()
+                    .mark_target_unlisted(&id.into());
             }
         }
     }
@@ -56,9 +59,9 @@
             .iter()
             .filter_map(|item| self.target_id(&item.key).map(HostId::from))
             .collect();
-        let listed = self.term.scheduler.borrow().listed();
+        let listed = self.term.scheduler.borrow().listed_targets();
         for id in listed.iter().filter(|id| !present.contains(*id)) {
-            self.term.scheduler.borrow_mut().unlist_target(id);
+            self.term.scheduler.borrow_mut().mark_target_unlisted(id);
         }
         items.iter().for_each(|item| self.apply_item(item));
         self.term.wake.notify_one();
@@ -69,7 +72,10 @@
             StoreEvent::Written(item) => self.apply_item(&item),
             StoreEvent::Removed(key, _) => {
                 if let Some(id) = self.target_id(&key) {
-                    self.term.scheduler.borrow_mut().unlist_target(&id.into());
+                    self.term
+                        .scheduler
+                        .borrow_mut()
+                        .mark_target_unlisted(&id.into());
                 }
             }
         }
--- a/crates/cell/src/term.rs
+++ b/crates/cell/src/term.rs
@@ -10,7 +10,7 @@
 
 use decide::{
     link_bounds::max_starts_per_second,
-    work::{DeskTime, HostPlanner, WorkDesk},
+    work::{HostPlanner, SchedulerTime, WorkScheduler},
 };
 use link::ShutdownSignal;
 use model::{BootTime, HostId, event as log_event, work::FencingToken};
@@ -82,7 +82,7 @@
     /// Revision of the owner's entry. It fences earlier owners.
     pub(crate) token: FencingToken,
     pub(crate) lease: LeaseId,
-    pub(crate) scheduler: RefCell<WorkDesk>,
+    pub(crate) scheduler: RefCell<WorkScheduler>,
     pub(crate) hosts: RefCell<HostPlanner>,
     pub(crate) log_queue: LogQueue,
     /// Jobs whose acceptance is being written to the log.
@@ -122,8 +122,8 @@
             members,
             log_cache,
         } = context;
-        let mut scheduler = WorkDesk::new(options.scheduler, won.token);
-        scheduler.set_link(max_starts_per_second(
+        let mut scheduler = WorkScheduler::new(options.scheduler, won.token);
+        scheduler.set_max_start_rate(max_starts_per_second(
             options.limits.link_bytes_per_second(),
         ));
         let valid_until = won.sent + options.owner_lease - LEASE_MARGIN;
@@ -158,8 +158,8 @@
     }
 
     /// The current time.
-    pub(crate) fn now(&self) -> DeskTime {
-        DeskTime {
+    pub(crate) fn now(&self) -> SchedulerTime {
+        SchedulerTime {
             boot: BootClock.boot_now(),
             unix: BootClock.unix_now(),
         }
@@ -227,7 +227,7 @@
     /// The clock also counts time in which the host was suspended. So a process that was paused
     /// finds its lease expired here before it sends another order.
     pub(crate) fn may_send_orders(&self) -> bool {
-        let limit = self.sole_owner_until() + self.options.scheduler.alone;
+        let limit = self.sole_owner_until() + self.options.scheduler.store_outage_limit;
         !self.over.begun() && BootClock.boot_now() < limit
     }
 
--- a/crates/cell/src/term_run.rs
+++ b/crates/cell/src/term_run.rs
@@ -1,6 +1,6 @@
 use std::{rc::Rc, time::Duration};
 
-use decide::{link_bounds::renewals_ahead, work::DeskOrder};
+use decide::{link_bounds::renewals_ahead, work::SchedulerAction};
 use model::event as log_event;
 use tokio::{
     task::yield_now,
@@ -119,22 +119,22 @@
             term.token,
             summary.pages(),
             summary.bytes,
-            scheduler.board.jobs.len(),
-            scheduler.board.open.len(),
-            scheduler.board.cancelled_count(),
-            scheduler.board.used_targets.len(),
+            scheduler.job_table.jobs.len(),
+            scheduler.job_table.open.len(),
+            scheduler.job_table.cancelled_count(),
+            scheduler.job_table.used_targets.len(),
             took.as_millis()
         ),
     );
     let now = term.now().boot;
     term.hosts
         .borrow_mut()
-        .replay_arrivals(&scheduler.board, now);
+        .replay_arrivals(&scheduler.job_table, now);
     // Calls that wait for the log are answered right after this, and some have to be refused
     // because of the size of the backlog.
     measure_job_bytes(
         &term,
-        job_byte_share(&scheduler.board.compacted_entries()),
+        job_byte_share(&scheduler.job_table.compacted_entries()),
         summary.bytes,
     );
     *term.scheduler.borrow_mut() = scheduler;
@@ -178,14 +178,14 @@
         }
         {
             let mut scheduler = term.scheduler.borrow_mut();
-            scheduler.set_alone(!term.may_start_tasks());
+            scheduler.set_ownership_uncertain(!term.may_start_tasks());
             if ticked {
                 scheduler.tick(now);
                 #[expect(clippy::cast_precision_loss, reason = "a gauge is a float")]
-                metrics::gauge!(metric::OPEN_JOBS).set(scheduler.board.open.len() as f64);
+                metrics::gauge!(metric::OPEN_JOBS).set(scheduler.job_table.open.len() as f64);
             }
             if term.cancellations_are_current() {
-                scheduler.plan(now);
+                scheduler.plan_starts(now);
             }
         }
         execute_actions(&term);
@@ -197,11 +197,11 @@
     let (orders, events, dropped, targets) = {
         let mut scheduler = term.scheduler.borrow_mut();
         let known = term.channels.borrow();
-        let mut added = scheduler.take_added();
+        let mut added = scheduler.take_added_targets();
         added.retain(|id| scheduler.targets.contains_key(id) && !known.contains_key(id));
         let dropped = std::mem::take(&mut scheduler.events_dropped);
         (
-            scheduler.take_orders(),
+            scheduler.take_actions(),
             scheduler.take_events(),
             dropped,
             added,
@@ -214,8 +214,8 @@
     let now = term.now().boot;
     for order in orders {
         match order {
-            DeskOrder::Record(record) => term.log_queue.push(record, now),
-            DeskOrder::Resign(target) => {
+            SchedulerAction::AppendLog(record) => term.log_queue.push(record, now),
+            SchedulerAction::StepDown(target) => {
                 log_event::warn(
                     &event::OWNER_FENCED,
                     format_args!("target={target} token={}", term.token),
--- a/crates/decide/src/work/host_moves.rs
+++ b/crates/decide/src/work/host_moves.rs
@@ -5,7 +5,7 @@
 
 use model::{BootTime, HostId, PoolId, work::HostCondition};
 
-use super::{HostOrder, HostPlanner, WorkDesk, host_planner::HostView};
+use super::{HostOrder, HostPlanner, WorkScheduler, host_planner::HostView};
 
 /// Idle time after which a host that its pool does not need is switched off. A move costs as much
 /// as 1.1 s of a host at the measured prices, and the host may be needed again.
@@ -28,7 +28,7 @@
 
 impl HostPlanner {
     /// Moves hosts to pools that lack capacity, and switches off hosts that no pool needs.
-    pub(super) fn plan_moves(&mut self, scheduler: &WorkDesk, now: BootTime) {
+    pub(super) fn plan_moves(&mut self, scheduler: &WorkScheduler, now: BootTime) {
         self.observe_pools(scheduler, now);
         self.min_idle_hosts = self.min_idle_hosts(scheduler);
         let standby = standby_pool(scheduler);
@@ -50,7 +50,7 @@
     }
 
     /// Returns true if a host that is switched off can be moved to a pool.
-    pub(super) fn has_standby_host(&self, scheduler: &WorkDesk, now: BootTime) -> bool {
+    pub(super) fn has_standby_host(&self, scheduler: &WorkScheduler, now: BootTime) -> bool {
         let standby = standby_pool(scheduler);
         let mut hosts = self.hosts.values();
         hosts.any(|view| standby.as_ref() == Some(&view.fleet.pool) && is_free(view, now))
@@ -191,7 +191,7 @@
     }
 
     /// Returns the number of hosts that an idle pool keeps for the first tasks of a burst.
-    fn min_idle_hosts(&self, scheduler: &WorkDesk) -> usize {
+    fn min_idle_hosts(&self, scheduler: &WorkScheduler) -> usize {
         let serving = scheduler.terms.pools.iter().filter(|pool| !pool.standby);
         let share = self.hosts.len() / serving.count().max(1);
         (share / IDLE_SHARE_DIVISOR).max(MIN_IDLE_HOSTS)
@@ -231,7 +231,7 @@
         capacities
     }
 
-    fn observe_pools(&mut self, scheduler: &WorkDesk, now: BootTime) {
+    fn observe_pools(&mut self, scheduler: &WorkScheduler, now: BootTime) {
         for pool in &scheduler.terms.pools {
             let (present, long_running) = scheduler.core_demand(&pool.name);
             self.meter.observe(&pool.name, present, long_running, now);
@@ -241,7 +241,7 @@
     }
 }
 
-impl WorkDesk {
+impl WorkScheduler {
     /// Returns the cores that the open jobs of a pool need: first for tasks that run or could start
     /// now, then for long-running tasks.
     fn core_demand(&self, pool: &PoolId) -> (f64, f64) {
@@ -257,15 +257,15 @@
     fn anti_affinity_hosts(&self, pool: &PoolId) -> usize {
         let hosts = self.index.jobs.anti_affinity_hosts(pool);
         let spare = usize::from(hosts > 0);
-        let starved = self.starved.keys().any(|step| {
-            let job = self.board.jobs.get(&step.job);
+        let starved = self.unplaced_since.keys().any(|step| {
+            let job = self.job_table.jobs.get(&step.job);
             job.is_some_and(|job| job.pool == *pool)
         });
         hosts + spare + usize::from(starved)
     }
 }
 
-fn standby_pool(scheduler: &WorkDesk) -> Option<PoolId> {
+fn standby_pool(scheduler: &WorkScheduler) -> Option<PoolId> {
     let standby = scheduler.terms.pools.iter().find(|pool| pool.standby);
     standby.map(|pool| pool.name.clone())
 }
--- a/crates/decide/src/work/host_planner.rs
+++ b/crates/decide/src/work/host_planner.rs
@@ -8,7 +8,7 @@
     work::{FleetHost, HostCondition, HostOrderAnswer, MaintenanceWave, WaveId},
 };
 
-use super::{DemandMeter, DeskTime, HostDrainState, JobTable, WorkDesk};
+use super::{DemandMeter, HostDrainState, JobTable, SchedulerTime, WorkScheduler};
 
 /// Pause after an order that was refused because the host was busy.
 const BUSY_PAUSE: Duration = Duration::from_millis(700);
@@ -172,7 +172,7 @@
         ordered: &BTreeMap<String, Duration>,
         pause: Duration,
         min_pause: Duration,
-        now: DeskTime,
+        now: SchedulerTime,
     ) {
         if std::mem::replace(&mut self.earlier_orders_applied, !self.hosts.is_empty()) {
             return;
@@ -193,8 +193,8 @@
     }
 
     /// Returns the orders to send now, and drains hosts on `scheduler` that are to be ordered next.
-    pub fn plan(&mut self, scheduler: &mut WorkDesk, now: BootTime) -> Vec<HostOrder> {
-        scheduler.sync(now);
+    pub fn plan(&mut self, scheduler: &mut WorkScheduler, now: BootTime) -> Vec<HostOrder> {
+        scheduler.sync_indexes(now);
         self.update_idle(scheduler, now);
         self.plan_waves(scheduler, now);
         self.plan_moves(scheduler, now);
@@ -288,7 +288,7 @@
         }
     }
 
-    fn update_idle(&mut self, scheduler: &WorkDesk, now: BootTime) {
+    fn update_idle(&mut self, scheduler: &WorkScheduler, now: BootTime) {
         for view in self.hosts.values_mut() {
             let target = scheduler.targets.get(&view.fleet.target);
             let busy = target.is_some_and(|target| !target.is_empty());
@@ -300,7 +300,7 @@
         }
     }
 
-    fn drain_hosts(&self, scheduler: &mut WorkDesk) {
+    fn drain_hosts(&self, scheduler: &mut WorkScheduler) {
         let drains = self.hosts.values().filter_map(|view| {
             let drain = match view.operation.as_ref()?.state {
                 OperationState::Draining => HostDrainState::Draining,
@@ -308,11 +308,11 @@
             };
             Some((view.fleet.target.clone(), drain))
         });
-        scheduler.keep_free(&drains.collect());
+        scheduler.set_drains(&drains.collect());
     }
 
     /// Returns the orders for hosts that are empty.
-    fn ready_orders(&mut self, scheduler: &WorkDesk, now: BootTime) -> Vec<HostOrder> {
+    fn ready_orders(&mut self, scheduler: &WorkScheduler, now: BootTime) -> Vec<HostOrder> {
         let mut orders = Vec::new();
         for view in self.hosts.values_mut() {
             let target = scheduler.targets.get(&view.fleet.target);
--- a/crates/decide/src/work/host_replacements.rs
+++ b/crates/decide/src/work/host_replacements.rs
@@ -3,10 +3,10 @@
 use model::{BootTime, PoolId, work::HostCondition};
 
 use super::{
-    HostOrder, HostPlanner, WorkDesk,
-    desk_evacuate::StrandedTask,
+    HostOrder, HostPlanner, WorkScheduler,
     host_moves::PoolCapacity,
     host_planner::{HostView, OperationState},
+    scheduler_evacuate::StrandedTask,
 };
 
 impl HostPlanner {
@@ -15,7 +15,7 @@
     /// that can't run such tasks.
     pub(super) fn provision_replacements(
         &mut self,
-        scheduler: &WorkDesk,
+        scheduler: &WorkScheduler,
         standby: Option<&PoolId>,
         rooms: &mut BTreeMap<PoolId, PoolCapacity>,
         now: BootTime,
--- a/crates/decide/src/work/host_waves.rs
+++ b/crates/decide/src/work/host_waves.rs
@@ -8,7 +8,7 @@
     work::{HostCondition, WaveId},
 };
 
-use super::{HostOrder, HostPlanner, WorkDesk, host_planner::WaveView};
+use super::{HostOrder, HostPlanner, WorkScheduler, host_planner::WaveView};
 
 /// Estimated time for the maintenance of one host: draining, going down and coming back.
 const HOST_MAINTENANCE_TIME: Duration = Duration::from_millis(3500);
@@ -24,7 +24,7 @@
 
 impl HostPlanner {
     /// Selects the next hosts of each wave to maintain.
-    pub(super) fn plan_waves(&mut self, scheduler: &WorkDesk, now: BootTime) {
+    pub(super) fn plan_waves(&mut self, scheduler: &WorkScheduler, now: BootTime) {
         let ids: Vec<WaveId> = self.waves.keys().copied().collect();
         let pools_below_demand = self.pools_below_demand();
         for id in ids {
@@ -65,7 +65,7 @@
         wave: &WaveView,
         slots: usize,
         pools_below_demand: &BTreeSet<PoolId>,
-        scheduler: &WorkDesk,
+        scheduler: &WorkScheduler,
         now: BootTime,
     ) -> Vec<HostId> {
         let remaining: Vec<&HostId> = wave
@@ -138,7 +138,7 @@
         host: &HostId,
         urgent: bool,
         pools_below_demand: &BTreeSet<PoolId>,
-        scheduler: &WorkDesk,
+        scheduler: &WorkScheduler,
         now: BootTime,
     ) -> Option<(u64, HostId)> {
         let view = self.hosts.get(host)?;
--- a/crates/decide/src/work/mod.rs
+++ b/crates/decide/src/work/mod.rs
@@ -1,28 +1,12 @@
 //! Decisions of the owner of a cell: which task starts where and when, what becomes of an
 //! end, and which orders are in doubt.
 //!
-//! Start with [`WorkDesk`]. It is told of accepted jobs, of targets and of what they say, and
+//! Start with [`WorkScheduler`]. It is told of accepted jobs, of targets and of what they say, and
 //! it returns orders; the crate `cell` carries them out. Ownership, fencing and the job log
 //! are argued in `docs/design/13-platform.md`.
 
 mod compacted_log;
 mod demand_meter;
-mod desk_admit;
-mod desk_advice;
-mod desk_answer;
-mod desk_claim;
-mod desk_end;
-mod desk_evacuate;
-mod desk_index;
-mod desk_life;
-mod desk_miss;
-mod desk_order;
-mod desk_plan;
-mod desk_sight;
-mod desk_start;
-mod desk_stop;
-mod desk_tick;
-mod desk_tuning;
 mod host_moves;
 mod host_planner;
 mod host_replacements;
@@ -35,6 +19,22 @@
 mod objective;
 mod pick;
 mod ranked_steps;
+mod scheduler_action;
+mod scheduler_admit;
+mod scheduler_advice;
+mod scheduler_answer;
+mod scheduler_claim;
+mod scheduler_end;
+mod scheduler_evacuate;
+mod scheduler_incarnation;
+mod scheduler_index;
+mod scheduler_plan;
+mod scheduler_report;
+mod scheduler_start;
+mod scheduler_stop;
+mod scheduler_tick;
+mod scheduler_tuning;
+mod scheduler_unreachable;
 mod share_meter;
 mod start_forecast;
 mod step_key;
@@ -42,22 +42,24 @@
 mod target_state;
 mod throttle;
 mod tracked_map;
-mod work_desk;
 mod work_job;
+mod work_scheduler;
 
 pub use compacted_log::CompactedLog;
 pub use demand_meter::DemandMeter;
-pub use desk_index::DeskEffort;
-pub use desk_order::{DeskEvent, DeskOrder, EndOrigin, PlaceInputs, RecordOrder};
-pub use desk_tuning::DeskTuning;
 pub use host_planner::{HostOrder, HostPlanner};
 pub use job_record::{plan_of_record, record_of_plan};
 pub use job_table::JobTable;
 pub use objective::RankClass;
+pub use scheduler_action::{
+    EndOrigin, LogAppend, PlacementInputs, SchedulerAction, SchedulerEvent,
+};
+pub use scheduler_index::WorkCounters;
+pub use scheduler_tuning::SchedulerTuning;
 pub use start_forecast::StartForecast;
 pub use target_state::{HostDrainState, TargetIncarnation, TargetState};
 pub use tracked_map::TrackedMap;
-pub use work_desk::{DeskTime, WorkDesk};
 pub use work_job::{
     OccurrenceState, PlacementPhase, StepState, TaskPlacement, TaskState, WorkJob, WorkPhase,
 };
+pub use work_scheduler::{SchedulerTime, WorkScheduler};
--- a/crates/decide/src/work/desk_advice.rs
+++ b/crates/decide/src/work/scheduler_advice.rs
@@ -3,20 +3,25 @@
 use compact_str::CompactString;
 use model::{HostId, work::TaskKey};
 
-use super::{DeskOrder, DeskTime, WorkDesk, step_key::StepKey};
+use super::{SchedulerAction, SchedulerTime, WorkScheduler, step_key::StepKey};
 
 /// Targets that are asked about at once; each costs the service time, and it takes a hundred.
-const ADVISED_AT_ONCE: u32 = 16;
+const MAX_TARGETS_PER_ADVICE: u32 = 16;
 /// Least time between two questions about one step.
-const ADVICE_PAUSE: Duration = Duration::from_millis(500);
+const MIN_ADVICE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A ticket is not used in the last part of its time: the start has to arrive within it.
-const ADVICE_MARGIN: Duration = Duration::from_millis(100);
+const TICKET_EXPIRY_MARGIN: Duration = Duration::from_millis(100);
 
-impl WorkDesk {
+impl WorkScheduler {
     /// Takes the tickets for a step; none if the question failed.
-    pub fn advised(&mut self, key: &TaskKey, tickets: Vec<(HostId, CompactString)>, now: DeskTime) {
-        let Some(job) = self.board.jobs.get(&key.job) else {
+    pub fn handle_advice(
+        &mut self,
+        key: &TaskKey,
+        tickets: Vec<(HostId, CompactString)>,
+        now: SchedulerTime,
+    ) {
+        let Some(job) = self.job_table.jobs.get(&key.job) else {
             return;
         };
         let queue = self.terms.queue(&job.queue);
@@ -24,27 +29,27 @@
             .and_then(|queue| queue.advice)
             .unwrap_or_default()
             .valid;
-        let until = now.boot + valid.saturating_sub(ADVICE_MARGIN);
+        let until = now.boot + valid.saturating_sub(TICKET_EXPIRY_MARGIN);
         let granted = tickets
             .into_iter()
             .map(|(id, ticket)| (id, (ticket, until)))
             .collect();
-        if let Some(step) = self.board.step_mut(key) {
+        if let Some(step) = self.job_table.step_mut(key) {
             step.tickets = granted;
-            self.stale = true;
+            self.replan_needed = true;
         }
     }
 
-    fn set_asked(&mut self, key: &TaskKey, now: DeskTime) {
-        if let Some(step) = self.board.step_mut(key) {
+    fn mark_advice_requested(&mut self, key: &TaskKey, now: SchedulerTime) {
+        if let Some(step) = self.job_table.step_mut(key) {
             step.tickets.clear();
             step.advice_requested_at = now.boot;
         }
     }
 
     /// True if the step has to wait for advice; asks for it.
-    pub(super) fn wants_advice(&mut self, step: &StepKey, now: DeskTime) -> bool {
-        let Some(job) = self.board.jobs.get(&step.job) else {
+    pub(super) fn must_wait_for_advice(&mut self, step: &StepKey, now: SchedulerTime) -> bool {
+        let Some(job) = self.job_table.jobs.get(&step.job) else {
             return false;
         };
         let Some(advice) = self.terms.queue(&job.queue).and_then(|queue| queue.advice) else {
@@ -58,9 +63,11 @@
             return false;
         }
         // A step is not asked about again before the answer to its last question is overdue.
-        let patience = advice.fixed + advice.per_target * ADVISED_AT_ONCE * 4;
+        let patience = advice.fixed + advice.per_target * MAX_TARGETS_PER_ADVICE * 4;
         let asked = !state.advice_requested_at.is_zero();
-        if asked && now.boot.saturating_sub(state.advice_requested_at) < patience.max(ADVICE_PAUSE)
+        if asked
+            && now.boot.saturating_sub(state.advice_requested_at)
+                < patience.max(MIN_ADVICE_INTERVAL)
         {
             return true;
         }
@@ -71,7 +78,7 @@
         usable.sort_by_key(|target| Reverse(target.free().cpu));
         let ids: Vec<HostId> = usable
             .iter()
-            .take(ADVISED_AT_ONCE as usize)
+            .take(MAX_TARGETS_PER_ADVICE as usize)
             .map(|target| target.entry.target.clone())
             .collect();
         if ids.is_empty() {
@@ -83,8 +90,8 @@
             step: step.step,
             index: 0,
         };
-        self.set_asked(&key, now);
-        self.orders.push(DeskOrder::Advise(key, ids));
+        self.mark_advice_requested(&key, now);
+        self.actions.push(SchedulerAction::RequestAdvice(key, ids));
         true
     }
 }
--- a/crates/decide/src/work/desk_claim.rs
+++ b/crates/decide/src/work/scheduler_claim.rs
@@ -1,15 +1,15 @@
 use model::{HostId, work::TaskKey};
 
 use super::{
-    WorkDesk,
+    WorkScheduler,
     target_state::{RunClaim, RunKey},
 };
 
 /// The books of what runs take: of a target's room, and of their workspace's limit.
-impl WorkDesk {
+impl WorkScheduler {
     /// Takes room and a part of the workspace's limit for a run.
     pub(super) fn claim(&mut self, id: &HostId, run: RunKey) {
-        let claim = self.claim_of(&run.0);
+        let claim = self.claim_for_task(&run.0);
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
@@ -17,7 +17,10 @@
             return;
         }
         self.index.runs.insert((run.0.clone(), run.1, id.clone()));
-        let usage = self.usage.entry(claim.workspace.clone()).or_default();
+        let usage = self
+            .workspace_usage
+            .entry(claim.workspace.clone())
+            .or_default();
         *usage = usage.plus(claim.charged);
         target.claim(run, claim);
     }
@@ -31,11 +34,11 @@
         else {
             return;
         };
-        self.forget_run(id, run, &claim);
+        self.remove_run_accounting(id, run, &claim);
     }
 
     /// Runs of a job, or of one of its tasks, each with the target that it may be on.
-    pub(super) fn runs_of(&self, job: &str, task: Option<&TaskKey>) -> Vec<(HostId, RunKey)> {
+    pub(super) fn runs_of_job(&self, job: &str, task: Option<&TaskKey>) -> Vec<(HostId, RunKey)> {
         let first = TaskKey {
             job: job.into(),
             occurrence: 0,
@@ -54,18 +57,18 @@
     }
 
     /// Takes a run out of the books that count runs beyond its target.
-    pub(super) fn forget_run(&mut self, id: &HostId, run: &RunKey, claim: &RunClaim) {
+    pub(super) fn remove_run_accounting(&mut self, id: &HostId, run: &RunKey, claim: &RunClaim) {
         self.index.runs.remove(&(run.0.clone(), run.1, id.clone()));
-        if let Some(usage) = self.usage.get_mut(&claim.workspace) {
+        if let Some(usage) = self.workspace_usage.get_mut(&claim.workspace) {
             *usage = usage.minus(claim.charged);
         }
         if let Some(pools) = self.index.capped.remove(&claim.workspace) {
-            self.index.due.extend(pools);
+            self.index.startable_pools.extend(pools);
         }
     }
 
-    fn claim_of(&self, key: &TaskKey) -> RunClaim {
-        let Some(job) = self.board.jobs.get(&key.job) else {
+    fn claim_for_task(&self, key: &TaskKey) -> RunClaim {
+        let Some(job) = self.job_table.jobs.get(&key.job) else {
             return RunClaim::default();
         };
         let Some(step) = job.plan.steps.get(key.step as usize) else {
--- a/crates/decide/src/work/desk_end.rs
+++ b/crates/decide/src/work/scheduler_end.rs
@@ -5,21 +5,21 @@
 use wire::work::{TaskEnd, log_entry::Event};
 
 use super::{
-    DeskEvent, DeskOrder, DeskTime, EndOrigin, PlacementPhase, TaskPlacement, WorkDesk, WorkJob,
-    WorkPhase, pick::FAILED_TARGET_WAIT, target_state::RunKey,
+    EndOrigin, PlacementPhase, SchedulerAction, SchedulerEvent, SchedulerTime, TaskPlacement,
+    WorkJob, WorkPhase, WorkScheduler, pick::FAILED_TARGET_WAIT, target_state::RunKey,
 };
 
-impl WorkDesk {
+impl WorkScheduler {
     /// Handles an end that a target lists for the first time.
-    pub(super) fn apply_end(&mut self, id: &HostId, end: &EndReport, now: DeskTime) {
+    pub(super) fn handle_task_end(&mut self, id: &HostId, end: &EndReport, now: SchedulerTime) {
         let run: RunKey = (end.task.clone(), end.attempt);
         self.unclaim(id, &run);
         let job = &end.task.job;
         // As for a run: what a predecessor found due is due.
-        self.board
+        self.job_table
             .open_occurrences_until(job, end.task.occurrence, now.boot);
-        self.board.mark_started(job);
-        self.vacate_place(id, &run);
+        self.job_table.mark_started(job);
+        self.clear_placement(id, &run);
         let name = match end.kind {
             EndKind::Done => "done",
             EndKind::Failed => "failed",
@@ -28,24 +28,24 @@
             EndKind::GangBroken => "broken",
             EndKind::GangIncomplete => "alone",
         };
-        self.note(DeskEvent::Ended(
+        self.emit(SchedulerEvent::Ended(
             end.task.clone(),
             end.attempt,
             id.clone(),
             name,
         ));
-        self.keep_checkpoint(end);
-        let Some(life) = self.targets.get(id).map(|target| target.incarnation.number) else {
+        self.save_checkpoint(end);
+        let Some(incarnation) = self.targets.get(id).map(|target| target.incarnation.number) else {
             return;
         };
         let origin = EndOrigin {
             target: id.clone(),
-            life,
+            incarnation,
             number: end.number,
         };
         match end.kind {
-            EndKind::Done => self.end_done(end, origin, now),
-            EndKind::Failed => self.end_failed(end, origin, now),
+            EndKind::Done => self.handle_task_done(end, origin, now),
+            EndKind::Failed => self.handle_task_failed(end, origin, now),
             EndKind::Stopped
             | EndKind::LeaseExpired
             | EndKind::GangBroken
@@ -54,63 +54,68 @@
     }
 
     /// An entry about an end has been stored, so the target may forget the end.
-    pub(super) fn settle_end(&mut self, origin: &EndOrigin) {
+    pub(super) fn mark_end_stored(&mut self, origin: &EndOrigin) {
         if let Some(target) = self.targets.get_mut_untracked(&origin.target)
-            && target.incarnation.number == origin.life
+            && target.incarnation.number == origin.incarnation
         {
             target.incarnation.unstored_ends.remove(&origin.number);
         }
     }
 
     /// Stops all that runs of a job that has ended.
-    pub(super) fn stop_job(&mut self, job: &str, now: DeskTime) {
-        for (id, run) in self.runs_of(job, None) {
+    pub(super) fn stop_job_runs(&mut self, job: &str, now: SchedulerTime) {
+        for (id, run) in self.runs_of_job(job, None) {
             self.stop_run(&id, &run, now);
         }
     }
 
     /// Orders the stop of a run, also of one that may not have reached its target yet.
-    pub(super) fn stop_run(&mut self, id: &HostId, run: &RunKey, now: DeskTime) {
-        self.set_phase(id, run, PlacementPhase::Stopping(false), now);
+    pub(super) fn stop_run(&mut self, id: &HostId, run: &RunKey, now: SchedulerTime) {
+        self.set_run_phase(id, run, PlacementPhase::Stopping(false), now);
         let order = model::work::StopOrder {
             task: run.0.clone(),
             attempt: run.1,
             token: self.token,
         };
-        self.stops.insert((id.clone(), run.clone()), now.boot);
-        self.orders.push(DeskOrder::Stop(id.clone(), order));
+        self.pending_stops
+            .insert((id.clone(), run.clone()), now.boot);
+        self.actions.push(SchedulerAction::Stop(id.clone(), order));
     }
 
     /// Sets what is known of a run, if its task is taken to be there.
-    pub(super) fn set_phase(
+    pub(super) fn set_run_phase(
         &mut self,
         id: &HostId,
         run: &RunKey,
         phase: PlacementPhase,
-        now: DeskTime,
+        now: SchedulerTime,
     ) {
-        if let Some(place) = self.place_mut(id, run) {
+        if let Some(place) = self.placement_mut(id, run) {
             place.phase = phase;
             place.since = now.boot;
         }
     }
 
     /// The place of a run's task, if the task is taken to be there.
-    pub(super) fn place_mut(&mut self, id: &HostId, run: &RunKey) -> Option<&mut TaskPlacement> {
+    pub(super) fn placement_mut(
+        &mut self,
+        id: &HostId,
+        run: &RunKey,
+    ) -> Option<&mut TaskPlacement> {
         let (key, attempt) = run;
-        let task = self.board.task_mut_unindexed(key)?;
+        let task = self.job_table.task_mut_unindexed(key)?;
         let place = task.placement.as_mut()?;
         (place.target == *id && place.attempt == *attempt).then_some(place)
     }
 
     /// The task of a run waits again, or is done, if it was taken to be there.
-    pub(super) fn vacate_place(&mut self, id: &HostId, run: &RunKey) {
+    pub(super) fn clear_placement(&mut self, id: &HostId, run: &RunKey) {
         let (key, _) = run;
-        self.stops.remove(&(id.clone(), run.clone()));
-        if self.board.placement_of(id, run).is_none() {
+        self.pending_stops.remove(&(id.clone(), run.clone()));
+        if self.job_table.placement_of(id, run).is_none() {
             return;
         }
-        if let Some(step) = self.board.step_mut(key)
+        if let Some(step) = self.job_table.step_mut(key)
             && let Some(task) = step.tasks.get_mut(key.index as usize)
         {
             task.placement = None;
@@ -118,44 +123,44 @@
         }
     }
 
-    fn end_done(&mut self, end: &EndReport, origin: EndOrigin, now: DeskTime) {
+    fn handle_task_done(&mut self, end: &EndReport, origin: EndOrigin, now: SchedulerTime) {
         let open = self
-            .board
+            .job_table
             .jobs
             .get(&end.task.job)
             .is_some_and(WorkJob::is_open);
         if !open {
             // The job may have been completed by this very end, with an entry that is not stored.
-            self.record_again(end, true, origin);
+            self.record_duplicate_end(end, true, origin);
             return;
         }
-        let doubtful = self.doubtful_members(&end.task);
-        if !self.board.mark_done(&end.task, now.boot) {
-            self.record_again(end, true, origin);
+        let doubtful = self.unconfirmed_gang_members(&end.task);
+        if !self.job_table.mark_done(&end.task, now.boot) {
+            self.record_duplicate_end(end, true, origin);
             return;
         }
         if let Some(target) = self.targets.get_mut_untracked(&origin.target) {
             target.consecutive_failures = 0;
         }
         self.record_end(end, true, origin);
-        self.stop_copies(&end.task, now);
+        self.stop_duplicate_runs(&end.task, now);
         for (id, run) in doubtful {
             self.stop_run(&id, &run, now);
         }
         let job = &end.task.job;
         let completed = |job: &WorkJob| job.phase == WorkPhase::Completed;
-        if self.board.jobs.get(job).is_some_and(completed) {
-            self.note(DeskEvent::JobEnded(job.clone(), "completed"));
+        if self.job_table.jobs.get(job).is_some_and(completed) {
+            self.emit(SchedulerEvent::JobEnded(job.clone(), "completed"));
         }
     }
 
-    fn end_failed(&mut self, end: &EndReport, origin: EndOrigin, now: DeskTime) {
+    fn handle_task_failed(&mut self, end: &EndReport, origin: EndOrigin, now: SchedulerTime) {
         let tuning = self.tuning;
-        let Some(job) = self.board.jobs.get_mut(&end.task.job) else {
+        let Some(job) = self.job_table.jobs.get_mut(&end.task.job) else {
             return;
         };
         if !job.is_open() {
-            self.record_again(end, false, origin);
+            self.record_duplicate_end(end, false, origin);
             return;
         }
         let step = job.plan.steps.get(end.task.step as usize);
@@ -172,12 +177,13 @@
                 own.failed_on.push(origin.target.clone());
             }
         }
-        self.failed_waits.push_back(now.boot + FAILED_TARGET_WAIT);
+        self.failure_wait_deadlines
+            .push_back(now.boot + FAILED_TARGET_WAIT);
         let Some(task) = job.task_mut(key.occurrence, key.step, counted) else {
             return;
         };
         if task.done || task.failed_attempts.contains(&end.attempt) {
-            self.record_again(end, false, origin);
+            self.record_duplicate_end(end, false, origin);
             return;
         }
         task.failed_attempts.push(end.attempt);
@@ -200,11 +206,11 @@
         }
     }
 
-    pub(super) fn fail_job(&mut self, job: &model::JobId, now: DeskTime) {
-        self.board.end_job(job, WorkPhase::Failed, now.boot);
-        self.note(DeskEvent::JobEnded(job.clone(), "failed"));
-        self.record(Event::Failed(job.to_string()), None, Some(job));
-        self.stop_job(job, now);
+    pub(super) fn fail_job(&mut self, job: &model::JobId, now: SchedulerTime) {
+        self.job_table.end_job(job, WorkPhase::Failed, now.boot);
+        self.emit(SchedulerEvent::JobEnded(job.clone(), "failed"));
+        self.append_log_entry(Event::Failed(job.to_string()), None, Some(job));
+        self.stop_job_runs(job, now);
     }
 
     /// Records an end that is known already, unless all that is known of its job is stored.
@@ -212,8 +218,8 @@
     /// Another end may stand for this one: of a gang that of another member, and of a target
     /// that was given up and came back the same end. While that entry is not stored, observing
     /// this end would leave a successor with neither, and it would run the task again.
-    fn record_again(&mut self, end: &EndReport, done: bool, origin: EndOrigin) {
-        let job = self.board.jobs.get(&end.task.job);
+    fn record_duplicate_end(&mut self, end: &EndReport, done: bool, origin: EndOrigin) {
+        let job = self.job_table.jobs.get(&end.task.job);
         if job.is_some_and(|job| job.unstored_entries > 0) {
             self.record_end(end, done, origin);
         }
@@ -233,17 +239,17 @@
             checkpoint: end.checkpoint.to_string(),
             attempt: end.attempt,
         };
-        self.record(Event::Ended(ended), Some(origin), Some(&job));
+        self.append_log_entry(Event::Ended(ended), Some(origin), Some(&job));
     }
 
     /// Members of a task's gang of which it is not known that they run. When the gang is done its
     /// tasks are forgotten; a start that is still under way then would run beside other work in
     /// room that was given back, so it is closed by a stop.
-    fn doubtful_members(&self, key: &TaskKey) -> Vec<(HostId, RunKey)> {
-        if !self.step_of(key).is_some_and(|step| step.gang) {
+    fn unconfirmed_gang_members(&self, key: &TaskKey) -> Vec<(HostId, RunKey)> {
+        if !self.step_plan(key).is_some_and(|step| step.gang) {
             return Vec::new();
         }
-        let step = self.step_by(&key.job, key.occurrence, key.step);
+        let step = self.step_state_at(&key.job, key.occurrence, key.step);
         let tasks = step.into_iter().flat_map(|step| (0..).zip(&step.tasks));
         let placed = tasks.filter_map(|(index, task)| Some((index, task.placement.as_ref()?)));
         let doubtful = placed.filter(|(_, place)| place.phase != PlacementPhase::Running);
@@ -259,20 +265,20 @@
     }
 
     /// Stops what may still run of a task that is done; of a gang its members end together.
-    fn stop_copies(&mut self, key: &TaskKey, now: DeskTime) {
+    fn stop_duplicate_runs(&mut self, key: &TaskKey, now: SchedulerTime) {
         let gang = |job: &WorkJob| {
             let step = job.plan.steps.get(key.step as usize);
             step.is_some_and(|step| step.gang)
         };
-        if self.board.jobs.get(&key.job).is_some_and(gang) {
+        if self.job_table.jobs.get(&key.job).is_some_and(gang) {
             return;
         }
-        for (id, run) in self.runs_of(&key.job, Some(key)) {
+        for (id, run) in self.runs_of_job(&key.job, Some(key)) {
             self.stop_run(&id, &run, now);
         }
     }
 
-    fn keep_checkpoint(&mut self, end: &EndReport) {
+    fn save_checkpoint(&mut self, end: &EndReport) {
         if end.checkpoint.is_empty() {
             return;
         }
@@ -285,14 +291,14 @@
         key: &TaskKey,
         checkpoint: &compact_str::CompactString,
     ) {
-        let gang = self.step_of(key).is_some_and(|step| step.gang);
+        let gang = self.step_plan(key).is_some_and(|step| step.gang);
         if !gang {
-            if let Some(task) = self.board.task_mut_unindexed(key) {
+            if let Some(task) = self.job_table.task_mut_unindexed(key) {
                 task.checkpoint = checkpoint.clone();
             }
             return;
         }
-        let Some(step) = self.board.step_mut(key) else {
+        let Some(step) = self.job_table.step_mut(key) else {
             return;
         };
         for task in &mut step.tasks {
--- a/crates/decide/src/work/desk_life.rs
+++ b/crates/decide/src/work/scheduler_incarnation.rs
@@ -3,22 +3,22 @@
 use model::{BootTime, HostId};
 
 use super::{
-    DeskEvent, DeskOrder, DeskTime, PlacementPhase, WorkDesk,
+    PlacementPhase, SchedulerAction, SchedulerEvent, SchedulerTime, WorkScheduler,
     target_state::{RESPONSE_MAX_AGE, RunClaim, RunKey},
 };
 
 /// Lists of hosts in a row that have to lack a life before it counts as ended. A list comes in
 /// pages that are no snapshot, so that one may miss a host that changes just then.
-const LISTS_MISSED: u32 = 2;
+const MAX_ABSENT_LISTS: u32 = 2;
 
-impl WorkDesk {
+impl WorkScheduler {
     /// A target begins another life: what ran there is over.
-    pub(super) fn end_life(
+    pub(super) fn end_incarnation(
         &mut self,
         id: &HostId,
         born: Duration,
         cause: &'static str,
-        now: DeskTime,
+        now: SchedulerTime,
     ) {
         let tuning = self.tuning;
         let Some(target) = self.targets.get_mut(id) else {
@@ -34,12 +34,17 @@
                 target.add_unconfirmed(run.clone(), now.boot);
             }
             self.claim(id, run.clone());
-            self.close_start(id, &run, now);
+            self.fence_start(id, &run, now);
         }
     }
 
     /// A target's life is over and no other begins under its id for now.
-    pub(super) fn lose_target(&mut self, id: &HostId, cause: &'static str, now: DeskTime) {
+    pub(super) fn mark_target_lost(
+        &mut self,
+        id: &HostId,
+        cause: &'static str,
+        now: SchedulerTime,
+    ) {
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
@@ -57,7 +62,12 @@
     /// host lives any more, has ended, and all that ran there with it; nothing need wait until its
     /// granted time has lapsed. Without this a chain of owners that follow each other within that time
     /// would never start the tasks of its pool again, as each waits anew.
-    pub fn take_lives(&mut self, lives: &BTreeSet<HostId>, asked: BootTime, now: DeskTime) {
+    pub fn update_incarnations(
+        &mut self,
+        lives: &BTreeSet<HostId>,
+        asked: BootTime,
+        now: SchedulerTime,
+    ) {
         if lives.is_empty() {
             return;
         }
@@ -77,12 +87,12 @@
                 continue;
             };
             target.lists_absent = if lives { 0 } else { target.lists_absent + 1 };
-            if target.lists_absent >= LISTS_MISSED {
+            if target.lists_absent >= MAX_ABSENT_LISTS {
                 gone.push(id);
             }
         }
         for id in gone {
-            self.lose_target(&id, "no-host", now);
+            self.mark_target_lost(&id, "no-host", now);
             if let Some(target) = self.targets.get_mut(&id) {
                 target.inherited = false;
             }
@@ -90,7 +100,7 @@
     }
 
     /// True while tasks may run on lives that no look has reached and the host list lacks.
-    pub fn has_unknown_lives(&self) -> bool {
+    pub fn has_unknown_incarnations(&self) -> bool {
         let mut targets = self.targets.values();
         targets.any(|target| !target.is_state_known() && !target.listed)
     }
@@ -103,53 +113,53 @@
         held: Vec<(RunKey, RunClaim)>,
         renewed: bool,
         cause: &'static str,
-        now: DeskTime,
+        now: SchedulerTime,
     ) {
-        self.note(DeskEvent::TargetLost(id.clone(), cause, held.len()));
+        self.emit(SchedulerEvent::TargetLost(id.clone(), cause, held.len()));
         let listed = self.targets.get(id).is_some_and(|target| target.listed);
         for (run, claim) in held {
-            self.forget_run(id, &run, &claim);
-            match self.fate_of(id, &run) {
-                RunFate::Doubtful if renewed || listed => {
+            self.remove_run_accounting(id, &run, &claim);
+            match self.run_disposition(id, &run) {
+                RunDisposition::Unconfirmed if renewed || listed => {
                     // The start may still reach the new life: it is closed there by a stop.
                     self.claim(id, run.clone());
-                    if let Some(place) = self.place_mut(id, &run) {
+                    if let Some(place) = self.placement_mut(id, &run) {
                         place.confirmed = false;
                     }
-                    self.close_start(id, &run, now);
+                    self.fence_start(id, &run, now);
                 }
-                RunFate::Unseen if renewed => {
+                RunDisposition::NotReported if renewed => {
                     // The next look tells which life it is in.
                     self.claim(id, run);
-                    self.orders.push(DeskOrder::Look(id.clone()));
+                    self.actions.push(SchedulerAction::Poll(id.clone()));
                 }
-                _ => self.vacate_place(id, &run),
+                _ => self.clear_placement(id, &run),
             }
         }
-        self.stale = true;
+        self.replan_needed = true;
     }
 
-    fn fate_of(&self, id: &HostId, run: &RunKey) -> RunFate {
-        let Some(place) = self.board.placement_of(id, run) else {
-            return RunFate::Over;
+    fn run_disposition(&self, id: &HostId, run: &RunKey) -> RunDisposition {
+        let Some(place) = self.job_table.placement_of(id, run) else {
+            return RunDisposition::Ended;
         };
         match place.phase {
             PlacementPhase::Starting
             | PlacementPhase::Unconfirmed
-            | PlacementPhase::Stopping(false) => RunFate::Doubtful,
-            PlacementPhase::Running if !place.confirmed => RunFate::Unseen,
-            PlacementPhase::Running | PlacementPhase::Stopping(true) => RunFate::Over,
+            | PlacementPhase::Stopping(false) => RunDisposition::Unconfirmed,
+            PlacementPhase::Running if !place.confirmed => RunDisposition::NotReported,
+            PlacementPhase::Running | PlacementPhase::Stopping(true) => RunDisposition::Ended,
         }
     }
 }
 
 /// What becomes of a run when the life ends that it was taken to be in.
-enum RunFate {
+enum RunDisposition {
     /// It is over.
-    Over,
+    Ended,
     /// Its start may still be carried out.
-    Doubtful,
+    Unconfirmed,
     /// Its start was answered and no look has shown it since, so that the answer may be the next
     /// life's: idle targets are not looked at, and the host list tells late of a restart.
-    Unseen,
+    NotReported,
 }
--- a/crates/decide/src/work/desk_plan.rs
+++ b/crates/decide/src/work/scheduler_plan.rs
@@ -3,7 +3,7 @@
 use model::{PoolId, WorkspaceId, work::ResourceVector};
 
 use super::{
-    DeskEffort, DeskTime, WorkDesk,
+    SchedulerTime, WorkCounters, WorkScheduler,
     job_summary::WaitingGroup,
     ranked_steps::{RankedSteps, StepFilter, StepRank, WaitingStep},
     step_key::StepKey,
@@ -11,10 +11,10 @@
 
 /// Starts that are planned at once; the rest follows with the next answer. It bounds the time
 /// for which the event loop hears nothing else.
-const STARTS_A_PLAN: usize = 256;
+const MAX_STARTS_PER_PLAN: usize = 256;
 
 /// Rooms that are remembered of a pool while starts are planned, since no target has them.
-const MOST_REFUSED: usize = 8;
+const MAX_UNPLACEABLE_SIZES: usize = 8;
 /// What a workspace without a limit may take.
 const NO_LIMIT: ResourceVector = ResourceVector {
     cpu: u64::MAX,
@@ -27,13 +27,13 @@
 struct StartPlan {
     pools: BTreeSet<PoolId>,
     /// Pools whose inherited jobs have to wait.
-    blocked: BTreeSet<PoolId>,
+    unobserved_pools: BTreeSet<PoolId>,
     /// What workspaces may have running on targets that have not been reached.
-    doubt: BTreeMap<WorkspaceId, ResourceVector>,
+    unconfirmed_usage: BTreeMap<WorkspaceId, ResourceVector>,
     /// The most that a target of each pool has, of each resource by itself.
-    rooms: BTreeMap<PoolId, ResourceVector>,
+    max_free: BTreeMap<PoolId, ResourceVector>,
     /// Rooms that no target of the pool has.
-    refused: BTreeMap<PoolId, Vec<ResourceVector>>,
+    unplaceable: BTreeMap<PoolId, Vec<ResourceVector>>,
     /// The last step of each group that was tried.
     tried: BTreeMap<PoolId, BTreeMap<WaitingGroup, StepRank>>,
 }
@@ -46,34 +46,34 @@
     step: &'a WaitingStep,
 }
 
-impl WorkDesk {
+impl WorkScheduler {
     /// Starts what can be started; cheap if nothing has changed since the last time.
     ///
     /// While another process may own the cell nothing is started: its books don't hold what this
     /// one would add, so that a workspace's limit would be passed, and a target's life that has
     /// not seen the successor's token yet would run a task that the successor knows to be done.
     /// An outage of the store for 4.2 s costs 0.03 of a day's worth by that.
-    pub fn plan(&mut self, now: DeskTime) {
-        self.sync(now.boot);
-        let is_due = self.stale || !self.index.due.is_empty();
-        if self.alone || !is_due {
+    pub fn plan_starts(&mut self, now: SchedulerTime) {
+        self.sync_indexes(now.boot);
+        let is_due = self.replan_needed || !self.index.startable_pools.is_empty();
+        if self.ownership_uncertain || !is_due {
             return;
         }
         let mut plan = self.begin_plan();
-        let mut left = STARTS_A_PLAN;
+        let mut left = MAX_STARTS_PER_PLAN;
         while let Some((pool, group, rank)) = self.next_step(&mut plan, now) {
-            let outcome = self.start_step(&rank, &plan.doubt, now);
+            let outcome = self.start_step(&rank, &plan.unconfirmed_usage, now);
             if outcome.started > 0 {
-                self.sync(now.boot);
-                plan.rooms.remove(&pool);
+                self.sync_indexes(now.boot);
+                plan.max_free.remove(&pool);
             }
             left = left.saturating_sub(outcome.started);
             if left == 0 {
-                self.index.due.extend(plan.pools);
+                self.index.startable_pools.extend(plan.pools);
                 return;
             }
-            if outcome.no_room {
-                self.refuse_room(&mut plan, &pool, &rank.1);
+            if outcome.no_capacity {
+                self.remember_unplaceable_size(&mut plan, &pool, &rank.1);
             }
             let tried = plan.tried.entry(pool).or_default();
             tried.insert(group, rank);
@@ -81,20 +81,20 @@
     }
 
     fn begin_plan(&mut self) -> StartPlan {
-        let mut pools = std::mem::take(&mut self.index.due);
-        if std::mem::take(&mut self.stale) {
+        let mut pools = std::mem::take(&mut self.index.startable_pools);
+        if std::mem::take(&mut self.replan_needed) {
             pools.extend(self.index.jobs.pools().cloned());
         }
-        let blocked = self.index.targets.unknown_pools();
-        if self.index.blocked != blocked {
+        let unobserved_pools = self.index.targets.unknown_pools();
+        if self.index.unobserved_pools != unobserved_pools {
             // What may run there counted against limits, in all pools.
             pools.extend(self.index.jobs.pools().cloned());
-            self.index.blocked.clone_from(&blocked);
+            self.index.unobserved_pools.clone_from(&unobserved_pools);
         }
         StartPlan {
             pools,
-            doubt: self.index.jobs.unconfirmed_usage(&blocked),
-            blocked,
+            unconfirmed_usage: self.index.jobs.unconfirmed_usage(&unobserved_pools),
+            unobserved_pools,
             ..StartPlan::default()
         }
     }
@@ -103,18 +103,18 @@
     fn next_step(
         &mut self,
         plan: &mut StartPlan,
-        now: DeskTime,
+        now: SchedulerTime,
     ) -> Option<(PoolId, WaitingGroup, StepRank)> {
         let mut best: Option<NextStep<'_>> = None;
         let mut capped = Vec::new();
-        self.measure_rooms(plan, now);
+        self.measure_free_capacity(plan, now);
         for pool in &plan.pools {
-            let blocked = plan.blocked.contains(pool);
+            let blocked = plan.unobserved_pools.contains(pool);
             for (group, ranked) in self.index.jobs.waiting_groups(pool) {
                 if group.inherited && blocked {
                     continue;
                 }
-                let found = self.next_of(plan, pool, group, ranked);
+                let found = self.next_startable_step(plan, pool, group, ranked);
                 if found.is_some_and(|(_, is_capped)| is_capped) {
                     capped.push((group.workspace.clone(), pool.clone()));
                 }
@@ -128,51 +128,52 @@
         }
         let next = best.map(|best| (best.pool.clone(), best.group.clone(), best.step.key()));
         for (workspace, pool) in capped {
-            self.note_capped(&workspace, &pool);
+            self.mark_capped(&workspace, &pool);
         }
         next
     }
 
     /// The first step of a group that may be started, and whether others before it wait for their
     /// workspace to have less running; `None` if there is no room for any.
-    fn next_of<'a>(
+    fn next_startable_step<'a>(
         &self,
         plan: &StartPlan,
         pool: &PoolId,
         group: &WaitingGroup,
         ranked: &'a RankedSteps,
     ) -> Option<(Option<&'a WaitingStep>, bool)> {
-        let unplaceable = plan.refused.get(pool).map_or(&[][..], Vec::as_slice);
+        let unplaceable = plan.unplaceable.get(pool).map_or(&[][..], Vec::as_slice);
         let tried = plan.tried.get(pool).and_then(|tried| tried.get(group));
         let mut filter = StepFilter {
-            max_free: plan.rooms.get(pool).copied().unwrap_or_default(),
+            max_free: plan.max_free.get(pool).copied().unwrap_or_default(),
             workspace_left: NO_LIMIT,
             unplaceable,
         };
         let (found, looked) = ranked.next(tried, &filter);
-        DeskEffort::add(&self.effort.steps, looked);
+        WorkCounters::add(&self.counters.steps, looked);
         let found = found?;
-        filter.workspace_left = self.left_of_limit(&group.workspace, &plan.doubt);
+        filter.workspace_left =
+            self.remaining_workspace_limit(&group.workspace, &plan.unconfirmed_usage);
         if found.charged.fits_in(filter.workspace_left) {
             return Some((Some(found), false));
         }
         let (found, looked) = ranked.next(tried, &filter);
-        DeskEffort::add(&self.effort.steps, looked);
+        WorkCounters::add(&self.counters.steps, looked);
         Some((found, true))
     }
 
     /// Measures the room of the pools that tasks were given room in, or that are new to the plan.
-    fn measure_rooms(&self, plan: &mut StartPlan, now: DeskTime) {
+    fn measure_free_capacity(&self, plan: &mut StartPlan, now: SchedulerTime) {
         for pool in &plan.pools {
-            if !plan.rooms.contains_key(pool) {
+            if !plan.max_free.contains_key(pool) {
                 let room = self.index.targets.most_free(pool, now.boot);
-                plan.rooms.insert(pool.clone(), room);
+                plan.max_free.insert(pool.clone(), room);
             }
         }
     }
 
     /// What a workspace may still have running.
-    pub(super) fn left_of_limit(
+    pub(super) fn remaining_workspace_limit(
         &self,
         workspace: &WorkspaceId,
         doubt: &BTreeMap<WorkspaceId, ResourceVector>,
@@ -180,24 +181,28 @@
         let Some(limit) = self.index.limits.get(workspace) else {
             return NO_LIMIT;
         };
-        let used = self.usage.get(workspace).copied().unwrap_or_default();
+        let used = self
+            .workspace_usage
+            .get(workspace)
+            .copied()
+            .unwrap_or_default();
         let doubt = doubt.get(workspace).copied().unwrap_or_default();
         limit.remaining_of_limit(used.plus(doubt))
     }
 
     /// Notes that steps of a workspace wait for it to have less running.
-    pub(super) fn note_capped(&mut self, workspace: &WorkspaceId, pool: &PoolId) {
+    pub(super) fn mark_capped(&mut self, workspace: &WorkspaceId, pool: &PoolId) {
         let pools = self.index.capped.entry(workspace.clone()).or_default();
         pools.insert(pool.clone());
     }
 
     /// Passes over further steps that take as much as one for which there was no room.
-    fn refuse_room(&self, plan: &mut StartPlan, pool: &PoolId, step: &StepKey) {
-        let job = self.board.jobs.get(&step.job);
+    fn remember_unplaceable_size(&self, plan: &mut StartPlan, pool: &PoolId, step: &StepKey) {
+        let job = self.job_table.jobs.get(&step.job);
         let tried = job.and_then(|job| job.plan.steps.get(step.step as usize));
         if let Some(tried) = tried {
-            let refused = plan.refused.entry(pool.clone()).or_default();
-            if refused.len() < MOST_REFUSED {
+            let refused = plan.unplaceable.entry(pool.clone()).or_default();
+            if refused.len() < MAX_UNPLACEABLE_SIZES {
                 refused.push(tried.footprint());
             }
         }
--- a/crates/decide/src/work/desk_sight.rs
+++ b/crates/decide/src/work/scheduler_report.rs
@@ -8,22 +8,22 @@
 use crate::call_budget::CallClass;
 
 use super::{
-    DeskEvent, DeskOrder, DeskTime, PlacementPhase, TargetState, TaskPlacement, WorkDesk, WorkJob,
-    target_state::RunKey,
+    PlacementPhase, SchedulerAction, SchedulerEvent, SchedulerTime, TargetState, TaskPlacement,
+    WorkJob, WorkScheduler, target_state::RunKey,
 };
 
 /// Ends that a target lists at once; where it lists so many there may be more, and a run that
 /// is missing may be among them.
-const END_PAGE: usize = 500;
+const MAX_ENDS_PER_REPORT: usize = 500;
 /// A look goes ahead of others once this part of the granted time has passed.
-const RENEW_PART: u32 = 2;
+const RENEW_FRACTION: u32 = 2;
 
-impl WorkDesk {
+impl WorkScheduler {
     /// What a look at a target is for now; `None` if it needs none.
-    pub fn look_class(&self, id: &HostId, now: DeskTime) -> Option<CallClass> {
+    pub fn poll_class(&self, id: &HostId, now: SchedulerTime) -> Option<CallClass> {
         let target = self.targets.get(id)?;
         let busy = !target.claims.is_empty();
-        if self.alone && !target.incarnation.token_seen {
+        if self.ownership_uncertain && !target.incarnation.token_seen {
             return None;
         }
         if target.incarnation.token_seen
@@ -33,7 +33,7 @@
             return None;
         }
         let granted = now.boot.saturating_sub(target.last_grant);
-        if busy && !target.unresponsive && granted >= self.tuning.grant / RENEW_PART {
+        if busy && !target.unresponsive && granted >= self.tuning.grant / RENEW_FRACTION {
             return Some(CallClass::Renew);
         }
         if target.last_failure > target.last_response {
@@ -49,10 +49,10 @@
     }
 
     /// The look that a target needs now; `None` if it needs none.
-    pub fn look_order(&mut self, id: &HostId, now: DeskTime) -> Option<PollOrder> {
-        self.look_class(id, now)?;
+    pub fn poll_order(&mut self, id: &HostId, now: SchedulerTime) -> Option<PollOrder> {
+        self.poll_class(id, now)?;
         let tuning = self.tuning;
-        let both = self.serves_and_fills(id);
+        let both = self.runs_service_and_fill_tasks(id);
         let target = self.targets.get_mut_untracked(id)?;
         let busy = !target.claims.is_empty();
         let acked_end = target.acked_end_at(now.boot);
@@ -71,7 +71,7 @@
         ) {
             (false, _) => Duration::ZERO,
             (true, false) => tuning.look_wait,
-            (true, true) => tuning.watch_wait,
+            (true, true) => tuning.mixed_poll_wait,
         };
         Some(PollOrder {
             token: self.token,
@@ -82,30 +82,30 @@
     }
 
     /// Takes the answer to a look that was sent at `sent` with `observed`.
-    pub fn saw(
+    pub fn apply_report(
         &mut self,
         id: &HostId,
         sent: BootTime,
         observed: u64,
         answer: &PollAnswer,
-        now: DeskTime,
+        now: SchedulerTime,
     ) {
         match answer {
-            PollAnswer::Seen(sight) => self.take_sight(id, sent, observed, sight, now),
-            PollAnswer::Fenced => self.orders.push(DeskOrder::Resign(id.clone())),
-            PollAnswer::OtherLife if self.is_outlived(id, sent) => {}
-            PollAnswer::OtherLife => self.lose_target(id, "replaced", now),
-            PollAnswer::Refused(_) | PollAnswer::Unanswered(_) => self.note_silence(id, now),
+            PollAnswer::Seen(sight) => self.apply_target_report(id, sent, observed, sight, now),
+            PollAnswer::Fenced => self.actions.push(SchedulerAction::StepDown(id.clone())),
+            PollAnswer::OtherLife if self.predates_incarnation(id, sent) => {}
+            PollAnswer::OtherLife => self.mark_target_lost(id, "replaced", now),
+            PollAnswer::Refused(_) | PollAnswer::Unanswered(_) => self.mark_unresponsive(id, now),
         }
     }
 
-    fn take_sight(
+    fn apply_target_report(
         &mut self,
         id: &HostId,
         sent: BootTime,
         observed: u64,
         sight: &TargetReport,
-        now: DeskTime,
+        now: SchedulerTime,
     ) {
         let Some(target) = self.targets.get(id) else {
             return;
@@ -115,13 +115,13 @@
             // An answer of the life before, which was under way for long.
             return;
         }
-        if known.is_zero() && self.is_outlived(id, sent) {
+        if known.is_zero() && self.predates_incarnation(id, sent) {
             return;
         }
         if !sight.started_at.is_zero() && !known.is_zero() && sight.started_at > known {
-            self.end_life(id, sight.started_at, "reborn", now);
+            self.end_incarnation(id, sight.started_at, "reborn", now);
         }
-        self.greet(id, sent, observed, sight, now);
+        self.record_target_answer(id, sent, observed, sight, now);
         let ends: Vec<_> = {
             let seen = self
                 .targets
@@ -134,26 +134,26 @@
                 target.incarnation.last_handled_end =
                     target.incarnation.last_handled_end.max(end.number);
             }
-            self.apply_end(id, end, now);
+            self.handle_task_end(id, end, now);
         }
         for run in &sight.running {
-            self.see_run(id, run, now);
-            self.note_still(id, run);
+            self.observe_run(id, run, now);
+            self.track_stalled_run(id, run);
         }
-        if sight.ended.len() < END_PAGE {
-            self.miss_runs(id, sent, sight, now);
+        if sight.ended.len() < MAX_ENDS_PER_REPORT {
+            self.handle_missing_runs(id, sent, sight, now);
         }
         self.set_throttles(id);
     }
 
     /// Takes in that a target answered.
-    fn greet(
+    fn record_target_answer(
         &mut self,
         id: &HostId,
         sent: BootTime,
         observed: u64,
         sight: &TargetReport,
-        now: DeskTime,
+        now: SchedulerTime,
     ) {
         let Some(target) = self.targets.get_mut(id) else {
             return;
@@ -170,40 +170,40 @@
         target.last_response = now.boot;
         target.last_answered_poll = target.last_answered_poll.max(sent);
         target.incarnation.last_acked_end = target.incarnation.last_acked_end.max(observed);
-        if self.alone && !target.incarnation.token_seen {
+        if self.ownership_uncertain && !target.incarnation.token_seen {
             return;
         }
         let missed = target.unreachable_recorded;
         let returned = std::mem::take(&mut target.unresponsive);
         let raised = !std::mem::replace(&mut target.incarnation.token_seen, true);
         if returned || raised {
-            self.note(DeskEvent::TargetRaised(id.clone()));
+            self.emit(SchedulerEvent::TargetUsable(id.clone()));
         }
         if missed {
-            self.use_again(id);
+            self.record_reachable(id);
         }
     }
 
-    fn see_run(&mut self, id: &HostId, run: &RunReport, now: DeskTime) {
+    fn observe_run(&mut self, id: &HostId, run: &RunReport, now: SchedulerTime) {
         let key: RunKey = (run.task.clone(), run.attempt);
         if !run.checkpoint.is_empty() {
             self.set_checkpoint(&run.task, &run.checkpoint);
         }
-        if !self.board.jobs.contains_key(&run.task.job) {
-            self.stop_unwanted(id, &key, now);
+        if !self.job_table.jobs.contains_key(&run.task.job) {
+            self.stop_unwanted_run(id, &key, now);
             return;
         }
-        self.board.mark_started(&run.task.job);
+        self.job_table.mark_started(&run.task.job);
         // A predecessor found the occurrence due, perhaps by a clock that is ahead of this one;
         // taking its run for a stray one would stop work that is wanted.
-        self.board
+        self.job_table
             .open_occurrences_until(&run.task.job, run.task.occurrence, now.boot);
-        self.drop_older_miss(id, &key);
-        let job = self.board.jobs.get(&run.task.job);
+        self.drop_stale_unreachable(id, &key);
+        let job = self.job_table.jobs.get(&run.task.job);
         let open = job.is_some_and(WorkJob::is_open);
-        let task = self.board.task_mut_unindexed(&run.task);
+        let task = self.job_table.task_mut_unindexed(&run.task);
         let Some(task) = task.filter(|task| open && !task.done) else {
-            self.stop_unwanted(id, &key, now);
+            self.stop_unwanted_run(id, &key, now);
             return;
         };
         match &mut task.placement {
@@ -222,9 +222,9 @@
                     place.phase = PlacementPhase::Running;
                     place.since = now.boot;
                 }
-                self.spare_late_start(id, &key, now);
+                self.withdraw_stop_of_late_start(id, &key, now);
             }
-            Some(_) => self.stop_unwanted(id, &key, now),
+            Some(_) => self.stop_unwanted_run(id, &key, now),
             None => {
                 task.last_attempt = task.last_attempt.max(run.attempt);
                 self.adopt(id, &key, run, now);
@@ -233,19 +233,19 @@
     }
 
     /// Notes a run that may have stood still for too long, for the next tick.
-    fn note_still(&mut self, id: &HostId, run: &RunReport) {
+    fn track_stalled_run(&mut self, id: &HostId, run: &RunReport) {
         let key: RunKey = (run.task.clone(), run.attempt);
         if self.is_stalled(id, &key) {
-            self.still.insert((id.clone(), key));
+            self.no_progress.insert((id.clone(), key));
         }
     }
 
     /// Takes a run over that a predecessor started, or that was carried out late.
-    fn adopt(&mut self, id: &HostId, run: &RunKey, sight: &RunReport, now: DeskTime) {
+    fn adopt(&mut self, id: &HostId, run: &RunKey, sight: &RunReport, now: SchedulerTime) {
         let (key, attempt) = run;
         self.claim(id, run.clone());
-        let stopped = self.stops.remove(&(id.clone(), run.clone()));
-        let Some(step) = self.board.step_mut(key) else {
+        let stopped = self.pending_stops.remove(&(id.clone(), run.clone()));
+        let Some(step) = self.job_table.step_mut(key) else {
             return;
         };
         step.set_placement(
@@ -259,22 +259,28 @@
                 ..TaskPlacement::new(id, *attempt, now.boot)
             },
         );
-        self.note(DeskEvent::Adopted(key.clone(), *attempt, id.clone()));
+        self.emit(SchedulerEvent::Adopted(key.clone(), *attempt, id.clone()));
     }
 
     /// Stops a run that no task is taken to be; its room stays taken until its end is listed.
-    fn stop_unwanted(&mut self, id: &HostId, run: &RunKey, now: DeskTime) {
+    fn stop_unwanted_run(&mut self, id: &HostId, run: &RunKey, now: SchedulerTime) {
         self.claim(id, run.clone());
         let key = (id.clone(), run.clone());
-        if self.stops.contains_key(&key) || self.stopped.contains_key(&key) {
+        if self.pending_stops.contains_key(&key) || self.acknowledged_stops.contains_key(&key) {
             return;
         }
-        self.note(DeskEvent::Unwanted(run.0.clone(), run.1, id.clone()));
+        self.emit(SchedulerEvent::Unwanted(run.0.clone(), run.1, id.clone()));
         self.stop_run(id, run, now);
     }
 
     /// Settles what a look sent at `sent` did not show though it was taken to be there.
-    fn miss_runs(&mut self, id: &HostId, sent: BootTime, sight: &TargetReport, now: DeskTime) {
+    fn handle_missing_runs(
+        &mut self,
+        id: &HostId,
+        sent: BootTime,
+        sight: &TargetReport,
+        now: SchedulerTime,
+    ) {
         let shown = sight.running.iter().map(|run| (&run.task, run.attempt));
         let shown: BTreeSet<_> = shown.collect();
         let Some(target) = self.targets.get(id) else {
@@ -284,16 +290,22 @@
         let missing = missing.filter(|(task, attempt)| !shown.contains(&(task, *attempt)));
         let missing: Vec<RunKey> = missing.cloned().collect();
         for run in missing {
-            self.miss_run(id, &run, sent, now);
+            self.handle_missing_run(id, &run, sent, now);
         }
     }
 
-    fn miss_run(&mut self, id: &HostId, run: &RunKey, sent: BootTime, now: DeskTime) {
+    fn handle_missing_run(
+        &mut self,
+        id: &HostId,
+        run: &RunKey,
+        sent: BootTime,
+        now: SchedulerTime,
+    ) {
         let (key, attempt) = run;
-        let place = self.board.placement_of(id, run);
+        let place = self.job_table.placement_of(id, run);
         let Some((phase, since)) = place.map(|place| (place.phase, place.since)) else {
             // A run without a task: it is gone once its stop was answered before the look.
-            let stopped = self.stops.contains_key(&(id.clone(), run.clone()));
+            let stopped = self.pending_stops.contains_key(&(id.clone(), run.clone()));
             if !stopped {
                 self.unclaim(id, run);
             }
@@ -304,48 +316,53 @@
         }
         match phase {
             PlacementPhase::Starting => {}
-            PlacementPhase::Stopping(false) => self.close_again(id, run, now),
+            PlacementPhase::Stopping(false) => self.fence_start_again(id, run, now),
             PlacementPhase::Unconfirmed => {
                 // It is not there and may come later. A stop of this start closes it: the
                 // target refuses a start that is not newer than one stopped there.
                 self.stop_run(id, run, now);
             }
             PlacementPhase::Running => {
-                self.note(DeskEvent::Vanished(key.clone(), *attempt, id.clone()));
+                self.emit(SchedulerEvent::Vanished(key.clone(), *attempt, id.clone()));
                 self.unclaim(id, run);
-                self.vacate_place(id, run);
+                self.clear_placement(id, run);
             }
             PlacementPhase::Stopping(true) => {
                 self.unclaim(id, run);
-                self.vacate_place(id, run);
+                self.clear_placement(id, run);
             }
         }
     }
 
     /// A look or an order was not answered.
-    pub(super) fn note_silence(&mut self, id: &HostId, now: DeskTime) {
-        let silence = self.tuning.silence;
+    pub(super) fn mark_unresponsive(&mut self, id: &HostId, now: SchedulerTime) {
+        let silence = self.tuning.unresponsive_after;
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
         target.last_failure = now.boot;
         if !target.unresponsive && now.boot.saturating_sub(target.last_answered_call) >= silence {
             target.unresponsive = true;
-            self.note(DeskEvent::TargetSilent(id.clone()));
+            self.emit(SchedulerEvent::TargetUnresponsive(id.clone()));
         }
-        self.record_miss(id, now);
+        self.record_unreachable(id, now);
     }
 
-    fn serves_and_fills(&self, id: &HostId) -> bool {
+    fn runs_service_and_fill_tasks(&self, id: &HostId) -> bool {
         let Some(target) = self.targets.get(id) else {
             return false;
         };
-        let steps = || target.claims.keys().filter_map(|run| self.step_of(&run.0));
+        let steps = || {
+            target
+                .claims
+                .keys()
+                .filter_map(|run| self.step_plan(&run.0))
+        };
         steps().any(model::work::StepPlan::serves_requests) && steps().any(|step| step.best_effort)
     }
 
-    pub(super) fn step_of(&self, key: &model::work::TaskKey) -> Option<&model::work::StepPlan> {
-        let job = self.board.jobs.get(&key.job)?;
+    pub(super) fn step_plan(&self, key: &model::work::TaskKey) -> Option<&model::work::StepPlan> {
+        let job = self.job_table.jobs.get(&key.job)?;
         job.plan.steps.get(key.step as usize)
     }
 }
--- a/crates/decide/src/work/desk_start.rs
+++ b/crates/decide/src/work/scheduler_start.rs
@@ -5,8 +5,8 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use super::{
-    DeskEffort, DeskEvent, DeskOrder, DeskTime, PlaceInputs, RankClass, TaskPlacement, WorkDesk,
-    WorkPhase,
+    PlacementInputs, RankClass, SchedulerAction, SchedulerEvent, SchedulerTime, TaskPlacement,
+    WorkCounters, WorkPhase, WorkScheduler,
     pick::{pick_including_draining, pick_target},
     ranked_steps::StepRank,
     step_key::StepKey,
@@ -16,17 +16,17 @@
 /// Numbers of starts that one term may give to one task before the next term's begin. A task
 /// that lasts and fails twice a second uses them up in an hour; the next token is larger by
 /// the entries that were written in that hour, so its numbers still begin above.
-const STARTS_A_TERM: u64 = 10_000;
+const ATTEMPTS_PER_TERM: u64 = 10_000;
 /// Time without a target after which a task that lasts takes one that is being emptied or that
 /// pauses.
-const STARVED: Duration = Duration::from_millis(800);
+const STARVATION_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// What became of an attempt to start a step's tasks.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct StepOutcome {
     pub(super) started: usize,
     /// Whether no target has room for another task that takes as much.
-    pub(super) no_room: bool,
+    pub(super) no_capacity: bool,
 }
 
 /// Tasks that were given targets.
@@ -34,20 +34,20 @@
 struct PlacedTasks {
     runs: Vec<(HostId, RunKey)>,
     /// Whether no target has room for another task that takes as much.
-    no_room: bool,
+    no_capacity: bool,
 }
 
-impl WorkDesk {
+impl WorkScheduler {
     /// Starts tasks of a step as far as there is room.
     pub(super) fn start_step(
         &mut self,
         (rank, step): &StepRank,
         doubt: &BTreeMap<WorkspaceId, ResourceVector>,
-        now: DeskTime,
+        now: SchedulerTime,
     ) -> StepOutcome {
         let nothing = StepOutcome::default();
         // Another of its steps may have failed it in the same plan.
-        let job = self.board.jobs.get(&step.job);
+        let job = self.job_table.jobs.get(&step.job);
         let Some(job) = job.filter(|job| job.phase == WorkPhase::Open) else {
             return nothing;
         };
@@ -55,11 +55,11 @@
         let Some(plan) = plan.steps.get(step.step as usize) else {
             return nothing;
         };
-        if self.is_hopeless(step, plan) {
+        if self.has_exhausted_attempts(step, plan) {
             self.fail_job(&step.job, now);
             return nothing;
         }
-        if self.wants_advice(step, now) {
+        if self.must_wait_for_advice(step, now) {
             return nothing;
         }
         let Some(state) = self.step_state(step) else {
@@ -79,26 +79,26 @@
         if plan.gang && placed.runs.len() < indices.len() {
             for (id, run) in placed.runs {
                 self.unclaim(&id, &run);
-                self.vacate_place(&id, &run);
+                self.clear_placement(&id, &run);
             }
             return nothing;
         }
         if plan.long_running {
-            self.note_starved(step, placed.runs.len() < indices.len(), now);
+            self.update_starved(step, placed.runs.len() < indices.len(), now);
         }
         for (id, run) in &placed.runs {
             self.send_start(id, run, rank.class, now);
         }
         StepOutcome {
             started: placed.runs.len(),
-            no_room: placed.no_room,
+            no_capacity: placed.no_capacity,
         }
     }
 
     /// True if a task of the step has failed as often as it may. The owner that heard of its last
     /// failure fails the job at once, but may die before all of that is recorded.
-    fn is_hopeless(&self, step: &StepKey, plan: &model::work::StepPlan) -> bool {
-        let job = self.board.jobs.get(&step.job);
+    fn has_exhausted_attempts(&self, step: &StepKey, plan: &model::work::StepPlan) -> bool {
+        let job = self.job_table.jobs.get(&step.job);
         let queue = job.and_then(|job| self.terms.queue(&job.queue));
         let most = queue.map_or(usize::MAX, |queue| queue.max_attempts.max(1) as usize);
         let tasks = self.step_state(step).map(|state| state.tasks.as_slice());
@@ -106,11 +106,11 @@
         !plan.long_running && left.any(|task| task.failed_attempts.len() >= most)
     }
 
-    fn note_starved(&mut self, step: &StepKey, starved: bool, now: DeskTime) {
+    fn update_starved(&mut self, step: &StepKey, starved: bool, now: SchedulerTime) {
         if starved {
-            self.starved.entry(step.clone()).or_insert(now.boot);
+            self.unplaced_since.entry(step.clone()).or_insert(now.boot);
         } else {
-            self.starved.remove(step);
+            self.unplaced_since.remove(step);
         }
     }
 
@@ -121,24 +121,24 @@
         plan: &model::work::StepPlan,
         indices: &[u32],
         doubt: &BTreeMap<WorkspaceId, ResourceVector>,
-        now: DeskTime,
+        now: SchedulerTime,
     ) -> PlacedTasks {
         let mut placed = PlacedTasks::default();
-        let Some(job) = self.board.jobs.get(&step.job) else {
+        let Some(job) = self.job_table.jobs.get(&step.job) else {
             return placed;
         };
         let (pool, workspace) = (job.pool.clone(), job.workspace.clone());
-        let attempt = self.next_attempt(step);
+        let attempt = self.next_step_attempt(step);
         for &index in indices {
             if !plan
                 .resources
-                .fits_in(self.left_of_limit(&workspace, doubt))
+                .fits_in(self.remaining_workspace_limit(&workspace, doubt))
             {
-                self.note_capped(&workspace, &pool);
+                self.mark_capped(&workspace, &pool);
                 break;
             }
-            let Some(id) = self.pick(step, plan, index, &pool, now) else {
-                placed.no_room = self.is_plain(step, plan, index);
+            let Some(id) = self.choose_target(step, plan, index, &pool, now) else {
+                placed.no_capacity = self.depends_only_on_capacity(step, plan, index);
                 break;
             };
             let key = TaskKey {
@@ -147,21 +147,26 @@
                 step: step.step,
                 index,
             };
-            let number = match (plan.gang, self.task_attempt(&key)) {
+            let number = match (plan.gang, self.last_task_attempt(&key)) {
                 (true, _) => attempt,
                 (false, last) => self.attempt_after(last),
             };
             let run = (key, number);
             self.claim(&id, run.clone());
-            self.put(&id, &run, now);
+            self.place_task(&id, &run, now);
             placed.runs.push((id, run));
-            self.sync_targets(now.boot);
+            self.sync_target_index(now.boot);
         }
         placed
     }
 
     /// True if nothing but room decides which targets a task may have.
-    fn is_plain(&self, step: &StepKey, plan: &model::work::StepPlan, index: u32) -> bool {
+    fn depends_only_on_capacity(
+        &self,
+        step: &StepKey,
+        plan: &model::work::StepPlan,
+        index: u32,
+    ) -> bool {
         let state = self.step_state(step);
         let task = state.and_then(|state| state.tasks.get(index as usize));
         let free = task.is_some_and(|task| task.failed_on.is_empty());
@@ -169,18 +174,18 @@
         free && !advised && !plan.gang && plan.required_label.is_empty() && plan.anti_affinity == 0
     }
 
-    fn pick(
+    fn choose_target(
         &self,
         step: &StepKey,
         plan: &model::work::StepPlan,
         index: u32,
         pool: &model::PoolId,
-        now: DeskTime,
+        now: SchedulerTime,
     ) -> Option<HostId> {
         let state = self.step_state(step)?;
         let task = state.tasks.get(index as usize)?;
         let target = |id: &HostId| {
-            DeskEffort::add(&self.effort.candidates, 1);
+            WorkCounters::add(&self.counters.candidates, 1);
             self.targets.get(id)
         };
         let of_pool = self.index.targets.of_pool(pool).filter_map(target);
@@ -191,25 +196,25 @@
         }
         // A service that lacks a task for long is worse off than a host that is emptied later,
         // or than a task on a target that has refused one.
-        let since = self.starved.get(step)?;
-        if now.boot.saturating_sub(*since) < STARVED {
+        let since = self.unplaced_since.get(step)?;
+        if now.boot.saturating_sub(*since) < STARVATION_TIMEOUT {
             return None;
         }
         let best = pick_including_draining(plan, state, task, of_pool, now.boot)?;
         Some(best.entry.target.clone())
     }
 
-    fn put(&mut self, id: &HostId, run: &RunKey, now: DeskTime) {
+    fn place_task(&mut self, id: &HostId, run: &RunKey, now: SchedulerTime) {
         let (key, attempt) = run;
-        let Some(step) = self.board.step_mut(key) else {
+        let Some(step) = self.job_table.step_mut(key) else {
             return;
         };
         step.set_placement(key.index, TaskPlacement::new(id, *attempt, now.boot));
     }
 
-    fn send_start(&mut self, id: &HostId, run: &RunKey, class: RankClass, now: DeskTime) {
+    fn send_start(&mut self, id: &HostId, run: &RunKey, class: RankClass, now: SchedulerTime) {
         let (key, attempt) = run;
-        let Some(job) = self.board.jobs.get(&key.job) else {
+        let Some(job) = self.job_table.jobs.get(&key.job) else {
             return;
         };
         if !job.plan.is_long_running() {
@@ -239,32 +244,32 @@
             checkpoint,
             ticket,
         };
-        let inputs = PlaceInputs {
+        let inputs = PlacementInputs {
             class,
-            heard_ago: now.boot.saturating_sub(target.last_response),
+            last_response_age: now.boot.saturating_sub(target.last_response),
             free_cpu: target.free().cpu,
         };
-        let placed = DeskEvent::Placed(key.clone(), *attempt, id.clone(), inputs);
-        self.note(placed);
-        self.orders.push(DeskOrder::Start(id.clone(), order));
+        let placed = SchedulerEvent::Placed(key.clone(), *attempt, id.clone(), inputs);
+        self.emit(placed);
+        self.actions.push(SchedulerAction::Start(id.clone(), order));
     }
 
-    pub(super) fn step_by(
+    pub(super) fn step_state_at(
         &self,
         job: &str,
         occurrence: u32,
         step: u32,
     ) -> Option<&super::StepState> {
-        let occurrence = self.board.jobs.get(job)?.occurrences.get(&occurrence)?;
+        let occurrence = self.job_table.jobs.get(job)?.occurrences.get(&occurrence)?;
         occurrence.steps.get(step as usize)
     }
 
     pub(super) fn step_state(&self, step: &StepKey) -> Option<&super::StepState> {
-        self.step_by(&step.job, step.occurrence, step.step)
+        self.step_state_at(&step.job, step.occurrence, step.step)
     }
 
-    fn task_attempt(&self, key: &TaskKey) -> u64 {
-        let job = self.board.jobs.get(&key.job);
+    fn last_task_attempt(&self, key: &TaskKey) -> u64 {
+        let job = self.job_table.jobs.get(&key.job);
         let task = job.and_then(|job| job.task(key.occurrence, key.step, key.index));
         task.map_or(0, |task| task.last_attempt)
     }
@@ -272,10 +277,10 @@
     /// A number for a start that is above all that any owner has given to the task: the token
     /// of the term makes the high part, so that none has to be recorded.
     fn attempt_after(&self, last: u64) -> u64 {
-        (self.token * STARTS_A_TERM).max(last) + 1
+        (self.token * ATTEMPTS_PER_TERM).max(last) + 1
     }
 
-    fn next_attempt(&self, step: &StepKey) -> u64 {
+    fn next_step_attempt(&self, step: &StepKey) -> u64 {
         let state = self.step_state(step);
         let tasks = state.iter().flat_map(|state| &state.tasks);
         let last = tasks.map(|task| task.last_attempt).max();
--- a/crates/decide/src/work/desk_tick.rs
+++ b/crates/decide/src/work/scheduler_tick.rs
@@ -3,66 +3,68 @@
 use model::{BootTime, HostId, JobId, work::TaskKey};
 use wire::work::log_entry::Event;
 
-use super::{DeskEvent, DeskTime, PlacementPhase, WorkDesk, WorkPhase, target_state::RunKey};
+use super::{
+    PlacementPhase, SchedulerEvent, SchedulerTime, WorkPhase, WorkScheduler, target_state::RunKey,
+};
 
 /// Time without any progress after which a task counts as stalled. Looks come once a second at
 /// least, and a task that is eight times as slow as estimated still gets on by a percent or more
 /// between them, unless it is estimated at above ten seconds.
-const STALLED: Duration = Duration::from_millis(2200);
+const MIN_STALL_TIME: Duration = Duration::from_millis(2200);
 /// A task may stand still for its estimate divided by this: it gets on by more than a percent in
 /// that time even where it is five times as slow.
-const STALL_PARTS: u32 = 5;
+const STALL_ESTIMATE_FRACTION: u32 = 5;
 /// While one in so many listed targets, or more, is not heard, the owner's own link may be the cause.
-const UNHEARD_SHARE: usize = 4;
+const MASS_UNRESPONSIVE_FRACTION: usize = 4;
 /// The same while the store is heard late too, or where the answer to a doubt costs bytes of the link.
-const UNHEARD_SHARE_ALONE: usize = 10;
+const MASS_UNRESPONSIVE_FRACTION_UNCERTAIN: usize = 10;
 /// How long a call that failed speaks against the link.
-const FAILED_RECENTLY: Duration = Duration::from_secs(2);
+const RECENT_FAILURE_WINDOW: Duration = Duration::from_secs(2);
 /// How long a store that was heard too late speaks against the link.
-const LATE_STORE: Duration = Duration::from_secs(5);
+const RECENT_STORE_DELAY_WINDOW: Duration = Duration::from_secs(5);
 /// How long a silence of many targets is waited for. A link that is full for longer does not get
 /// free by waiting, and what a cut has parted from its owner has to go on elsewhere.
-const LONGEST_SILENCE: Duration = Duration::from_secs(30);
+const MAX_MASS_UNRESPONSIVE_WAIT: Duration = Duration::from_secs(30);
 /// Fewer targets that are not heard tell nothing of the link.
-const UNHEARD_LEAST: usize = 8;
+const MIN_NOT_RESPONDING: usize = 8;
 
-impl WorkDesk {
+impl WorkScheduler {
     /// Does what is due by time alone. To be called several times a second.
-    pub fn tick(&mut self, now: DeskTime) {
-        self.sync(now.boot);
+    pub fn tick(&mut self, now: SchedulerTime) {
+        self.sync_indexes(now.boot);
         self.open_occurrences(now);
-        self.end_pauses(now);
-        self.repeat_stops(now);
-        self.write_off(now);
+        self.end_expired_pauses(now);
+        self.retry_stops(now);
+        self.give_up_lapsed_targets(now);
         self.evacuate(now);
-        self.end_broken_gangs(now);
-        self.stop_stalled(now);
-        self.drop_targets(now);
-        self.forget_jobs(now);
+        self.stop_incomplete_gangs(now);
+        self.stop_stalled_runs(now);
+        self.remove_unneeded_targets(now);
+        self.remove_expired_jobs(now);
         self.observe_backlog(now);
     }
 
     /// Forgets jobs that have ended long ago.
-    fn forget_jobs(&mut self, now: DeskTime) {
-        let before = now.boot.saturating_sub(self.tuning.shown);
+    fn remove_expired_jobs(&mut self, now: SchedulerTime) {
+        let before = now.boot.saturating_sub(self.tuning.ended_job_retention);
         for id in self.index.jobs.ended_before(before) {
-            self.board.jobs.remove(&id);
+            self.job_table.jobs.remove(&id);
         }
     }
 
     /// Takes a cancellation in that has been stored.
-    pub fn cancel(&mut self, job: &JobId, now: DeskTime) {
-        self.board.cancel(job, now.boot);
-        self.stop_job(job, now);
-        self.stale = true;
+    pub fn cancel_job(&mut self, job: &JobId, now: SchedulerTime) {
+        self.job_table.cancel(job, now.boot);
+        self.stop_job_runs(job, now);
+        self.replan_needed = true;
     }
 
     /// Starts nothing more of a job whose cancellation can't be stored for now; false if that was
     /// known, or if it is not open.
     ///
     /// What runs goes on: should the store come back to another owner, that one knows nothing of it.
-    pub fn hold(&mut self, job: &str) -> bool {
-        let job = self.board.jobs.get_mut(job);
+    pub fn mark_cancel_pending(&mut self, job: &str) -> bool {
+        let job = self.job_table.jobs.get_mut(job);
         let Some(job) = job.filter(|job| job.phase == WorkPhase::Open) else {
             return false;
         };
@@ -70,52 +72,55 @@
         true
     }
 
-    pub(super) fn open_occurrences(&mut self, now: DeskTime) {
-        let early = self.tuning.early;
+    pub(super) fn open_occurrences(&mut self, now: SchedulerTime) {
+        let early = self.tuning.early_start;
         for id in &self.index.jobs.repeating {
-            let Some(job) = self.board.jobs.get_mut_untracked(id) else {
+            let Some(job) = self.job_table.jobs.get_mut_untracked(id) else {
                 continue;
             };
             let before = job.opened;
             job.open_due_occurrences(now.unix, now.boot, early);
             if job.opened != before {
-                self.board.jobs.mark_changed(id);
+                self.job_table.jobs.mark_changed(id);
             }
         }
     }
 
     /// Targets whose pause is over take tasks again, and questions for advice may be due.
-    fn end_pauses(&mut self, now: DeskTime) {
-        self.index.targets.end_pauses(now.boot, &mut self.index.due);
+    fn end_expired_pauses(&mut self, now: SchedulerTime) {
+        self.index
+            .targets
+            .end_pauses(now.boot, &mut self.index.startable_pools);
         while self
-            .failed_waits
+            .failure_wait_deadlines
             .front()
             .is_some_and(|end| *end <= now.boot)
         {
-            self.failed_waits.pop_front();
-            self.stale = true;
+            self.failure_wait_deadlines.pop_front();
+            self.replan_needed = true;
         }
         let advised = self.terms.queues.iter().any(|queue| queue.advice.is_some());
-        self.stale |= advised || !self.starved.is_empty();
-        let open = &self.board.open;
-        self.starved.retain(|step, _| open.contains(&step.job));
+        self.replan_needed |= advised || !self.unplaced_since.is_empty();
+        let open = &self.job_table.open;
+        self.unplaced_since
+            .retain(|step, _| open.contains(&step.job));
     }
 
-    fn repeat_stops(&mut self, now: DeskTime) {
-        let pause = self.tuning.stop_again;
-        self.stopped
+    fn retry_stops(&mut self, now: SchedulerTime) {
+        let pause = self.tuning.stop_retry_interval;
+        self.acknowledged_stops
             .retain(|_, answered| now.boot.saturating_sub(*answered) < pause);
         let due = self
-            .stops
+            .pending_stops
             .iter()
             .filter(|(_, sent)| now.boot.saturating_sub(**sent) >= pause);
         let due: Vec<_> = due.map(|(stop, _)| stop.clone()).collect();
         for (id, run) in due {
             let target = self.targets.get(&id);
             if !target.is_some_and(|target| target.claims.contains_key(&run)) {
-                self.stops.remove(&(id, run));
+                self.pending_stops.remove(&(id, run));
             } else if target.is_some_and(|target| !target.unresponsive) {
-                self.stop_again(&id, &run, now);
+                self.retry_stop(&id, &run, now);
             }
         }
     }
@@ -125,17 +130,17 @@
     /// A run that ended in time has ended, though, and its target may have listed that in an answer
     /// that was lost. While many targets are not heard at once, the answers are probably lost on
     /// this owner's link, so they are waited for; `docs/design/14-ends-of-targets.md` argues why.
-    fn write_off(&mut self, now: DeskTime) {
-        if self.alone {
-            self.was_alone = Some(now.boot);
+    fn give_up_lapsed_targets(&mut self, now: SchedulerTime) {
+        if self.ownership_uncertain {
+            self.last_uncertain = Some(now.boot);
         }
-        if self.awaits_many(now) {
+        if self.waits_out_mass_unresponsive(now) {
             return;
         }
         let lapsing = &self.index.targets.expiring;
         let lapsing = lapsing.iter().filter_map(|id| self.targets.get(id));
         let lapsed: Vec<HostId> = lapsing
-            .filter(|target| now.boot >= self.lapse_of(target))
+            .filter(|target| now.boot >= self.lapse_deadline(target))
             .map(|target| target.entry.target.clone())
             .collect();
         for id in lapsed {
@@ -145,66 +150,66 @@
             target.inherited = false;
             target.incarnation.token_seen = false;
             if target.claims.is_empty() {
-                self.stale = true;
+                self.replan_needed = true;
                 continue;
             }
             let born = target.incarnation.started_at;
-            self.end_life(&id, born, "lapsed", now);
+            self.end_incarnation(&id, born, "lapsed", now);
         }
     }
 
     /// True while the silence of many targets is waited for, and for a moment after it.
-    fn awaits_many(&mut self, now: DeskTime) -> bool {
-        if self.misses_many(now) {
-            self.missed_many = Some(now.boot);
+    fn waits_out_mass_unresponsive(&mut self, now: SchedulerTime) -> bool {
+        if self.is_mass_unresponsive(now) {
+            self.mass_unresponsive_last = Some(now.boot);
         }
-        let silence = self.tuning.silence;
-        let missed = self.missed_many;
+        let silence = self.tuning.unresponsive_after;
+        let missed = self.mass_unresponsive_last;
         if missed.is_none_or(|missed| now.boot.saturating_sub(missed) >= silence) {
-            self.missing_since = None;
+            self.mass_unresponsive_since = None;
             return false;
         }
-        if self.missing_since.is_none() {
-            self.note(DeskEvent::SilenceAwaited(self.index.targets.listed));
+        if self.mass_unresponsive_since.is_none() {
+            self.emit(SchedulerEvent::MassUnresponsive(self.index.targets.listed));
         }
-        let since = *self.missing_since.get_or_insert(now.boot);
-        now.boot.saturating_sub(since) < LONGEST_SILENCE
+        let since = *self.mass_unresponsive_since.get_or_insert(now.boot);
+        now.boot.saturating_sub(since) < MAX_MASS_UNRESPONSIVE_WAIT
     }
 
     /// True while so many listed targets are not heard that their silence says little of each.
     ///
     /// Hosts that are down leave the host list before what was granted to them lapses.
-    fn misses_many(&self, now: DeskTime) -> bool {
-        let recent = |alone: BootTime| now.boot.saturating_sub(alone) < LATE_STORE;
-        let share = match self.was_alone.is_some_and(recent) {
-            true => UNHEARD_SHARE_ALONE,
-            false => UNHEARD_SHARE,
+    fn is_mass_unresponsive(&self, now: SchedulerTime) -> bool {
+        let recent = |alone: BootTime| now.boot.saturating_sub(alone) < RECENT_STORE_DELAY_WINDOW;
+        let share = match self.last_uncertain.is_some_and(recent) {
+            true => MASS_UNRESPONSIVE_FRACTION_UNCERTAIN,
+            false => MASS_UNRESPONSIVE_FRACTION,
         };
-        self.unheard_exceeds(share, now)
+        self.not_responding_exceeds(share, now)
     }
 
     /// True if one in so many listed targets, or more, is not heard, or did not answer lately.
-    fn unheard_exceeds(&self, share: usize, now: DeskTime) -> bool {
+    fn not_responding_exceeds(&self, share: usize, now: SchedulerTime) -> bool {
         let targets = &self.index.targets;
-        let recently = now.boot.saturating_sub(FAILED_RECENTLY) + Duration::from_nanos(1);
+        let recently = now.boot.saturating_sub(RECENT_FAILURE_WINDOW) + Duration::from_nanos(1);
         let unheard = targets.not_responding + targets.failed_since(recently);
-        unheard >= UNHEARD_LEAST && unheard * share >= targets.listed
+        unheard >= MIN_NOT_RESPONDING && unheard * share >= targets.listed
     }
 
     /// True if calls fail to so many targets that this owner's link may be full.
-    pub(super) fn doubts_link(&mut self, now: DeskTime) -> bool {
-        self.sync_targets(now.boot);
-        self.unheard_exceeds(UNHEARD_SHARE_ALONE, now)
+    pub(super) fn suspects_link(&mut self, now: SchedulerTime) -> bool {
+        self.sync_target_index(now.boot);
+        self.not_responding_exceeds(MASS_UNRESPONSIVE_FRACTION_UNCERTAIN, now)
     }
 
     /// Stops the members of a gang of which some are missing: they would only wait for the
     /// others until their target ends them, and the gang starts whole.
-    fn end_broken_gangs(&mut self, now: DeskTime) {
+    fn stop_incomplete_gangs(&mut self, now: SchedulerTime) {
         let gangs = self.index.jobs.gangs.iter();
-        let gangs = gangs.filter_map(|id| self.board.jobs.get(id));
+        let gangs = gangs.filter_map(|id| self.job_table.jobs.get(id));
         let tasks = gangs.flat_map(super::WorkJob::tasks);
         let members: Vec<(HostId, RunKey)> = tasks
-            .filter(|(key, plan, _)| plan.gang && self.is_broken(key))
+            .filter(|(key, plan, _)| plan.gang && self.is_incomplete_gang(key))
             .filter_map(|(key, _, task)| {
                 let place = task.placement.as_ref()?;
                 Some((place.target.clone(), (key, place.attempt)))
@@ -218,20 +223,20 @@
     }
 
     /// True if some of a step's tasks are on targets while others wait.
-    fn is_broken(&self, key: &TaskKey) -> bool {
-        let step = self.step_by(&key.job, key.occurrence, key.step);
+    fn is_incomplete_gang(&self, key: &TaskKey) -> bool {
+        let step = self.step_state_at(&key.job, key.occurrence, key.step);
         step.is_some_and(|step| !step.is_done() && step.placed > 0 && step.waiting_tasks() > 0)
     }
 
     /// Stops tasks that have stood still for some time, to start them elsewhere. Some targets
     /// answer well while nothing that they run gets on.
-    fn stop_stalled(&mut self, now: DeskTime) {
-        let still = std::mem::take(&mut self.still).into_iter();
+    fn stop_stalled_runs(&mut self, now: SchedulerTime) {
+        let still = std::mem::take(&mut self.no_progress).into_iter();
         let stalled: Vec<(HostId, RunKey)> =
             still.filter(|(id, run)| self.is_stalled(id, run)).collect();
         let tuning = self.tuning;
         for (id, run) in stalled {
-            self.note(DeskEvent::Stalled(run.0.clone(), run.1, id.clone()));
+            self.emit(SchedulerEvent::Stalled(run.0.clone(), run.1, id.clone()));
             if let Some(target) = self.targets.get_mut(&id) {
                 target.pause(&tuning, now.boot);
             }
@@ -241,17 +246,18 @@
 
     /// True if a run stands still for longer than its task may, by the last answer of its target.
     pub(super) fn is_stalled(&self, id: &HostId, run: &RunKey) -> bool {
-        let plan = self.step_of(&run.0);
+        let plan = self.step_plan(&run.0);
         let Some(plan) = plan.filter(|plan| !plan.long_running && !plan.best_effort && !plan.gang)
         else {
             return false;
         };
-        let (Some(place), Some(target)) = (self.board.placement_of(id, run), self.targets.get(id))
+        let (Some(place), Some(target)) =
+            (self.job_table.placement_of(id, run), self.targets.get(id))
         else {
             return false;
         };
-        let limit = STALLED.max(plan.estimate / STALL_PARTS);
-        let open = self.board.open.contains(&run.0.job);
+        let limit = MIN_STALL_TIME.max(plan.estimate / STALL_ESTIMATE_FRACTION);
+        let open = self.job_table.open.contains(&run.0.job);
         open && place.phase == PlacementPhase::Running
             && target.last_response.saturating_sub(place.last_progress) >= limit
     }
@@ -262,25 +268,25 @@
     /// from the first target that this owner has reached that it has been succeeded; only
     /// while few have been reached has the whole of that time to pass. Targets that the host
     /// list no longer has don't count: after some moves of hosts there are many of them.
-    fn lapse_of(&self, target: &super::TargetState) -> BootTime {
+    fn lapse_deadline(&self, target: &super::TargetState) -> BootTime {
         let lapse = target.leases_expired_at(&self.tuning);
-        if !target.inherited || target.incarnation.token_seen || self.board.handed_over {
+        if !target.inherited || target.incarnation.token_seen || self.job_table.handed_over {
             return lapse;
         }
         if self.index.targets.reached * 2 >= self.index.targets.listed {
-            lapse + self.tuning.silence
+            lapse + self.tuning.unresponsive_after
         } else {
-            lapse + self.tuning.alone
+            lapse + self.tuning.store_outage_limit
         }
     }
 
-    fn drop_targets(&mut self, now: DeskTime) {
-        self.sync(now.boot);
+    fn remove_unneeded_targets(&mut self, now: SchedulerTime) {
+        self.sync_indexes(now.boot);
         for id in self.index.targets.forgettable.clone() {
             self.targets.remove(&id);
-            self.paces.remove(&id);
-            if self.board.used_targets.remove(id.as_str()).is_some() {
-                self.record(Event::Released(id.to_string()), None, None);
+            self.throttles.remove(&id);
+            if self.job_table.used_targets.remove(id.as_str()).is_some() {
+                self.append_log_entry(Event::Released(id.to_string()), None, None);
             }
         }
     }
--- a/crates/decide/src/work/desk_tuning.rs
+++ b/crates/decide/src/work/scheduler_tuning.rs
@@ -2,7 +2,7 @@
 
 /// Times that the desk works with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DeskTuning {
+pub struct SchedulerTuning {
     /// Longest time for which a target lets its tasks run without a renewal, as the platform
     /// sets it.
     pub lease_limit: Duration,
@@ -13,46 +13,46 @@
     /// may be 2 % slow, and an order may be under way for some time.
     pub lapse_margin: Duration,
     /// Longest time for which an owner that can't reach the store goes on giving orders.
-    pub alone: Duration,
+    pub store_outage_limit: Duration,
     /// Silence after which a target gets no new tasks and no renewals.
-    pub silence: Duration,
+    pub unresponsive_after: Duration,
     /// How long a target waits with its answer to a look for an end. Renewals have to come
     /// more often than `grant`, and each look is paid for.
     pub look_wait: Duration,
     /// The same on a target where tasks that fill run beside tasks that serve: the share of
     /// the former has to follow the response times of the latter.
-    pub watch_wait: Duration,
+    pub mixed_poll_wait: Duration,
     /// Longest time after which an unanswered order is still carried out: the latest that the
     /// platform speaks of is twelve seconds.
-    pub late_limit: Duration,
+    pub max_delivery_delay: Duration,
     /// Time after which an unanswered stop is sent again.
-    pub stop_again: Duration,
+    pub stop_retry_interval: Duration,
     /// Pause of a target that refused or failed a start; doubled with each in a row.
-    pub pause: Duration,
+    pub failure_pause: Duration,
     /// Longest pause of a target.
-    pub longest_pause: Duration,
+    pub max_failure_pause: Duration,
     /// How long an ended job's state is shown, as the platform asks.
-    pub shown: Duration,
+    pub ended_job_retention: Duration,
     /// How long before its time an occurrence may start; 0 is safe against clocks that differ.
-    pub early: Duration,
+    pub early_start: Duration,
 }
 
-impl Default for DeskTuning {
+impl Default for SchedulerTuning {
     fn default() -> Self {
         Self {
             lease_limit: Duration::from_secs(6),
             grant: Duration::from_secs(5),
             lapse_margin: Duration::from_millis(300),
-            alone: Duration::from_secs(8),
-            silence: Duration::from_millis(1800),
+            store_outage_limit: Duration::from_secs(8),
+            unresponsive_after: Duration::from_millis(1800),
             look_wait: Duration::from_millis(1000),
-            watch_wait: Duration::from_millis(400),
-            late_limit: Duration::from_secs(13),
-            stop_again: Duration::from_millis(500),
-            pause: Duration::from_millis(500),
-            longest_pause: Duration::from_secs(8),
-            shown: Duration::from_secs(150),
-            early: Duration::ZERO,
+            mixed_poll_wait: Duration::from_millis(400),
+            max_delivery_delay: Duration::from_secs(13),
+            stop_retry_interval: Duration::from_millis(500),
+            failure_pause: Duration::from_millis(500),
+            max_failure_pause: Duration::from_secs(8),
+            ended_job_retention: Duration::from_secs(150),
+            early_start: Duration::ZERO,
         }
     }
 }
--- a/crates/decide/src/work/desk_miss.rs
+++ b/crates/decide/src/work/scheduler_unreachable.rs
@@ -4,7 +4,10 @@
 };
 use wire::work::{MissedRun, TargetMiss, log_entry::Event};
 
-use super::{DeskEvent, DeskTime, PlacementPhase, TaskPlacement, WorkDesk, target_state::RunKey};
+use super::{
+    PlacementPhase, SchedulerEvent, SchedulerTime, TaskPlacement, WorkScheduler,
+    target_state::RunKey,
+};
 
 /// What the log tells of targets that are not heard.
 ///
@@ -12,13 +15,13 @@
 /// successor any task that waits may be the one that runs there, and the pools of the rack would
 /// stand still until its targets are given up. `docs/design/14-ends-of-targets.md` argues why what
 /// is recorded can be relied on.
-impl WorkDesk {
+impl WorkScheduler {
     /// Records what may run on a target that was not heard, and starts nothing there until it is
     /// heard and recorded as used again.
-    pub(super) fn record_miss(&mut self, id: &HostId, now: DeskTime) {
+    pub(super) fn record_unreachable(&mut self, id: &HostId, now: SchedulerTime) {
         // Without the store the target would stay closed for as long as that is away, and on a full
         // link each record makes it fuller.
-        if self.alone || self.doubts_link(now) {
+        if self.ownership_uncertain || self.suspects_link(now) {
             return;
         }
         let Some(target) = self.targets.get(id) else {
@@ -33,7 +36,7 @@
             step: run.0.step,
             index: run.0.index,
             attempt: run.1,
-            seen: self.is_seen(id, run),
+            seen: self.is_observed_running(id, run),
         });
         let miss = TargetMiss {
             target: id.to_string(),
@@ -43,12 +46,15 @@
             target.recorded = false;
             target.unreachable_recorded = true;
         }
-        self.note(DeskEvent::TargetMissed(id.clone(), miss.runs.len()));
-        self.record(Event::Missed(miss), None, None);
+        self.emit(SchedulerEvent::TargetUnreachable(
+            id.clone(),
+            miss.runs.len(),
+        ));
+        self.append_log_entry(Event::Missed(miss), None, None);
     }
 
     /// Records a target as used that is heard again.
-    pub(super) fn use_again(&mut self, id: &HostId) {
+    pub(super) fn record_reachable(&mut self, id: &HostId) {
         if self
             .targets
             .get(id)
@@ -56,13 +62,13 @@
             && let Some(target) = self.targets.get_mut(id)
         {
             target.unreachable_recorded = false;
-            self.record_use(id);
+            self.record_target_use(id);
         }
     }
 
     /// Takes over what a predecessor recorded of targets that it missed.
-    pub(super) fn take_missed(&mut self, now: DeskTime) {
-        let missed: Vec<TargetMiss> = self.board.unreachable.values().cloned().collect();
+    pub(super) fn adopt_unreachable(&mut self, now: SchedulerTime) {
+        let missed: Vec<TargetMiss> = self.job_table.unreachable.values().cloned().collect();
         for miss in missed {
             let id = HostId::from(miss.target.as_str());
             let Some(target) = self.targets.get_mut(&id) else {
@@ -77,19 +83,19 @@
                     step: run.step,
                     index: run.index,
                 };
-                self.take_missed_run(&id, (key, run.attempt), run.seen, now.boot);
+                self.adopt_unreachable_run(&id, (key, run.attempt), run.seen, now.boot);
             }
         }
     }
 
-    fn take_missed_run(&mut self, id: &HostId, run: RunKey, confirmed: bool, now: BootTime) {
+    fn adopt_unreachable_run(&mut self, id: &HostId, run: RunKey, confirmed: bool, now: BootTime) {
         self.claim(id, run.clone());
         let (key, attempt): (TaskKey, AttemptNumber) = run;
-        self.board.mark_started(&key.job);
-        self.board
+        self.job_table.mark_started(&key.job);
+        self.job_table
             .open_occurrences_until(&key.job, key.occurrence, now);
-        let open = self.board.open.contains(&key.job);
-        let Some(step) = self.board.step_mut(&key).filter(|_| open) else {
+        let open = self.job_table.open.contains(&key.job);
+        let Some(step) = self.job_table.step_mut(&key).filter(|_| open) else {
             return;
         };
         let waits = |task: &super::TaskState| !task.done && task.placement.is_none();
@@ -113,9 +119,9 @@
 
     /// Forgets that a task may be on a target that a predecessor missed, since a later run of it is
     /// shown elsewhere: the predecessor had given the earlier one up.
-    pub(super) fn drop_older_miss(&mut self, id: &HostId, shown: &RunKey) {
+    pub(super) fn drop_stale_unreachable(&mut self, id: &HostId, shown: &RunKey) {
         let (key, attempt) = shown;
-        let job = self.board.jobs.get(&key.job);
+        let job = self.job_table.jobs.get(&key.job);
         let task = job.and_then(|job| job.task(key.occurrence, key.step, key.index));
         let Some(place) = task.and_then(|task| task.placement.as_ref()) else {
             return;
@@ -124,11 +130,11 @@
             return;
         }
         let (older, run) = (place.target.clone(), (key.clone(), place.attempt));
-        self.vacate_place(&older, &run);
+        self.clear_placement(&older, &run);
     }
 
-    fn is_seen(&self, id: &HostId, run: &RunKey) -> bool {
-        let place = self.board.placement_of(id, run);
+    fn is_observed_running(&self, id: &HostId, run: &RunKey) -> bool {
+        let place = self.job_table.placement_of(id, run);
         place.is_some_and(|place| place.phase == PlacementPhase::Running && place.confirmed)
     }
 }
--- a/crates/decide/src/work/target_state.rs
+++ b/crates/decide/src/work/target_state.rs
@@ -8,7 +8,7 @@
     work::{AttemptNumber, ResourceVector, TargetEntry, TargetMode, TaskKey},
 };
 
-use super::DeskTuning;
+use super::SchedulerTuning;
 
 /// A target's steady clock may be this much slow, in thousandths, as the platform says.
 const CLOCK_LAG_PERMILLE: u32 = 20;
@@ -178,7 +178,7 @@
     }
 
     /// When everything that was granted so far has certainly lapsed.
-    pub fn leases_expired_at(&self, tuning: &DeskTuning) -> BootTime {
+    pub fn leases_expired_at(&self, tuning: &SchedulerTuning) -> BootTime {
         let longest = tuning.lease_limit + tuning.lease_limit * CLOCK_LAG_PERMILLE / 1000;
         self.last_grant + longest + tuning.lapse_margin
     }
@@ -239,7 +239,7 @@
 
     /// Counts a failed run. One says little, since tasks fail by their own fault too; several
     /// in a row without a success between make the target pause.
-    pub fn count_failure(&mut self, tuning: &DeskTuning, now: BootTime) {
+    pub fn count_failure(&mut self, tuning: &SchedulerTuning, now: BootTime) {
         if self.consecutive_failures == 0 {
             self.consecutive_failures = 1;
         } else {
@@ -256,9 +256,10 @@
     }
 
     /// Takes the unanswered starts that may still be carried out.
-    pub fn take_unconfirmed(&mut self, tuning: &DeskTuning, now: BootTime) -> Vec<RunKey> {
+    pub fn take_unconfirmed(&mut self, tuning: &SchedulerTuning, now: BootTime) -> Vec<RunKey> {
         let doubts = std::mem::take(&mut self.unconfirmed_starts);
-        let fresh = |(_, sent): &(RunKey, BootTime)| now.saturating_sub(*sent) < tuning.late_limit;
+        let fresh =
+            |(_, sent): &(RunKey, BootTime)| now.saturating_sub(*sent) < tuning.max_delivery_delay;
         doubts
             .into_iter()
             .filter(fresh)
@@ -267,10 +268,10 @@
     }
 
     /// Pauses after a refusal or a failure, longer with each in a row.
-    pub fn pause(&mut self, tuning: &DeskTuning, now: BootTime) {
+    pub fn pause(&mut self, tuning: &SchedulerTuning, now: BootTime) {
         let doublings = self.consecutive_failures.min(8);
-        let pause = tuning.pause * 2_u32.pow(doublings);
+        let pause = tuning.failure_pause * 2_u32.pow(doublings);
         self.consecutive_failures += 1;
-        self.paused_until = now + pause.min(tuning.longest_pause);
+        self.paused_until = now + pause.min(tuning.max_failure_pause);
     }
 }
--- a/crates/decide/src/work/throttle.rs
+++ b/crates/decide/src/work/throttle.rs
@@ -3,7 +3,7 @@
     work::{StepPlan, ThrottleOrder},
 };
 
-use super::{DeskOrder, WorkDesk, target_state::RunKey};
+use super::{SchedulerAction, WorkScheduler, target_state::RunKey};
 
 /// Part of the tail's target, in percent, above which tasks that fill are stopped from
 /// working. The tail is a rough figure of the last half second, so there has to be a margin.
@@ -13,7 +13,7 @@
 /// Share of time, in percent, by which they may work more after each look.
 const RELAX_STEP_PERCENT: u8 = 20;
 
-impl WorkDesk {
+impl WorkScheduler {
     /// Sets the share of time of the tasks that fill on a target by the response times of the
     /// tasks that serve there.
     ///
@@ -21,16 +21,16 @@
     /// give way at once when a tail comes near its target, and return in steps.
     pub(super) fn set_throttles(&mut self, id: &HostId) {
         let Some(worst) = self.worst_tail_percent(id) else {
-            self.paces.remove(id);
+            self.throttles.remove(id);
             return;
         };
-        let old = self.paces.get(id).copied().unwrap_or(100);
+        let old = self.throttles.get(id).copied().unwrap_or(100);
         let new = match worst {
             SUSPEND_TAIL_PERCENT.. => 0,
             RELAX_TAIL_PERCENT..SUSPEND_TAIL_PERCENT => old,
             _ => (old + RELAX_STEP_PERCENT).min(100),
         };
-        self.paces.insert(id.clone(), new);
+        self.throttles.insert(id.clone(), new);
         if new == old {
             return;
         }
@@ -41,9 +41,9 @@
 
     /// Sets the share of a task that fills right after its start, since it starts at full.
     pub(super) fn throttle_new(&mut self, id: &HostId, run: &RunKey) {
-        let fills = self.step_of(&run.0).is_some_and(|step| step.best_effort);
+        let fills = self.step_plan(&run.0).is_some_and(|step| step.best_effort);
         let Some(percent) = self
-            .paces
+            .throttles
             .get(id)
             .copied()
             .filter(|&percent| fills && percent < 100)
@@ -60,14 +60,15 @@
             percent,
             token: self.token,
         };
-        self.orders.push(DeskOrder::Pace(id.clone(), order));
+        self.actions
+            .push(SchedulerAction::Throttle(id.clone(), order));
     }
 
     fn best_effort_runs(&self, id: &HostId) -> Vec<RunKey> {
         let Some(target) = self.targets.get(id) else {
             return Vec::new();
         };
-        let fills = |run: &&RunKey| self.step_of(&run.0).is_some_and(|step| step.best_effort);
+        let fills = |run: &&RunKey| self.step_plan(&run.0).is_some_and(|step| step.best_effort);
         target.claims.keys().filter(fills).cloned().collect()
     }
 
@@ -79,7 +80,7 @@
         }
         let target = self.targets.get(id)?;
         let tails = target.claims.keys().filter_map(|run| {
-            let job = self.board.jobs.get(&run.0.job)?;
+            let job = self.job_table.jobs.get(&run.0.job)?;
             let step = job.plan.steps.get(run.0.step as usize)?;
             let task = job.task(run.0.occurrence, run.0.step, run.0.index)?;
             let place = task.placement.as_ref().filter(|_| step.serves_requests())?;
--- a/crates/decide/src/work/work_desk.rs
+++ b/crates/decide/src/work/work_scheduler.rs
@@ -11,18 +11,18 @@
 use wire::work::{JobPhase, JobRecord, LogEntry, TargetUse, log_entry::Event};
 
 use super::{
-    DeskEffort, DeskEvent, DeskOrder, DeskTuning, EndOrigin, HostDrainState, JobTable, RecordOrder,
-    StartForecast, TargetState, WorkJob, WorkPhase, desk_evacuate::StrandedTask,
-    desk_index::DeskIndex, share_meter::ShareMeter, step_key::StepKey, target_state::RunKey,
-    tracked_map::TrackedMap,
+    EndOrigin, HostDrainState, JobTable, LogAppend, SchedulerAction, SchedulerEvent,
+    SchedulerTuning, StartForecast, TargetState, WorkCounters, WorkJob, WorkPhase,
+    scheduler_evacuate::StrandedTask, scheduler_index::SchedulerIndex, share_meter::ShareMeter,
+    step_key::StepKey, target_state::RunKey, tracked_map::TrackedMap,
 };
 
 /// Events that are kept for the log until they are taken; more are dropped, and counted.
-const MOST_EVENTS: usize = 4096;
+const MAX_BUFFERED_EVENTS: usize = 4096;
 
 /// The present, on both clocks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct DeskTime {
+pub struct SchedulerTime {
     /// Time since boot; leases and pauses count on it.
     pub boot: BootTime,
     /// Time since the Unix epoch; occurrences are due on it, and it may jump.
@@ -31,62 +31,62 @@
 
 /// Decides for one cell, for one term of ownership.
 ///
-/// A term begins with the jobs of the log ([`WorkDesk::replay`]) and with looking at every
+/// A term begins with the jobs of the log ([`WorkScheduler::replay`]) and with looking at every
 /// target that tasks may be on. It ends with the process's ownership; a new term begins anew.
 #[derive(Clone, Debug, Default)]
-pub struct WorkDesk {
-    pub(super) tuning: DeskTuning,
+pub struct WorkScheduler {
+    pub(super) tuning: SchedulerTuning,
     pub(super) token: FencingToken,
     /// What operators ask for.
     pub terms: Arc<FleetPolicy>,
     /// The jobs.
-    pub board: JobTable,
+    pub job_table: JobTable,
     /// The targets.
     pub targets: TrackedMap<TargetState>,
-    pub(super) index: DeskIndex,
+    pub(super) index: SchedulerIndex,
     /// How much was looked at so far.
-    pub effort: DeskEffort,
-    pub(super) usage: BTreeMap<WorkspaceId, ResourceVector>,
-    pub(super) orders: Vec<DeskOrder>,
-    pub(super) events: VecDeque<DeskEvent>,
+    pub counters: WorkCounters,
+    pub(super) workspace_usage: BTreeMap<WorkspaceId, ResourceVector>,
+    pub(super) actions: Vec<SchedulerAction>,
+    pub(super) events: VecDeque<SchedulerEvent>,
     /// Events that were dropped because nobody took them in time.
     pub events_dropped: u64,
     /// When another process might have owned the cell last.
-    pub(super) was_alone: Option<BootTime>,
+    pub(super) last_uncertain: Option<BootTime>,
     /// Since when many listed targets have not been heard at once.
-    pub(super) missing_since: Option<BootTime>,
+    pub(super) mass_unresponsive_since: Option<BootTime>,
     /// When many listed targets were last not heard at once.
-    pub(super) missed_many: Option<BootTime>,
+    pub(super) mass_unresponsive_last: Option<BootTime>,
     /// Whether another process may own the cell by now.
-    pub(super) alone: bool,
+    pub(super) ownership_uncertain: bool,
     /// When the log had been read; zero for a desk that has no predecessor.
-    pub(super) began: BootTime,
+    pub(super) replay_finished_at: BootTime,
     pub(super) shares: ShareMeter,
     pub(super) forecast: StartForecast,
     /// Steps of tasks that last for which no target was found, and since when.
-    pub(super) starved: BTreeMap<StepKey, BootTime>,
+    pub(super) unplaced_since: BTreeMap<StepKey, BootTime>,
     /// Targets that are kept free, also those that are not listed yet: the list of hosts may tell of
     /// a life first, and its host be ordered. Tasks that it were given meanwhile would end.
-    pub(super) vacancies: BTreeMap<HostId, HostDrainState>,
+    pub(super) drains: BTreeMap<HostId, HostDrainState>,
     /// Of each pool a task that has to leave its host and has no other to go to.
     pub(super) stranded: BTreeMap<PoolId, StrandedTask>,
     /// When waits for another target end, of tasks that failed; the earliest first.
-    pub(super) failed_waits: VecDeque<BootTime>,
+    pub(super) failure_wait_deadlines: VecDeque<BootTime>,
     /// Occurrences and starts may be due: planning has something to do.
-    pub(super) stale: bool,
+    pub(super) replan_needed: bool,
     /// Stops that have not been answered, with the time of their last sending.
-    pub(super) stops: BTreeMap<(HostId, RunKey), BootTime>,
+    pub(super) pending_stops: BTreeMap<(HostId, RunKey), BootTime>,
     /// Stops that were answered, and when; a target takes a moment until it lists the end.
-    pub(super) stopped: BTreeMap<(HostId, RunKey), BootTime>,
+    pub(super) acknowledged_stops: BTreeMap<(HostId, RunKey), BootTime>,
     /// Runs that stood still at the last look at their target.
-    pub(super) still: BTreeSet<(HostId, RunKey)>,
+    pub(super) no_progress: BTreeSet<(HostId, RunKey)>,
     /// Share of time that tasks which fill have on a target; 100 if absent.
-    pub(super) paces: BTreeMap<HostId, u8>,
+    pub(super) throttles: BTreeMap<HostId, u8>,
 }
 
-impl WorkDesk {
+impl WorkScheduler {
     /// The desk of a new term.
-    pub fn new(tuning: DeskTuning, token: FencingToken) -> Self {
+    pub fn new(tuning: SchedulerTuning, token: FencingToken) -> Self {
         Self {
             tuning,
             token,
@@ -95,25 +95,25 @@
     }
 
     /// Takes an entry of the log in while it is read.
-    pub fn replay(&mut self, entry: &LogEntry, now: DeskTime) {
+    pub fn replay(&mut self, entry: &LogEntry, now: SchedulerTime) {
         if let Some(Event::Cancelled(id) | Event::Failed(id)) = &entry.event
-            && let Some(job) = self.board.jobs.get_mut(id.as_str())
+            && let Some(job) = self.job_table.jobs.get_mut(id.as_str())
         {
             // What was due may run on a target that was not reached, and has to be counted.
-            job.open_due_occurrences(now.unix, now.boot, self.tuning.early);
+            job.open_due_occurrences(now.unix, now.boot, self.tuning.early_start);
         }
-        self.board.apply(entry, now.unix, now.boot);
+        self.job_table.apply(entry, now.unix, now.boot);
     }
 
     /// Ends the reading of the log. Targets that a predecessor used are to be looked at, also
     /// those that the host list no longer has: their tasks may still run.
-    pub fn begin(&mut self, now: DeskTime) {
-        self.began = now.boot;
-        for job in self.board.jobs.values_mut() {
+    pub fn finish_replay(&mut self, now: SchedulerTime) {
+        self.replay_finished_at = now.boot;
+        for job in self.job_table.jobs.values_mut() {
             job.inherited = true;
             job.started |= !job.is_open();
         }
-        for used in self.board.used_targets.values() {
+        for used in self.job_table.used_targets.values() {
             let entry = TargetEntry {
                 target: used.target.as_str().into(),
                 address: used.address.as_str().into(),
@@ -129,19 +129,19 @@
             };
             self.targets.insert(used.target.as_str().into(), target);
         }
-        self.sync(now.boot);
+        self.sync_indexes(now.boot);
         self.open_occurrences(now);
-        self.take_missed(now);
-        self.stale = true;
+        self.adopt_unreachable(now);
+        self.replan_needed = true;
     }
 
     /// Sets whether another process may own the cell by now, since the lease may have lapsed.
     ///
     /// What runs goes on then, but nothing is started and no further life of a target is drawn
-    /// into it ([`WorkDesk::plan`]).
-    pub fn set_alone(&mut self, alone: bool) {
-        self.stale |= self.alone && !alone;
-        self.alone = alone;
+    /// into it ([`WorkScheduler::plan`]).
+    pub fn set_ownership_uncertain(&mut self, alone: bool) {
+        self.replan_needed |= self.ownership_uncertain && !alone;
+        self.ownership_uncertain = alone;
     }
 
     /// Token of this term.
@@ -151,7 +151,7 @@
 
     /// Sets what operators ask for.
     pub fn set_terms(&mut self, terms: Arc<FleetPolicy>) {
-        for job in self.board.jobs.values_mut() {
+        for job in self.job_table.jobs.values_mut() {
             if let Some(queue) = terms.queue(&job.queue) {
                 job.pool = queue.pool.clone();
             }
@@ -162,27 +162,27 @@
             .map(|space| (space.name.clone(), space.limit))
             .collect();
         self.terms = terms;
-        self.stale = true;
+        self.replan_needed = true;
     }
 
     /// Takes what the host list says of a target.
-    pub fn list_target(&mut self, entry: TargetEntry, now: DeskTime) {
-        self.sync(now.boot);
+    pub fn upsert_target(&mut self, entry: TargetEntry, now: SchedulerTime) {
+        self.sync_indexes(now.boot);
         let id = entry.target.clone();
-        if self.is_succeeded(&entry) {
-            self.unlist_target(&id);
+        if self.is_superseded_entry(&entry) {
+            self.mark_target_unlisted(&id);
             return;
         }
-        self.end_lives_at(&entry, now);
+        self.end_other_incarnations_at_address(&entry, now);
         let Some(target) = self.targets.get_mut(&id) else {
-            let recorded = self.board.used_targets.contains_key(id.as_str());
+            let recorded = self.job_table.used_targets.contains_key(id.as_str());
             let target = TargetState {
                 recorded,
-                drain: self.vacancies.get(&id).copied().unwrap_or_default(),
+                drain: self.drains.get(&id).copied().unwrap_or_default(),
                 ..TargetState::new(entry, now.boot)
             };
             self.targets.insert(id.clone(), target);
-            self.record_use(&id);
+            self.record_target_use(&id);
             return;
         };
         let (born, known) = (entry.started_at, target.incarnation.started_at);
@@ -205,55 +205,55 @@
         }
         let (recorded, missed) = (target.recorded, target.unreachable_recorded);
         if reborn {
-            self.end_life(&id, born, "reborn", now);
+            self.end_incarnation(&id, born, "reborn", now);
         }
         if !recorded && !missed {
-            self.record_use(&id);
+            self.record_target_use(&id);
         }
     }
 
     /// The host list no longer has a target.
-    pub fn unlist_target(&mut self, id: &HostId) {
+    pub fn mark_target_unlisted(&mut self, id: &HostId) {
         if let Some(target) = self.targets.get_mut(id) {
             target.listed = false;
         }
     }
 
     /// Targets that the host list has.
-    pub fn listed(&self) -> Vec<HostId> {
+    pub fn listed_targets(&self) -> Vec<HostId> {
         let listed = self.targets.values().filter(|target| target.listed);
         listed.map(|target| target.entry.target.clone()).collect()
     }
 
     /// Takes a job in that has been stored.
-    pub fn accept(&mut self, record: &JobRecord, now: DeskTime) {
-        self.board.accept(record, now.unix, now.boot);
-        self.weigh(record, now);
-        let early = self.tuning.early;
-        if let Some(job) = self.board.jobs.get_mut(record.job.as_str()) {
+    pub fn accept_job(&mut self, record: &JobRecord, now: SchedulerTime) {
+        self.job_table.accept(record, now.unix, now.boot);
+        self.classify_job_share(record, now);
+        let early = self.tuning.early_start;
+        if let Some(job) = self.job_table.jobs.get_mut(record.job.as_str()) {
             job.open_due_occurrences(now.unix, now.boot, early);
         }
     }
 
-    fn weigh(&mut self, record: &JobRecord, now: DeskTime) {
+    fn classify_job_share(&mut self, record: &JobRecord, now: SchedulerTime) {
         let space = self.terms.workspace(&record.workspace);
         let weight = space.map_or(0, |space| space.weight);
         let beyond = self
             .shares
             .record_job(&record.workspace.as_str().into(), weight, now.boot);
-        if let Some(job) = self.board.jobs.get_mut(record.job.as_str()) {
+        if let Some(job) = self.job_table.jobs.get_mut(record.job.as_str()) {
             job.beyond_share = beyond;
         }
     }
 
     /// A host's order was carried out: all that ran on its target is over.
-    pub fn end_target(&mut self, id: &HostId, now: DeskTime) {
-        self.lose_target(id, "ordered", now);
+    pub fn end_target_after_host_order(&mut self, id: &HostId, now: SchedulerTime) {
+        self.mark_target_lost(id, "ordered", now);
     }
 
     /// What callers are told of a job.
-    pub fn progress(&self, id: &str) -> Option<JobPhase> {
-        let job = self.board.jobs.get(id)?;
+    pub fn job_phase(&self, id: &str) -> Option<JobPhase> {
+        let job = self.job_table.jobs.get(id)?;
         let running = if job.started {
             JobPhase::Running
         } else {
@@ -270,61 +270,66 @@
     }
 
     /// How many jobs of a queue have not begun.
-    pub fn pending(&mut self, queue: &str, now: DeskTime) -> u64 {
-        self.sync(now.boot);
+    pub fn pending_jobs(&mut self, queue: &str, now: SchedulerTime) -> u64 {
+        self.sync_indexes(now.boot);
         self.index.jobs.pending(queue)
     }
 
     /// What is to be done, oldest first.
-    pub fn take_orders(&mut self) -> Vec<DeskOrder> {
-        std::mem::take(&mut self.orders)
+    pub fn take_actions(&mut self) -> Vec<SchedulerAction> {
+        std::mem::take(&mut self.actions)
     }
 
     /// What is to be logged, oldest first.
-    pub fn take_events(&mut self) -> VecDeque<DeskEvent> {
+    pub fn take_events(&mut self) -> VecDeque<SchedulerEvent> {
         std::mem::take(&mut self.events)
     }
 
     /// An entry of the log has been stored.
-    pub fn recorded(&mut self, order: &RecordOrder, now: DeskTime) {
+    pub fn handle_stored_entry(&mut self, order: &LogAppend, now: SchedulerTime) {
         if let Some(origin) = &order.origin {
-            self.settle_end(origin);
+            self.mark_end_stored(origin);
         }
         if let Some(job) = &order.job {
-            self.board
+            self.job_table
                 .update_unstored_entries(job, |unstored| unstored.saturating_sub(1));
         }
         match &order.entry.event {
-            Some(Event::Missed(_)) => self.board.apply(&order.entry, now.unix, now.boot),
+            Some(Event::Missed(_)) => self.job_table.apply(&order.entry, now.unix, now.boot),
             Some(Event::Used(used)) => {
-                self.board.apply(&order.entry, now.unix, now.boot);
+                self.job_table.apply(&order.entry, now.unix, now.boot);
                 if let Some(target) = self.targets.get_mut(used.target.as_str()) {
                     target.recorded = true;
                 }
             }
             Some(Event::Released(_) | Event::Wave(_) | Event::Ordered(_)) => {
-                self.board.apply(&order.entry, now.unix, now.boot);
+                self.job_table.apply(&order.entry, now.unix, now.boot);
             }
             _ => {}
         }
     }
 
-    pub(super) fn note(&mut self, event: DeskEvent) {
-        if self.events.len() >= MOST_EVENTS {
+    pub(super) fn emit(&mut self, event: SchedulerEvent) {
+        if self.events.len() >= MAX_BUFFERED_EVENTS {
             self.events_dropped += 1;
             return;
         }
         self.events.push_back(event);
     }
 
-    pub(super) fn record(&mut self, event: Event, origin: Option<EndOrigin>, job: Option<&JobId>) {
+    pub(super) fn append_log_entry(
+        &mut self,
+        event: Event,
+        origin: Option<EndOrigin>,
+        job: Option<&JobId>,
+    ) {
         let mut urgent = origin.is_none();
         if let Some(job) = job {
-            self.board
+            self.job_table
                 .update_unstored_entries(job, |unstored| unstored + 1);
-            urgent |= !self.board.jobs.get(job).is_none_or(WorkJob::is_open);
+            urgent |= !self.job_table.jobs.get(job).is_none_or(WorkJob::is_open);
         }
-        self.orders.push(DeskOrder::Record(RecordOrder {
+        self.actions.push(SchedulerAction::AppendLog(LogAppend {
             entry: LogEntry { event: Some(event) },
             origin,
             job: job.cloned(),
@@ -335,7 +340,7 @@
     /// Writes down that tasks may be on a target, before the first is started there. After a
     /// failure of this process, its successor would otherwise not know of a target that has
     /// left the host list while its tasks run on.
-    pub(super) fn record_use(&mut self, id: &HostId) {
+    pub(super) fn record_target_use(&mut self, id: &HostId) {
         let Some(target) = self.targets.get(id).filter(|target| !target.recorded) else {
             return;
         };
@@ -344,7 +349,7 @@
             address: target.entry.address.to_string(),
             pool: target.entry.pool.to_string(),
         };
-        self.record(Event::Used(used), None, None);
+        self.append_log_entry(Event::Used(used), None, None);
     }
 
     /// True if a later life is known at the address of an entry.
@@ -353,8 +358,8 @@
     /// begun. Taken for the present one, it would end the life that is at work, and what runs there
     /// would be started a second time. While the store is away, the entry of the life at work may
     /// have lapsed. An entry that does not tell when its life began is another writer's.
-    fn is_succeeded(&self, entry: &TargetEntry) -> bool {
-        let others = self.others_at(entry);
+    fn is_superseded_entry(&self, entry: &TargetEntry) -> bool {
+        let others = self.other_targets_at_address(entry);
         let mut others = others.iter().filter_map(|id| self.targets.get(id));
         others.any(|other| {
             let lives = other.listed || !other.claims.is_empty();
@@ -363,7 +368,7 @@
     }
 
     /// Other targets at the address of an entry.
-    fn others_at(&self, entry: &TargetEntry) -> Vec<HostId> {
+    fn other_targets_at_address(&self, entry: &TargetEntry) -> Vec<HostId> {
         let there = self.index.targets.at_address(&entry.address);
         let others = there.filter(|id| **id != entry.target);
         others.cloned().collect()
@@ -374,17 +379,17 @@
     ///
     /// Of a predecessor's target that no look has reached it is not known which of both is the
     /// newer; a look tells.
-    fn end_lives_at(&mut self, entry: &TargetEntry, now: DeskTime) {
+    fn end_other_incarnations_at_address(&mut self, entry: &TargetEntry, now: SchedulerTime) {
         if !self.terms.pools.iter().any(|pool| pool.name == entry.pool) {
             return;
         }
-        for id in self.others_at(entry) {
+        for id in self.other_targets_at_address(entry) {
             if self
                 .targets
                 .get(&id)
                 .is_some_and(TargetState::is_state_known)
             {
-                self.lose_target(&id, "replaced", now);
+                self.mark_target_lost(&id, "replaced", now);
             }
         }
     }
--- a/crates/decide/tests/desk/fleet.rs
+++ b/crates/decide/tests/desk/fleet.rs
@@ -4,7 +4,7 @@
     time::Duration,
 };
 
-use decide::work::{DeskOrder, HostOrder, HostPlanner};
+use decide::work::{HostOrder, HostPlanner, SchedulerAction};
 use model::{
     BootTime, HostId,
     work::{
@@ -192,7 +192,7 @@
             labels: host.fleet.labels.clone(),
             ..target(&life, host.fleet.capacity.cpu)
         };
-        self.scene.desk.list_target(entry, self.scene.now);
+        self.scene.desk.upsert_target(entry, self.scene.now);
         self.scene.run();
         self.scene.raise(&life);
     }
@@ -211,10 +211,10 @@
             host.runs.push((start.clone(), now.boot));
             let answer = StartAnswer::Started { clock: now.boot };
             let desk = &mut self.scene.desk;
-            desk.started(&id, &start.task, start.attempt, &answer, now);
+            desk.handle_start_answer(&id, &start.task, start.attempt, &answer, now);
         }
         for order in std::mem::take(&mut self.scene.others) {
-            let DeskOrder::Stop(id, stop) = order else {
+            let SchedulerAction::Stop(id, stop) = order else {
                 continue;
             };
             self.stops += 1;
@@ -256,7 +256,7 @@
                 .entry((&start.task.job, start.task.step))
                 .or_default() += 1;
         }
-        for (job, record) in &self.scene.desk.board.jobs {
+        for (job, record) in &self.scene.desk.job_table.jobs {
             for (number, step) in (0..).zip(&record.plan.steps) {
                 let there = present.get(&(job, number)).copied().unwrap_or_default();
                 let missing = (step.count as usize).saturating_sub(there);
@@ -291,8 +291,8 @@
             }
         }
         if let Some(life) = life {
-            self.scene.desk.end_target(&life, now);
-            self.scene.desk.unlist_target(&life);
+            self.scene.desk.end_target_after_host_order(&life, now);
+            self.scene.desk.mark_target_unlisted(&life);
         }
         self.scene.run();
     }
--- a/crates/decide/tests/desk/scene.rs
+++ b/crates/decide/tests/desk/scene.rs
@@ -1,6 +1,8 @@
 use std::{sync::Arc, time::Duration};
 
-use decide::work::{DeskOrder, DeskTime, DeskTuning, HostDrainState, WorkDesk, record_of_plan};
+use decide::work::{
+    HostDrainState, SchedulerAction, SchedulerTime, SchedulerTuning, WorkScheduler, record_of_plan,
+};
 use model::{
     BootTime, HostId,
     work::{
@@ -13,12 +15,12 @@
 
 /// A desk with one pool, one queue and one workspace, and a clock that the test moves.
 pub struct DeskScene {
-    pub desk: WorkDesk,
-    pub now: DeskTime,
+    pub desk: WorkScheduler,
+    pub now: SchedulerTime,
     /// Starts that the desk ordered and that have not been answered.
     pub starts: Vec<(HostId, StartOrder)>,
     /// Other orders.
-    pub others: Vec<DeskOrder>,
+    pub others: Vec<SchedulerAction>,
     /// Entries that were stored.
     pub stored: Vec<LogEntry>,
     /// While set, the store takes nothing.
@@ -32,8 +34,8 @@
 impl DeskScene {
     pub fn new(token: u64) -> Self {
         let mut scene = Self {
-            desk: WorkDesk::new(DeskTuning::default(), token),
-            now: DeskTime {
+            desk: WorkScheduler::new(SchedulerTuning::default(), token),
+            now: SchedulerTime {
                 boot: Duration::from_secs(1000),
                 unix: Duration::from_secs(1_000_000),
             },
@@ -69,7 +71,7 @@
         for entry in &self.stored {
             scene.desk.replay(entry, scene.now);
         }
-        scene.desk.begin(scene.now);
+        scene.desk.finish_replay(scene.now);
         scene
     }
 
@@ -83,10 +85,10 @@
     /// Plans and takes the orders; entries are stored at once.
     pub fn run(&mut self) {
         loop {
-            self.desk.plan(self.now);
-            let orders = self.desk.take_orders();
+            self.desk.plan_starts(self.now);
+            let orders = self.desk.take_actions();
             if orders.is_empty() {
-                let broken = self.desk.index_faults(self.now.boot);
+                let broken = self.desk.index_mismatches(self.now.boot);
                 assert!(
                     broken.is_empty(),
                     "indexes that differ from the books: {broken:?}"
@@ -95,14 +97,14 @@
             }
             for order in orders {
                 match order {
-                    DeskOrder::Record(record) if self.store_away => {
-                        self.others.push(DeskOrder::Record(record));
+                    SchedulerAction::AppendLog(record) if self.store_away => {
+                        self.others.push(SchedulerAction::AppendLog(record));
                     }
-                    DeskOrder::Record(record) => {
+                    SchedulerAction::AppendLog(record) => {
                         self.stored.push(record.entry.clone());
-                        self.desk.recorded(&record, self.now);
+                        self.desk.handle_stored_entry(&record, self.now);
                     }
-                    DeskOrder::Start(id, start) => self.starts.push((id, start)),
+                    SchedulerAction::Start(id, start) => self.starts.push((id, start)),
                     other => self.others.push(other),
                 }
             }
@@ -110,7 +112,7 @@
     }
 
     pub fn list(&mut self, id: &str, cpu: u64) {
-        self.desk.list_target(target(id, cpu), self.now);
+        self.desk.upsert_target(target(id, cpu), self.now);
         self.run();
     }
 
@@ -142,7 +144,7 @@
             ended,
         };
         self.desk
-            .saw(&id.into(), sent, 0, &PollAnswer::Seen(sight), self.now);
+            .apply_report(&id.into(), sent, 0, &PollAnswer::Seen(sight), self.now);
         self.run();
     }
 
@@ -150,21 +152,22 @@
     pub fn miss(&mut self, id: &str) {
         let silent = PollAnswer::Unanswered("timed out".to_owned());
         let sent = self.now.boot;
-        self.desk.saw(&id.into(), sent, 0, &silent, self.now);
+        self.desk
+            .apply_report(&id.into(), sent, 0, &silent, self.now);
     }
 
     /// A start that is not answered.
     pub fn leave_unanswered(&mut self, id: &HostId, start: &StartOrder) {
         let unanswered = StartAnswer::Unanswered("timed out".to_owned());
         self.desk
-            .started(id, &start.task, start.attempt, &unanswered, self.now);
+            .handle_start_answer(id, &start.task, start.attempt, &unanswered, self.now);
     }
 
     /// A target has done the stop that was sent at a time.
     pub fn answer_stop(&mut self, id: &HostId, start: &StartOrder, sent: BootTime) {
         let done = OrderAnswer::Done;
         self.desk
-            .stopped(id, &start.task, start.attempt, sent, &done, self.now);
+            .handle_stop_answer(id, &start.task, start.attempt, sent, &done, self.now);
     }
 
     pub fn submit(&mut self, job: &str, plan: &JobPlan) {
@@ -179,14 +182,14 @@
         self.stored.push(LogEntry {
             event: Some(Event::Accepted(record.clone())),
         });
-        self.desk.accept(&record, self.now);
+        self.desk.accept_job(&record, self.now);
         self.desk.tick(self.now);
         self.run();
     }
 
     /// Cancels a job, as its caller wants.
     pub fn cancel(&mut self, job: &str) {
-        self.desk.cancel(&job.into(), self.now);
+        self.desk.cancel_job(&job.into(), self.now);
         self.stored.push(LogEntry {
             event: Some(Event::Cancelled(job.to_owned())),
         });
@@ -202,7 +205,7 @@
 
     /// Replaces the log by a shorter one that says the same.
     pub fn compact(&mut self) {
-        self.stored = self.desk.board.compacted_entries();
+        self.stored = self.desk.job_table.compacted_entries();
     }
 
     /// Gives the workspace a weight.
@@ -223,14 +226,14 @@
                 clock: self.now.boot,
             };
             self.desk
-                .started(id, &start.task, start.attempt, &answer, self.now);
+                .handle_start_answer(id, &start.task, start.attempt, &answer, self.now);
         }
         self.run();
         starts
     }
 
     pub fn stops(&self) -> usize {
-        let stop = |order: &&DeskOrder| matches!(order, DeskOrder::Stop(..));
+        let stop = |order: &&SchedulerAction| matches!(order, SchedulerAction::Stop(..));
         self.others.iter().filter(stop).count()
     }
 }
--- a/crates/decide/tests/desk/turn.rs
+++ b/crates/decide/tests/desk/turn.rs
@@ -2,7 +2,9 @@
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-use decide::work::{DeskOrder, DeskTime, DeskTuning, WorkDesk, record_of_plan};
+use decide::work::{
+    SchedulerAction, SchedulerTime, SchedulerTuning, WorkScheduler, record_of_plan,
+};
 use model::{
     BootTime, HostId,
     work::{
@@ -40,8 +42,8 @@
 /// A desk whose pools are full while more tasks wait.
 #[derive(Clone)]
 pub struct TurnLoad {
-    pub desk: WorkDesk,
-    pub now: DeskTime,
+    pub desk: WorkScheduler,
+    pub now: SchedulerTime,
     size: TurnSize,
     /// What runs on each target.
     busy: BTreeMap<HostId, Vec<StartOrder>>,
@@ -64,8 +66,8 @@
     /// The same where the first workspace may have so many thousandths of a core running.
     pub fn with_limit(size: TurnSize, first_limit: u64) -> Self {
         let mut load = Self {
-            desk: WorkDesk::new(DeskTuning::default(), 1),
-            now: DeskTime {
+            desk: WorkScheduler::new(SchedulerTuning::default(), 1),
+            now: SchedulerTime {
                 boot: Duration::from_secs(1000),
                 unix: Duration::from_secs(1_000_000),
             },
@@ -162,14 +164,14 @@
             accepted_unix_ms: u64::try_from(self.now.unix.as_millis()).unwrap_or_default(),
             ..record_of_plan(&plan)
         };
-        self.desk.accept(&record, self.now);
+        self.desk.accept_job(&record, self.now);
     }
 
     /// Plans, and answers what the desk orders.
     pub fn run(&mut self) {
         loop {
-            self.desk.plan(self.now);
-            let orders = self.desk.take_orders();
+            self.desk.plan_starts(self.now);
+            let orders = self.desk.take_actions();
             self.desk.take_events();
             if orders.is_empty() {
                 return;
@@ -180,17 +182,18 @@
         }
     }
 
-    fn answer(&mut self, order: DeskOrder) {
+    fn answer(&mut self, order: SchedulerAction) {
         match order {
-            DeskOrder::Record(record) => self.desk.recorded(&record, self.now),
-            DeskOrder::Start(id, start) => {
+            SchedulerAction::AppendLog(record) => self.desk.handle_stored_entry(&record, self.now),
+            SchedulerAction::Start(id, start) => {
                 self.started += 1;
                 let answer = StartAnswer::Started {
                     clock: self.now.boot,
                 };
                 let (task, attempt) = (start.task.clone(), start.attempt);
                 self.busy.entry(id.clone()).or_default().push(start);
-                self.desk.started(&id, &task, attempt, &answer, self.now);
+                self.desk
+                    .handle_start_answer(&id, &task, attempt, &answer, self.now);
             }
             _ => {}
         }
@@ -207,7 +210,7 @@
             started_at: Duration::from_secs(1),
             ..TargetEntry::default()
         };
-        self.desk.list_target(entry, self.now);
+        self.desk.upsert_target(entry, self.now);
         self.see(&id, Vec::new(), Vec::new());
         self.names.push(id);
     }
@@ -221,7 +224,7 @@
             ended,
         };
         let answer = PollAnswer::Seen(sight);
-        self.desk.saw(id, sent, 0, &answer, self.now);
+        self.desk.apply_report(id, sent, 0, &answer, self.now);
     }
 }
 
--- a/crates/decide/tests/desk/world.rs
+++ b/crates/decide/tests/desk/world.rs
@@ -3,7 +3,9 @@
     time::Duration,
 };
 
-use decide::work::{DeskEvent, DeskOrder, DeskTime, DeskTuning, WorkDesk, record_of_plan};
+use decide::work::{
+    SchedulerAction, SchedulerEvent, SchedulerTime, SchedulerTuning, WorkScheduler, record_of_plan,
+};
 use model::{BootTime, HostId, work::JobPlan, work::TaskKey};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use wire::work::JobRecord;
@@ -38,7 +40,7 @@
     pub(super) dice: StdRng,
     /// For faults that came later: the seeds of the first ones show the same as before.
     pub(super) more: StdRng,
-    pub(super) now: DeskTime,
+    pub(super) now: SchedulerTime,
     pub(super) faults: WorldFaults,
     pub(super) targets: BTreeMap<HostId, WorldTarget>,
     pub(super) list: HostList,
@@ -75,7 +77,7 @@
 }
 
 pub(super) struct WorldOwner {
-    pub(super) desk: WorkDesk,
+    pub(super) desk: WorkScheduler,
     pub(super) token: u64,
     /// Since when it has no way to the store.
     pub(super) alone_since: Option<BootTime>,
@@ -91,7 +93,7 @@
 
 impl DeskWorld {
     pub fn new(seed: u64, targets: u32, faults: WorldFaults) -> Self {
-        let now = DeskTime {
+        let now = SchedulerTime {
             boot: Duration::from_secs(1000),
             unix: Duration::from_secs(1_000_000),
         };
@@ -271,11 +273,11 @@
 
     fn elect(&mut self) {
         self.token += 7;
-        let mut desk = WorkDesk::new(DeskTuning::default(), self.token);
+        let mut desk = WorkScheduler::new(SchedulerTuning::default(), self.token);
         for entry in self.log.entries() {
             desk.replay(entry, self.now);
         }
-        desk.begin(self.now);
+        desk.finish_replay(self.now);
         desk.set_terms(std::sync::Arc::new(terms_with_limit(LIMIT)));
         self.owners.push(WorldOwner {
             desk,
@@ -299,7 +301,7 @@
             self.elect();
         }
         let mut owners = std::mem::take(&mut self.owners);
-        let alone = DeskTuning::default().alone + OWNER_LEASE;
+        let alone = SchedulerTuning::default().store_outage_limit + OWNER_LEASE;
         owners.retain(|owner| {
             let over = owner.over_at.is_some_and(|at| self.now.boot >= at);
             let since = self.lonely_since(owner);
@@ -338,7 +340,7 @@
     fn run_owner(&mut self, owner: &mut WorldOwner) -> bool {
         let now = self.now;
         let alone = self.is_lapsed(owner);
-        owner.desk.set_alone(alone);
+        owner.desk.set_ownership_uncertain(alone);
         if self.faults.lists {
             self.follow_list(owner);
             self.follow_lives(owner);
@@ -349,45 +351,47 @@
             return false;
         }
         owner.desk.tick(now);
-        owner.desk.plan(now);
+        owner.desk.plan_starts(now);
         let known: Vec<HostId> = owner.desk.targets.keys().cloned().collect();
         for name in known {
             let paused = owner.look_after.get(&name);
             if owner.looking.contains(&name) || paused.is_some_and(|until| now.boot < *until) {
                 continue;
             }
-            if let Some(order) = owner.desk.look_order(&name, now) {
+            if let Some(order) = owner.desk.poll_order(&name, now) {
                 owner.looking.insert(name.clone());
                 self.send(owner.token, name, WorldOrder::Look(order));
             }
         }
-        for order in owner.desk.take_orders() {
+        for order in owner.desk.take_actions() {
             match order {
-                DeskOrder::Record(record) => owner.log.add(record, now.boot + TICK),
-                DeskOrder::Start(name, order) => {
+                SchedulerAction::AppendLog(record) => owner.log.add(record, now.boot + TICK),
+                SchedulerAction::Start(name, order) => {
                     self.give(owner, name, WorldOrder::Start(order));
                 }
-                DeskOrder::Stop(name, order) => {
+                SchedulerAction::Stop(name, order) => {
                     self.give(owner, name, WorldOrder::Stop(order));
                 }
-                DeskOrder::Resign(_) => return false,
-                DeskOrder::Look(name) if self.faults.lists => {
-                    if let Some(mut order) = owner.desk.look_order(&name, now) {
+                SchedulerAction::StepDown(_) => return false,
+                SchedulerAction::Poll(name) if self.faults.lists => {
+                    if let Some(mut order) = owner.desk.poll_order(&name, now) {
                         order.wait = Duration::ZERO;
                         self.send(owner.token, name, WorldOrder::LookNow(order));
                     }
                 }
-                DeskOrder::Look(_) | DeskOrder::Pace(..) | DeskOrder::Advise(..) => {}
+                SchedulerAction::Poll(_)
+                | SchedulerAction::Throttle(..)
+                | SchedulerAction::RequestAdvice(..) => {}
             }
         }
         self.send_waiting(owner, alone);
-        let broken = owner.desk.index_faults(now.boot);
+        let broken = owner.desk.index_mismatches(now.boot);
         assert!(
             broken.is_empty(),
             "indexes that differ from the books: {broken:?}"
         );
         for event in owner.desk.take_events() {
-            if let DeskEvent::TargetLost(..) | DeskEvent::TargetRaised(..) = event {
+            if let SchedulerEvent::TargetLost(..) | SchedulerEvent::TargetUsable(..) = event {
                 self.note(&format!("owner {}: {event:?}", owner.token));
             }
         }
@@ -410,9 +414,9 @@
             if state.listed && (!listed || (state.up && known != Some(state.shown))) {
                 let mut entry = target(name, CAPACITY);
                 entry.started_at = state.shown;
-                owner.desk.list_target(entry, self.now);
+                owner.desk.upsert_target(entry, self.now);
             } else if !state.listed && listed {
-                owner.desk.unlist_target(name);
+                owner.desk.mark_target_unlisted(name);
             }
         }
     }
--- a/crates/decide/tests/desk/world_ask.rs
+++ b/crates/decide/tests/desk/world_ask.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use decide::work::RecordOrder;
+use decide::work::LogAppend;
 use model::BootTime;
 use rand::Rng;
 use wire::work::{JobPhase, JobRecord, LogEntry, log_entry::Event};
@@ -33,7 +33,7 @@
             return;
         }
         self.accepted.insert(record.job.clone());
-        self.owners[index].desk.accept(&record, self.now);
+        self.owners[index].desk.accept_job(&record, self.now);
         let entry = entry_of(Event::Accepted(record));
         self.log.append(entry);
         self.owners[index].log.skip_page(&self.log);
@@ -91,7 +91,7 @@
     }
 
     fn ask(&mut self, owner: &mut WorldOwner, ask: &mut WorldAsk) {
-        let phase = owner.desk.progress(&ask.job);
+        let phase = owner.desk.job_phase(&ask.job);
         let event = match (&ask.record, phase) {
             (Some(_), Some(_)) => {
                 self.accepted.insert(ask.job.clone());
@@ -116,7 +116,7 @@
             return;
         }
         ask.by = Some(owner.token);
-        let record = RecordOrder {
+        let record = LogAppend {
             entry: entry_of(event),
             origin: None,
             job: None,
--- a/crates/decide/tests/desk/world_call.rs
+++ b/crates/decide/tests/desk/world_call.rs
@@ -78,7 +78,9 @@
                 {
                     let answer = StartAnswer::NotSent("not wanted any more".to_owned());
                     let (task, attempt) = (start.task.clone(), start.attempt);
-                    owner.desk.started(&name, &task, attempt, &answer, self.now);
+                    owner
+                        .desk
+                        .handle_start_answer(&name, &task, attempt, &answer, self.now);
                     continue;
                 }
                 if self.is_needless(owner, &name, &order) {
@@ -95,7 +97,7 @@
             return false;
         };
         let (task, attempt) = (&stop.task, stop.attempt);
-        !owner.desk.wants_stop(name, task, attempt, self.now)
+        !owner.desk.should_send_stop(name, task, attempt, self.now)
     }
 
     fn under_way(&self, owner: u64, name: &HostId) -> usize {
@@ -274,9 +276,13 @@
                         Some(WorldAnswer::Start(answer)) => answer,
                         _ => StartAnswer::Unanswered(lost()),
                     };
-                    owner
-                        .desk
-                        .started(&call.target, &order.task, order.attempt, &answer, now);
+                    owner.desk.handle_start_answer(
+                        &call.target,
+                        &order.task,
+                        order.attempt,
+                        &answer,
+                        now,
+                    );
                 }
                 (WorldOrder::Stop(order), answer) => {
                     let answer = match answer {
@@ -284,9 +290,14 @@
                         _ => OrderAnswer::Unanswered(lost()),
                     };
                     let (task, attempt) = (&order.task, order.attempt);
-                    owner
-                        .desk
-                        .stopped(&call.target, task, attempt, call.sent, &answer, now);
+                    owner.desk.handle_stop_answer(
+                        &call.target,
+                        task,
+                        attempt,
+                        call.sent,
+                        &answer,
+                        now,
+                    );
                 }
                 (WorldOrder::Look(order) | WorldOrder::LookNow(order), answer) => {
                     if let WorldOrder::Look(_) = &call.order {
@@ -302,7 +313,7 @@
                     };
                     owner
                         .desk
-                        .saw(&call.target, call.sent, order.acked_end, &answer, now);
+                        .apply_report(&call.target, call.sent, order.acked_end, &answer, now);
                 }
             }
             if answered {
@@ -336,7 +347,7 @@
         step,
         index,
     } = &start.task;
-    let job = owner.desk.board.jobs.get(job);
+    let job = owner.desk.job_table.jobs.get(job);
     let task = job.and_then(|job| job.task(*occurrence, *step, *index));
     let place = task.and_then(|task| task.placement.as_ref());
     place.is_some_and(|place| {
--- a/crates/decide/tests/desk/world_cancel.rs
+++ b/crates/decide/tests/desk/world_cancel.rs
@@ -22,7 +22,7 @@
             let late = self.now.boot.saturating_sub(at);
             self.found(&format!("{key} is started {late:?} after its cancellation"));
         }
-        let known = owner.desk.board.jobs.get(job);
+        let known = owner.desk.job_table.jobs.get(job);
         if known.is_some_and(WorkJob::is_cancelled) {
             let token = owner.token;
             self.found(&format!(
@@ -37,7 +37,7 @@
             return;
         };
         let open = self.cancels_stored.keys().filter(|job| {
-            let job = owner.desk.board.jobs.get(job.as_str());
+            let job = owner.desk.job_table.jobs.get(job.as_str());
             job.is_some_and(WorkJob::is_open)
         });
         let open: Vec<String> = open.cloned().collect();
--- a/crates/decide/tests/desk/world_check.rs
+++ b/crates/decide/tests/desk/world_check.rs
@@ -78,7 +78,7 @@
 
     /// True if an owner shows the end that a job should have.
     fn has_ended(&self, owner: &WorldOwner, job: &str) -> bool {
-        match owner.desk.progress(job) {
+        match owner.desk.job_phase(job) {
             Some(JobPhase::Completed) => true,
             Some(JobPhase::Cancelled) => self.cancels_stored.contains_key(job),
             _ => false,
@@ -92,7 +92,7 @@
         };
         for job in self.jobs.keys() {
             if !self.has_ended(owner, job) {
-                let phase = owner.desk.progress(job);
+                let phase = owner.desk.job_phase(job);
                 self.faults_found
                     .push(format!("{job} is {phase:?} in the end"));
             }
--- a/crates/decide/tests/desk/world_list.rs
+++ b/crates/decide/tests/desk/world_list.rs
@@ -153,8 +153,8 @@
         }
         for event in &events {
             match &event.entry {
-                Some(entry) => owner.desk.list_target(entry.clone(), self.now),
-                None => owner.desk.unlist_target(&event.id),
+                Some(entry) => owner.desk.upsert_target(entry.clone(), self.now),
+                None => owner.desk.mark_target_unlisted(&event.id),
             }
         }
         if !events.is_empty() {
@@ -184,12 +184,12 @@
         let mut read = reading.first;
         let second = self.list.entries.range(reading.split..);
         read.extend(second.map(|(id, entry)| (id.clone(), entry.clone())));
-        let missing = owner.desk.listed();
+        let missing = owner.desk.listed_targets();
         for id in missing.iter().filter(|id| !read.contains_key(*id)) {
-            owner.desk.unlist_target(id);
+            owner.desk.mark_target_unlisted(id);
         }
         for entry in read.into_values() {
-            owner.desk.list_target(entry, self.now);
+            owner.desk.upsert_target(entry, self.now);
         }
         owner.watch.revision = reading.revision;
     }
@@ -204,7 +204,7 @@
         let due: Vec<(BootTime, BTreeSet<HostId>)> = due;
         let asked = owner.watch.lives_at.saturating_sub(LIVES_EVERY);
         for (_, lives) in due {
-            owner.desk.take_lives(&lives, asked, self.now);
+            owner.desk.update_incarnations(&lives, asked, self.now);
         }
         let certain = !self.is_lapsed(owner) && owner.alone_since.is_none();
         // One list is asked for at a time.
--- a/crates/decide/tests/desk/world_log.rs
+++ b/crates/decide/tests/desk/world_log.rs
@@ -3,7 +3,7 @@
     time::Duration,
 };
 
-use decide::work::RecordOrder;
+use decide::work::LogAppend;
 use model::BootTime;
 use rand::Rng;
 use wire::work::{LogEntry, log_entry::Event};
@@ -47,7 +47,7 @@
 /// The log as its owner writes it.
 #[derive(Default)]
 pub(super) struct OwnerLog {
-    pending: VecDeque<(BootTime, RecordOrder)>,
+    pending: VecDeque<(BootTime, LogAppend)>,
     write: Option<PageWrite>,
     first: u64,
     next: u64,
@@ -61,7 +61,7 @@
 
 struct PageWrite {
     change: PageChange,
-    records: Vec<(BootTime, RecordOrder)>,
+    records: Vec<(BootTime, LogAppend)>,
     /// Whether an attempt may have been carried out.
     unsure: bool,
     again: BootTime,
@@ -113,7 +113,7 @@
         self.next = log.next();
     }
 
-    pub(super) fn add(&mut self, record: RecordOrder, due: BootTime) {
+    pub(super) fn add(&mut self, record: LogAppend, due: BootTime) {
         self.pending.push_back((due, record));
     }
 
@@ -299,14 +299,16 @@
         write.records = kept;
     }
 
-    fn settle(&mut self, owner: &mut WorldOwner, records: Vec<(BootTime, RecordOrder)>) {
+    fn settle(&mut self, owner: &mut WorldOwner, records: Vec<(BootTime, LogAppend)>) {
         for (_, record) in records {
             match &record.entry.event {
-                Some(Event::Accepted(job)) => owner.desk.accept(job, self.now),
-                Some(Event::Cancelled(job)) => owner.desk.cancel(&job.as_str().into(), self.now),
+                Some(Event::Accepted(job)) => owner.desk.accept_job(job, self.now),
+                Some(Event::Cancelled(job)) => {
+                    owner.desk.cancel_job(&job.as_str().into(), self.now)
+                }
                 _ => {}
             }
-            owner.desk.recorded(&record, self.now);
+            owner.desk.handle_stored_entry(&record, self.now);
             if let Some(event) = &record.entry.event {
                 self.answer_ask(owner.token, event, true);
             }
@@ -330,7 +332,7 @@
         if log.next - log.first < LONG_LOG + log.base {
             return;
         }
-        let entries = owner.desk.board.compacted_entries();
+        let entries = owner.desk.job_table.compacted_entries();
         log.shorter = entries.chunks(PAGE_ENTRIES).map(<[_]>::to_vec).collect();
         log.shorter_from = if entries.is_empty() {
             log.first
@@ -340,7 +342,7 @@
     }
 }
 
-fn entries_of(records: &[(BootTime, RecordOrder)]) -> Vec<LogEntry> {
+fn entries_of(records: &[(BootTime, LogAppend)]) -> Vec<LogEntry> {
     let entries = records.iter().map(|(_, record)| record.entry.clone());
     entries.collect()
 }
--- a/crates/decide/tests/desk/world_target.rs
+++ b/crates/decide/tests/desk/world_target.rs
@@ -1,6 +1,6 @@
 use std::{collections::BTreeMap, time::Duration};
 
-use decide::work::DeskTime;
+use decide::work::SchedulerTime;
 use model::{
     BootTime, HostId,
     work::{
@@ -44,7 +44,7 @@
 
 impl WorldTarget {
     /// The next life of its host, under an id of its own.
-    pub fn successor(&self, name: &HostId, now: DeskTime) -> (HostId, Self) {
+    pub fn successor(&self, name: &HostId, now: SchedulerTime) -> (HostId, Self) {
         let state = Self {
             born: now.unix,
             shown: now.unix,
--- a/crates/decide/tests/work_admit.rs
+++ b/crates/decide/tests/work_admit.rs
@@ -57,7 +57,10 @@
     fn hand_in(&mut self, workspace: &str) -> Option<Duration> {
         let plan = job();
         let now = self.scene.now;
-        let excess = self.scene.desk.foresees_late(&plan, QUEUE, workspace, now);
+        let excess = self
+            .scene
+            .desk
+            .predict_lateness(&plan, QUEUE, workspace, now);
         if excess.is_none() {
             self.submitted += 1;
             let record = JobRecord {
@@ -68,7 +71,7 @@
                 accepted_unix_ms: u64::try_from(now.unix.as_millis()).unwrap_or_default(),
                 ..record_of_plan(&plan)
             };
-            self.scene.desk.accept(&record, now);
+            self.scene.desk.accept_job(&record, now);
             self.scene.run();
         }
         excess
@@ -156,7 +159,7 @@
 #[test]
 fn admit_bounds_first_second() {
     let mut pool = BusyPool::new();
-    pool.scene.desk.set_link(20.0);
+    pool.scene.desk.set_max_start_rate(20.0);
     let accepted = (0..500).filter(|_| pool.hand_in(SPACE).is_none()).count();
     // Five seconds are in time for the first, eight for all.
     assert!((100..=180).contains(&accepted), "{accepted} accepted");
--- a/crates/decide/tests/work_board.rs
+++ b/crates/decide/tests/work_board.rs
@@ -126,7 +126,7 @@
     scene.cancel("a");
     scene.submit("a", &plan(vec![step(2, 500)]));
     assert!(scene.starts.is_empty());
-    assert_eq!(scene.desk.pending(desk::QUEUE, scene.now), 0);
+    assert_eq!(scene.desk.pending_jobs(desk::QUEUE, scene.now), 0);
     scene.compact();
     let mut successor = scene.successor(9);
     successor.add("t1", 4000);
@@ -159,8 +159,8 @@
     scene.cancel("a");
     scene.submit("a", &plan(vec![step(1, 500)]));
     let accepted = scene.stored.last().cloned();
-    assert_eq!(scene.desk.progress("a"), None);
+    assert_eq!(scene.desk.job_phase("a"), None);
     scene.compact();
     let left: Vec<LogEntry> = accepted.into_iter().chain(scene.stored.clone()).collect();
-    assert_eq!(summary(&board_of(&left)), summary(&scene.desk.board));
+    assert_eq!(summary(&board_of(&left)), summary(&scene.desk.job_table));
 }
--- a/crates/decide/tests/work_hosts.rs
+++ b/crates/decide/tests/work_hosts.rs
@@ -122,7 +122,7 @@
         };
         scene
             .desk
-            .saw(target, sent, 0, &PollAnswer::Seen(sight), scene.now);
+            .apply_report(target, sent, 0, &PollAnswer::Seen(sight), scene.now);
     }
     scene.now.boot += Duration::from_millis(600);
     planner.plan(&mut scene.desk, scene.now.boot);
@@ -238,7 +238,7 @@
     let mut second = first.successor(9);
     with_standby(&mut second);
     let mut planner = HostPlanner::default();
-    planner.replay_arrivals(&second.desk.board, second.now.boot);
+    planner.replay_arrivals(&second.desk.job_table, second.now.boot);
     let mut list = vec![host("h1", POOL, "t1"), host("h2", POOL, "t2")];
     list.extend((3..9).map(|number| host(&format!("h{number}"), STANDBY, "")));
     planner.apply_host_list(list, second.now.boot);
@@ -421,7 +421,7 @@
     let silent = PollAnswer::Unanswered("timed out".to_owned());
     scene
         .desk
-        .saw(&"t1".into(), scene.now.boot, 0, &silent, scene.now);
+        .apply_report(&"t1".into(), scene.now.boot, 0, &silent, scene.now);
     scene.submit("a", &plan(vec![step(1, 1000)]));
     assert!(scene.starts.is_empty(), "a silent target gets no task");
 }
--- a/crates/decide/tests/work_lives.rs
+++ b/crates/decide/tests/work_lives.rs
@@ -22,7 +22,9 @@
         ended,
     };
     let seen = PollAnswer::Seen(sight);
-    scene.desk.saw(&"t1".into(), sent, 0, &seen, scene.now);
+    scene
+        .desk
+        .apply_report(&"t1".into(), sent, 0, &seen, scene.now);
     scene.run();
 }
 
@@ -33,7 +35,7 @@
 fn reborn_target_keeps_unseen_runs() {
     let (mut scene, starts) = DeskScene::started(2000, vec![step(2, 1000)]);
     scene.add("t2", 2000);
-    scene.desk.list_target(reborn(2000), scene.now);
+    scene.desk.upsert_target(reborn(2000), scene.now);
     scene.run();
     assert!(scene.starts.is_empty(), "the new life may run them");
     see_reborn(&mut scene, vec![running(&starts[0].1)], Vec::new());
@@ -50,12 +52,12 @@
     let (id, start) = scene.starts.remove(0);
     scene.add("t2", 2000);
     scene.leave_unanswered(&id, &start);
-    scene.desk.list_target(reborn(2000), scene.now);
+    scene.desk.upsert_target(reborn(2000), scene.now);
     scene.run();
     for _ in 0..25 {
         scene.pass(Duration::from_millis(200));
         scene.miss("t1");
-        scene.desk.unlist_target(&"t1".into());
+        scene.desk.mark_target_unlisted(&"t1".into());
         scene.run();
         assert!(scene.starts.is_empty(), "five seconds were granted");
     }
@@ -71,7 +73,7 @@
     assert_eq!(scene.starts.len(), 1);
     scene.starts.clear();
     scene.add("t2", 2000);
-    scene.desk.unlist_target(&"t1".into());
+    scene.desk.mark_target_unlisted(&"t1".into());
     see_reborn(&mut scene, Vec::new(), Vec::new());
     assert!(scene.starts.is_empty(), "it may still arrive");
     assert_eq!(scene.stops(), 1);
@@ -84,7 +86,7 @@
 fn look_after_pause_forgets_no_ends() {
     let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 1000)]);
     scene.end("t1", &starts[0].1, EndKind::Done);
-    let order = scene.desk.look_order(&"t1".into(), scene.now);
+    let order = scene.desk.poll_order(&"t1".into(), scene.now);
     assert_eq!(order.map(|order| order.acked_end), Some(1));
     let seen = PollAnswer::Seen(TargetReport {
         clock: scene.now.boot,
@@ -92,14 +94,16 @@
         ..TargetReport::default()
     });
     let sent = scene.now.boot;
-    scene.desk.saw(&"t1".into(), sent, 1, &seen, scene.now);
+    scene
+        .desk
+        .apply_report(&"t1".into(), sent, 1, &seen, scene.now);
     scene.pass(Duration::from_secs(5));
     scene.submit("b", &plan(vec![step(1, 1000)]));
     assert_eq!(scene.start_all().len(), 1);
-    let order = scene.desk.look_order(&"t1".into(), scene.now);
+    let order = scene.desk.poll_order(&"t1".into(), scene.now);
     assert_eq!(order.map(|order| order.acked_end), Some(0));
     scene.raise("t1");
-    let order = scene.desk.look_order(&"t1".into(), scene.now);
+    let order = scene.desk.poll_order(&"t1".into(), scene.now);
     assert_eq!(order.map(|order| order.acked_end), Some(1));
 }
 
@@ -110,13 +114,13 @@
     let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 2000)]);
     scene.see("t1", vec![running(&starts[0].1)], Vec::new());
     scene.add("t2", 2000);
-    scene.desk.unlist_target(&"t1".into());
+    scene.desk.mark_target_unlisted(&"t1".into());
     let older = TargetEntry {
         started_at: Duration::from_millis(1),
         address: "t1:80".into(),
         ..target("t0", 2000)
     };
-    scene.desk.list_target(older, scene.now);
+    scene.desk.upsert_target(older, scene.now);
     scene.run();
     assert!(scene.starts.is_empty(), "it runs on t1");
 }
@@ -145,7 +149,7 @@
         let starts = scene.start_all();
         scene.see("t1", vec![running(&starts[0].1)], Vec::new());
         scene.add("t2", 2000);
-        scene.desk.list_target(entry, scene.now);
+        scene.desk.upsert_target(entry, scene.now);
         scene.run();
         assert!(scene.starts.is_empty(), "it runs on t1");
     }
@@ -164,8 +168,8 @@
         address: "t1:80".into(),
         ..target("t0", 2000)
     };
-    second.desk.list_target(older, second.now);
-    assert_eq!(second.desk.listed(), [HostId::from("t1")]);
+    second.desk.upsert_target(older, second.now);
+    assert_eq!(second.desk.listed_targets(), [HostId::from("t1")]);
 }
 
 /// A target takes more than it holds: it had restarted as a smaller one under its id, and an event
@@ -174,12 +178,12 @@
 fn older_entry_changes_nothing() {
     let mut scene = DeskScene::new(1);
     scene.add("t1", 4000);
-    scene.desk.list_target(reborn(1000), scene.now);
+    scene.desk.upsert_target(reborn(1000), scene.now);
     let older = TargetEntry {
         mode: TargetMode::Draining,
         ..target("t1", 4000)
     };
-    scene.desk.list_target(older, scene.now);
+    scene.desk.upsert_target(older, scene.now);
     see_reborn(&mut scene, Vec::new(), Vec::new());
     scene.submit("a", &plan(vec![step(2, 1000)]));
     assert_eq!(scene.starts.len(), 1);
@@ -191,20 +195,28 @@
 fn answering_life_outlasts_lists() {
     let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 1000)]);
     scene.add("t2", 2000);
-    scene.desk.unlist_target(&"t1".into());
+    scene.desk.mark_target_unlisted(&"t1".into());
     let lives = ["t2".into()].into();
     for _ in 0..6 {
         scene.see("t1", vec![running(&starts[0].1)], Vec::new());
         scene.pass(Duration::from_millis(500));
-        scene.desk.take_lives(&lives, scene.now.boot, scene.now);
+        scene
+            .desk
+            .update_incarnations(&lives, scene.now.boot, scene.now);
         scene.pass(Duration::from_millis(450));
-        scene.desk.take_lives(&lives, scene.now.boot, scene.now);
+        scene
+            .desk
+            .update_incarnations(&lives, scene.now.boot, scene.now);
         scene.run();
         assert!(scene.starts.is_empty(), "it runs on t1");
     }
     scene.pass(Duration::from_millis(1000));
-    scene.desk.take_lives(&lives, scene.now.boot, scene.now);
-    scene.desk.take_lives(&lives, scene.now.boot, scene.now);
+    scene
+        .desk
+        .update_incarnations(&lives, scene.now.boot, scene.now);
+    scene
+        .desk
+        .update_incarnations(&lives, scene.now.boot, scene.now);
     scene.run();
     assert_eq!(scene.starts.len(), 1, "it answers no more");
 }
@@ -217,14 +229,16 @@
     scene.add("t1", 2000);
     let sent = scene.now.boot;
     scene.pass(Duration::from_millis(100));
-    scene.desk.list_target(reborn(2000), scene.now);
+    scene.desk.upsert_target(reborn(2000), scene.now);
     let other = PollAnswer::OtherLife;
-    scene.desk.saw(&"t1".into(), sent, 0, &other, scene.now);
-    assert_eq!(scene.desk.listed(), [HostId::from("t1")]);
     scene
         .desk
-        .saw(&"t1".into(), scene.now.boot, 0, &other, scene.now);
-    assert!(scene.desk.listed().is_empty());
+        .apply_report(&"t1".into(), sent, 0, &other, scene.now);
+    assert_eq!(scene.desk.listed_targets(), [HostId::from("t1")]);
+    scene
+        .desk
+        .apply_report(&"t1".into(), scene.now.boot, 0, &other, scene.now);
+    assert!(scene.desk.listed_targets().is_empty());
 }
 
 /// A task of a cancelled job runs on: its start was not answered and held back by the target, and
@@ -239,7 +253,7 @@
     scene.leave_unanswered(&id, &start);
     scene.answer_stop(&id, &start, scene.now.boot);
     scene.raise("t1");
-    scene.desk.list_target(reborn(2000), scene.now);
+    scene.desk.upsert_target(reborn(2000), scene.now);
     scene.run();
     assert_eq!(scene.stops(), 2, "one in each life");
 }
@@ -256,7 +270,7 @@
     assert_eq!(scene.stops(), 1);
     let sent = scene.now.boot;
     scene.pass(Duration::from_millis(100));
-    scene.desk.list_target(reborn(2000), scene.now);
+    scene.desk.upsert_target(reborn(2000), scene.now);
     scene.run();
     assert!(scene.stops() > 1, "the new life knows nothing of the first");
     scene.answer_stop(&id, &start, sent);
--- a/crates/decide/tests/work_miss.rs
+++ b/crates/decide/tests/work_miss.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use decide::work::DeskOrder;
+use decide::work::SchedulerAction;
 use desk::{DeskScene, plan, running, step};
 use model::work::StartOrder;
 
@@ -95,7 +95,7 @@
     scene.store_away = true;
     scene.miss("t1");
     scene.run();
-    let recorded = |order: &DeskOrder| matches!(order, DeskOrder::Record(_));
+    let recorded = |order: &SchedulerAction| matches!(order, SchedulerAction::AppendLog(_));
     assert!(scene.others.iter().any(recorded));
     scene.see("t1", Vec::new(), Vec::new());
     scene.pass(Duration::from_millis(100));
