--- a/crates/decide/tests/work_rebirth.rs
+++ b/crates/decide/tests/work_rebirth.rs
@@ -25,7 +25,9 @@
         ended: Vec::new(),
     };
     let (sent, answer) = (scene.now.boot - sent_before, PollAnswer::Seen(sight));
-    scene.desk.saw(&"t1".into(), sent, 0, &answer, scene.now);
+    scene
+        .desk
+        .apply_report(&"t1".into(), sent, 0, &answer, scene.now);
     scene.run();
 }
 
@@ -38,7 +40,7 @@
         started_at: NEXT,
         ..target("t1", 4000)
     };
-    scene.desk.list_target(next, scene.now);
+    scene.desk.upsert_target(next, scene.now);
     scene.pass(Duration::from_millis(50));
     assert!(scene.starts.is_empty(), "{:?}", scene.starts);
     see_next(&mut scene, vec![&start], Duration::ZERO);
@@ -76,7 +78,7 @@
         started_at: NEXT,
         ..target("t1", 4000)
     };
-    scene.desk.list_target(next, scene.now);
+    scene.desk.upsert_target(next, scene.now);
     scene.pass(Duration::from_millis(50));
     assert!(scene.starts.is_empty(), "the next life may have it");
     see_next(&mut scene, Vec::new(), Duration::ZERO);
@@ -91,14 +93,16 @@
     let (mut scene, start) = started_unseen();
     scene.end("t1", &start, EndKind::Done);
     let observed = |scene: &mut DeskScene| {
-        let order = scene.desk.look_order(&"t1".into(), scene.now);
+        let order = scene.desk.poll_order(&"t1".into(), scene.now);
         order.map(|order| order.acked_end)
     };
     assert_eq!(observed(&mut scene), Some(1));
     let silent = PollAnswer::Unanswered("connection reset".to_owned());
     scene.now.boot += Duration::from_millis(10);
     let sent = scene.now.boot;
-    scene.desk.saw(&"t1".into(), sent, 1, &silent, scene.now);
+    scene
+        .desk
+        .apply_report(&"t1".into(), sent, 1, &silent, scene.now);
     assert_eq!(observed(&mut scene), Some(0), "another life may answer");
     scene.end("t1", &start, EndKind::Done);
     assert_eq!(observed(&mut scene), Some(1));
@@ -117,7 +121,7 @@
         ..target("t1", 4000)
     };
     let mut first = DeskScene::new(1);
-    first.desk.list_target(newer, first.now);
+    first.desk.upsert_target(newer, first.now);
     first.run();
     see_next(&mut first, Vec::new(), Duration::ZERO);
     first.submit("a", &plan(vec![step(1, 1000)]));
@@ -134,7 +138,7 @@
 fn older_entry_spares_reached_target() {
     let (mut scene, start, older) = successor_beside_older_life();
     see_next(&mut scene, vec![&start], Duration::ZERO);
-    scene.desk.list_target(older, scene.now);
+    scene.desk.upsert_target(older, scene.now);
     scene.pass(Duration::from_millis(50));
     assert!(scene.starts.is_empty(), "{:?}", scene.starts);
 }
@@ -143,7 +147,7 @@
 #[test]
 fn older_entry_spares_unreached_target() {
     let (mut scene, _, older) = successor_beside_older_life();
-    scene.desk.list_target(older, scene.now);
+    scene.desk.upsert_target(older, scene.now);
     scene.pass(Duration::from_millis(50));
     scene.pass(Duration::from_millis(50));
     assert!(scene.starts.is_empty(), "{:?}", scene.starts);
--- a/crates/decide/tests/work_services.rs
+++ b/crates/decide/tests/work_services.rs
@@ -10,7 +10,8 @@
 };
 
 use decide::work::{
-    DeskOrder, DeskTime, DeskTuning, HostOrder, HostPlanner, WorkDesk, record_of_plan,
+    HostOrder, HostPlanner, SchedulerAction, SchedulerTime, SchedulerTuning, WorkScheduler,
+    record_of_plan,
 };
 use desk::{POOL, QUEUE, SPACE, WorldTarget, plan, step, target, terms_with_limit};
 use model::{
@@ -81,8 +82,8 @@
 struct ServiceWorld {
     dice: StdRng,
     faults: Faults,
-    now: DeskTime,
-    desk: WorkDesk,
+    now: SchedulerTime,
+    desk: WorkScheduler,
     planner: HostPlanner,
     targets: BTreeMap<HostId, WorldTarget>,
     calls: Vec<Call>,
@@ -95,11 +96,11 @@
 
 impl ServiceWorld {
     fn new(seed: u64, max_unavailable: u32, faults: Faults) -> Self {
-        let now = DeskTime {
+        let now = SchedulerTime {
             boot: Duration::from_secs(1000),
             unix: Duration::from_secs(1_000_000),
         };
-        let mut desk = WorkDesk::new(DeskTuning::default(), 7);
+        let mut desk = WorkScheduler::new(SchedulerTuning::default(), 7);
         desk.set_terms(Arc::new(terms_with_limit(100_000)));
         let names = (0..TARGETS).map(|number| HostId::from(format!("t{number}")));
         let fresh = |name: HostId| {
@@ -136,7 +137,7 @@
             workspace: SPACE.to_owned(),
             ..record_of_plan(&plan(vec![service]))
         };
-        world.desk.accept(&record, now);
+        world.desk.accept_job(&record, now);
         world
     }
 
@@ -282,24 +283,24 @@
             if state.up && born != Some(state.born) {
                 let mut entry = target(name, CAPACITY);
                 entry.started_at = state.born;
-                self.desk.list_target(entry, now);
+                self.desk.upsert_target(entry, now);
             } else if !state.up && now.boot >= state.down_since + NOTICE {
-                self.desk.unlist_target(name);
+                self.desk.mark_target_unlisted(name);
             }
         }
         self.desk.tick(now);
         if now.boot.subsec_millis().is_multiple_of(100) {
             self.tend_hosts();
         }
-        self.desk.plan(now);
+        self.desk.plan_starts(now);
         self.look();
-        for order in self.desk.take_orders() {
+        for order in self.desk.take_actions() {
             match order {
-                DeskOrder::Record(record) => self.desk.recorded(&record, now),
-                DeskOrder::Start(name, order) => self.send(name, Order::Start(order)),
-                DeskOrder::Stop(name, order) => {
+                SchedulerAction::AppendLog(record) => self.desk.handle_stored_entry(&record, now),
+                SchedulerAction::Start(name, order) => self.send(name, Order::Start(order)),
+                SchedulerAction::Stop(name, order) => {
                     let (task, attempt) = (&order.task, order.attempt);
-                    if self.desk.wants_stop(&name, task, attempt, now) {
+                    if self.desk.should_send_stop(&name, task, attempt, now) {
                         self.send(name, Order::Stop(order));
                     }
                 }
@@ -339,7 +340,7 @@
                 self.take_down(&name, Duration::from_millis(1500), true);
             }
             if self.planner.apply_answer(&order, &answer, now) {
-                self.desk.end_target(&name, self.now);
+                self.desk.end_target_after_host_order(&name, self.now);
             }
         }
     }
@@ -353,7 +354,7 @@
             if self.calls.iter().any(waits) {
                 continue;
             }
-            if let Some(order) = self.desk.look_order(&name, self.now) {
+            if let Some(order) = self.desk.poll_order(&name, self.now) {
                 self.send(name, Order::Look(order));
             }
         }
@@ -464,21 +465,28 @@
                         Some(Answer::Start(answer)) => answer,
                         _ => StartAnswer::Unanswered(lost()),
                     };
-                    desk.started(id, &order.task, order.attempt, &answer, now);
+                    desk.handle_start_answer(id, &order.task, order.attempt, &answer, now);
                 }
                 (Order::Stop(order), done) => {
                     let answer = match done {
                         Some(Answer::Stop(answer)) => answer,
                         _ => OrderAnswer::Unanswered(lost()),
                     };
-                    desk.stopped(id, &order.task, order.attempt, call.sent, &answer, now);
+                    desk.handle_stop_answer(
+                        id,
+                        &order.task,
+                        order.attempt,
+                        call.sent,
+                        &answer,
+                        now,
+                    );
                 }
                 (Order::Look(order), done) => {
                     let answer = match done {
                         Some(Answer::Look(answer)) => answer,
                         _ => PollAnswer::Unanswered(lost()),
                     };
-                    desk.saw(id, call.sent, order.acked_end, &answer, now);
+                    desk.apply_report(id, call.sent, order.acked_end, &answer, now);
                 }
             }
         }
@@ -493,7 +501,7 @@
             return;
         }
         let now = self.now.boot;
-        let max_unavailable = self.desk.board.jobs["a"].plan.steps[0].max_unavailable as usize;
+        let max_unavailable = self.desk.job_table.jobs["a"].plan.steps[0].max_unavailable as usize;
         let missing = |index: &u32| {
             let gone = self.gone.get(&key(*index));
             gone.is_some_and(|gone| gone.ordered || now >= gone.since + NOTICE)
--- a/crates/decide/tests/work_stops.rs
+++ b/crates/decide/tests/work_stops.rs
@@ -4,7 +4,7 @@
 
 use std::{collections::BTreeSet, time::Duration};
 
-use decide::work::{DeskOrder, HostPlanner};
+use decide::work::{HostPlanner, SchedulerAction};
 use desk::{DeskScene, POOL, plan, running, step, target};
 use model::{
     HostId,
@@ -36,14 +36,14 @@
     let unanswered = StartAnswer::Unanswered("timed out".to_owned());
     scene
         .desk
-        .started(id, &start.task, start.attempt, &unanswered, scene.now);
+        .handle_start_answer(id, &start.task, start.attempt, &unanswered, scene.now);
     let answer = StartAnswer::Started {
         clock: scene.now.boot,
     };
     let (id, start) = &second;
     scene
         .desk
-        .started(id, &start.task, start.attempt, &answer, scene.now);
+        .handle_start_answer(id, &start.task, start.attempt, &answer, scene.now);
     scene.see(id, vec![at_work(start)], Vec::new());
     (scene, first, second)
 }
@@ -97,13 +97,13 @@
 fn wanted_stops(scene: &mut DeskScene) -> Vec<(HostId, StopOrder)> {
     let others = std::mem::take(&mut scene.others);
     let stops = others.into_iter().filter_map(|order| match order {
-        DeskOrder::Stop(id, stop) => Some((id, stop)),
+        SchedulerAction::Stop(id, stop) => Some((id, stop)),
         _ => None,
     });
     let now = scene.now;
     let desk = &mut scene.desk;
     stops
-        .filter(|(id, stop)| desk.wants_stop(id, &stop.task, stop.attempt, now))
+        .filter(|(id, stop)| desk.should_send_stop(id, &stop.task, stop.attempt, now))
         .collect()
 }
 
@@ -112,7 +112,7 @@
     let sent = scene.now.boot;
     scene
         .desk
-        .stopped(id, &stop.task, stop.attempt, sent, &lost, scene.now);
+        .handle_stop_answer(id, &stop.task, stop.attempt, sent, &lost, scene.now);
 }
 
 /// A service loses both of its tasks: a start that was not answered was closed by a stop, which
@@ -150,7 +150,7 @@
     let sent = scene.now.boot;
     scene
         .desk
-        .saw(&id, sent, 0, &PollAnswer::Seen(sight), scene.now);
+        .apply_report(&id, sent, 0, &PollAnswer::Seen(sight), scene.now);
     scene.run();
     assert!(wanted_stops(&mut scene).is_empty(), "the other is away");
 }
@@ -167,9 +167,9 @@
     };
     // Nothing takes the task meanwhile.
     for other in ["t2", "t3"] {
-        scene.desk.unlist_target(&other.into());
+        scene.desk.mark_target_unlisted(&other.into());
     }
-    scene.desk.list_target(reborn, scene.now);
+    scene.desk.upsert_target(reborn, scene.now);
     scene.run();
     scene.starts.clear();
     wanted_stops(&mut scene);
@@ -182,7 +182,7 @@
     let sent = scene.now.boot;
     scene
         .desk
-        .saw(&id, sent, 0, &PollAnswer::Seen(sight), scene.now);
+        .apply_report(&id, sent, 0, &PollAnswer::Seen(sight), scene.now);
     scene.run();
     scene.pass(UNHEARD);
     assert!(wanted_stops(&mut scene).is_empty(), "the other is away");
@@ -249,10 +249,10 @@
 #[test]
 fn lone_owner_empties_no_host() {
     let (mut scene, (id, start), (other, sibling)) = at_work_both();
-    scene.desk.set_alone(true);
+    scene.desk.set_ownership_uncertain(true);
     empty(&mut scene, &id);
     assert!(wanted_stops(&mut scene).is_empty());
-    scene.desk.set_alone(false);
+    scene.desk.set_ownership_uncertain(false);
     scene.see(&id, vec![at_work(&start)], Vec::new());
     scene.see(&other, vec![at_work(&sibling)], Vec::new());
     scene.pass(Duration::from_millis(50));
@@ -269,7 +269,7 @@
     assert_eq!(stops.len(), 1, "a look has just shown that it is not there");
     lose_answer(&mut scene, &stops[0]);
     scene.pass(UNHEARD);
-    assert!(scene.others.contains(&DeskOrder::Look(id.clone())));
+    assert!(scene.others.contains(&SchedulerAction::Poll(id.clone())));
     assert!(
         wanted_stops(&mut scene).is_empty(),
         "it may be there by now"
@@ -294,9 +294,9 @@
         started_at: LATER,
         ..target(&id, 2000)
     };
-    scene.desk.list_target(reborn, scene.now);
+    scene.desk.upsert_target(reborn, scene.now);
     scene.run();
-    assert!(scene.others.contains(&DeskOrder::Look(id.clone())));
+    assert!(scene.others.contains(&SchedulerAction::Poll(id.clone())));
     assert!(
         wanted_stops(&mut scene).is_empty(),
         "it may be there by now"
@@ -311,7 +311,7 @@
         let sent = scene.now.boot;
         scene
             .desk
-            .saw(&id, sent, 0, &PollAnswer::Seen(sight), scene.now);
+            .apply_report(&id, sent, 0, &PollAnswer::Seen(sight), scene.now);
         scene.run();
     };
     look(&mut scene, Vec::new());
--- a/crates/decide/tests/work_takeover.rs
+++ b/crates/decide/tests/work_takeover.rs
@@ -35,7 +35,7 @@
     let mut second = first.successor(9);
     second.list("t1", 4000);
     second.list("new", 4000);
-    let class = |scene: &DeskScene, id: &str| scene.desk.look_class(&id.into(), scene.now);
+    let class = |scene: &DeskScene, id: &str| scene.desk.poll_class(&id.into(), scene.now);
     assert!(class(&second, "t1").is_some_and(|class| class < CallClass::Start));
     assert_eq!(class(&second, "new"), Some(CallClass::Poll));
     second.miss("t1");
@@ -120,13 +120,17 @@
     let mut second = first.successor(9);
     second.add("t2", 4000);
     let lives = ["t2".into(), "t3".into()].into();
-    second.desk.take_lives(&lives, second.now.boot, second.now);
+    second
+        .desk
+        .update_incarnations(&lives, second.now.boot, second.now);
     second.pass(Duration::from_millis(500));
     assert!(
         second.starts.is_empty(),
         "one list may have missed its host"
     );
-    second.desk.take_lives(&lives, second.now.boot, second.now);
+    second
+        .desk
+        .update_incarnations(&lives, second.now.boot, second.now);
     second.pass(Duration::from_millis(50));
     assert_eq!(second.starts.len(), 1);
     let released = |entry: &wire::work::LogEntry| {
@@ -145,14 +149,14 @@
     let mut second = first.successor(9);
     second.add("t2", 4000);
     for _ in 0..8 {
-        second.desk.take_lives(
+        second.desk.update_incarnations(
             &["t1".into(), "t2".into()].into(),
             second.now.boot,
             second.now,
         );
         second
             .desk
-            .take_lives(&Default::default(), second.now.boot, second.now);
+            .update_incarnations(&Default::default(), second.now.boot, second.now);
         second.pass(Duration::from_millis(500));
     }
     assert!(second.starts.is_empty(), "it may still run on t1");
@@ -234,7 +238,7 @@
     second.pass(Duration::from_millis(50));
     assert!(second.starts.is_empty());
     assert_eq!(
-        second.desk.progress("a"),
+        second.desk.job_phase("a"),
         Some(wire::work::JobPhase::Completed)
     );
 }
@@ -262,7 +266,7 @@
     second.pass(Duration::from_secs(4));
     assert!(second.starts.is_empty(), "two attempts are allowed");
     assert_eq!(
-        second.desk.progress("a"),
+        second.desk.job_phase("a"),
         Some(wire::work::JobPhase::Failed)
     );
     assert!(second.stored.iter().any(failed));
@@ -339,7 +343,9 @@
     assert!(second.starts.is_empty(), "it may run on t1");
     let sent = second.now.boot;
     let other = PollAnswer::OtherLife;
-    second.desk.saw(&"t1".into(), sent, 0, &other, second.now);
+    second
+        .desk
+        .apply_report(&"t1".into(), sent, 0, &other, second.now);
     second.pass(Duration::from_millis(100));
     assert_eq!(second.starts.len(), 1);
 }
--- a/crates/decide/tests/work_targets.rs
+++ b/crates/decide/tests/work_targets.rs
@@ -27,7 +27,7 @@
         mode: TargetMode::Draining,
         ..target("t1", 2000)
     };
-    scene.desk.list_target(leaving, scene.now);
+    scene.desk.upsert_target(leaving, scene.now);
     scene.pass(Duration::from_millis(50));
     assert_eq!(scene.stops(), 1);
     scene.end("t1", start, EndKind::Stopped);
@@ -45,7 +45,7 @@
         labels: vec!["another".into(), "rack".into()],
         ..target("t2", 2000)
     };
-    scene.desk.list_target(other, scene.now);
+    scene.desk.upsert_target(other, scene.now);
     scene.raise("t2");
     let labelled = StepPlan {
         required_label: "kind".into(),
@@ -95,25 +95,27 @@
         started_at: Duration::from_secs(500),
         ..target("t2", 2000)
     };
-    scene.desk.list_target(older.clone(), scene.now);
+    scene.desk.upsert_target(older.clone(), scene.now);
     let sight = model::work::TargetReport {
         clock: scene.now.boot,
         started_at: newer.started_at,
         ..model::work::TargetReport::default()
     };
-    scene.desk.list_target(newer, scene.now);
+    scene.desk.upsert_target(newer, scene.now);
     scene.run();
     let seen = PollAnswer::Seen(sight);
     let sent = scene.now.boot;
-    scene.desk.saw(&"t2".into(), sent, 0, &seen, scene.now);
+    scene
+        .desk
+        .apply_report(&"t2".into(), sent, 0, &seen, scene.now);
     scene.submit("a", &plan(vec![step(1, 2000)]));
     let starts = scene.start_all();
     assert_eq!(starts[0].0, "t2");
     scene.add("t3", 2000);
-    scene.desk.list_target(older, scene.now);
+    scene.desk.upsert_target(older, scene.now);
     scene.pass(Duration::from_millis(50));
     assert!(scene.starts.is_empty(), "it still runs on t2");
-    let listed = scene.desk.listed();
+    let listed = scene.desk.listed_targets();
     assert!(!listed.contains(&"t1".into()) && listed.contains(&"t2".into()));
 }
 
@@ -124,9 +126,9 @@
     let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 1000)]);
     scene.see("t1", vec![running(&starts[0].1)], Vec::new());
     scene.add("t2", 2000);
-    let order = scene.desk.look_order(&"t1".into(), scene.now);
+    let order = scene.desk.poll_order(&"t1".into(), scene.now);
     assert!(order.is_some_and(|order| order.lease_until.is_some()));
-    scene.desk.unlist_target(&"t1".into());
+    scene.desk.mark_target_unlisted(&"t1".into());
     for _ in 0..30 {
         scene.pass(Duration::from_millis(200));
         scene.miss("t1");
@@ -142,13 +144,13 @@
 fn reborn_target_frees_tasks() {
     let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 1000)]);
     scene.see("t1", vec![running(&starts[0].1)], Vec::new());
-    scene.desk.list_target(reborn(2000), scene.now);
+    scene.desk.upsert_target(reborn(2000), scene.now);
     scene.run();
     assert!(
         scene.starts.is_empty(),
         "the new life has not seen the token"
     );
-    let order = scene.desk.look_order(&"t1".into(), scene.now);
+    let order = scene.desk.poll_order(&"t1".into(), scene.now);
     assert!(order.is_some());
     let sight = TargetReport {
         started_at: LATER,
@@ -157,7 +159,7 @@
     let seen = PollAnswer::Seen(sight);
     scene
         .desk
-        .saw(&"t1".into(), scene.now.boot, 0, &seen, scene.now);
+        .apply_report(&"t1".into(), scene.now.boot, 0, &seen, scene.now);
     scene.run();
     assert_eq!(scene.starts.len(), 1);
 }
@@ -174,7 +176,7 @@
     scene.answer_stop(&id, &start, scene.now.boot);
     scene.see("t1", Vec::new(), Vec::new());
     assert_eq!(scene.stops(), 1);
-    scene.desk.list_target(reborn(2000), scene.now);
+    scene.desk.upsert_target(reborn(2000), scene.now);
     scene.run();
     assert_eq!(scene.stops(), 2);
 }
@@ -236,7 +238,7 @@
 fn stray_run_is_stopped_once() {
     let (mut scene, starts) = DeskScene::started(1000, vec![step(1, 1000)]);
     let (id, start) = &starts[0];
-    scene.desk.cancel(&"a".into(), scene.now);
+    scene.desk.cancel_job(&"a".into(), scene.now);
     scene.run();
     assert_eq!(scene.stops(), 1);
     scene.answer_stop(id, start, scene.now.boot);
@@ -265,7 +267,7 @@
     scene.miss("t1");
     scene.pass(Duration::from_secs(7));
     scene.see("t1", Vec::new(), vec![end]);
-    let order = scene.desk.look_order(&"t1".into(), scene.now);
+    let order = scene.desk.poll_order(&"t1".into(), scene.now);
     assert_eq!(order.map_or(0, |order| order.acked_end), 0);
 }
 
@@ -306,7 +308,7 @@
 fn lone_owner_leaves_new_life() {
     let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 1000)]);
     scene.see("t1", vec![running(&starts[0].1)], Vec::new());
-    scene.desk.set_alone(true);
+    scene.desk.set_ownership_uncertain(true);
     let sight = TargetReport {
         started_at: LATER,
         ..TargetReport::default()
@@ -315,10 +317,10 @@
     let seen = PollAnswer::Seen(sight);
     scene
         .desk
-        .saw(&"t1".into(), scene.now.boot, 0, &seen, scene.now);
+        .apply_report(&"t1".into(), scene.now.boot, 0, &seen, scene.now);
     scene.pass(Duration::from_millis(100));
     assert!(scene.starts.is_empty());
-    assert!(scene.desk.look_order(&"t1".into(), scene.now).is_none());
+    assert!(scene.desk.poll_order(&"t1".into(), scene.now).is_none());
 }
 
 /// A batch is late by seconds: its target answers looks, and nothing that it runs gets on. The
@@ -355,7 +357,7 @@
     }
     let order: Vec<bool> = scene
         .desk
-        .board
+        .job_table
         .jobs
         .values()
         .map(|job| job.beyond_share)
@@ -389,12 +391,12 @@
     let refused = model::work::StartAnswer::Refused(model::work::StartRefusal::NoRoom);
     scene
         .desk
-        .started(&id, &start.task, start.attempt, &refused, scene.now);
+        .handle_start_answer(&id, &start.task, start.attempt, &refused, scene.now);
     scene.run();
-    assert_eq!(scene.desk.pending(desk::QUEUE, scene.now), 1);
+    assert_eq!(scene.desk.pending_jobs(desk::QUEUE, scene.now), 1);
     scene.pass(Duration::from_millis(600));
     scene.start_all();
-    assert_eq!(scene.desk.pending(desk::QUEUE, scene.now), 0);
+    assert_eq!(scene.desk.pending_jobs(desk::QUEUE, scene.now), 0);
 }
 
 /// Guards against closing a target for a start that this process did not send, as it was not sure of
@@ -403,7 +405,9 @@
 fn withdrawn_start_leaves_target_open() {
     let mut scene = DeskScene::submitted(2000, vec![step(1, 1000)]);
     let (id, start) = scene.starts.remove(0);
-    scene.desk.start_withdrawn(&id, &start.task, start.attempt);
+    scene
+        .desk
+        .withdraw_unsent_start(&id, &start.task, start.attempt);
     scene.run();
     assert_eq!(scene.start_all().len(), 1);
     let target = &scene.desk.targets[&id];
@@ -421,7 +425,7 @@
     let before = start.lease_until;
     let waited = Duration::from_secs(6);
     scene.now.boot += waited;
-    scene.desk.renew_start(&id, &mut start, scene.now);
+    scene.desk.renew_start_deadline(&id, &mut start, scene.now);
     // The target's clock may be 2 % slow.
     assert!(start.lease_until >= before + waited * 97 / 100);
     assert_eq!(scene.desk.targets[&id].last_grant, scene.now.boot);
--- a/crates/decide/tests/work_turn.rs
+++ b/crates/decide/tests/work_turn.rs
@@ -25,8 +25,8 @@
 
 fn effort_of(load: &mut TurnLoad, mut once: impl FnMut(&mut TurnLoad)) -> EndEffort {
     let read = |load: &TurnLoad| {
-        let effort = &load.desk.effort;
-        [&effort.candidates, &effort.steps, &effort.entries].map(std::cell::Cell::get)
+        let effort = &load.desk.counters;
+        [&effort.candidates, &effort.steps, &effort.index_updates].map(std::cell::Cell::get)
     };
     let before = read(load);
     for _ in 0..ENDS {
@@ -34,7 +34,7 @@
     }
     let after = read(load);
     let mean = |at: usize| (after[at] - before[at]).div_ceil(ENDS);
-    let broken = load.desk.index_faults(load.now.boot);
+    let broken = load.desk.index_mismatches(load.now.boot);
     assert!(broken.is_empty(), "indexes that differ: {broken:?}");
     EndEffort {
         candidates: mean(0),
@@ -117,11 +117,11 @@
     let mut load = TurnLoad::new(size);
     load.desk.tick(load.now);
     load.run();
-    let before = load.desk.effort.entries.get();
+    let before = load.desk.counters.index_updates.get();
     for _ in 0..10 {
         load.now.boot += Duration::from_millis(1);
         load.desk.tick(load.now);
         load.run();
     }
-    assert_eq!(load.desk.effort.entries.get(), before);
+    assert_eq!(load.desk.counters.index_updates.get(), before);
 }
--- a/crates/decide/tests/work_unheard.rs
+++ b/crates/decide/tests/work_unheard.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use decide::work::DeskEvent;
+use decide::work::SchedulerEvent;
 use desk::{DeskScene, ended, plan, step};
 use model::work::{EndKind, PollAnswer, StartOrder};
 use rstest::rstest;
@@ -44,7 +44,7 @@
             let sent = scene.now.boot;
             scene
                 .desk
-                .saw(&name(target).as_str().into(), sent, 0, &answer, scene.now);
+                .apply_report(&name(target).as_str().into(), sent, 0, &answer, scene.now);
             scene.run();
         }
     }
@@ -72,7 +72,7 @@
     for _ in 0..3 {
         pass(&mut scene, ROUND, unheard);
     }
-    let missed = |event: &DeskEvent| matches!(event, DeskEvent::TargetMissed(..));
+    let missed = |event: &SchedulerEvent| matches!(event, SchedulerEvent::TargetUnreachable(..));
     let events = scene.desk.take_events();
     let count = events.iter().filter(|event| missed(event)).count();
     assert_eq!(count == unheard, recorded);
@@ -85,7 +85,7 @@
     let (mut scene, _) = busy_fleet();
     scene.desk.take_events();
     pass(&mut scene, LONG, TARGETS / 2);
-    let told = |event: &DeskEvent| matches!(event, DeskEvent::SilenceAwaited(TARGETS));
+    let told = |event: &SchedulerEvent| matches!(event, SchedulerEvent::MassUnresponsive(TARGETS));
     let events = scene.desk.take_events();
     assert_eq!(events.iter().filter(|event| told(event)).count(), 1);
 }
@@ -104,9 +104,9 @@
 fn silence_of_some_beside_late_store_ends_no_run() {
     let (mut scene, start) = busy_fleet();
     for _ in 0..10 {
-        scene.desk.set_alone(true);
+        scene.desk.set_ownership_uncertain(true);
         pass(&mut scene, ROUND, 9);
-        scene.desk.set_alone(false);
+        scene.desk.set_ownership_uncertain(false);
         pass(&mut scene, ROUND * 3, 9);
     }
     assert!(scene.starts.is_empty(), "its end may have been listed");
@@ -152,7 +152,9 @@
 fn silence_of_unlisted_ends_runs() {
     let (mut scene, _) = busy_fleet();
     for target in 0..TARGETS / 2 {
-        scene.desk.unlist_target(&name(target).as_str().into());
+        scene
+            .desk
+            .mark_target_unlisted(&name(target).as_str().into());
     }
     pass(&mut scene, LONG, TARGETS / 2);
     assert_eq!(scene.starts.len(), 1);
--- a/crates/lacewingshore/src/cell_serve.rs
+++ b/crates/lacewingshore/src/cell_serve.rs
@@ -13,7 +13,7 @@
 
 use anyhow::{Context, Result};
 use cell::{CellHost, CellOptions, CellPorts, HostLimits};
-use decide::{link_bounds::lease_length, work::DeskTuning};
+use decide::{link_bounds::lease_length, work::SchedulerTuning};
 use link::{CallClient, ServerLimits, ShutdownSignal, serve_http};
 use metrics_exporter_prometheus::PrometheusBuilder;
 use model::{CellSettings, event as log_event};
@@ -116,8 +116,8 @@
     let peers = address_of(&settings.peer_address)?;
     let metrics = address_of(&settings.metrics_address)?;
     let mut options = CellOptions::new(settings.member.clone(), peers, metrics);
-    let default = DeskTuning::default();
-    options.scheduler = DeskTuning {
+    let default = SchedulerTuning::default();
+    options.scheduler = SchedulerTuning {
         lease_limit: settings.task_lease,
         grant: default.grant.min(settings.task_lease),
         ..default
