--- a/crates/admin/src/audit/audit_keeper.rs
+++ b/crates/admin/src/audit/audit_keeper.rs
@@ -267,7 +267,7 @@
             .iter()
             .filter(|member| member.reachable && !member.leaving)
             .map(|member| &member.member);
-        if decide::rendezvous::holder(AUDIT_DUTY, heard) != Some(&self.member) {
+        if decide::rendezvous::duty_holder(AUDIT_DUTY, heard) != Some(&self.member) {
             return false;
         }
         let followed = self.history.as_ref().map_or(0, ConfigHistory::revision);
--- a/crates/decide/examples/share_bench/main.rs
+++ b/crates/decide/examples/share_bench/main.rs
@@ -274,7 +274,7 @@
                 .broker
                 .confirm(at, &id, round, self.holders[index].applied())
             {
-                self.broker.report(&id, demand);
+                self.broker.update_load(&id, demand);
             }
             let Some(offer) = self.broker.offer(at, &id, round) else {
                 continue;
--- a/crates/decide/src/budget/host_state.rs
+++ b/crates/decide/src/budget/host_state.rs
@@ -85,7 +85,7 @@
     }
 
     /// The same host in another phase that begins at `now`.
-    pub fn entering(&self, phase: HostPhase, cause: OutCause, now: Duration) -> Self {
+    pub fn with_phase(&self, phase: HostPhase, cause: OutCause, now: Duration) -> Self {
         Self {
             phase,
             cause,
--- a/crates/decide/src/budget/pool_ledger.rs
+++ b/crates/decide/src/budget/pool_ledger.rs
@@ -47,7 +47,7 @@
     pub fn of_hosts<'a>(hosts: impl Iterator<Item = &'a HostState>) -> Self {
         let mut ledger = Self::default();
         for state in hosts {
-            ledger.add(state);
+            ledger.count_host(state);
         }
         ledger
     }
@@ -110,7 +110,7 @@
         self.out_domains.insert(domain_of(state));
     }
 
-    fn add(&mut self, state: &HostState) {
+    fn count_host(&mut self, state: &HostState) {
         self.failed_returns += u32::from(state.failed_return());
         if state.in_service() {
             self.in_service += 1;
--- a/crates/decide/src/config/plan.rs
+++ b/crates/decide/src/config/plan.rs
@@ -87,7 +87,7 @@
         return ChangePlan::Conflict {
             base,
             newest: state.revision,
-            touched: touched_since(&record.tail, base),
+            touched: changed_since(&record.tail, base),
         };
     }
     let (change, next) = state.draft(Change {
@@ -149,7 +149,7 @@
     tail.iter().map(prost::Message::encoded_len).sum()
 }
 
-fn touched_since(tail: &[Change], base: Revision) -> Vec<String> {
+fn changed_since(tail: &[Change], base: Revision) -> Vec<String> {
     let mut touched = BTreeSet::new();
     for change in tail.iter().filter(|change| change.revision > base) {
         touched.extend(change.sections.iter().map(|edit| edit.section.clone()));
--- a/crates/decide/src/config/state.rs
+++ b/crates/decide/src/config/state.rs
@@ -109,7 +109,7 @@
 
     /// The revision of the last change to a section.
     #[must_use]
-    pub fn touched_at(&self, section: &str) -> Revision {
+    pub fn section_revision(&self, section: &str) -> Revision {
         self.touched.get(section).copied().unwrap_or_default()
     }
 
--- a/crates/decide/src/job/job_state.rs
+++ b/crates/decide/src/job/job_state.rs
@@ -95,7 +95,7 @@
     }
 
     /// The next attempt, to be recorded before it is sent to `worker`.
-    pub fn starting(&self, worker: &HostId, worker_boot: &str) -> Self {
+    pub fn next_attempt(&self, worker: &HostId, worker_boot: &str) -> Self {
         Self {
             phase: JobPhase::Starting,
             attempt: self.attempt + 1,
--- a/crates/decide/src/lease.rs
+++ b/crates/decide/src/lease.rs
@@ -284,7 +284,7 @@
 
     /// True if a quorum of `list` is known to hold at least `revision` of the configuration.
     #[must_use]
-    pub fn quorum_holds(&self, list: &MemberList, revision: Revision) -> bool {
+    pub fn quorum_holds_config(&self, list: &MemberList, revision: Revision) -> bool {
         list.has_quorum(|member| {
             if member.id == self.own.as_str() {
                 return member.incarnation == self.incarnation && self.config_revision >= revision;
--- a/crates/decide/src/quota/grant_record.rs
+++ b/crates/decide/src/quota/grant_record.rs
@@ -31,7 +31,7 @@
     revision: Revision,
 ) {
     if units == 0 {
-        let is_other = |grant: &QuotaGrant| !is_of(grant, member, incarnation);
+        let is_other = |grant: &QuotaGrant| !matches_holder(grant, member, incarnation);
         record.grants.retain(is_other);
         return;
     }
@@ -75,7 +75,7 @@
 }
 
 /// Adopts the limit of the configuration at `revision` once the grants fit into it.
-pub(crate) fn follow_limit(record: &mut QuotaRecord, limit: TeamLimit, revision: Revision) {
+pub(crate) fn adopt_limit(record: &mut QuotaRecord, limit: TeamLimit, revision: Revision) {
     let is_new = record.config_revision < limit.since;
     if is_new && granted_sum(record) <= limit.limit {
         record.limit = limit.limit;
@@ -95,7 +95,7 @@
     incarnation: Incarnation,
 ) -> Option<&'a QuotaGrant> {
     let mut grants = record.grants.iter();
-    grants.find(|grant| is_of(grant, member, incarnation))
+    grants.find(|grant| matches_holder(grant, member, incarnation))
 }
 
 fn grant_mut<'a>(
@@ -104,9 +104,9 @@
     incarnation: Incarnation,
 ) -> Option<&'a mut QuotaGrant> {
     let mut grants = record.grants.iter_mut();
-    grants.find(|grant| is_of(grant, member, incarnation))
+    grants.find(|grant| matches_holder(grant, member, incarnation))
 }
 
-fn is_of(grant: &QuotaGrant, member: &str, incarnation: Incarnation) -> bool {
+fn matches_holder(grant: &QuotaGrant, member: &str, incarnation: Incarnation) -> bool {
     grant.member == member && grant.incarnation == incarnation
 }
--- a/crates/decide/src/quota/machine.rs
+++ b/crates/decide/src/quota/machine.rs
@@ -113,7 +113,7 @@
 
     /// Takes one unit for work that ends within `length`.
     pub fn try_take_for(&mut self, team: &TeamId, length: Duration) -> bool {
-        self.take_unit(team, self.is_long(length))
+        self.take_unit(team, self.is_long_work(length))
     }
 
     fn take_unit(&mut self, team: &TeamId, is_long: bool) -> bool {
@@ -125,7 +125,8 @@
             quota.start_refused = true;
             return false;
         }
-        let allows = quota.allows_long(own, incarnation) || mutation == QuotaMutation::StartLong;
+        let allows =
+            quota.allows_long_work(own, incarnation) || mutation == QuotaMutation::StartLong;
         if is_long && !allows {
             quota.start_refused = true;
             quota.long_waits = true;
@@ -138,7 +139,7 @@
     }
 
     /// True if work of this length counts as long when taking and returning units.
-    pub fn is_long(&self, length: Duration) -> bool {
+    pub fn is_long_work(&self, length: Duration) -> bool {
         self.options.short_deadline_ms() > 0 && length > self.options.short_deadline
     }
 
--- a/crates/decide/src/quota/next_record.rs
+++ b/crates/decide/src/quota/next_record.rs
@@ -5,7 +5,7 @@
 
 use super::{
     QuotaAction, QuotaMachine, QuotaMutation,
-    grant_record::{follow_limit, free_units, granted_sum, set_units, units_of},
+    grant_record::{adopt_limit, free_units, granted_sum, set_units, units_of},
     team::TeamQuota,
 };
 
@@ -54,7 +54,7 @@
             let kept = quota.running.min(held);
             set_units(record, &self.own, self.incarnation, kept, 0);
         }
-        follow_limit(record, quota.limit, quota.config_revision);
+        adopt_limit(record, quota.limit, quota.config_revision);
         record.config_revision >= quota.limit.since
     }
 
--- a/crates/decide/src/quota/options.rs
+++ b/crates/decide/src/quota/options.rs
@@ -81,18 +81,18 @@
     /// any length.
     #[must_use]
     pub fn reclaim_after(&self) -> Duration {
-        self.free_after(self.max_deadline)
+        self.reclaim_delay(self.max_deadline)
     }
 
     /// How long after it left the list a host's units stay reserved under this grant.
     pub(super) fn reclaim_grant_after(&self, grant: &QuotaGrant) -> Duration {
-        self.free_after(match grant.longest_ms {
+        self.reclaim_delay(match grant.longest_ms {
             0 => self.max_deadline,
             longest => Duration::from_millis(longest),
         })
     }
 
-    fn free_after(&self, longest: Duration) -> Duration {
+    fn reclaim_delay(&self, longest: Duration) -> Duration {
         if self.mutation == QuotaMutation::ReclaimAtOnce {
             return Duration::ZERO;
         }
--- a/crates/decide/src/quota/round.rs
+++ b/crates/decide/src/quota/round.rs
@@ -149,7 +149,7 @@
         now: BootTime,
     ) -> Option<QuotaRecord> {
         let quota = self.teams.get(name)?;
-        let longest = match quota.is_short(now, self.options.max_deadline) {
+        let longest = match quota.ran_only_short_work(now, self.options.max_deadline) {
             true => self.options.short_deadline_ms(),
             false => 0,
         };
--- a/crates/decide/src/quota/team.rs
+++ b/crates/decide/src/quota/team.rs
@@ -143,7 +143,7 @@
 
     /// Whether long work may start. Both the stored grant and a pending write must allow it: other
     /// hosts may see the written grant before its response arrives.
-    pub(crate) fn allows_long(&self, own: &str, incarnation: Incarnation) -> bool {
+    pub(crate) fn allows_long_work(&self, own: &str, incarnation: Incarnation) -> bool {
         let long = |record: &QuotaRecord| max_run_ms(record, own, incarnation) == Some(0);
         long(&self.record)
             && self
@@ -161,7 +161,7 @@
 
     /// True if only short work has run here for `span`. Changing the grant each time long and short
     /// work alternate would exhaust the write rate of all teams.
-    pub(crate) fn is_short(&self, now: BootTime, span: Duration) -> bool {
+    pub(crate) fn ran_only_short_work(&self, now: BootTime, span: Duration) -> bool {
         let recent = |seen| now.saturating_sub(seen) < span;
         self.short_started && !self.long_seen.is_some_and(recent)
     }
--- a/crates/decide/src/rendezvous.rs
+++ b/crates/decide/src/rendezvous.rs
@@ -10,7 +10,7 @@
 const PRIME: u64 = 0x0000_0100_0000_01b3;
 
 /// The member that holds the duty named `duty`; `None` without members.
-pub fn holder<'a>(
+pub fn duty_holder<'a>(
     duty: &str,
     members: impl IntoIterator<Item = &'a MemberId>,
 ) -> Option<&'a MemberId> {
--- a/crates/decide/src/retry.rs
+++ b/crates/decide/src/retry.rs
@@ -41,7 +41,7 @@
     }
 
     /// Takes one retry; false if none is left.
-    pub fn take(&mut self) -> bool {
+    pub fn take_retry(&mut self) -> bool {
         if self.balance < RETRY_COST {
             return false;
         }
--- a/crates/decide/src/share/broker.rs
+++ b/crates/decide/src/share/broker.rs
@@ -12,7 +12,7 @@
 };
 
 // Maximum number of unconfirmed offers; a holder with this many gets no new ones.
-const UNCONFIRMED_MAX: usize = 64;
+const MAX_UNCONFIRMED_OFFERS: usize = 64;
 
 /// Divides the slots of one pool among entry hosts, the holders.
 ///
@@ -97,7 +97,7 @@
             ..HolderState::default()
         };
         self.holders.insert(holder.clone(), state);
-        self.report(holder, demand);
+        self.update_load(holder, demand);
     }
 
     /// Handles the demand of `round`, which names the newest round whose grant the holder applied.
@@ -137,7 +137,7 @@
     }
 
     /// Replaces a holder's load.
-    pub fn report(&mut self, holder: &MemberId, demand: HolderDemand) {
+    pub fn update_load(&mut self, holder: &MemberId, demand: HolderDemand) {
         let Some(state) = self.holders.get_mut(holder) else {
             return;
         };
@@ -170,7 +170,7 @@
     ///
     /// A holder's lease counts from when it sent its demand, so it stopped using the slots before
     /// this.
-    pub fn expire(&mut self, now: BootTime) {
+    pub fn expire_holders(&mut self, now: BootTime) {
         let limit = self.options.lease + self.options.guard;
         self.holders
             .retain(|_, state| now < state.last_report_at + limit);
@@ -186,7 +186,7 @@
         let wanted = self.entitled_slots(holder, &shares);
         let headroom = self.headroom(now, holder);
         let state = self.holders.get_mut(holder)?;
-        if state.closed || UNCONFIRMED_MAX <= state.offers.len() {
+        if state.closed || MAX_UNCONFIRMED_OFFERS <= state.offers.len() {
             return None;
         }
         state.offered_epoch = self.epoch;
@@ -199,7 +199,7 @@
         }
         Some(PoolOffer {
             targets: next,
-            teams: self.team_offers(holder, &shares),
+            teams: self.team_allotments(holder, &shares),
         })
     }
 
@@ -243,7 +243,7 @@
     }
 
     /// True if the holder has an open session.
-    pub fn knows(&self, holder: &MemberId) -> bool {
+    pub fn has_session(&self, holder: &MemberId) -> bool {
         self.holders.get(holder).is_some_and(|state| !state.closed)
     }
 
@@ -332,7 +332,7 @@
         self.members.is_empty() || self.members.iter().any(|id| !self.holders.contains_key(id))
     }
 
-    fn team_offers(
+    fn team_allotments(
         &self,
         holder: &MemberId,
         shares: &BTreeMap<TeamId, TeamShare>,
--- a/crates/decide/src/wave/lend.rs
+++ b/crates/decide/src/wave/lend.rs
@@ -25,7 +25,7 @@
             let Some((host, state)) = take_donor(&mut donors, map, pool) else {
                 break;
             };
-            let mut next = state.entering(HostPhase::Draining, OutCause::Move, input.now);
+            let mut next = state.with_phase(HostPhase::Draining, OutCause::Move, input.now);
             next.next_pool = pool.clone();
             *available.entry(pool.clone()).or_default() += 1;
             reassigned.insert(host, next);
--- a/crates/decide/src/wave/outage_planner.rs
+++ b/crates/decide/src/wave/outage_planner.rs
@@ -36,7 +36,7 @@
     /// A bad image or a broken rack shows as hosts that do not return from their reboot. Each pool
     /// alone would notice after one host. This check counts across the fleet, before the same fault
     /// takes one host of every pool.
-    pub(super) fn halted(&self) -> bool {
+    pub(super) fn is_halted(&self) -> bool {
         let failed = self.map.hosts.values().filter(|s| s.failed_return());
         failed.count() >= self.input.limits.failed_returns as usize
     }
@@ -89,7 +89,7 @@
                 continue;
             }
             ledger.take_out(state);
-            let out = state.entering(HostPhase::Draining, OutCause::Maintenance, self.input.now);
+            let out = state.with_phase(HostPhase::Draining, OutCause::Maintenance, self.input.now);
             permits.granted.insert(host.clone(), out);
         }
         permits
@@ -154,7 +154,7 @@
     let spec = input.manifest.pools.get(&state.pool)?;
     let window = input.manifest.windows.get(&spec.window);
     let open = window.is_some_and(|window| WindowClock::new(window).time_left(input.now).is_some());
-    (!open).then(|| state.entering(HostPhase::Checking, OutCause::Joining, input.now))
+    (!open).then(|| state.with_phase(HostPhase::Checking, OutCause::Joining, input.now))
 }
 
 impl FleetLimits {
--- a/crates/decide/src/wave/progress.rs
+++ b/crates/decide/src/wave/progress.rs
@@ -40,16 +40,16 @@
         let known = self.state.cause == OutCause::Leaving;
         match self.state.phase {
             HostPhase::Retired => None,
-            HostPhase::Draining if known && self.gone() => {
-                self.enter(HostPhase::Retired, OutCause::Leaving)
+            HostPhase::Draining if known && self.left_list() => {
+                self.enter_phase(HostPhase::Retired, OutCause::Leaving)
             }
             HostPhase::Draining if known && self.observation.is_staying() => {
-                self.enter(HostPhase::Checking, OutCause::Joining)
+                self.enter_phase(HostPhase::Checking, OutCause::Joining)
             }
             _ if leaving && !known => {
                 let mut next =
                     self.state
-                        .entering(HostPhase::Draining, OutCause::Leaving, self.now);
+                        .with_phase(HostPhase::Draining, OutCause::Leaving, self.now);
                 next.next_pool = PoolId::default();
                 Some(next)
             }
@@ -61,14 +61,16 @@
         let cause = self.state.cause;
         match self.state.phase {
             HostPhase::Serving | HostPhase::Draining
-                if cause != OutCause::Leaving && (self.gone() || self.failing()) =>
+                if cause != OutCause::Leaving && (self.left_list() || self.is_failing()) =>
             {
-                self.enter(HostPhase::Lost, OutCause::Loss)
+                self.enter_phase(HostPhase::Lost, OutCause::Loss)
             }
-            HostPhase::Rebooting | HostPhase::Checking if self.overdue() => {
-                self.enter(HostPhase::Lost, cause)
+            HostPhase::Rebooting | HostPhase::Checking if self.is_return_overdue() => {
+                self.enter_phase(HostPhase::Lost, cause)
+            }
+            HostPhase::Lost if self.is_lost_too_long() => {
+                self.enter_phase(HostPhase::Retired, cause)
             }
-            HostPhase::Lost if self.forgotten() => self.enter(HostPhase::Retired, cause),
             _ => None,
         }
     }
@@ -78,11 +80,15 @@
         let cause = self.state.cause;
         match self.state.phase {
             HostPhase::Draining if health.is_drained() => self.after_drain(),
-            HostPhase::Rebooting if health.is_serving() => self.enter(HostPhase::Checking, cause),
-            HostPhase::Checking if health.is_serving() && self.settled() => Some(self.returned()),
-            HostPhase::Lost if self.is_back() => self.enter(HostPhase::Checking, cause),
-            HostPhase::Retired if self.is_back() => {
-                self.enter(HostPhase::Checking, OutCause::Joining)
+            HostPhase::Rebooting if health.is_serving() => {
+                self.enter_phase(HostPhase::Checking, cause)
+            }
+            HostPhase::Checking if health.is_serving() && self.has_settled() => {
+                Some(self.back_in_service())
+            }
+            HostPhase::Lost if self.has_returned() => self.enter_phase(HostPhase::Checking, cause),
+            HostPhase::Retired if self.has_returned() => {
+                self.enter_phase(HostPhase::Checking, OutCause::Joining)
             }
             _ => None,
         }
@@ -90,11 +96,11 @@
 
     fn after_drain(&self) -> Option<HostState> {
         match self.state.cause {
-            OutCause::Maintenance => self.enter(HostPhase::Rebooting, OutCause::Maintenance),
+            OutCause::Maintenance => self.enter_phase(HostPhase::Rebooting, OutCause::Maintenance),
             OutCause::Move => {
                 let mut next = self
                     .state
-                    .entering(HostPhase::Checking, OutCause::Move, self.now);
+                    .with_phase(HostPhase::Checking, OutCause::Move, self.now);
                 next.pool = std::mem::take(&mut next.next_pool);
                 Some(next)
             }
@@ -102,10 +108,10 @@
         }
     }
 
-    fn returned(&self) -> HostState {
+    fn back_in_service(&self) -> HostState {
         let mut next = self
             .state
-            .entering(HostPhase::Serving, OutCause::Unspecified, self.now);
+            .with_phase(HostPhase::Serving, OutCause::Unspecified, self.now);
         if self.state.cause == OutCause::Maintenance {
             next.maintained = self.now;
             next.maintenances += 1;
@@ -113,8 +119,8 @@
         next
     }
 
-    fn enter(&self, phase: HostPhase, cause: OutCause) -> Option<HostState> {
-        let mut next = self.state.entering(phase, cause, self.now);
+    fn enter_phase(&self, phase: HostPhase, cause: OutCause) -> Option<HostState> {
+        let mut next = self.state.with_phase(phase, cause, self.now);
         if phase != HostPhase::Draining {
             next.next_pool = PoolId::default();
         }
@@ -125,27 +131,27 @@
         self.observation.health_in_phase(self.state)
     }
 
-    fn forgotten(&self) -> bool {
+    fn is_lost_too_long(&self) -> bool {
         self.now >= self.state.since + self.limits.forget_after
     }
 
-    fn gone(&self) -> bool {
+    fn left_list(&self) -> bool {
         self.observation.missing_for >= self.limits.list_lag
     }
 
-    fn failing(&self) -> bool {
+    fn is_failing(&self) -> bool {
         self.health() == HealthStatus::Failing
     }
 
-    fn overdue(&self) -> bool {
+    fn is_return_overdue(&self) -> bool {
         self.now >= self.state.since + self.limits.return_limit
     }
 
-    fn settled(&self) -> bool {
+    fn has_settled(&self) -> bool {
         self.now >= self.state.since + self.limits.settle_time
     }
 
-    fn is_back(&self) -> bool {
+    fn has_returned(&self) -> bool {
         self.observation.is_staying() && matches!(self.health(), HealthStatus::Answering { .. })
     }
 }
--- a/crates/decide/src/wave/rehome.rs
+++ b/crates/decide/src/wave/rehome.rs
@@ -27,7 +27,7 @@
             }
             ledger.take_out(state);
         }
-        let mut next = state.entering(HostPhase::Draining, OutCause::Move, input.now);
+        let mut next = state.with_phase(HostPhase::Draining, OutCause::Move, input.now);
         next.next_pool = next_pool;
         choice.add(&next);
         moved.insert(host.clone(), next);
--- a/crates/decide/src/wave/round_plan.rs
+++ b/crates/decide/src/wave/round_plan.rs
@@ -47,14 +47,14 @@
             return Self::default();
         }
         let mut plan = Self::default();
-        plan.follow_hosts(input);
+        plan.update_hosts(input);
         plan.join_hosts(input);
         plan.rehome_hosts(input);
         plan.grant_permits(input);
         plan
     }
 
-    fn follow_hosts(&mut self, input: &RoundInput<'_>) {
+    fn update_hosts(&mut self, input: &RoundInput<'_>) {
         let unseen = HostObservation::default();
         for (host, state) in &input.map.hosts {
             let observation = input.observations.get(host).unwrap_or(&unseen);
@@ -104,7 +104,7 @@
     fn grant_permits(&mut self, input: &RoundInput<'_>) {
         let map = input.map.with_change(&self.change);
         let planner = OutagePlanner::new(input, &map);
-        self.halted = planner.halted();
+        self.halted = planner.is_halted();
         if self.halted || !input.list_fresh {
             return;
         }
--- a/crates/decide/tests/config_state.rs
+++ b/crates/decide/tests/config_state.rs
@@ -72,7 +72,11 @@
         plan
     }
 
-    fn follow(&self, state: &ConfigState, record: &ConfigRecord) -> Result<CatchUp, ConfigError> {
+    fn apply_record(
+        &self,
+        state: &ConfigState,
+        record: &ConfigRecord,
+    ) -> Result<CatchUp, ConfigError> {
         match state.follow_record(record, None) {
             Err(ConfigError::BaseNeeded(key)) => state.follow_record(record, self.bases.get(&key)),
             outcome => outcome,
@@ -190,7 +194,10 @@
                 Follower::Guarded => host.clone(),
                 Follower::TakesAll => ConfigState::default(),
             };
-            if let CatchUp::Newer(next) = store.follow(&start, record).map_err(|e| e.to_string())? {
+            if let CatchUp::Newer(next) = store
+                .apply_record(&start, record)
+                .map_err(|e| e.to_string())?
+            {
                 if (next.revision, next.hash) != (record.revision, record.hash) {
                     return Err(format!("round {round}: revision {}", next.revision));
                 }
--- a/crates/decide/tests/job.rs
+++ b/crates/decide/tests/job.rs
@@ -151,7 +151,7 @@
     fn place(&mut self, holder: &mut HolderModel) {
         let worker = self.random.random_range(0..self.workers.len());
         let boot = self.workers[worker].boot.to_string();
-        holder.state = holder.state.starting(&worker.to_string().into(), &boot);
+        holder.state = holder.state.next_attempt(&worker.to_string().into(), &boot);
         if self.fault == GuardFault::SentUnrecorded {
             holder.recorded_attempt = holder.state.attempt;
             self.send_once(holder);
--- a/crates/decide/tests/lease_schedule.rs
+++ b/crates/decide/tests/lease_schedule.rs
@@ -426,7 +426,7 @@
                 record.settled.clear();
                 living = MemberList::new(record);
             }
-            host.lease.quorum_holds(&living, submit.revision)
+            host.lease.quorum_holds_config(&living, submit.revision)
         });
         if is_accepted {
             self.accepted.push((self.now, submit.revision));
--- a/crates/decide/tests/link_bounds.rs
+++ b/crates/decide/tests/link_bounds.rs
@@ -60,7 +60,7 @@
 
 /// Guards against a limit on starts that refuses work on a wide link.
 #[test]
-fn most_starts_follows_link() {
+fn max_starts_per_second_follows_link() {
     assert!((100.0..200.0).contains(&max_starts_per_second(NARROW)));
     assert!(max_starts_per_second(WIDE) >= 10_000.0);
     assert!(max_starts_per_second(0.0) >= 1.0);
--- a/crates/decide/tests/quota_ends.rs
+++ b/crates/decide/tests/quota_ends.rs
@@ -20,10 +20,10 @@
 };
 const STEP: Duration = Duration::from_millis(25);
 /// Each of three hosts is killed every 60 s, before an incarnation's units are free after 62.5 s.
-const KILL_DISTANCE: Duration = Duration::from_secs(20);
+const KILL_INTERVAL: Duration = Duration::from_secs(20);
 const KILLS: usize = 20;
 /// Allowed time for the write after units become free.
-const TAKE_WITHIN: Duration = Duration::from_secs(2);
+const RECLAIM_WITHIN: Duration = Duration::from_secs(2);
 
 struct Host {
     name: MemberId,
@@ -172,7 +172,7 @@
 
     /// Units of a dead incarnation must not stay reserved for longer than its work can run.
     fn expect_units_in_time(&self) {
-        let latest = QuotaOptions::default().reclaim_after() + TAKE_WITHIN;
+        let latest = QuotaOptions::default().reclaim_after() + RECLAIM_WITHIN;
         for grant in &self.store.1.grants {
             if let Some(at) = self.ended.get(&grant.incarnation) {
                 let age = self.now - *at;
@@ -192,8 +192,8 @@
 fn handle_ends_frees_units_while_hosts_are_killed_in_turn() {
     let mut fleet = Fleet::new();
     for kill in 0..KILLS {
-        fleet.run(KILL_DISTANCE);
+        fleet.run(KILL_INTERVAL);
         fleet.start(["e1", "e2", "e3"][kill % 3]);
     }
-    fleet.run(KILL_DISTANCE);
+    fleet.run(KILL_INTERVAL);
 }
--- a/crates/decide/tests/retry.rs
+++ b/crates/decide/tests/retry.rs
@@ -18,7 +18,7 @@
         for failed in outcomes {
             budget.record_first_attempt();
             first += 1;
-            while failed && budget.take() {
+            while failed && budget.take_retry() {
                 retries += 1;
             }
             prop_assert!(retries <= burst + first * percent / 100);
--- a/crates/decide/tests/share.rs
+++ b/crates/decide/tests/share.rs
@@ -170,7 +170,7 @@
                 load: model.demand,
             });
         }
-        broker.expire(now);
+        broker.expire_holders(now);
         for message in demands.extract_if(.., |message| message.due <= now) {
             let model = &models[message.from];
             let known = sessions.get(&model.member).copied();
@@ -189,7 +189,7 @@
             } else if known == Some(message.session)
                 && broker.confirm(now, &model.member, message.round, message.applied)
             {
-                broker.report(&model.member, load(message.load));
+                broker.update_load(&model.member, load(message.load));
             } else {
                 continue;
             }
@@ -310,7 +310,7 @@
         now += Duration::from_millis(200);
         for (index, member) in members.iter().enumerate() {
             broker.confirm(now, member, round, round - 1);
-            broker.report(member, load(if index == 0 { 100 } else { 0 }));
+            broker.update_load(member, load(if index == 0 { 100 } else { 0 }));
             let offer = broker.offer(now, member, round).unwrap_or_default();
             slots[index] = offer.targets.values().sum();
         }
--- a/crates/decide/tests/wave.rs
+++ b/crates/decide/tests/wave.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn plan_stops_when_hosts_stay_away() {
+fn plan_halts_when_hosts_fail_to_return() {
     // Guards against a bad image that takes down all pools: every rebooted host stays down, and
     // only the first two hosts of the fleet may be lost to it.
     let options = WorldOptions {
--- a/crates/entry/src/admission/settle_work.rs
+++ b/crates/entry/src/admission/settle_work.rs
@@ -108,7 +108,7 @@
         let desk = desk_of(&mut self.desks, &self.config.retries, &request.pool);
         request.attempts += 1;
         let wait = RetryWait::default().wait(request.attempts, rand::random());
-        if now + wait >= request.deadline || !(free || desk.retries.take()) {
+        if now + wait >= request.deadline || !(free || desk.retries.take_retry()) {
             metrics::counter!("lws_retries_refused").increment(1);
             request.refuse(problem);
             return;
--- a/crates/fleet/src/duty_owner.rs
+++ b/crates/fleet/src/duty_owner.rs
@@ -8,5 +8,5 @@
 pub(crate) fn owns_duty(members: &dyn MemberSource, duty: &str) -> bool {
     let list = members.members();
     let heard = list.iter().filter(|info| info.reachable && !info.leaving);
-    rendezvous::holder(duty, heard.map(|info| &info.member)) == Some(&members.own_id())
+    rendezvous::duty_holder(duty, heard.map(|info| &info.member)) == Some(&members.own_id())
 }
--- a/crates/fleet/src/job_keeper.rs
+++ b/crates/fleet/src/job_keeper.rs
@@ -157,7 +157,7 @@
             .iter()
             .filter(|info| info.reachable && !info.leaving);
         let duty = format!("job-log/{log}");
-        let holder = rendezvous::holder(&duty, heard.map(|info| &info.member));
+        let holder = rendezvous::duty_holder(&duty, heard.map(|info| &info.member));
         holder == Some(&self.shared.members.own_id())
     }
 
--- a/crates/fleet/src/job_start.rs
+++ b/crates/fleet/src/job_start.rs
@@ -115,7 +115,7 @@
         };
         book.record_placed(worker, job, size, now);
         let boot = book.boot_of(worker).unwrap_or_default().to_owned();
-        self.set_state(job, state.starting(worker, &boot), true);
+        self.set_state(job, state.next_attempt(worker, &boot), true);
     }
 
     /// Parks a job that no worker of its pool could take, once the pool is surely known.
--- a/crates/member/src/change_submit.rs
+++ b/crates/member/src/change_submit.rs
@@ -187,7 +187,10 @@
 
     fn is_accepted(&self, list: &MemberList, revision: Revision) -> bool {
         let living = list.without_ended(&self.shared.acks.lock());
-        self.shared.lease.lock().quorum_holds(&living, revision)
+        self.shared
+            .lease
+            .lock()
+            .quorum_holds_config(&living, revision)
     }
 
     /// Removes bases older than the one now named. Newer ones may belong to an operator who
--- a/crates/member/src/config_holder.rs
+++ b/crates/member/src/config_holder.rs
@@ -61,7 +61,7 @@
         let teams = force.manifest.teams.iter().map(|(team, spec)| {
             let limit = TeamLimit {
                 limit: spec.limit,
-                since: held.state.touched_at(&format!("team.{team}")),
+                since: held.state.section_revision(&format!("team.{team}")),
             };
             (team.clone(), limit)
         });
--- a/crates/member/src/quota_book.rs
+++ b/crates/member/src/quota_book.rs
@@ -53,7 +53,7 @@
             self.wake();
             return None;
         }
-        let is_long = locked.is_long(length);
+        let is_long = locked.is_long_work(length);
         let (machine, team) = (self.machine.clone(), team.clone());
         Some(QuotaPermit::new(move || match is_long {
             true => machine.lock().give_back_long(&team),
--- a/crates/share/src/broker_desk.rs
+++ b/crates/share/src/broker_desk.rs
@@ -127,7 +127,7 @@
     /// Forgets holders that went silent.
     pub fn expire(&mut self, now: BootTime) {
         for broker in self.brokers.values_mut() {
-            broker.expire(now);
+            broker.expire_holders(now);
         }
     }
 
@@ -145,10 +145,10 @@
                 continue;
             };
             let load = demand_from_wire(pool);
-            if opening || !broker.knows(from) {
+            if opening || !broker.has_session(from) {
                 broker.open(now, from, demand.round, load);
             } else if broker.confirm(now, from, demand.round, demand.applied) {
-                broker.report(from, load);
+                broker.update_load(from, load);
             }
             reported.insert(id);
         }
--- a/crates/share/src/pool_terms.rs
+++ b/crates/share/src/pool_terms.rs
@@ -10,7 +10,7 @@
     let executors = pools.filter(|(_, spec)| spec.role == HostRole::Executor);
     executors
         .filter_map(|(pool, _)| {
-            let owner = rendezvous::holder(pool, fit)?;
+            let owner = rendezvous::duty_holder(pool, fit)?;
             Some((pool.clone(), owner.clone()))
         })
         .collect()
