--- a/crates/decide/src/call_budget.rs
+++ b/crates/decide/src/call_budget.rs
@@ -69,7 +69,7 @@
     decreased_at: BootTime,
     in_flight: f64,
     /// Calls in flight to targets that did not respond to the last call. They may last until they
-    /// time out but use little of the link, so they are counted separately.
+    /// time out but take no bandwidth, so they are counted separately.
     probes: f64,
 }
 
--- a/crates/decide/src/moves/move_planner.rs
+++ b/crates/decide/src/moves/move_planner.rs
@@ -142,7 +142,7 @@
         shortfalls
     }
 
-    /// True if hosts that move now save at least `min_saving`.
+    /// True if hosts that move now save at least `min_saving`, or the length of the peak is unknown.
     fn is_worthwhile(&self, load: &PoolLoad, shortfall: u32, now: Duration) -> bool {
         let left = self.forecast.remaining_peak(&load.pool, now);
         let known = self.forecast.remaining_peak(&load.pool, Duration::ZERO) > Duration::ZERO;
--- a/crates/decide/src/wave/lend.rs
+++ b/crates/decide/src/wave/lend.rs
@@ -5,7 +5,7 @@
 use super::RoundInput;
 use crate::budget::{FleetMap, HostPhase, HostState, OutCause};
 
-/// Moves workers of the spare pool, and surplus workers, to pools that lack hosts.
+/// Plans moves of workers of the spare pool, and of surplus workers, to pools that lack hosts.
 ///
 /// A pool that lost a host has no slack for the next loss and gets no maintenance. A lost host that
 /// returns finds its place filled. It stays, and is reassigned when another pool lacks a host.
--- a/crates/decide/src/wave/observation.rs
+++ b/crates/decide/src/wave/observation.rs
@@ -29,7 +29,7 @@
     /// The response of the health endpoint since the host entered its present phase.
     ///
     /// An earlier response proves nothing. A host about to reboot may have reported a second ago
-    /// that it serves, before it was told to drain. It would pass for one that has returned, and
+    /// that it serves, before it was ordered to drain. It would pass for one that has returned, and
     /// its maintenance would count as done without a reboot.
     pub fn health_in_phase(&self, state: &HostState) -> HealthStatus {
         if self.probed_in == state.phase_entry() {
