--- a/crates/proof/src/soak/caller_jobs.rs
+++ b/crates/proof/src/soak/caller_jobs.rs
@@ -10,7 +10,7 @@
 use fake::boot_nanos;
 use parking_lot::Mutex;
 use rand::{Rng, SeedableRng, rngs::StdRng};
-use stand::{CallerLine, JobShown, LookReply, SoakJob, SubmitReply};
+use stand::{CallerClient, JobShown, LookReply, SoakJob, SubmitReply};
 
 /// What a caller did with a job and was told of it.
 #[derive(Clone, Debug)]
@@ -39,7 +39,7 @@
 
 /// One caller: hands jobs in, looks at them and cancels some.
 pub(crate) struct JobCaller {
-    pub(crate) line: CallerLine,
+    pub(crate) client: CallerClient,
     pub(crate) addresses: Vec<String>,
     pub(crate) book: JobBook,
     pub(crate) dice: StdRng,
@@ -48,7 +48,7 @@
 impl JobCaller {
     pub(crate) fn new(seed: u64, addresses: Vec<String>, book: JobBook) -> Self {
         Self {
-            line: CallerLine::default(),
+            client: CallerClient::default(),
             addresses,
             book,
             dice: StdRng::seed_from_u64(seed),
@@ -103,7 +103,7 @@
         };
         for _ in 0..MOST_ATTEMPTS {
             let address = self.address();
-            let reply = self.line.submit(&address, &job);
+            let reply = self.client.submit(&address, &job);
             let mut book = self.book.lock();
             book[index].replies.push(reply);
             if reply == SubmitReply::Accepted {
@@ -112,7 +112,7 @@
                 if self.dice.random_bool(0.05) {
                     // The same job arrives once more, through another process.
                     let address = self.address();
-                    self.line.submit(&address, &job);
+                    self.client.submit(&address, &job);
                 }
                 return Some(index);
             }
@@ -128,7 +128,7 @@
     pub(crate) fn look(&mut self, index: usize) -> LookReply {
         let id = self.book.lock()[index].job.id.clone();
         let address = self.address();
-        let reply = self.line.look(&address, &id);
+        let reply = self.client.job_state(&address, &id);
         self.book.lock()[index].shown.push((boot_nanos(), reply));
         reply
     }
@@ -138,7 +138,7 @@
         self.book.lock()[index].cancel_sent_ns = Some(boot_nanos());
         for _ in 0..MOST_ATTEMPTS {
             let address = self.address();
-            if self.line.cancel(&address, &id) {
+            if self.client.cancel(&address, &id) {
                 self.book.lock()[index].cancelled_ns = Some(boot_nanos());
                 return;
             }
--- a/crates/proof/src/soak/fault_drive.rs
+++ b/crates/proof/src/soak/fault_drive.rs
@@ -2,7 +2,7 @@
 
 use anyhow::Result;
 use fake::{LinkMode, LinkState, boot_nanos};
-use stand::StoreFaultSwitch;
+use stand::StoreFaultConfig;
 
 use super::{
     FaultKind, PlannedFault,
@@ -71,7 +71,7 @@
             self.apply(fleet)?;
         }
         if self.any(FaultKind::StoreSilent) {
-            fleet.store.extend_leases();
+            fleet.store.extend_all_leases();
         }
         self.tend_processes(fleet)
     }
@@ -101,9 +101,9 @@
                 }
                 self.stopped_at[process] = Some(Instant::now());
             }
-            FaultKind::HistoryGone => fleet.store.forget_history(),
+            FaultKind::HistoryGone => fleet.store.drop_history(),
             FaultKind::LeasesLapse => {
-                fleet.store.lapse_leases();
+                fleet.store.expire_leases();
                 self.lapses.push(boot_nanos());
             }
             FaultKind::TargetCrash => {
@@ -131,7 +131,7 @@
             }
         }
         if fault.kind == FaultKind::StoreSilent {
-            fleet.store.extend_leases();
+            fleet.store.extend_all_leases();
         }
     }
 
@@ -169,22 +169,22 @@
                 })?;
             }
             let late = self.any(FaultKind::StartsLate);
-            fleet.targets[target].set_late(if late { LATE_PART } else { 0.0 });
+            fleet.targets[target].set_late_starts(if late { LATE_PART } else { 0.0 });
         }
         Ok(())
     }
 
     /// What the store does to a process.
-    fn store_faults(&self, process: usize) -> StoreFaultSwitch {
+    fn store_faults(&self, process: usize) -> StoreFaultConfig {
         let struck = |kind| self.strikes(kind, process);
         let part = |kind, part| if struck(kind) { part } else { 0.0 };
         let slow = self.any(FaultKind::StoreSlow);
-        StoreFaultSwitch {
-            refuses: self.any(FaultKind::StoreRefuses) || struck(FaultKind::ProcessRefused),
-            silent: self.any(FaultKind::StoreSilent),
-            loses: part(FaultKind::AnswersLost, LOST_PART),
-            late: part(FaultKind::ChangesLate, LATE_PART),
-            slow: if slow { SLOW_ANSWER } else { Duration::ZERO },
+        StoreFaultConfig {
+            refuse_calls: self.any(FaultKind::StoreRefuses) || struck(FaultKind::ProcessRefused),
+            ignore_calls: self.any(FaultKind::StoreSilent),
+            reply_loss: part(FaultKind::AnswersLost, LOST_PART),
+            late_changes: part(FaultKind::ChangesLate, LATE_PART),
+            extra_delay: if slow { SLOW_ANSWER } else { Duration::ZERO },
         }
     }
 
--- a/crates/proof/src/soak/soak_check.rs
+++ b/crates/proof/src/soak/soak_check.rs
@@ -1,7 +1,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use stand::{
-    CallerLine, JobShown, LookReply, OwnerRecord, RunEnd, RunRecord, StartOrderRecord, StrayWrite,
+    CallerClient, JobShown, LookReply, OwnerRecord, RunEnd, RunRecord, StartOrderRecord, StrayWrite,
 };
 
 use super::caller_jobs::{CallerJob, is_completed, is_owed};
@@ -157,7 +157,7 @@
 
 /// At no start the workspace has more running than its limit, a tenth and one task.
 fn check_limit(tally: &mut SoakTally, runs: &[RunRecord]) {
-    let most = CallerLine::limit() + CallerLine::limit() / 10 + 1;
+    let most = CallerClient::core_limit() + CallerClient::core_limit() / 10 + 1;
     let mut ends: Vec<u64> = runs
         .iter()
         .filter_map(|run| run.end)
--- a/crates/proof/src/soak/soak_fleet.rs
+++ b/crates/proof/src/soak/soak_fleet.rs
@@ -7,7 +7,7 @@
 
 use anyhow::{Context, Result};
 use fake::{LinkState, RelayFake};
-use stand::{CallerLine, ControlStand, StoreStand, TargetStand};
+use stand::{CallerClient, SimulatedControl, SimulatedStore, SimulatedTarget};
 
 use crate::{BinaryKind, JsonClient, LiveProcess, free_port};
 
@@ -53,15 +53,15 @@
 /// Real processes of a cell among stand-ins of the platform, with a link from each process to the
 /// store and to each target.
 pub(crate) struct SoakFleet {
-    pub(crate) store: StoreStand,
-    pub(crate) targets: Vec<TargetStand>,
+    pub(crate) store: SimulatedStore,
+    pub(crate) targets: Vec<SimulatedTarget>,
     pub(crate) processes: Vec<CellProcess>,
     /// Where each process reaches each target.
     target_addresses: Vec<Vec<String>>,
     links: BTreeMap<String, LinkState>,
     relay: RelayFake,
     client: JsonClient,
-    control: ControlStand,
+    control: SimulatedControl,
 }
 
 impl SoakFleet {
@@ -71,15 +71,15 @@
         targets: usize,
         folder: &Path,
     ) -> Result<Self> {
-        let store = StoreStand::start(processes, seed, OWNER_KEY, LOG_PREFIX)?;
+        let store = SimulatedStore::start(processes, seed, OWNER_KEY, LOG_PREFIX)?;
         let targets: Result<Vec<_>> = (0..targets)
-            .map(|target| TargetStand::start(target, SLOTS, seed + target as u64))
+            .map(|target| SimulatedTarget::start(target, SLOTS, seed + target as u64))
             .collect();
         let targets = targets?;
         let rows = targets
             .iter()
-            .map(|target| target.host_row(CallerLine::pool()));
-        let control = ControlStand::start(rows.collect())?;
+            .map(|target| target.host_row(CallerClient::pool()));
+        let control = SimulatedControl::start(rows.collect())?;
         let mut fleet = Self {
             store,
             targets,
@@ -90,7 +90,7 @@
             client: JsonClient::default(),
             control,
         };
-        fleet.store.put_terms(&CallerLine::terms());
+        fleet.store.put_config(&CallerClient::platform_config());
         for target in 0..fleet.targets.len() {
             let to = fleet.targets[target].address();
             let link = |process| fleet.add_link(&target_link(target, process), &to);
@@ -109,11 +109,11 @@
 
     /// Writes a target's entry anew, as it does when it begins a life.
     pub(crate) fn put_target(&self, target: usize) {
-        let stand = &self.targets[target];
+        let simulated = &self.targets[target];
         let addresses = self.target_addresses[target].iter();
-        let entries = addresses.map(|address| stand.entry(address, CallerLine::pool()));
+        let entries = addresses.map(|address| simulated.store_entry(address, CallerClient::pool()));
         self.store
-            .put_target(stand.id(), &entries.collect::<Vec<_>>());
+            .put_target(simulated.id(), &entries.collect::<Vec<_>>());
     }
 
     pub(crate) fn set_link(&mut self, state: LinkState) -> Result<()> {
--- a/crates/proof/src/soak/soak_run.rs
+++ b/crates/proof/src/soak/soak_run.rs
@@ -10,7 +10,7 @@
 };
 
 use anyhow::{Result, anyhow};
-use stand::{LookReply, TargetStand};
+use stand::{LookReply, SimulatedTarget};
 
 use super::{
     FaultKind, PlannedFault, SoakHistory, SoakTally,
@@ -149,14 +149,18 @@
 fn history_of(fleet: &SoakFleet, drive: FaultDrive, book: &JobBook) -> SoakHistory {
     SoakHistory {
         jobs: book.lock().clone(),
-        runs: fleet.targets.iter().flat_map(TargetStand::runs).collect(),
+        runs: fleet
+            .targets
+            .iter()
+            .flat_map(SimulatedTarget::runs)
+            .collect(),
         orders: fleet
             .targets
             .iter()
-            .flat_map(TargetStand::start_orders)
+            .flat_map(SimulatedTarget::start_orders)
             .collect(),
         owners: fleet.store.owners(),
-        strays: fleet.store.strays(),
+        strays: fleet.store.stray_writes(),
         log_writes: fleet.store.log_writes(),
         log_peak: fleet.store.log_peak(),
         lapses: drive.lapses,
