--- a/crates/ports/src/advice_port.rs
+++ b/crates/ports/src/advice_port.rs
@@ -3,21 +3,24 @@
 
 use crate::PortFuture;
 
-/// A target that may run a step, and the ticket that proves it.
+/// A target that may run a step, with the ticket that authorizes the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AdviceTicket {
     /// The target.
     pub target: HostId,
-    /// What a start carries.
+    /// Opaque ticket, sent with the order to start a task.
     pub ticket: CompactString,
 }
 
-/// Says which targets a queue's policy allows to run a step.
+/// Advice service: grants tickets for the targets that may run a step under a queue's policy.
 pub trait AdvicePort {
-    /// Asks for one step, named as its tasks without their index.
+    /// Requests tickets for one step on the given targets.
+    ///
+    /// A step is named like its tasks, without the task index. Targets that the service does not
+    /// grant are missing from the result.
     ///
     /// # Errors
-    /// Why no advice came; asking again is harmless.
+    /// Why the call failed. It can be repeated safely.
     fn request_tickets(
         &self,
         step: &str,
--- a/crates/ports/src/audit.rs
+++ b/crates/ports/src/audit.rs
@@ -1,22 +1,22 @@
-/// Something that changed and that operators want to find in the audit trail.
+/// A change to be recorded in the audit trail.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AuditRecord {
-    /// Who caused it: an administration key, or the id of an entry host.
+    /// Author of the change: the id of an administration key or of an entry host.
     pub author: String,
-    /// Id of the change; repeating it does not add an entry.
+    /// Id of the change. A record with a known id adds no entry.
     pub change_id: String,
-    /// What changed, such as `member e1`, `grant members` or `host w-03`.
+    /// Changed object, such as `member e1`, `grant members` or `host w-03`.
     pub subject: String,
-    /// The difference in a short text.
+    /// Short text of the difference.
     pub difference: String,
-    /// Revision of the record before.
+    /// Revision of the object before the change.
     pub revision_before: u64,
-    /// Revision of the record after.
+    /// Revision of the object after the change.
     pub revision_after: u64,
 }
 
-/// Takes notes for the audit trail, which is written to the store in batches.
+/// Accepts records for the audit trail, which is written to the store in batches.
 pub trait AuditSink: Send + Sync {
-    /// Queues the note and returns at once.
+    /// Queues a record and returns at once.
     fn record(&self, note: AuditRecord);
 }
--- a/crates/ports/src/caller_service.rs
+++ b/crates/ports/src/caller_service.rs
@@ -5,83 +5,83 @@
 
 use crate::PortFuture;
 
-/// How far a job is, as callers see it.
+/// State of a job as reported to callers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum JobProgress {
-    /// No task has started.
+    /// No task has started yet.
     #[default]
     Queued,
-    /// Some task has started.
+    /// At least one task has started.
     Running,
     /// All tasks are done.
     Completed,
-    /// A task failed too often.
+    /// A task used up its attempts.
     Failed,
-    /// Its caller cancelled it.
+    /// The caller cancelled the job.
     Cancelled,
 }
 
-/// What a caller wants.
+/// Operation that a caller requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerRequest {
-    /// Hand a job in.
+    /// Submit a job.
     Submit(JobId, JobPlan),
-    /// See how far a job is.
+    /// Read the state of a job.
     Status(JobId),
     /// Cancel a job.
     Cancel(JobId),
-    /// Count the jobs of the queue of which no task has started.
+    /// Count the jobs of the queue that have started no task.
     Pending,
 }
 
-/// One call of a caller.
+/// One call from a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerCall {
-    /// Host name that was addressed.
+    /// Host name of the request, without the port.
     pub host: CompactString,
-    /// Path that was addressed.
+    /// Path of the request.
     pub path: CompactString,
-    /// Key that was presented; empty for none.
+    /// API key of the request; empty if there was none.
     pub key: CompactString,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer; zero if it did not say.
     pub timeout: Duration,
-    /// What it wants.
+    /// Requested operation.
     pub request: CallerRequest,
 }
 
-/// What a caller is told.
+/// Result of a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerAnswer {
-    /// The job is recorded.
+    /// The job is recorded in the job log.
     Accepted,
-    /// The job's state.
+    /// State of the job.
     Found(JobProgress),
-    /// How many jobs wait.
+    /// Number of jobs that wait.
     Counted(u64),
-    /// The key is missing or unknown.
+    /// The API key is missing or unknown.
     KeyRefused,
-    /// No such queue.
+    /// No queue has this host name and path.
     NoQueue,
-    /// No such job.
+    /// The job does not exist.
     NoJob,
-    /// The call can't be taken as it is.
+    /// The request is invalid; holds the reason.
     Invalid(String),
-    /// Nothing was recorded and nothing will run; come back after this time.
+    /// Nothing was recorded and nothing will run. Retry after this time.
     Refused(Duration),
-    /// It may have been recorded; repeating it is harmless.
+    /// The request may have been recorded. It can be repeated safely.
     Unknown,
 }
 
-/// Answers callers.
+/// Serves the requests of callers.
 pub trait CallerService {
-    /// Splits a path into its queue's prefix and the job's id.
+    /// Returns the length of the longest path prefix of a queue of this host that matches `path`.
     ///
-    /// Returns the length of the longest prefix that a queue of this host has, if any.
+    /// The rest of the path is the job's id.
     fn queue_prefix_len(&self, host: &str, path: &str) -> Option<usize>;
-    /// Answers one call.
+    /// Handles one call.
     fn answer(&self, call: CallerCall) -> PortFuture<CallerAnswer>;
-    /// Largest job that operators let callers hand in, in bytes of its text; 0 for no limit.
+    /// Largest request body that operators allow for a job, in bytes; 0 for no limit.
     fn max_body_bytes(&self) -> usize;
-    /// True while new connections are welcome.
+    /// Readiness for load balancers: true while new connections may be sent here.
     fn ready(&self) -> bool;
 }
--- a/crates/ports/src/claim.rs
+++ b/crates/ports/src/claim.rs
@@ -2,21 +2,21 @@
 
 use model::{RequestId, TeamId};
 
-/// Whether a request id may run now.
+/// Whether a request with a given id may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimVerdict {
-    /// First use of the id: it may run, once.
+    /// First use of the id: the request may run once.
     First,
-    /// The id was claimed before: it may have run.
+    /// The id was claimed before: the request may have run already.
     Taken,
-    /// The host that minted the id is gone or does not answer: it may have run.
+    /// The host that issued the id is gone or unreachable: the request may have run already.
     Unknown,
 }
 
-/// Mints request ids and settles which entry host may run one.
+/// Issues request ids and decides which entry host may run a request.
 pub trait ClaimSource: Send + Sync {
-    /// A fresh id for `team`, whose home is this entry host.
+    /// Issues an id for `team`. This entry host decides later claims of the id.
     fn mint(&self, team: &TeamId) -> RequestId;
-    /// Claims `request` for `team` at the host that minted it, waiting at most `timeout`.
+    /// Claims `request` for `team` at the entry host that issued it, waiting at most `timeout`.
     fn claim(&self, request: &RequestId, team: &TeamId, timeout: Duration) -> ClaimVerdict;
 }
--- a/crates/ports/src/config.rs
+++ b/crates/ports/src/config.rs
@@ -6,20 +6,20 @@
 /// The configuration in force on this entry host at one revision.
 #[derive(Clone, Debug, Default)]
 pub struct ActiveConfig {
-    /// Count of accepted changes.
+    /// Number of accepted changes.
     pub revision: Revision,
     /// Hash of all sections and keys.
     pub hash: u64,
-    /// The manifest that the sections make.
+    /// The manifest built from the sections.
     pub manifest: Manifest,
     /// The sections as text, by section name.
     pub sections: BTreeMap<String, String>,
-    /// Keys that are granted now.
+    /// Keys granted at this revision.
     pub keys: BTreeMap<KeyId, KeyRecord>,
 }
 
-/// Where the other areas read the configuration in force.
+/// Gives read access to the configuration in force.
 pub trait ConfigSource: Send + Sync {
-    /// The configuration now; cheap enough to call for each request.
+    /// The current configuration. Cheap enough to call for each request.
     fn current(&self) -> Arc<ActiveConfig>;
 }
--- a/crates/ports/src/fleet_codec.rs
+++ b/crates/ports/src/fleet_codec.rs
@@ -1,33 +1,33 @@
 use model::work::{FleetPolicy, MaintenanceWave, TargetEntry, WaveId};
 
-/// Where a platform keeps what operators and targets write, and how to read it.
+/// Store keys and encodings of the entries that operators and targets write.
 ///
-/// Watching, and what follows from a change, is the product's; only names and encodings
-/// differ from platform to platform.
+/// Only names and encodings differ between platforms. Watching the keys and reacting to changes
+/// is done by the user of this trait.
 pub trait FleetCodec {
-    /// Key of what operators ask for.
+    /// Key of the fleet policy that operators write.
     fn policy_key(&self) -> &'static str;
-    /// Prefix of all that operators write.
+    /// Prefix of all keys that operators write.
     fn operator_prefix(&self) -> &'static str;
-    /// Prefix of the targets' entries; the rest of a key is the target's id.
+    /// Prefix of the targets' entries. The rest of such a key is the target's id.
     fn target_prefix(&self) -> &'static str;
-    /// Number of the maintenance wave that a key holds; `None` if it holds none.
+    /// Number of the maintenance wave stored under a key; `None` for other keys.
     fn parse_wave_key(&self, key: &str) -> Option<WaveId>;
-    /// Key under which a wave's progress is shown, and what to write there.
+    /// Key and value with which the progress of a wave is reported to operators.
     fn wave_status(&self, wave: WaveId, completed: bool) -> (String, Vec<u8>);
-    /// Reads what operators ask for.
+    /// Decodes the fleet policy.
     ///
     /// # Errors
-    /// What could not be read.
+    /// Why the value is unreadable.
     fn read_policy(&self, value: &[u8]) -> Result<FleetPolicy, String>;
-    /// Reads a wave.
+    /// Decodes a maintenance wave.
     ///
     /// # Errors
-    /// What could not be read.
+    /// Why the value is unreadable.
     fn read_wave(&self, value: &[u8]) -> Result<MaintenanceWave, String>;
-    /// Reads a target's entry.
+    /// Decodes a target's entry.
     ///
     /// # Errors
-    /// What could not be read; such an entry names no target to use.
+    /// Why the value is unreadable. A target with such an entry is not used.
     fn read_target(&self, target: &str, value: &[u8]) -> Result<TargetEntry, String>;
 }
--- a/crates/ports/src/gate.rs
+++ b/crates/ports/src/gate.rs
@@ -1,13 +1,13 @@
-/// Why this entry host takes no new work now.
+/// Why this entry host accepts no new work.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotServing {
-    /// The serving lease lapsed: neither the store nor a majority of members was heard.
+    /// The serving lease lapsed: neither the store nor a majority of members responded in time.
     #[error("serving lease lapsed")]
     LeaseLapsed,
-    /// A newer configuration is known to be accepted and has not arrived yet.
+    /// A newer configuration was accepted but has not reached this host yet.
     #[error("configuration behind")]
     ConfigBehind,
-    /// The host shuts down gracefully.
+    /// The host is shutting down gracefully.
     #[error("shutting down")]
     Leaving,
     /// The host has not joined the member list yet.
@@ -15,13 +15,16 @@
     Starting,
 }
 
-/// Says whether this entry host may start new work; see `docs/design` on the serving lease.
+/// Decides whether this entry host may start new work; see `docs/design` on the serving lease.
 pub trait ServingGate: Send + Sync {
-    /// Checked at admission and again right before bytes go out to a target.
+    /// Checks whether new work may start.
+    ///
+    /// Called at admission and again right before a request is sent to a target.
     ///
     /// # Errors
     /// Why no new work may start.
     fn check(&self) -> Result<(), NotServing>;
-    /// Begins a graceful shutdown: from now on `check` fails and the member list says so.
+    /// Starts a graceful shutdown. From then on `check` fails and the member list shows this host
+    /// as leaving.
     fn leave(&self);
 }
--- a/crates/ports/src/host_control.rs
+++ b/crates/ports/src/host_control.rs
@@ -5,18 +5,18 @@
 
 use crate::PortFuture;
 
-/// Lists, moves and maintains the hosts of the fleet.
+/// Control interface of the fleet's hosts: lists, moves and maintains them.
 pub trait HostControl {
-    /// All hosts.
+    /// Lists all hosts.
     fn hosts(&self) -> PortFuture<Result<Vec<FleetHost>, String>>;
-    /// Moves a host to a pool.
+    /// Orders a host to be moved to a pool.
     fn move_host(
         &self,
         sender: &OrderSender,
         host: &HostId,
         pool: &PoolId,
     ) -> PortFuture<HostOrderAnswer>;
-    /// Takes a host down for its maintenance.
+    /// Orders the maintenance of a host in a wave. The host is down meanwhile.
     fn maintain(
         &self,
         sender: &OrderSender,
--- a/crates/ports/src/job.rs
+++ b/crates/ports/src/job.rs
@@ -3,85 +3,86 @@
 use model::{JobId, PoolId, RequestId, ServiceId, TeamId, WorkspaceId};
 use serde::{Deserialize, Serialize};
 
-/// A job that a caller submits.
+/// A job submitted by a caller.
 #[derive(Clone, Debug, Default)]
 pub struct JobRequest {
     /// Makes repeating the submission idempotent.
     pub request: RequestId,
-    /// Team whose key came with the job.
+    /// Team of the key that the job was submitted with.
     pub team: TeamId,
-    /// Service that the job belongs to; its worker pool runs it.
+    /// Service of the job. The service's worker pool runs it.
     pub service: ServiceId,
-    /// Workspace that the job is accounted to; empty for none.
+    /// Workspace that the job's usage counts for; empty for none.
     pub workspace: WorkspaceId,
-    /// What the worker is handed.
+    /// Payload for the worker.
     pub payload: Vec<u8>,
-    /// Declared processors.
+    /// Requested processor cores.
     pub cores: u32,
-    /// Declared memory, in MB.
+    /// Requested memory, in MB.
     pub memory_mb: u64,
-    /// Declared accelerators.
+    /// Requested accelerators.
     pub accelerators: u32,
-    /// Declared run time.
+    /// Expected run time.
     pub run_time: Duration,
-    /// Whether running the job twice does no harm.
+    /// Whether the job can safely run more than once.
     pub idempotent: bool,
 }
 
-/// What a caller sees of a job.
+/// State of a job as reported to callers.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct JobView {
-    /// Its id.
+    /// Id of the job.
     pub job: JobId,
-    /// Team that it belongs to.
+    /// Team of the job.
     pub team: TeamId,
-    /// Pool that it runs in.
+    /// Pool that runs the job.
     pub pool: PoolId,
     /// Phase, in kebab case: queued, starting, running, done, failed, cancelled, parked, unknown.
     pub phase: String,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempt: u32,
-    /// Why it failed or was parked; empty otherwise.
+    /// Why the job failed or was parked; empty otherwise.
     pub reason: String,
 }
 
 /// Why a job operation failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JobError {
-    /// Not recorded and not run.
+    /// The store is down. The job was not recorded and will not run.
     #[error("store down: {0}")]
     StoreDown(String),
-    /// The answer of the store was lost; submitting again with the same request id is harmless.
+    /// The response of the store was lost. The submission can be repeated safely with the same
+    /// request id.
     #[error("unknown: {0}")]
     Unknown(String),
-    /// The job can't be accepted as it is.
+    /// The job is invalid.
     #[error("invalid: {0}")]
     Invalid(String),
-    /// Too many jobs wait already.
+    /// Too many jobs are waiting.
     #[error("queue full")]
     QueueFull,
-    /// No such job of this team.
+    /// The team has no such job.
     #[error("no such job")]
     NotFound,
 }
 
-/// Accepts jobs durably.
+/// Accepts jobs and stores them durably.
 pub trait JobSink: Send + Sync {
-    /// Returns once the job is recorded in the store.
+    /// Submits a job. Returns once it is recorded in the store.
     ///
     /// # Errors
     /// See [`JobError`].
     fn submit(&self, request: JobRequest) -> Result<JobView, JobError>;
-    /// The job that this entry host accepted under `request`, if it still holds it.
+    /// The job accepted by this entry host under `request`, if the host still has it in memory.
     fn find(&self, _team: &TeamId, _request: &RequestId) -> Option<JobView> {
         None
     }
-    /// Looks a job of `team` up.
+    /// Reads the state of a job of `team`.
     ///
     /// # Errors
-    /// `NotFound` for a job of another team too.
+    /// See [`JobError`]. A job of another team is `NotFound`.
     fn view(&self, team: &TeamId, job: &JobId) -> Result<JobView, JobError>;
-    /// Cancels a job; harmless if it has ended.
+    /// Cancels a job. Does nothing if the job has ended.
     ///
     /// # Errors
     /// See [`JobError`].
--- a/crates/ports/src/lease_store.rs
+++ b/crates/ports/src/lease_store.rs
@@ -2,14 +2,14 @@
 
 use compact_str::CompactString;
 
-/// What an asynchronous interface returns; the process runs one event loop.
+/// Future returned by asynchronous ports. Not `Send`: the process runs a single-threaded event loop.
 pub type PortFuture<T> = Pin<Box<dyn Future<Output = T>>>;
-/// The store's count of changes.
+/// Revision of the store: the number of changes so far.
 pub type StoreRevision = u64;
-/// Id of a lease of the store.
+/// Id of a lease in the store.
 pub type LeaseId = u64;
 
-/// A key with its value.
+/// A key with its value and revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoreItem {
     /// The key.
@@ -20,18 +20,18 @@
     pub revision: StoreRevision,
 }
 
-/// Part of the keys below a prefix.
+/// A page of the keys with a prefix.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StorePage {
-    /// The keys, in order.
+    /// The items, in the order of their keys.
     pub items: Vec<StoreItem>,
-    /// Whether there are more.
+    /// Whether more keys follow.
     pub more: bool,
-    /// The store's revision when it was read.
+    /// Revision of the store at the time of the read.
     pub revision: StoreRevision,
 }
 
-/// One change that a watch saw.
+/// A change of one key, reported by a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreEvent {
     /// A key was written.
@@ -40,7 +40,7 @@
     Removed(CompactString, StoreRevision),
 }
 
-/// What a watch saw.
+/// The changes reported by a watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoreChanges {
     /// The changes, oldest first.
@@ -49,76 +49,79 @@
     pub revision: StoreRevision,
 }
 
-/// A change that takes effect whole or not at all.
+/// A transaction: takes effect as a whole or not at all.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoreChange {
-    /// Keys with the revisions that they must have; 0 for a key that must not exist.
+    /// Condition: keys with the revisions that they must have; 0 for a key that must not exist.
     pub expect: Vec<(CompactString, StoreRevision)>,
-    /// Keys to write, with the lease that they end with.
+    /// Keys to write.
     pub writes: Vec<StoreWrite>,
     /// Keys to remove.
     pub removes: Vec<CompactString>,
 }
 
-/// One key of a change.
+/// A write of one key in a transaction.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoreWrite {
     /// The key.
     pub key: CompactString,
-    /// Its new value.
+    /// The new value.
     pub value: Vec<u8>,
-    /// Lease that the key ends with; `None` if it stays.
+    /// Lease that the key is attached to; `None` for a permanent key. The key is removed when the
+    /// lease ends.
     pub lease: Option<LeaseId>,
 }
 
-/// What became of a change.
+/// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreOutcome {
-    /// It took effect, at this revision.
+    /// It took effect at this revision.
     Done(StoreRevision),
-    /// Some key had another revision; nothing was changed. Holds the keys as they are.
+    /// A key had another revision than expected. Nothing was changed. Holds the current items.
     Conflict(Vec<StoreItem>),
-    /// The lease has ended; nothing was changed.
+    /// The lease has ended. Nothing was changed.
     LeaseEnded,
 }
 
-/// Why a call brought nothing.
+/// Why a call to the store failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// Nothing was done: the store refused the call, or it never left.
+    /// The store refused the call, or the call was not sent. Nothing was changed.
     #[error("store refused the call: {0}")]
     Refused(String),
-    /// No answer came: it may have been done, and may still be later.
+    /// No response. The call may have taken effect already, or may still do so later.
     #[error("store did not answer: {0}")]
     Unanswered(String),
-    /// The history that a watch asks for has been dropped.
+    /// The history that a watch needs has been compacted.
     #[error("the history has been dropped")]
     HistoryGone,
-    /// The answer can't be read.
+    /// The response is unreadable.
     #[error("unreadable answer of the store: {0}")]
     Unreadable(String),
 }
 
-/// The platform's store, with leases and watches.
+/// Client of the platform's key-value store, with leases and watches.
 pub trait LeaseStore {
-    /// Reads one key; linearizable.
+    /// Reads one key. The read is linearizable.
     fn read(&self, key: &str) -> PortFuture<Result<Option<StoreItem>, StoreError>>;
-    /// Reads a page of the keys below `prefix`, after a key; linearizable, but pages are no
-    /// snapshot together.
+    /// Reads a page of the keys with `prefix` that follow the key `after`.
+    ///
+    /// Each page is linearizable, but the pages together are not a snapshot.
     fn list(&self, prefix: &str, after: &str) -> PortFuture<Result<StorePage, StoreError>>;
-    /// Waits up to `timeout` for changes below `prefix` after a revision.
+    /// Waits up to `timeout` for changes of keys with `prefix` after a revision.
     fn watch(
         &self,
         prefix: &str,
         after: StoreRevision,
         timeout: Duration,
     ) -> PortFuture<Result<StoreChanges, StoreError>>;
-    /// Makes a change.
+    /// Commits a transaction if its conditions hold.
     fn change(&self, change: StoreChange) -> PortFuture<Result<StoreOutcome, StoreError>>;
-    /// Takes a lease.
+    /// Creates a lease that ends after `length` unless it is renewed.
     fn take_lease(&self, length: Duration) -> PortFuture<Result<LeaseId, StoreError>>;
-    /// Renews a lease from the arrival of the call on; false if it has ended.
+    /// Renews a lease; false if it has ended. Its full length counts from the arrival of the call
+    /// at the store.
     fn renew_lease(&self, lease: LeaseId) -> PortFuture<Result<bool, StoreError>>;
-    /// Ends a lease and removes its keys.
+    /// Ends a lease and removes the keys attached to it.
     fn end_lease(&self, lease: LeaseId) -> PortFuture<Result<(), StoreError>>;
 }
--- a/crates/ports/src/lib.rs
+++ b/crates/ports/src/lib.rs
@@ -1,8 +1,8 @@
-//! The narrow interfaces at which the areas of the system meet.
+//! The interfaces between the areas of the system.
 //!
-//! Each trait here is offered by one crate and used by others as a trait object, so that
+//! Each trait here is implemented by one crate and used by others as a trait object, so that
 //! the crates depend on this one and not on each other. `ARCHITECTURE.md` shows which
-//! crate offers which.
+//! crate implements which trait.
 
 mod advice_port;
 mod audit;
--- a/crates/ports/src/link.rs
+++ b/crates/ports/src/link.rs
@@ -1,14 +1,14 @@
 use model::{Incarnation, MemberId};
 use wire::peer::envelope::Body;
 
-/// A message that arrived from another entry host.
+/// A message received from another entry host.
 #[derive(Clone, Debug)]
 pub struct InboundMessage {
-    /// Who sent it.
+    /// Sender.
     pub from: MemberId,
-    /// Which life of the sender.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// What it says.
+    /// Content of the message.
     pub body: Body,
 }
 
@@ -23,23 +23,24 @@
     Full(MemberId),
 }
 
-/// Sends messages to other entry hosts; delivery is not guaranteed.
+/// Sends messages to other entry hosts. Delivery is not guaranteed.
 pub trait PeerLink: Send + Sync {
     /// Queues `body` for `to` and returns at once.
     ///
     /// # Errors
-    /// See [`LinkError`]; success does not mean delivery.
+    /// See [`LinkError`]. Success does not imply delivery.
     fn send(&self, to: &MemberId, body: Body) -> Result<(), LinkError>;
-    /// Queues `body` to go with the next message to `to`, which is a heartbeat at the latest.
+    /// Queues `body` to be sent along with the next message to `to`, at the latest the next
+    /// heartbeat.
     ///
-    /// A message of a few bytes costs several times its size in headers; one that can wait
-    /// for a heartbeat interval costs nothing but its bytes.
+    /// A separate message of a few bytes costs several times its size in headers. One that can
+    /// wait for a heartbeat interval costs only its own bytes.
     ///
     /// # Errors
     /// As for [`PeerLink::send`].
     fn send_with_next(&self, to: &MemberId, body: Body) -> Result<(), LinkError> {
         self.send(to, body)
     }
-    /// Members that a link exists to, self excluded.
+    /// Members that this host has a link to, itself excluded.
     fn peers(&self) -> Vec<MemberId>;
 }
--- a/crates/ports/src/member.rs
+++ b/crates/ports/src/member.rs
@@ -2,32 +2,33 @@
 
 use model::{DataCentreId, Incarnation, MemberId};
 
-/// One entry host of the member list.
+/// An entry host in the member list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MemberInfo {
-    /// Its id.
+    /// Id of the entry host.
     pub member: MemberId,
-    /// Which life of it.
+    /// Incarnation: each start of the member has a larger number.
     pub incarnation: Incarnation,
-    /// Address at which callers reach it, as `ip:port`.
+    /// Address for callers, as `ip:port`.
     pub caller_address: String,
-    /// Data centre that it stands in.
+    /// Data centre of the host.
     pub data_centre: DataCentreId,
-    /// True for this host itself, and for others heard within a lease length.
+    /// True for this host itself, and for others that sent a message within the last lease length.
     pub reachable: bool,
-    /// True while it shuts down gracefully.
+    /// True while the host shuts down gracefully.
     pub leaving: bool,
 }
 
-/// Where the other areas learn which entry hosts there are.
+/// Gives access to the member list.
 ///
-/// The list decides who brokers a pool or plans a shard. Two hosts may see different
-/// lists for a while, so whatever follows from it must be safe under two holders.
+/// The list decides which host brokers a pool or plans a shard. Two hosts may see different lists
+/// for a while, so two of them may hold the same role at once. Everything decided from the list
+/// must be safe in that case.
 pub trait MemberSource: Send + Sync {
-    /// Own id.
+    /// Id of this host.
     fn own_id(&self) -> MemberId;
-    /// Which life of this host this is.
+    /// Incarnation of this host.
     fn own_incarnation(&self) -> Incarnation;
-    /// The member list as last seen, this host included.
+    /// The latest known member list, including this host.
     fn members(&self) -> Arc<Vec<MemberInfo>>;
 }
--- a/crates/ports/src/quota.rs
+++ b/crates/ports/src/quota.rs
@@ -2,17 +2,16 @@
 
 use model::TeamId;
 
-/// One unit of a team's upper limit, given back when dropped.
+/// One unit of a team's upper limit, released on drop.
 ///
-/// Whoever does not know whether its work still runs on a target keeps the permit until
-/// the work's deadline has passed: giving it back sooner could let the team run more
-/// than its limit.
+/// If it is unknown whether the work still runs on a target, the holder must keep the permit until
+/// the work's deadline has passed. Releasing it sooner could let the team exceed its limit.
 pub struct QuotaPermit {
     release: Option<Box<dyn FnOnce() + Send>>,
 }
 
 impl QuotaPermit {
-    /// A permit that calls `release` once, when dropped.
+    /// Creates a permit that calls `release` once when it is dropped.
     pub fn new(release: impl FnOnce() + Send + 'static) -> Self {
         Self {
             release: Some(Box::new(release)),
@@ -34,15 +33,17 @@
     }
 }
 
-/// Hands out units of team limits that this entry host holds.
+/// Hands out the units of team limits that are granted to this entry host.
 pub trait QuotaSource: Send + Sync {
-    /// Takes one unit for work that is over after `length`, if this host's grant has one free; units
-    /// for short work are free again sooner after the loss of this host.
+    /// Takes one unit for work that ends within `length`; `None` if this host's grant has no free
+    /// unit.
+    ///
+    /// If this host is lost, units for short work can be granted to other hosts sooner.
     fn try_take_for(&self, team: &TeamId, length: Duration) -> Option<QuotaPermit>;
-    /// Takes one unit for work of any length.
+    /// Takes one unit for work of unlimited length.
     fn try_take(&self, team: &TeamId) -> Option<QuotaPermit> {
         self.try_take_for(team, Duration::MAX)
     }
-    /// Says how many starts of `team` wait here for a unit, so that grants move to demand.
+    /// Reports how many starts of `team` wait for a unit on this host, so that grants follow demand.
     fn report_waiting(&self, team: &TeamId, waiting: u32);
 }
--- a/crates/ports/src/status.rs
+++ b/crates/ports/src/status.rs
@@ -1,61 +1,61 @@
 use model::{HostId, Incarnation, MemberId, PoolId, Revision, TeamId};
 use serde::{Deserialize, Serialize};
 
-/// What an operator sees of an entry host.
+/// Status of an entry host, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its id.
+    /// Id of the entry host.
     pub member: MemberId,
-    /// Which life of it.
+    /// Incarnation: each start of the member has a larger number.
     pub incarnation: Incarnation,
-    /// Revision of the configuration in force there.
+    /// Revision of the configuration in force on the host.
     pub config_revision: Revision,
-    /// True if it was heard within a lease length.
+    /// True if the host sent a message within the last lease length.
     #[serde(rename = "heard")]
     pub reachable: bool,
-    /// True while it shuts down gracefully.
+    /// True while the host shuts down gracefully.
     pub leaving: bool,
 }
 
-/// What an operator sees of a target host.
+/// Status of a target host, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostStatus {
-    /// Its id.
+    /// Id of the target host.
     pub host: HostId,
-    /// Pool that it belongs to.
+    /// Pool of the host.
     pub pool: PoolId,
     /// Phase, in kebab case: serving, draining, rebooting, checking, lost, retired, quarantined.
     pub phase: String,
-    /// Requests and tasks that this entry host runs there.
+    /// Number of requests and tasks that this entry host runs on the target.
     pub running: u32,
 }
 
-/// What an operator sees of a team.
+/// Status of a team, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamStatus {
-    /// Its id.
+    /// Id of the team.
     pub team: TeamId,
-    /// Weight when everything is full.
+    /// Weight of the team while the fleet is full.
     pub share: u32,
-    /// Upper limit.
+    /// Upper limit, in units that run at once.
     pub limit: u32,
-    /// Units of the limit that this entry host holds.
+    /// Units of the limit granted to this entry host.
     pub granted: u32,
-    /// Units in use here.
+    /// Units in use on this entry host.
     pub running: u32,
 }
 
-/// What the administration interface shows of one area.
+/// Status of one area of the system, for the administration interface.
 pub trait StatusSource: Send + Sync {
-    /// Entry hosts, as far as this area knows them.
+    /// Entry hosts known to this area.
     fn members(&self) -> Vec<MemberStatus> {
         Vec::new()
     }
-    /// Target hosts, as far as this area knows them.
+    /// Target hosts known to this area.
     fn hosts(&self) -> Vec<HostStatus> {
         Vec::new()
     }
-    /// Teams, as far as this area knows them.
+    /// Teams known to this area.
     fn teams(&self) -> Vec<TeamStatus> {
         Vec::new()
     }
--- a/crates/ports/src/target.rs
+++ b/crates/ports/src/target.rs
@@ -2,39 +2,39 @@
 
 use model::{DataCentreId, HostId, PoolId, RackId, ServiceId};
 
-/// Whether a target takes new work.
+/// Whether a target accepts new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TargetState {
-    /// Takes new work.
+    /// Accepts new work.
     #[default]
     Serving,
-    /// Finishes what runs and takes no new work.
+    /// Finishes running work and accepts no new work.
     Draining,
     /// Out of service.
     Out,
 }
 
-/// One executor or worker that work can be sent to.
+/// An executor or worker that work can be sent to.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TargetHost {
-    /// Its id.
+    /// Id of the target.
     pub host: HostId,
-    /// Where it listens, as `ip:port`.
+    /// Address that the target listens on, as `ip:port`.
     pub address: String,
-    /// Pool that it belongs to.
+    /// Pool of the target.
     pub pool: PoolId,
-    /// Data centre that it stands in.
+    /// Data centre of the target.
     pub data_centre: DataCentreId,
-    /// Rack that it stands in.
+    /// Rack of the target.
     pub rack: RackId,
-    /// Whether it takes new work.
+    /// Whether the target accepts new work.
     pub state: TargetState,
 }
 
-/// Where the other areas learn which targets a pool has.
+/// Gives access to the targets of each pool.
 pub trait TargetSource: Send + Sync {
     /// The targets of `pool` with their states.
     fn pool_targets(&self, pool: &PoolId) -> Arc<Vec<TargetHost>>;
-    /// The executors of the pool that answers `service`; empty for an unknown service.
+    /// The executors of the pool that serves `service`; empty for an unknown service.
     fn service_targets(&self, service: &ServiceId) -> Arc<Vec<TargetHost>>;
 }
--- a/crates/ports/src/target_port.rs
+++ b/crates/ports/src/target_port.rs
@@ -5,14 +5,14 @@
 
 use crate::PortFuture;
 
-/// Gives orders to targets.
+/// Sends orders to targets.
 pub trait TargetPort {
     /// Starts a task.
     fn start(&self, target: &TargetAddress, order: StartOrder) -> PortFuture<StartAnswer>;
-    /// Stops a run.
+    /// Stops a running task.
     fn stop(&self, target: &TargetAddress, order: StopOrder) -> PortFuture<OrderAnswer>;
-    /// Sets a run's share of time.
+    /// Limits a running task to a percentage of its processor time.
     fn throttle(&self, target: &TargetAddress, order: ThrottleOrder) -> PortFuture<OrderAnswer>;
-    /// Renews and asks.
+    /// Polls a target: renews its time grant, acknowledges ended runs and reads its report.
     fn poll(&self, target: &TargetAddress, order: PollOrder) -> PortFuture<PollAnswer>;
 }
