--- a/crates/link/tests/calls.rs
+++ b/crates/link/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls over kept connections, and what is known of a call that brought no answer.
+//! Calls over keep-alive connections, and the errors of calls without a response.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -14,7 +14,7 @@
     time::{Instant, sleep},
 };
 
-/// Answers with the length of the body, after a while.
+/// Responds with the length of the request body after a pause.
 struct LengthService {
     pause: Duration,
     answered: Rc<Cell<usize>>,
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn call_is_answered() {
+fn call_answered() {
     run(async {
         let (address, _) = serve(Duration::ZERO, ShutdownSignal::default()).await;
         let client = CallClient::default();
@@ -83,7 +83,7 @@
     });
 }
 
-/// Nothing listens, so nothing can have been done.
+/// No server listens, so the call can't have had an effect.
 #[test]
 fn call_refused_is_not_sent() {
     run(async {
@@ -92,18 +92,19 @@
     });
 }
 
-/// A process stands still between a decision and its order. What it sends when it goes on would
-/// reach a target in the time of the next owner.
+/// A process is suspended between a decision and its order. Without the check of the deadline, the
+/// order would reach a target after the next owner has taken over.
 #[test]
-fn call_held_up_is_not_sent() {
+fn call_after_deadline_not_sent() {
     run(async {
         let (address, answered) = serve(Duration::ZERO, ShutdownSignal::default()).await;
         let client = CallClient::default();
-        let asked = tokio::task::spawn_local(async move { client.call(call(address, b"")).await });
-        // The call waits for its connection meanwhile.
+        let pending_call =
+            tokio::task::spawn_local(async move { client.call(call(address, b"")).await });
+        // The call is waiting for its connection at this point.
         tokio::task::yield_now().await;
         std::thread::sleep(Duration::from_millis(400));
-        let outcome = asked.await;
+        let outcome = pending_call.await;
         assert!(
             matches!(outcome, Ok(Err(CallError::NotSent(_)))),
             "{outcome:?}"
@@ -113,10 +114,10 @@
     });
 }
 
-/// A kept connection goes silent for good while new ones work. The call on it times out, with
-/// nobody knowing whether it was carried out; the next call opens a connection of its own.
+/// An open connection stops delivering for good while new ones work. The call on it times out with
+/// an unknown outcome, and the next call opens a new connection.
 #[test]
-fn call_leaves_silent_connection() {
+fn call_drops_dead_connection() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await;
         let listener = listener.unwrap_or_else(|error| panic!("no listener: {error}"));
@@ -124,29 +125,29 @@
             .local_addr()
             .unwrap_or_else(|error| panic!("no address: {error}"));
         tokio::task::spawn_local(async move {
-            let mut silent = Vec::new();
+            let mut open_streams = Vec::new();
             while let Ok((mut stream, _)) = listener.accept().await {
                 let mut request = [0; 1024];
                 let _ = stream.read(&mut request).await;
                 let _ = stream
                     .write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n")
                     .await;
-                // It stays open and never answers again.
-                silent.push(stream);
+                // The connection stays open but never responds again.
+                open_streams.push(stream);
             }
         });
         let client = CallClient::default();
         assert!(client.call(call(address, b"")).await.is_ok());
-        let silent = client.call(call(address, b"")).await;
-        assert!(matches!(silent, Err(CallError::Unanswered(_))));
-        let begun = Instant::now();
+        let unanswered = client.call(call(address, b"")).await;
+        assert!(matches!(unanswered, Err(CallError::Unanswered(_))));
+        let started = Instant::now();
         assert!(client.call(call(address, b"")).await.is_ok());
-        assert!(begun.elapsed() < Duration::from_millis(200));
+        assert!(started.elapsed() < Duration::from_millis(200));
     });
 }
 
-/// Serves one connection with an answer of six bytes, of which each comes after a pause; `sent` of
-/// them come at all.
+/// Serves one connection with a response body of six bytes, with a pause before each byte. Only the
+/// first `sent` bytes are sent.
 async fn serve_slowly(pause: Duration, sent: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await;
     let listener = listener.unwrap_or_else(|error| panic!("no listener: {error}"));
@@ -170,8 +171,8 @@
     address
 }
 
-/// A new owner reads the log through a narrow link. The answer takes longer than the timeout,
-/// though its bytes keep coming; cut off there it would be asked for again, and never be read.
+/// A new owner reads the log over a slow link. The response takes longer than the timeout although
+/// its bytes keep arriving. If it were cut off, each retry would fail in the same way.
 #[test]
 fn call_body_arrives_slowly() {
     run(async {
@@ -182,24 +183,24 @@
     });
 }
 
-/// A connection goes silent in the middle of an answer. The call ends one timeout after the last
-/// bytes.
+/// A connection stops delivering in the middle of a response. The call fails one timeout after the
+/// last bytes.
 #[test]
 fn call_body_stalls() {
     run(async {
         let address = serve_slowly(Duration::from_millis(100), 3).await;
-        let begun = Instant::now();
+        let started = Instant::now();
         let reply = CallClient::default().call(call(address, b"")).await;
         assert!(matches!(reply, Err(CallError::Unanswered(_))));
-        assert!(begun.elapsed() >= Duration::from_millis(600));
-        assert!(begun.elapsed() < Duration::from_millis(1000));
+        assert!(started.elapsed() >= Duration::from_millis(600));
+        assert!(started.elapsed() < Duration::from_millis(1000));
     });
 }
 
-/// A process is told to stop while it works on a request. The request is answered whole, and
-/// only then does the connection end.
+/// A shutdown begins while a request is in progress. The response is sent completely before the
+/// connection closes.
 #[test]
-fn shutdown_finishes_answers() {
+fn shutdown_finishes_responses() {
     run(async {
         let shutdown = ShutdownSignal::default();
         let (address, answered) = serve(Duration::from_millis(100), shutdown.clone()).await;
