--- a/crates/cell/src/election.rs
+++ b/crates/cell/src/election.rs
@@ -63,7 +63,7 @@
     /// Campaigns whenever the cell has no owner, and runs the terms that it wins, until the process
     /// stops.
     pub(crate) async fn campaign(self) {
-        while !self.stopping.begun() {
+        while !self.stopping.has_begun() {
             if !self.owners.is_vacant() {
                 tokio::select! {
                     biased;
@@ -104,7 +104,7 @@
     }
 
     fn may_campaign(&self) -> bool {
-        self.owners.is_vacant() && !self.stopping.begun()
+        self.owners.is_vacant() && !self.stopping.has_begun()
     }
 
     /// Reads new pages of the job log after a delay, if this process is a standby.
--- a/crates/cell/src/term.rs
+++ b/crates/cell/src/term.rs
@@ -167,23 +167,23 @@
 
     /// True from when the log has been read until the term is over.
     pub(crate) fn is_ready(&self) -> bool {
-        self.ready.get() && !self.over.begun()
+        self.ready.get() && !self.over.has_begun()
     }
 
     /// True once the term is over.
     pub(crate) fn is_over(&self) -> bool {
-        self.over.begun()
+        self.over.has_begun()
     }
 
     /// True while the lease guarantees that no other process is the owner.
     pub(crate) fn has_valid_lease(&self) -> bool {
-        !self.over.begun() && BootClock.boot_now() < self.lease_valid_until.get()
+        !self.over.has_begun() && BootClock.boot_now() < self.lease_valid_until.get()
     }
 
     /// True while accepted tasks may be started: either the lease or the promises of all other
     /// processes guarantee that there is no other owner.
     pub(crate) fn may_start_tasks(&self) -> bool {
-        !self.over.begun() && BootClock.boot_now() < self.sole_owner_until()
+        !self.over.has_begun() && BootClock.boot_now() < self.sole_owner_until()
     }
 
     /// True if the entry of this term as owner is among the entries that a change conflicted with.
@@ -228,7 +228,7 @@
     /// finds its lease expired here before it sends another order.
     pub(crate) fn may_send_orders(&self) -> bool {
         let limit = self.sole_owner_until() + self.options.scheduler.store_outage_limit;
-        !self.over.begun() && BootClock.boot_now() < limit
+        !self.over.has_begun() && BootClock.boot_now() < limit
     }
 
     /// True if this process seems to be cut off from the store: the last renewal was refused, or no
@@ -286,7 +286,7 @@
 
     /// Ends the term.
     pub(crate) fn end(&self, reason: &str) {
-        if self.over.begun() {
+        if self.over.has_begun() {
             return;
         }
         log_event::warn(
--- a/crates/link/src/shutdown.rs
+++ b/crates/link/src/shutdown.rs
@@ -21,7 +21,7 @@
     }
 
     /// True after [`ShutdownSignal::begin`] was called.
-    pub fn begun(&self) -> bool {
+    pub fn has_begun(&self) -> bool {
         *self.sender.borrow()
     }
 
