--- a/crates/decide/src/work/job_entries.rs
+++ b/crates/decide/src/work/job_entries.rs
@@ -3,9 +3,9 @@
 
 use super::{StepState, WorkJob, WorkPhase, record_of_plan};
 
-/// What a shorter log says of a job.
+/// Log entries of a job in a compacted log.
 impl WorkJob {
-    /// How the job ended; `None` while it is open.
+    /// Returns how the job ended; `None` while it is open.
     pub(super) fn closed_phase(&self) -> Option<JobPhase> {
         match self.phase {
             WorkPhase::Open | WorkPhase::CancelPending => None,
@@ -15,28 +15,28 @@
         }
     }
 
-    /// The most that a task of it takes.
-    fn largest_need(&self) -> ResourceVector {
-        let needs = self.plan.steps.iter().map(|step| step.resources);
-        needs.fold(self.closed_resources, ResourceVector::max_each)
+    /// Returns the maximum of the resources of its tasks, component by component.
+    fn max_resources(&self) -> ResourceVector {
+        let resources = self.plan.steps.iter().map(|step| step.resources);
+        resources.fold(self.closed_resources, ResourceVector::max_each)
     }
 
-    /// What is kept of it once it has ended.
+    /// Returns the record that is kept of an ended job.
     pub(super) fn end_record(&self, phase: JobPhase) -> JobEnd {
-        let need = self.largest_need();
+        let resources = self.max_resources();
         JobEnd {
             job: self.id.to_string(),
             phase: phase.into(),
             finished: self.finished,
             workspace: self.workspace.to_string(),
-            cpu: need.cpu,
-            memory_mb: need.memory_mb,
-            gpu: need.gpu,
+            cpu: resources.cpu,
+            memory_mb: resources.memory_mb,
+            gpu: resources.gpu,
             unsubmitted: self.phase == WorkPhase::Unsubmitted,
         }
     }
 
-    /// The record that it was accepted by.
+    /// Returns the record of its acceptance.
     pub(super) fn record(&self) -> JobRecord {
         JobRecord {
             job: self.id.to_string(),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Adds what has ended of an open job.
+    /// Adds the ended occurrences and tasks of an open job to `events`.
     pub(super) fn push_ends(&self, events: &mut Vec<Event>) {
         let ended = (0..self.opened).filter(|number| !self.occurrences.contains_key(number));
         events.extend(ended.map(|occurrence| {
--- a/crates/decide/src/work/job_index.rs
+++ b/crates/decide/src/work/job_index.rs
@@ -12,36 +12,38 @@
     ranked_steps::RankedSteps,
 };
 
-/// Jobs by what decisions ask for, so that none walks over all of them.
+/// Index of jobs by what scheduling decisions look up, so that no decision iterates over all jobs.
 ///
-/// It says nothing that the books of jobs don't: it can be made anew from them at any time.
+/// It holds no information of its own and can be rebuilt from the job table at any time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct JobIndex {
     summaries: HashMap<JobId, JobSummary>,
-    /// What waits in each pool.
+    /// Waiting steps of each pool.
     pools: BTreeMap<PoolId, BTreeMap<WaitingGroup, RankedSteps>>,
-    /// Open jobs of each queue that have not begun.
+    /// Number of open jobs without a started task, for each queue.
     pending: BTreeMap<CompactString, u64>,
     demands: BTreeMap<PoolId, CoreDemand>,
-    /// What is to be started in each pool: of predecessors' jobs, and of others.
+    /// Backlog of each pool, separately for jobs of predecessors (`true`) and for others.
     backlogs: BTreeMap<(PoolId, bool), PoolBacklog>,
-    /// What tasks of predecessors' jobs that are not known to run would take, for each pool.
+    /// Resources of tasks that predecessors may have started and that are not known to run, for
+    /// each pool and workspace.
     unconfirmed_usage: BTreeMap<PoolId, BTreeMap<WorkspaceId, ResourceVector>>,
-    /// How many open jobs of each pool need so many hosts for tasks that may not share one.
+    /// For each pool, the number of open jobs by the number of hosts that they need for
+    /// anti-affinity.
     anti_affinity_hosts: BTreeMap<PoolId, BTreeMap<usize, usize>>,
-    /// When the rank of a job's steps changes.
+    /// Times at which the rank of a job's steps changes.
     reranks: BTreeSet<(BootTime, JobId)>,
     /// Open jobs with occurrences that are not due yet.
     pub(super) repeating: BTreeSet<JobId>,
-    /// Open jobs with steps that start whole.
+    /// Open jobs with gang steps.
     pub(super) gangs: BTreeSet<JobId>,
-    /// Jobs that have ended and hold nothing, by the time of their end.
+    /// Jobs that have ended and have no unstored log entries, by the time of their end.
     ended: BTreeSet<(BootTime, JobId)>,
 }
 
 impl JobIndex {
-    /// Takes in what became of a job; the pool in which something may be started by that is added to
-    /// `due`.
+    /// Updates the summary of a job. If a task may be able to start because of the change, adds the
+    /// job's pool to `due`.
     pub(super) fn update(
         &mut self,
         id: &JobId,
@@ -66,7 +68,7 @@
         self.summaries.insert(id.clone(), new);
     }
 
-    /// Jobs whose rank has changed by time.
+    /// Removes and returns the jobs whose rank has changed over time.
     pub(super) fn take_due_reranks(&mut self, now: BootTime) -> Vec<JobId> {
         let mut due = Vec::new();
         while let Some((until, _)) = self.reranks.first()
@@ -77,12 +79,12 @@
         due
     }
 
-    /// Pools in which something waits.
+    /// Returns the pools with waiting steps.
     pub(super) fn pools(&self) -> impl Iterator<Item = &PoolId> {
         self.pools.keys()
     }
 
-    /// What waits in a pool.
+    /// Returns the waiting steps of a pool.
     pub(super) fn waiting_groups(
         &self,
         pool: &str,
@@ -90,41 +92,43 @@
         self.pools.get(pool).into_iter().flatten()
     }
 
-    /// Open jobs of a queue that have not begun.
+    /// Returns the number of open jobs of a queue without a started task.
     pub(super) fn pending(&self, queue: &str) -> u64 {
         self.pending.get(queue).copied().unwrap_or_default()
     }
 
-    /// What open jobs of a pool need.
+    /// Returns the processor demand of the open jobs of a pool.
     pub(super) fn demand(&self, pool: &str) -> CoreDemand {
         self.demands.get(pool).copied().unwrap_or_default()
     }
 
-    /// What is to be started in a pool; `inherited` adds what predecessors have accepted.
+    /// Returns the backlog of a pool; `inherited` includes the jobs that predecessors have
+    /// accepted.
     pub(super) fn backlog(&self, pool: &PoolId, inherited: bool) -> PoolBacklog {
         let of = |inherited| {
             let backlog = self.backlogs.get(&(pool.clone(), inherited));
             backlog.copied().unwrap_or_default()
         };
-        let (own, before): (PoolBacklog, PoolBacklog) = (of(false), of(true));
+        let (own, predecessors): (PoolBacklog, PoolBacklog) = (of(false), of(true));
         match inherited {
-            true => own.plus(before),
+            true => own.plus(predecessors),
             false => own,
         }
     }
 
-    /// Pools in which something is to be started; one may come twice.
+    /// Returns the pools with a backlog; a pool may occur twice.
     pub(super) fn backlogged_pools(&self) -> impl Iterator<Item = &PoolId> {
         self.backlogs.keys().map(|(pool, _)| pool)
     }
 
-    /// What is to be started in all pools.
+    /// Returns the backlog of all pools.
     pub(super) fn total_backlog(&self) -> PoolBacklog {
         let backlogs = self.backlogs.values().copied();
         backlogs.fold(PoolBacklog::default(), PoolBacklog::plus)
     }
 
-    /// What workspaces may have running on targets of some pools that have not been reached.
+    /// Returns the resources that workspaces may be using on targets of `pools` that have not been
+    /// reached.
     pub(super) fn unconfirmed_usage(
         &self,
         pools: &BTreeSet<PoolId>,
@@ -140,7 +144,7 @@
         usage
     }
 
-    /// Hosts that an open job of a pool needs for tasks that may not share one; 0 if none does.
+    /// Returns the number of hosts that the open jobs of a pool need for anti-affinity; 0 for none.
     pub(super) fn anti_affinity_hosts(&self, pool: &str) -> usize {
         let hosts = self
             .anti_affinity_hosts
@@ -149,65 +153,65 @@
         hosts.map_or(0, |(hosts, _)| *hosts)
     }
 
-    /// Jobs that ended before a time and hold nothing.
+    /// Returns the jobs that ended before a time and have no unstored log entries.
     pub(super) fn ended_before(&self, before: BootTime) -> Vec<JobId> {
         let ended = self.ended.range(..(before, JobId::default()));
         ended.map(|(_, id)| id.clone()).collect()
     }
 
-    fn add(&mut self, id: &JobId, facts: &JobSummary) {
-        if !facts.waiting_steps.is_empty() {
-            let pool = self.pools.entry(facts.pool.clone()).or_default();
-            let steps = pool.entry(facts.group.clone()).or_default();
-            for step in &facts.waiting_steps {
+    fn add(&mut self, id: &JobId, summary: &JobSummary) {
+        if !summary.waiting_steps.is_empty() {
+            let pool = self.pools.entry(summary.pool.clone()).or_default();
+            let steps = pool.entry(summary.group.clone()).or_default();
+            for step in &summary.waiting_steps {
                 steps.insert(step.clone());
             }
         }
-        if let Some(queue) = &facts.pending_queue {
+        if let Some(queue) = &summary.pending_queue {
             *self.pending.entry(queue.clone()).or_default() += 1;
         }
-        if facts.demand != CoreDemand::default() {
-            let need = self.demands.entry(facts.pool.clone()).or_default();
-            need.present += facts.demand.present;
-            need.long_running += facts.demand.long_running;
+        if summary.demand != CoreDemand::default() {
+            let need = self.demands.entry(summary.pool.clone()).or_default();
+            need.present += summary.demand.present;
+            need.long_running += summary.demand.long_running;
         }
-        if facts.backlog != PoolBacklog::default() {
-            let key = (facts.pool.clone(), facts.group.inherited);
+        if summary.backlog != PoolBacklog::default() {
+            let key = (summary.pool.clone(), summary.group.inherited);
             let backlog = self.backlogs.entry(key).or_default();
-            *backlog = backlog.plus(facts.backlog);
+            *backlog = backlog.plus(summary.backlog);
         }
-        if facts.unconfirmed_usage != ResourceVector::default() {
+        if summary.unconfirmed_usage != ResourceVector::default() {
             let pool = self
                 .unconfirmed_usage
-                .entry(facts.pool.clone())
+                .entry(summary.pool.clone())
                 .or_default();
-            let doubt = pool.entry(facts.group.workspace.clone()).or_default();
-            *doubt = doubt.plus(facts.unconfirmed_usage);
+            let doubt = pool.entry(summary.group.workspace.clone()).or_default();
+            *doubt = doubt.plus(summary.unconfirmed_usage);
         }
-        if facts.anti_affinity_hosts > 0 {
+        if summary.anti_affinity_hosts > 0 {
             let apart = self
                 .anti_affinity_hosts
-                .entry(facts.pool.clone())
+                .entry(summary.pool.clone())
                 .or_default();
-            *apart.entry(facts.anti_affinity_hosts).or_default() += 1;
+            *apart.entry(summary.anti_affinity_hosts).or_default() += 1;
         }
-        if let Some(until) = facts.rerank_at {
+        if let Some(until) = summary.rerank_at {
             self.reranks.insert((until, id.clone()));
         }
-        if facts.has_future_occurrences {
+        if summary.has_future_occurrences {
             self.repeating.insert(id.clone());
         }
-        if facts.has_gang {
+        if summary.has_gang {
             self.gangs.insert(id.clone());
         }
-        if let Some(ended) = facts.ended_at {
+        if let Some(ended) = summary.ended_at {
             self.ended.insert((ended, id.clone()));
         }
     }
 
-    fn remove(&mut self, id: &JobId, facts: &JobSummary) {
-        self.remove_steps(facts);
-        if let Some(queue) = &facts.pending_queue
+    fn remove(&mut self, id: &JobId, summary: &JobSummary) {
+        self.remove_steps(summary);
+        if let Some(queue) = &summary.pending_queue
             && let Some(pending) = self.pending.get_mut(queue)
         {
             *pending -= 1;
@@ -215,91 +219,91 @@
                 self.pending.remove(queue);
             }
         }
-        if let Some(need) = self.demands.get_mut(&facts.pool) {
-            need.present -= facts.demand.present;
-            need.long_running -= facts.demand.long_running;
+        if let Some(need) = self.demands.get_mut(&summary.pool) {
+            need.present -= summary.demand.present;
+            need.long_running -= summary.demand.long_running;
             if *need == CoreDemand::default() {
-                self.demands.remove(&facts.pool);
+                self.demands.remove(&summary.pool);
             }
         }
-        if facts.backlog != PoolBacklog::default() {
-            self.remove_backlog(facts);
+        if summary.backlog != PoolBacklog::default() {
+            self.remove_backlog(summary);
         }
-        if facts.unconfirmed_usage != ResourceVector::default() {
-            self.remove_unconfirmed_usage(facts);
+        if summary.unconfirmed_usage != ResourceVector::default() {
+            self.remove_unconfirmed_usage(summary);
         }
-        if facts.anti_affinity_hosts > 0 {
-            self.remove_anti_affinity_hosts(facts);
+        if summary.anti_affinity_hosts > 0 {
+            self.remove_anti_affinity_hosts(summary);
         }
-        if let Some(until) = facts.rerank_at {
+        if let Some(until) = summary.rerank_at {
             self.reranks.remove(&(until, id.clone()));
         }
-        if facts.has_future_occurrences {
+        if summary.has_future_occurrences {
             self.repeating.remove(id);
         }
-        if facts.has_gang {
+        if summary.has_gang {
             self.gangs.remove(id);
         }
-        if let Some(ended) = facts.ended_at {
+        if let Some(ended) = summary.ended_at {
             self.ended.remove(&(ended, id.clone()));
         }
     }
 
-    fn remove_steps(&mut self, facts: &JobSummary) {
-        let Some(pool) = self.pools.get_mut(&facts.pool) else {
+    fn remove_steps(&mut self, summary: &JobSummary) {
+        let Some(pool) = self.pools.get_mut(&summary.pool) else {
             return;
         };
-        if let Some(steps) = pool.get_mut(&facts.group) {
-            for step in &facts.waiting_steps {
+        if let Some(steps) = pool.get_mut(&summary.group) {
+            for step in &summary.waiting_steps {
                 steps.remove(&step.key());
             }
             if steps.is_empty() {
-                pool.remove(&facts.group);
+                pool.remove(&summary.group);
             }
         }
         if pool.is_empty() {
-            self.pools.remove(&facts.pool);
+            self.pools.remove(&summary.pool);
         }
     }
 
-    fn remove_unconfirmed_usage(&mut self, facts: &JobSummary) {
-        let Some(pool) = self.unconfirmed_usage.get_mut(&facts.pool) else {
+    fn remove_unconfirmed_usage(&mut self, summary: &JobSummary) {
+        let Some(pool) = self.unconfirmed_usage.get_mut(&summary.pool) else {
             return;
         };
-        if let Some(doubt) = pool.get_mut(&facts.group.workspace) {
-            *doubt = doubt.minus(facts.unconfirmed_usage);
+        if let Some(doubt) = pool.get_mut(&summary.group.workspace) {
+            *doubt = doubt.minus(summary.unconfirmed_usage);
             if *doubt == ResourceVector::default() {
-                pool.remove(&facts.group.workspace);
+                pool.remove(&summary.group.workspace);
             }
         }
         if pool.is_empty() {
-            self.unconfirmed_usage.remove(&facts.pool);
+            self.unconfirmed_usage.remove(&summary.pool);
         }
     }
 
-    fn remove_backlog(&mut self, facts: &JobSummary) {
-        let key = (facts.pool.clone(), facts.group.inherited);
+    fn remove_backlog(&mut self, summary: &JobSummary) {
+        let key = (summary.pool.clone(), summary.group.inherited);
         let Some(backlog) = self.backlogs.get_mut(&key) else {
             return;
         };
-        *backlog = backlog.minus(facts.backlog);
+        *backlog = backlog.minus(summary.backlog);
         if *backlog == PoolBacklog::default() {
             self.backlogs.remove(&key);
         }
     }
 
-    fn remove_anti_affinity_hosts(&mut self, facts: &JobSummary) {
-        let Some(apart) = self.anti_affinity_hosts.get_mut(&facts.pool) else {
+    fn remove_anti_affinity_hosts(&mut self, summary: &JobSummary) {
+        let Some(apart) = self.anti_affinity_hosts.get_mut(&summary.pool) else {
             return;
         };
-        if let Some(jobs) = apart.get_mut(&facts.anti_affinity_hosts) {
+        if let Some(jobs) = apart.get_mut(&summary.anti_affinity_hosts) {
             *jobs -= 1;
             if *jobs == 0 {
-                apart.remove(&facts.anti_affinity_hosts);
+                apart.remove(&summary.anti_affinity_hosts);
             }
         }
         if apart.is_empty() {
-            self.anti_affinity_hosts.remove(&facts.pool);
+            self.anti_affinity_hosts.remove(&summary.pool);
         }
     }
 }
--- a/crates/decide/src/work/job_record.rs
+++ b/crates/decide/src/work/job_record.rs
@@ -3,7 +3,7 @@
 use model::work::{JobPlan, RepeatPlan, ResourceVector, StepPlan};
 use wire::work::{JobRecord, StepRecord};
 
-/// What the log keeps of a plan; ids and times are the caller's to fill in.
+/// Converts a plan to its log record. The caller fills in ids and times.
 pub fn record_of_plan(plan: &JobPlan) -> JobRecord {
     let repeat = plan.repeat.unwrap_or_default();
     JobRecord {
@@ -16,7 +16,7 @@
     }
 }
 
-/// The plan that a record of the log holds.
+/// Converts a log record to its plan.
 pub fn plan_of_record(record: &JobRecord) -> JobPlan {
     let repeat = RepeatPlan {
         count: record.repeat_count,
--- a/crates/decide/src/work/job_summary.rs
+++ b/crates/decide/src/work/job_summary.rs
@@ -11,33 +11,34 @@
     step_key::StepKey,
 };
 
-/// Steps that are started or passed over together.
+/// Key of a group of steps that are started or skipped together.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct WaitingGroup {
-    /// Whose limit counts.
+    /// Workspace whose limit applies.
     pub(super) workspace: WorkspaceId,
-    /// Whether a predecessor may have started tasks of them.
+    /// Whether a predecessor may have started tasks of these steps.
     pub(super) inherited: bool,
 }
 
-/// What open jobs of a pool need, in thousandths of a core.
+/// Processor demand of the open jobs of a pool, in thousandths of a core.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct CoreDemand {
-    /// For what runs or could start now.
+    /// Demand of tasks that run or could start now.
     pub(super) present: u64,
-    /// For tasks that last.
+    /// Demand of long-running tasks.
     pub(super) long_running: u64,
 }
 
-/// Tasks of open jobs of a pool that have not been started, also those of steps that wait for others.
-/// Tasks that last are not counted.
+/// Number of unstarted tasks of the open jobs of a pool, including tasks of steps that wait for
+/// other steps. Long-running tasks are not counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct PoolBacklog {
-    /// Those within the share of their workspace that can still be in time, or late and count.
+    /// Tasks within the share of their workspace that can be on time, or that will be late but
+    /// still count.
     pub(super) not_overdue: u64,
-    /// Those within the share that are too late to count.
+    /// Tasks within the share that are too late to count.
     pub(super) overdue: u64,
-    /// Those beyond the share.
+    /// Tasks beyond the share.
     pub(super) beyond_share: u64,
 }
 
@@ -58,25 +59,25 @@
         }
     }
 
-    /// Those within the share of their workspace.
+    /// Returns the number of tasks within the share of their workspace.
     pub(super) fn within_share(&self) -> u64 {
         self.not_overdue + self.overdue
     }
 
-    /// All of them.
+    /// Returns the total number of tasks.
     pub(super) fn all(&self) -> u64 {
         self.within_share() + self.beyond_share
     }
 }
 
-/// What the index knows of a job.
+/// Summary of a job for the index.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct JobSummary {
     pub(super) pool: PoolId,
     pub(super) group: WaitingGroup,
     pub(super) waiting_steps: Vec<WaitingStep>,
     pub(super) rerank_at: Option<BootTime>,
-    /// Its queue, if it is open and has not begun.
+    /// Queue of the job, if the job is open and no task has started.
     pub(super) pending_queue: Option<CompactString>,
     pub(super) demand: CoreDemand,
     pub(super) backlog: PoolBacklog,
@@ -89,30 +90,30 @@
 
 impl JobSummary {
     pub(super) fn of_job(job: &WorkJob, terms: &FleetPolicy, now: BootTime) -> Self {
-        let mut facts = Self {
+        let mut summary = Self {
             pool: job.pool.clone(),
             ..Self::default()
         };
-        facts.group = WaitingGroup {
+        summary.group = WaitingGroup {
             workspace: job.workspace.clone(),
             inherited: job.inherited,
         };
-        // Tasks of a job that was cancelled or failed run on until they can be stopped there.
+        // Tasks of a cancelled or failed job may run on until they are stopped on their targets.
         if job.inherited && job.phase != WorkPhase::Completed {
-            facts.unconfirmed_usage = unconfirmed_usage(job);
+            summary.unconfirmed_usage = unconfirmed_usage(job);
         }
         if !job.is_open() {
-            facts.ended_at = (job.unstored_entries == 0).then_some(job.ended);
-            return facts;
+            summary.ended_at = (job.unstored_entries == 0).then_some(job.ended);
+            return summary;
         }
-        facts.pending_queue = (!job.started).then(|| job.queue.clone());
-        facts.has_future_occurrences = job.opened < job.plan.occurrences();
-        facts.has_gang = job.plan.steps.iter().any(|step| step.gang);
-        let apart = job.plan.steps.iter().filter(|step| step.anti_affinity > 0);
-        let hosts = apart.map(|step| step.count.div_ceil(step.anti_affinity));
-        facts.anti_affinity_hosts = hosts.max().unwrap_or_default() as usize;
-        facts.add_steps(job, terms, now);
-        facts
+        summary.pending_queue = (!job.started).then(|| job.queue.clone());
+        summary.has_future_occurrences = job.opened < job.plan.occurrences();
+        summary.has_gang = job.plan.steps.iter().any(|step| step.gang);
+        let with_anti_affinity = job.plan.steps.iter().filter(|step| step.anti_affinity > 0);
+        let hosts = with_anti_affinity.map(|step| step.count.div_ceil(step.anti_affinity));
+        summary.anti_affinity_hosts = hosts.max().unwrap_or_default() as usize;
+        summary.add_steps(job, terms, now);
+        summary
     }
 
     fn add_steps(&mut self, job: &WorkJob, terms: &FleetPolicy, now: BootTime) {
@@ -136,24 +137,25 @@
                     continue;
                 }
                 let plan = &job.plan.steps[step];
-                let left = u64::from(plan.count.saturating_sub(state.done));
-                let cpu = plan.footprint().cpu * left;
+                let remaining = u64::from(plan.count.saturating_sub(state.done));
+                let cpu = plan.footprint().cpu * remaining;
                 if plan.long_running {
                     self.demand.long_running += cpu;
                 } else {
                     self.demand.present += cpu;
                 }
-                let busy = (state.done + state.placed) as usize >= state.tasks.len();
-                if busy || job.phase == WorkPhase::CancelPending {
+                let all_placed = (state.done + state.placed) as usize >= state.tasks.len();
+                if all_placed || job.phase == WorkPhase::CancelPending {
                     continue;
                 }
                 let (rank, until) =
                     *ranked.get_or_insert_with(|| rank(job, occurrence, queue, now));
                 self.rerank_at = until.into_iter().chain(self.rerank_at).min();
-                // Tasks that last may take a target that is being emptied or pauses, and advice is
-                // asked for early: they are looked at whatever room there is.
-                let needs_room = !plan.long_running && !advised;
-                let (resources, charged) = match needs_room {
+                // Long-running tasks may be placed on a target that is draining or paused, and
+                // advice is requested early. So these steps are considered regardless of free
+                // resources.
+                let needs_resources = !plan.long_running && !advised;
+                let (resources, charged) = match needs_resources {
                     true => (plan.footprint(), plan.resources),
                     false => Default::default(),
                 };
@@ -171,32 +173,34 @@
         }
     }
 
-    /// True if something may be started by what has changed since `before`.
+    /// Returns true if a task may be able to start because of the changes since `before`.
     pub(super) fn has_new_work(&self, before: &Self) -> bool {
-        let new = |step: &WaitingStep| !before.waiting_steps.contains(step);
-        self.waiting_steps.iter().any(new)
+        let is_new = |step: &WaitingStep| !before.waiting_steps.contains(step);
+        self.waiting_steps.iter().any(is_new)
             || before.pool != self.pool
             || before.group.inherited != self.group.inherited
     }
 }
 
-/// Tasks of an occurrence that have not been started, but for those that last.
+/// Returns the number of unstarted tasks of an occurrence, without long-running ones.
 fn unstarted(job: &WorkJob, occurrence: &OccurrenceState) -> u64 {
     let steps = occurrence.steps.iter().zip(&job.plan.steps);
     let steps = steps.filter(|(_, plan)| !plan.long_running);
-    let left = |state: &StepState| {
-        let taken = u64::from(state.done) + u64::from(state.placed);
-        (state.tasks.len() as u64).saturating_sub(taken)
+    let remaining = |state: &StepState| {
+        let done_or_placed = u64::from(state.done) + u64::from(state.placed);
+        (state.tasks.len() as u64).saturating_sub(done_or_placed)
     };
-    steps.map(|(state, _)| left(state)).sum()
+    steps.map(|(state, _)| remaining(state)).sum()
 }
 
-/// What tasks of a job that are neither done nor known to run would take.
+/// Returns the resources of tasks of a job that are neither done nor known to run, but that a
+/// predecessor may have started.
 fn unconfirmed_usage(job: &WorkJob) -> ResourceVector {
     let steps = job
         .occurrences
         .values()
         .flat_map(|occurrence| occurrence.steps.iter().zip(&job.plan.steps));
-    let rooms = steps.map(|(state, plan)| plan.resources.times(u64::from(state.waiting_tasks())));
-    rooms.fold(ResourceVector::default(), ResourceVector::plus)
+    let resources =
+        steps.map(|(state, plan)| plan.resources.times(u64::from(state.waiting_tasks())));
+    resources.fold(ResourceVector::default(), ResourceVector::plus)
 }
--- a/crates/decide/src/work/job_table.rs
+++ b/crates/decide/src/work/job_table.rs
@@ -18,32 +18,33 @@
     target_state::RunKey,
 };
 
-/// Oldest age that a job read from the log is given; clocks of day may be far apart.
+/// Maximum age that is given to a job on replay, since the wall clocks of two hosts may differ by a
+/// lot.
 const MAX_REPLAYED_AGE: Duration = Duration::from_secs(3600);
 
-/// All jobs that the log tells of.
+/// All jobs of the job log, and what else the log records.
 #[derive(Clone, Debug, Default)]
 pub struct JobTable {
-    /// The jobs.
+    /// The jobs by id.
     pub jobs: TrackedMap<WorkJob>,
-    /// Jobs that have something left to do.
+    /// Jobs with tasks or occurrences that are not done.
     pub open: BTreeSet<JobId>,
-    /// Targets on which tasks may run.
+    /// Targets that may have running tasks.
     pub used_targets: BTreeMap<String, TargetUse>,
-    /// Targets of these that were not heard, with what may run there.
+    /// Targets of these that are recorded as unreachable, with the tasks that may run there.
     pub unreachable: BTreeMap<String, TargetMiss>,
-    /// Hosts of waves whose maintenance began.
+    /// Hosts whose maintenance for a wave has begun.
     pub maintained_hosts: BTreeSet<(u64, String)>,
-    /// When hosts were ordered last, since the Unix epoch.
+    /// Time of the last order to each host, since the Unix epoch.
     pub last_host_orders: BTreeMap<String, Duration>,
-    /// Whether the last owner gave the cell up by itself and ordered no host after that.
+    /// Whether the last owner handed the cell over voluntarily and has ordered no host since.
     pub handed_over: bool,
 }
 
 impl JobTable {
-    /// Takes an entry of the log in, on reading it back or once it is stored.
+    /// Applies an entry of the log, on replay or once it is stored.
     ///
-    /// `unix` and `boot` are the present times.
+    /// `unix` and `boot` are the current times.
     pub fn apply(&mut self, entry: &LogEntry, unix: Duration, boot: BootTime) {
         match &entry.event {
             Some(Event::Accepted(record)) => self.accept(record, unix, boot),
@@ -74,12 +75,12 @@
             Some(Event::HandedOver(_)) => self.handed_over = true,
             Some(Event::Closed(end)) => self.apply_job_end(end, boot),
             Some(Event::StepEnds(ends)) => self.apply_step_ends(ends, boot),
-            // An entry of a newer version.
+            // An entry of a newer version of the log format.
             None => {}
         }
     }
 
-    /// Takes a new job in; the same id again changes nothing.
+    /// Adds an accepted job; does nothing if the id is known.
     pub fn accept(&mut self, record: &JobRecord, unix: Duration, boot: BootTime) {
         let id = JobId::from(record.job.as_str());
         if self.jobs.contains_key(&id) {
@@ -101,7 +102,7 @@
         self.jobs.insert(id, job);
     }
 
-    /// Marks a task done, with all of its gang; false if it was done before.
+    /// Marks a task as done, with all tasks of its gang; returns false if it was done before.
     pub fn mark_done(&mut self, key: &TaskKey, boot: BootTime) -> bool {
         let Some(job) = self.jobs.get_mut(&key.job) else {
             return false;
@@ -136,26 +137,26 @@
         true
     }
 
-    /// The step of an open occurrence that a task belongs to.
+    /// Returns the step that a task belongs to, if its occurrence is open.
     pub fn step_mut(&mut self, key: &TaskKey) -> Option<&mut StepState> {
         let job = self.jobs.get_mut(&key.job)?;
         let occurrence = job.occurrences.get_mut(&key.occurrence)?;
         occurrence.steps.get_mut(key.step as usize)
     }
 
-    /// Where the task of a run is; `None` if no task is taken to be that run.
+    /// Returns the placement of the task of a run; `None` if the task is not placed as that run.
     pub(super) fn placement_of(&self, id: &HostId, run: &RunKey) -> Option<&TaskPlacement> {
         let (key, attempt) = run;
         let job = self.jobs.get(&key.job)?;
         let task = job.task(key.occurrence, key.step, key.index)?;
-        let there = |place: &&TaskPlacement| place.target == *id && place.attempt == *attempt;
-        task.placement.as_ref().filter(there)
+        let is_this_run = |place: &&TaskPlacement| place.target == *id && place.attempt == *attempt;
+        task.placement.as_ref().filter(is_this_run)
     }
 
     /// Cancels a job, unless it has ended.
     ///
-    /// A job that is not known is kept as cancelled: its submission may have been overtaken, and
-    /// accepted later it would run though its caller was told that it does not.
+    /// An unknown job is stored as cancelled: its submission may arrive after its cancellation. If
+    /// it were accepted then, it would run although its caller was told that it does not.
     pub fn cancel(&mut self, id: &str, boot: BootTime) {
         if self.jobs.contains_key(id) {
             self.end_job(id, WorkPhase::Cancelled, boot);
@@ -170,7 +171,7 @@
         self.jobs.insert(job.id.clone(), job);
     }
 
-    /// Ends a job, unless it has ended.
+    /// Ends a job with `phase`, unless it has ended.
     pub fn end_job(&mut self, id: &str, phase: WorkPhase, boot: BootTime) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -183,28 +184,28 @@
         self.open.remove(id);
     }
 
-    /// Entries that, replayed, make a board that says the same; for a shorter log.
+    /// Returns log entries that replay to an equivalent table, for compacting the log.
     ///
-    /// Of jobs that have ended only the outcome is kept. Replayed after some or all of the
-    /// entries that they replace they change nothing.
+    /// Of ended jobs only the outcome is kept. Replaying these entries after some or all of the
+    /// entries that they replace changes nothing.
     pub fn compacted_entries(&self) -> Vec<LogEntry> {
         let mut events: Vec<Event> = Vec::new();
         events.extend(self.used_targets.values().cloned().map(Event::Used));
         events.extend(self.unreachable.values().cloned().map(Event::Missed));
-        let begun = |(wave, host): &(u64, String)| {
+        let wave_entry = |(wave, host): &(u64, String)| {
             Event::Wave(WaveProgress {
                 wave: *wave,
                 host: host.clone(),
             })
         };
-        events.extend(self.maintained_hosts.iter().map(begun));
-        let ordered = |(host, at): (&String, &Duration)| {
+        events.extend(self.maintained_hosts.iter().map(wave_entry));
+        let order_entry = |(host, at): (&String, &Duration)| {
             Event::Ordered(HostOrdered {
                 host: host.clone(),
                 unix_ms: u64::try_from(at.as_millis()).unwrap_or(u64::MAX),
             })
         };
-        events.extend(self.last_host_orders.iter().map(ordered));
+        events.extend(self.last_host_orders.iter().map(order_entry));
         for job in self.jobs.values() {
             match job.closed_phase() {
                 Some(phase) => events.push(Event::Closed(job.end_record(phase))),
@@ -218,13 +219,13 @@
         events.into_iter().map(entry).collect()
     }
 
-    /// How many jobs their callers have cancelled.
+    /// Returns the number of jobs that were cancelled by their callers.
     pub fn cancelled_count(&self) -> usize {
         let jobs = self.jobs.values();
         jobs.filter(|job| job.is_cancelled()).count()
     }
 
-    /// Counts entries of a job anew that are not stored.
+    /// Updates the number of log entries of a job that are not stored yet.
     pub(super) fn update_unstored_entries(&mut self, id: &str, count: impl FnOnce(u32) -> u32) {
         let Some(job) = self.jobs.get_mut_untracked(id) else {
             return;
@@ -235,13 +236,13 @@
         }
     }
 
-    /// A task, of which nothing is to be changed but what is known of its run.
+    /// Returns a task for changes that affect no index, such as the state of its run.
     pub(super) fn task_mut_unindexed(&mut self, key: &TaskKey) -> Option<&mut TaskState> {
         let job = self.jobs.get_mut_untracked(&key.job)?;
         job.task_mut(key.occurrence, key.step, key.index)
     }
 
-    /// Notes that a task of a job has started.
+    /// Records that a task of the job has started.
     pub(super) fn mark_started(&mut self, id: &str) {
         if self.jobs.get(id).is_some_and(|job| !job.started)
             && let Some(job) = self.jobs.get_mut(id)
@@ -250,7 +251,7 @@
         }
     }
 
-    /// Opens the occurrences up to one that a target tells of.
+    /// Opens all occurrences up to one that a target reports.
     pub(super) fn open_occurrences_until(&mut self, id: &str, occurrence: u32, boot: BootTime) {
         if self
             .jobs
@@ -262,13 +263,13 @@
         }
     }
 
-    /// Takes in that a job has ended of which the log may tell nothing else any more.
+    /// Applies the end of a job, which may be the only remaining entry of the job.
     fn apply_job_end(&mut self, end: &JobEnd, boot: BootTime) {
         let id = JobId::from(end.job.as_str());
-        // Of a replaced log the pages that told of its acceptance may be gone and the one that told
-        // of its cancellation still be there.
-        let unsubmitted = |job: &WorkJob| job.phase == WorkPhase::Unsubmitted;
-        if self.jobs.get(&id).is_some_and(unsubmitted) {
+        // While a compacted log replaces the old pages, the page with the job's acceptance may be
+        // removed while the page with its cancellation still exists.
+        let is_unsubmitted = |job: &WorkJob| job.phase == WorkPhase::Unsubmitted;
+        if self.jobs.get(&id).is_some_and(is_unsubmitted) {
             self.jobs.remove(&id);
         }
         let phase = match end.phase() {
@@ -316,7 +317,7 @@
             step: end.step,
             index: end.index,
         };
-        // Ends are only ever recorded of occurrences that were open.
+        // Ends are only recorded for open occurrences.
         if let Some(job) = self.jobs.get_mut(&key.job) {
             job.open_occurrences_until(key.occurrence, boot);
         }
--- a/crates/decide/src/work/objective.rs
+++ b/crates/decide/src/work/objective.rs
@@ -7,59 +7,61 @@
 
 use super::{OccurrenceState, WorkJob};
 
-/// How much later than its objective a job still counts, as a multiple of the objective.
+/// A job that misses its objective still counts until this multiple of the objective.
 const LATE_FACTOR: u32 = 3;
 
-/// In which order waiting tasks get room.
+/// Order in which waiting tasks get resources.
 ///
-/// Work that can still be in time goes before work that can't: when a pool is full, serving
-/// the late first would make everything late.
+/// Work that can still be on time goes before work that can't: if late work went first in a full
+/// pool, all work would be late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StartRank {
-    /// Tasks that last go first: each second without them is a second without service.
+    /// Urgency class. Long-running tasks go first, since each second without them is a second
+    /// without service.
     pub class: RankClass,
     /// Priority of the queue; smaller goes first.
     pub priority: u32,
-    /// Jobs of which no task has started come after those that are under way: in a full pool
-    /// many half-done jobs would all be late, where finishing some serves these in time.
+    /// Whether no task of the job has started. Such jobs come after those in progress: in a full
+    /// pool many half-done jobs would all be late, whereas finishing some of them makes these on
+    /// time.
     pub not_started: bool,
-    /// When it must have started; for what is too late to count, when it was handed in.
+    /// Latest start to be on time; for work that is too late to count, the time of its submission.
     pub latest_start: BootTime,
 }
 
-/// Groups of waiting tasks, the most urgent first.
+/// Classes of waiting tasks, most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RankClass {
     /// Runs until it is cancelled.
     Lasting,
-    /// Can still be in time.
+    /// Can still be on time.
     InTime,
-    /// Will be late and still counts.
+    /// Will be late but still counts.
     Late,
-    /// Was handed in beyond its workspace's share.
+    /// Was submitted beyond its workspace's share.
     BeyondShare,
-    /// Too late to count; it is still owed its end.
+    /// Too late to count, but must still be completed.
     Overdue,
 }
 
-/// Time in which a job is to be completed.
+/// Returns the time within which a job should be completed.
 fn objective(plan: &JobPlan, queue: Option<&QueuePolicy>) -> Duration {
-    let (factor, extra) = queue.map_or((1.0, Duration::ZERO), |queue| {
+    let (factor, slack) = queue.map_or((1.0, Duration::ZERO), |queue| {
         (queue.slack_factor, queue.slack_time)
     });
-    plan.critical_path().mul_f64(factor.clamp(0.0, 1000.0)) + extra
+    plan.critical_path().mul_f64(factor.clamp(0.0, 1000.0)) + slack
 }
 
-/// How long a job that is handed in now may wait for its first start and still count; `None` if its
-/// queue has no objective.
+/// Returns how long a job that is submitted now may wait for its first start and still count;
+/// `None` if its queue has no objective.
 pub(super) fn longest_wait(plan: &JobPlan, queue: Option<&QueuePolicy>) -> Option<Duration> {
     let objective = objective(plan, queue);
-    let latest = objective.saturating_mul(LATE_FACTOR);
-    (!objective.is_zero()).then(|| latest.saturating_sub(plan.critical_path()))
+    let latest_end = objective.saturating_mul(LATE_FACTOR);
+    (!objective.is_zero()).then(|| latest_end.saturating_sub(plan.critical_path()))
 }
 
-/// Ranks a job of which one occurrence waits, and tells until when the rank holds; `None` if it
-/// does not change with time.
+/// Returns the rank of an occurrence of a job, and the time until which the rank is valid; `None`
+/// if it does not change over time.
 pub(super) fn rank(
     job: &WorkJob,
     occurrence: &OccurrenceState,
@@ -77,23 +79,23 @@
         return (rank, None);
     }
     let objective = objective(&job.plan, queue);
-    let begin = if job.plan.repeat.is_some() {
+    let base = if job.plan.repeat.is_some() {
         occurrence.due
     } else {
         job.arrived
     };
-    let left = remaining_critical_path(job, occurrence);
+    let remaining = remaining_critical_path(job, occurrence);
     let latest_start = |end: BootTime| {
-        end.checked_sub(left)
+        end.checked_sub(remaining)
             .filter(|&latest_start| latest_start >= now)
     };
     let (class, latest_start, until) = match (
-        latest_start(begin + objective),
-        latest_start(begin + objective * LATE_FACTOR),
+        latest_start(base + objective),
+        latest_start(base + objective * LATE_FACTOR),
     ) {
         (Some(latest_start), _) => (RankClass::InTime, latest_start, Some(latest_start)),
         (None, Some(latest_start)) => (RankClass::Late, latest_start, Some(latest_start)),
-        (None, None) => (RankClass::Overdue, begin, None),
+        (None, None) => (RankClass::Overdue, base, None),
     };
     let class = match class {
         RankClass::InTime | RankClass::Late if job.beyond_share => RankClass::BeyondShare,
@@ -108,7 +110,7 @@
     (rank, until)
 }
 
-/// Estimated run time of the longest chain through the steps that are not done.
+/// Returns the estimated run time of the critical path through the steps that are not done.
 fn remaining_critical_path(job: &WorkJob, occurrence: &OccurrenceState) -> Duration {
     let mut ends: Vec<Duration> = Vec::with_capacity(job.plan.steps.len());
     for (number, step) in job.plan.steps.iter().enumerate() {
--- a/crates/decide/src/work/pick.rs
+++ b/crates/decide/src/work/pick.rs
@@ -7,60 +7,65 @@
 
 use super::{PlacementPhase, StepState, TargetState, TaskState};
 
-/// How long a task that failed waits for a target on which it has not. Beyond three seconds its
-/// caller would rightly ask why it does not run where there is room.
+/// How long a failed task waits for a target on which it has not failed. A wait of more than three
+/// seconds while there are free resources would be hard to justify to its caller.
 pub(super) const FAILED_TARGET_WAIT: Duration = Duration::from_millis(2400);
 
-/// What decides for a target, best first.
+/// Score of a target by decreasing importance; smaller is better.
 type TargetScore = (bool, bool, bool, u64, u64);
 
-/// The best target for a task among those of its pool; `None` if none will do.
+/// Returns the best target of the pool for a task; `None` if there is none.
 ///
-/// A failure may be the target's fault, and a second one on the same broken target fails a job
-/// that may fail twice. So as long as the pool has a target on which the task has not failed and
-/// that suits it, it waits for such a one, for some time.
+/// A failure may be the target's fault, and a second failure on the same broken target fails a job
+/// with a limit of two attempts. So the task waits for some time for a target on which it has not
+/// failed, if the pool has one that is suitable.
 ///
-/// `with_room` are those that may have room, the one with the least first, and `of_pool` all.
+/// `with_capacity` yields the targets that may have enough free resources, the least free first;
+/// `of_pool` yields all targets of the pool.
 pub fn pick_target<'a>(
     plan: &StepPlan,
     step: &StepState,
     task: &TaskState,
-    with_room: impl Iterator<Item = &'a TargetState>,
+    with_capacity: impl Iterator<Item = &'a TargetState>,
     mut of_pool: impl Iterator<Item = &'a TargetState>,
     now: BootTime,
 ) -> Option<&'a TargetState> {
     let failed = |target: &&TargetState| task.failed_on.contains(&target.entry.target);
-    // Tasks that last are owed a restart at once, and may fail by themselves at any time.
-    let others = !plan.long_running
+    // Long-running tasks must restart at once, and may fail by themselves at any time.
+    let has_other_target = !plan.long_running
         && !task.failed_on.is_empty()
         && now < task.failed_at + FAILED_TARGET_WAIT
         && of_pool
             .any(|target| target.can_run() && !failed(&target) && may_run(plan, step, target, now));
-    let suiting = with_room
+    let suitable = with_capacity
         .filter(|target| target.accepts_tasks(now))
-        .filter(|target| !others || !failed(target))
+        .filter(|target| !has_other_target || !failed(target))
         .filter(|target| has_capacity(plan, step, target, now));
     let mut best: Option<(TargetScore, &TargetState)> = None;
-    for target in suiting {
+    for target in suitable {
         let score = score(plan, step, task, target);
-        if best.as_ref().is_none_or(|(least, _)| score < *least) {
+        if best
+            .as_ref()
+            .is_none_or(|(best_score, _)| score < *best_score)
+        {
             best = Some((score, target));
         }
-        // Of targets that are packed those that follow have more room, and are no better.
-        let (failed, far, apart, ..) = score;
-        if !is_spread(plan) && !failed && !far && !apart {
+        // When packing, the following targets have more free resources and are no better.
+        let (failed, off_affinity, lacks_siblings, ..) = score;
+        if !is_spread(plan) && !failed && !off_affinity && !lacks_siblings {
             break;
         }
     }
     best.map(|(_, target)| target)
 }
 
-/// True if tasks of a step are spread over targets, and not packed.
+/// Returns true if the tasks of a step are spread over targets instead of packed.
 fn is_spread(plan: &StepPlan) -> bool {
     plan.long_running || plan.best_effort
 }
 
-/// The same among targets that are being emptied or pause, too.
+/// Returns the best target for a task like [`pick_target`], but also considers targets that are
+/// draining or paused.
 pub fn pick_including_draining<'a>(
     plan: &StepPlan,
     step: &StepState,
@@ -74,74 +79,79 @@
         .min_by_key(|target| score(plan, step, task, target))
 }
 
-/// True if one of the targets takes a task of the step that has to leave its own. Others are on
-/// their way and take `coming` of the room; those of the same step come first.
+/// Returns true if one of the targets can run a task of the step that has to leave its own target.
+/// Other tasks are being moved already and need `incoming` of the free resources; those of the same
+/// step go first.
 pub fn can_relocate<'a>(
     plan: &StepPlan,
     step: &StepState,
     targets: impl Iterator<Item = &'a TargetState>,
-    coming: ResourceVector,
+    incoming: ResourceVector,
     now: BootTime,
 ) -> bool {
-    let need = plan.footprint().plus(coming);
-    let away = |task: &&TaskState| {
+    let resources = plan.footprint().plus(incoming);
+    let is_away = |task: &&TaskState| {
         let place = task.placement.as_ref();
         place.is_none_or(|place| matches!(place.phase, PlacementPhase::Stopping(_)))
     };
-    let before = match plan.anti_affinity {
+    let moved_first = match plan.anti_affinity {
         0 => 0,
-        _ => step.tasks.iter().filter(away).count(),
+        _ => step.tasks.iter().filter(is_away).count(),
     };
     targets
         .filter(|target| target.accepts_tasks(now))
-        .filter(|target| need.fits_in(target.free()) && may_run(plan, step, target, now))
-        .nth(before)
+        .filter(|target| resources.fits_in(target.free()) && may_run(plan, step, target, now))
+        .nth(moved_first)
         .is_some()
 }
 
-/// True if a target has room for a task of the step, and may run it.
+/// Returns true if a target has enough free resources for a task of the step and may run it.
 fn has_capacity(plan: &StepPlan, step: &StepState, target: &TargetState, now: BootTime) -> bool {
     plan.footprint().fits_in(target.free()) && may_run(plan, step, target, now)
 }
 
-/// True if a target may run a task of the step once it has room.
+/// Returns true if a target may run a task of the step, provided that it has enough free resources.
 fn may_run(plan: &StepPlan, step: &StepState, target: &TargetState, now: BootTime) -> bool {
-    let labelled =
+    let has_label =
         plan.required_label.is_empty() || target.entry.labels.contains(&plan.required_label);
-    let apart =
+    let below_anti_affinity =
         plan.anti_affinity == 0 || step_tasks_on(step, &target.entry.target) < plan.anti_affinity;
-    let allowed = step.tickets.is_empty()
+    let is_advised = step.tickets.is_empty()
         || step
             .tickets
             .get(&target.entry.target)
             .is_some_and(|(_, until)| now < *until);
-    labelled && apart && allowed && plan.footprint().fits_in(target.entry.capacity)
+    has_label
+        && below_anti_affinity
+        && is_advised
+        && plan.footprint().fits_in(target.entry.capacity)
 }
 
-/// Tasks of the step that are, or may be, on a target.
+/// Returns the number of tasks of the step that are or may be on a target.
 fn step_tasks_on(step: &StepState, target: &HostId) -> u32 {
-    let there = |task: &&TaskState| {
+    let is_there = |task: &&TaskState| {
         task.placement
             .as_ref()
             .is_some_and(|place| place.target == *target)
     };
-    u32::try_from(step.tasks.iter().filter(there).count()).unwrap_or(u32::MAX)
+    u32::try_from(step.tasks.iter().filter(is_there).count()).unwrap_or(u32::MAX)
 }
 
 fn score(plan: &StepPlan, step: &StepState, task: &TaskState, target: &TargetState) -> TargetScore {
     let failed = task.failed_on.contains(&target.entry.target);
-    let far = !plan.affinity.is_empty() && plan.affinity != target.entry.rack;
-    let apart = plan.same_rack && on_other_rack(step, target);
+    let off_affinity = !plan.affinity.is_empty() && plan.affinity != target.entry.rack;
+    let lacks_siblings = plan.same_rack && lacks_siblings(step, target);
     let free = target.free().cpu;
-    // Tasks that last are spread, so that one host's end takes few of them; so are tasks that
-    // fill, which need what others leave. All others are packed, so that large ones find room
-    // and other hosts stay empty, to be switched off, lent or maintained at once.
+    // Long-running tasks are spread, so that the loss of one host affects few of them. Best-effort
+    // tasks are spread too, since they need what other tasks leave idle. All other tasks are
+    // packed, so that large tasks fit and other hosts stay empty to be switched off, moved or
+    // maintained at once.
     if is_spread(plan) {
         let together = u64::from(step_tasks_on(step, &target.entry.target));
         (
             failed,
-            far,
-            apart,
+            off_affinity,
+            lacks_siblings,
             together,
             if plan.best_effort {
                 u64::MAX - free
@@ -150,12 +160,12 @@
             },
         )
     } else {
-        (failed, far, apart, free, 0)
+        (failed, off_affinity, lacks_siblings, free, 0)
     }
 }
 
-/// True if the step has a task on another rack than the target's.
-fn on_other_rack(step: &StepState, target: &TargetState) -> bool {
+/// Returns true if the step has tasks, and none of them on this target.
+fn lacks_siblings(step: &StepState, target: &TargetState) -> bool {
     let placed = step.tasks.iter().filter_map(|task| task.placement.as_ref());
     let mut racks = placed.map(|place| place.target.clone()).peekable();
     racks.peek().is_some() && racks.all(|other| other != target.entry.target)
--- a/crates/decide/src/work/step_key.rs
+++ b/crates/decide/src/work/step_key.rs
@@ -1,6 +1,6 @@
 use model::{JobId, work::TaskKey};
 
-/// One step of one occurrence of a job.
+/// Identifies one step of one occurrence of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct StepKey {
     pub(super) job: JobId,
@@ -9,7 +9,7 @@
 }
 
 impl StepKey {
-    /// The step that a task belongs to.
+    /// Returns the step that a task belongs to.
     pub(super) fn of(task: &TaskKey) -> Self {
         Self {
             job: task.job.clone(),
--- a/crates/decide/src/work/tracked_map.rs
+++ b/crates/decide/src/work/tracked_map.rs
@@ -3,11 +3,12 @@
 use compact_str::CompactString;
 use indexmap::{IndexMap, map};
 
-/// A map that remembers which of its entries may have changed.
+/// A map that tracks which of its entries may have changed.
 ///
-/// It keeps the order in which they were added, as far as none is removed, so that what is decided
-/// by it repeats. Indexes are kept by the changed entries alone, so that their cost follows the changes and not
-/// the size of the books. Whoever may change an entry marks it by the way it is reached.
+/// It keeps insertion order as long as no entry is removed, so that decisions based on it are
+/// reproducible. Indexes are updated from the changed entries only, so that their cost depends on
+/// the number of changes and not on the size of the map. Each method that gives mutable access
+/// marks the entry as changed, except [`TrackedMap::get_mut_untracked`].
 #[derive(Clone, Debug)]
 pub struct TrackedMap<V> {
     entries: IndexMap<CompactString, V>,
@@ -15,7 +16,7 @@
 }
 
 impl<V> TrackedMap<V> {
-    /// An entry to be changed.
+    /// Returns an entry for changes, and marks it as changed.
     pub fn get_mut(&mut self, key: &str) -> Option<&mut V> {
         let entry = self.entries.get_mut(key)?;
         if self.changed.last().is_none_or(|last| last != key) {
@@ -24,35 +25,36 @@
         Some(entry)
     }
 
-    /// An entry of which nothing is to be changed that an index depends on.
+    /// Returns an entry for changes that affect no index.
     pub(super) fn get_mut_untracked(&mut self, key: &str) -> Option<&mut V> {
         self.entries.get_mut(key)
     }
 
-    /// Marks an entry that was changed through [`TrackedMap::get_unindexed`] after all.
+    /// Marks an entry as changed after a change through [`TrackedMap::get_mut_untracked`].
     pub(super) fn mark_changed(&mut self, key: &str) {
         self.changed.push(key.into());
     }
 
-    /// All entries, to be changed.
+    /// Returns all entries for changes, and marks them as changed.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut V> {
         self.changed.extend(self.entries.keys().cloned());
         self.entries.values_mut()
     }
 
-    /// Adds an entry, or replaces it.
+    /// Adds or replaces an entry.
     pub fn insert(&mut self, key: CompactString, value: V) {
         self.changed.push(key.clone());
         self.entries.insert(key, value);
     }
 
-    /// Removes an entry.
+    /// Removes an entry, and marks its key as changed.
     pub fn remove(&mut self, key: &str) -> Option<V> {
         self.changed.push(key.into());
         self.entries.swap_remove(key)
     }
 
-    /// Keys of entries that may have been changed, added or removed since the last time.
+    /// Returns the keys of entries that may have been changed, added or removed since the last
+    /// call.
     pub(super) fn take_changed(&mut self) -> Vec<CompactString> {
         let mut changed = std::mem::take(&mut self.changed);
         changed.sort_unstable();
--- a/crates/decide/src/work/work_job.rs
+++ b/crates/decide/src/work/work_job.rs
@@ -6,13 +6,13 @@
     work::{AttemptNumber, JobPlan, ResourceVector, StepPlan, TaskKey},
 };
 
-/// How far a job is.
+/// State of a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkPhase {
-    /// Something is left to do.
+    /// Not ended.
     #[default]
     Open,
-    /// Its cancellation is known and not stored yet, so that nothing more of it is started.
+    /// Cancellation was requested and is not stored yet; no further task is started.
     CancelPending,
     /// All tasks are done.
     Completed,
@@ -20,50 +20,51 @@
     Failed,
     /// Its caller cancelled it.
     Cancelled,
-    /// Its caller cancelled it before it was handed in: the submission may still be under way.
+    /// Its caller cancelled it before its submission arrived, which may still happen.
     Unsubmitted,
 }
 
-/// A job and all its tasks.
+/// A job with the state of all its tasks.
 #[derive(Clone, Debug, Default)]
 pub struct WorkJob {
     /// Its id.
     pub id: JobId,
-    /// What was handed in.
+    /// Plan as submitted.
     pub plan: Arc<JobPlan>,
-    /// Queue that it was handed in to.
+    /// Queue that it was submitted to.
     pub queue: CompactString,
-    /// Pool that runs it.
+    /// Pool whose targets run it.
     pub pool: PoolId,
-    /// Workspace that it is accounted to.
+    /// Workspace whose limit it counts against.
     pub workspace: WorkspaceId,
     /// When it was accepted, since the Unix epoch.
     pub accepted: Duration,
-    /// The same on the boot clock of this host.
+    /// Time of acceptance on the boot clock of this process's host.
     pub arrived: BootTime,
-    /// How far it is.
+    /// State of the job.
     pub phase: WorkPhase,
-    /// When it ended; zero before.
+    /// When it ended; zero while it is open.
     pub ended: BootTime,
-    /// Whether a task has ever started.
+    /// Whether any task has started.
     pub started: bool,
-    /// Entries of the log that are not stored yet; its end is shown only when there are none.
+    /// Number of its log entries that are not stored yet; the job is shown as ended only at zero.
     pub unstored_entries: u32,
-    /// Whether it was handed in beyond its workspace's share.
+    /// Whether it was submitted beyond its workspace's share.
     pub beyond_share: bool,
-    /// The most that a task of it takes, where the log does not tell its steps any more.
+    /// Maximum resources of its tasks, component by component, if the log no longer holds the
+    /// steps.
     pub closed_resources: ResourceVector,
-    /// Whether an earlier owner accepted it, who may have started tasks.
+    /// Whether an earlier owner accepted it and may have started tasks.
     pub inherited: bool,
     /// Occurrences that are due and not done.
     pub occurrences: BTreeMap<u32, OccurrenceState>,
-    /// Occurrences from 0 that have become due.
+    /// Number of occurrences that have become due.
     pub opened: u32,
-    /// Occurrences that are done.
+    /// Number of occurrences that are done.
     pub finished: u32,
 }
 
-/// One run through the steps of a job.
+/// State of one occurrence of a job.
 #[derive(Clone, Debug, Default)]
 pub struct OccurrenceState {
     /// When it became due.
@@ -72,81 +73,81 @@
     pub steps: Vec<StepState>,
 }
 
-/// The tasks of one step.
+/// State of one step.
 #[derive(Clone, Debug, Default)]
 pub struct StepState {
     /// The tasks.
     pub tasks: Vec<TaskState>,
-    /// How many are done.
+    /// Number of tasks that are done.
     pub done: u32,
-    /// How many are on a target.
+    /// Number of tasks that are placed on a target.
     pub placed: u32,
-    /// Targets that advice allows, with the tickets and until when they count.
+    /// Targets that the advice service allows, each with its ticket and the ticket's expiry.
     pub tickets: BTreeMap<HostId, (CompactString, BootTime)>,
-    /// When advice was asked for last; zero for never.
+    /// Time of the last advice request; zero for never.
     pub advice_requested_at: BootTime,
 }
 
-/// One task.
+/// State of one task.
 #[derive(Clone, Debug, Default)]
 pub struct TaskState {
-    /// Whether its work is done.
+    /// Whether the task is done.
     pub done: bool,
-    /// Runs that failed.
+    /// Numbers of the starts whose runs failed.
     pub failed_attempts: Vec<AttemptNumber>,
     /// Targets that it failed on.
     pub failed_on: Vec<HostId>,
-    /// When it failed last; zero for never.
+    /// Time of the last failure; zero for never.
     pub failed_at: BootTime,
-    /// Newest checkpoint; empty for none.
+    /// Latest checkpoint; empty for none.
     pub checkpoint: CompactString,
     /// Number of its last start by this owner; 0 for none.
     pub last_attempt: AttemptNumber,
-    /// Where it is; `None` while it waits or when it is done.
+    /// Placement of the task; `None` while it waits or when it is done.
     pub placement: Option<TaskPlacement>,
 }
 
-/// A task on a target.
+/// Placement of a task on a target.
 #[derive(Clone, Debug, Default)]
 pub struct TaskPlacement {
     /// The target.
     pub target: HostId,
     /// Number of the start.
     pub attempt: AttemptNumber,
-    /// What is known of it.
+    /// State of the run.
     pub phase: PlacementPhase,
-    /// When that became known.
+    /// Time of the last change of `phase`.
     pub since: BootTime,
-    /// When a stop that may be carried out late was last under way; zero for none.
+    /// Last time at which a stop that may be carried out late was in progress; zero for none.
     pub stop_sent: BootTime,
-    /// Whether a look at the target's present life has shown it.
+    /// Whether a poll of the target's current incarnation has reported it.
     pub confirmed: bool,
-    /// Whether all that is known of it is what a predecessor recorded when it missed the target.
+    /// Whether the placement is only known from a predecessor's record of an unreachable target.
     pub from_record: bool,
-    /// How far it is, in percent; for a serving task 100 while it is at work.
+    /// Progress in percent; for a serving task 100 while it is at work.
     pub percent: u8,
-    /// Response times' tail in milliseconds or processors in use, as the target says.
+    /// Tail latency in milliseconds or processor use, as reported by the target.
     pub load: u64,
     /// When `percent` last changed.
     pub last_progress: BootTime,
 }
 
-/// What is known of a task on a target.
+/// State of a run of a task on a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PlacementPhase {
-    /// The start is under way.
+    /// The start order is in progress.
     #[default]
     Starting,
-    /// The start was not answered: it may be there, or come later.
+    /// The start was not answered. The task may be running, or may start later.
     Unconfirmed,
-    /// It runs.
+    /// The task is running.
     Running,
-    /// A stop is under way; `true` once it was answered.
+    /// A stop is in progress; `true` once it was answered.
     Stopping(bool),
 }
 
 impl TaskPlacement {
-    /// A task whose start on a target is under way.
+    /// Creates the placement of a task whose start order is in progress.
     pub fn new(target: &HostId, attempt: AttemptNumber, now: BootTime) -> Self {
         Self {
             target: target.clone(),
@@ -159,7 +160,7 @@
 }
 
 impl StepState {
-    /// A step of `count` tasks of which nothing has run.
+    /// Creates a step of `count` tasks, none of which has run.
     pub fn new(count: u32) -> Self {
         Self {
             tasks: vec![TaskState::default(); count as usize],
@@ -167,12 +168,12 @@
         }
     }
 
-    /// True if all tasks are done.
+    /// Returns true if all tasks are done.
     pub fn is_done(&self) -> bool {
         self.done as usize == self.tasks.len()
     }
 
-    /// Takes a task to be on a target.
+    /// Records the placement of a task.
     pub fn set_placement(&mut self, index: u32, set_placement: TaskPlacement) {
         if let Some(task) = self.tasks.get_mut(index as usize) {
             task.last_attempt = task.last_attempt.max(set_placement.attempt);
@@ -181,7 +182,7 @@
         }
     }
 
-    /// How many tasks are neither done nor on a target.
+    /// Returns the number of tasks that are neither done nor placed.
     pub fn waiting_tasks(&self) -> u32 {
         let waiting = |task: &&TaskState| !task.done && task.placement.is_none();
         u32::try_from(self.tasks.iter().filter(waiting).count()).unwrap_or(u32::MAX)
@@ -189,7 +190,7 @@
 }
 
 impl OccurrenceState {
-    /// The occurrence of a plan that became due at a time.
+    /// Creates an occurrence of a plan that became due at `due`.
     pub fn new(plan: &JobPlan, due: BootTime) -> Self {
         Self {
             due,
@@ -201,7 +202,7 @@
         }
     }
 
-    /// True if all steps before `step` are done.
+    /// Returns true if all steps that `step` depends on are done.
     pub fn is_step_ready(&self, plan: &JobPlan, step: usize) -> bool {
         let before = &plan.steps[step].after;
         before.iter().all(|&earlier| {
@@ -211,14 +212,14 @@
         })
     }
 
-    /// True if all tasks are done.
+    /// Returns true if all tasks are done.
     pub fn is_done(&self) -> bool {
         self.steps.iter().all(StepState::is_done)
     }
 }
 
 impl WorkJob {
-    /// A task of the job; `None` if there is none of that name that matters still.
+    /// Returns a task of the job; `None` if the task is unknown or its occurrence is not open.
     pub fn task(&self, occurrence: u32, step: u32, index: u32) -> Option<&TaskState> {
         let step = self
             .occurrences
@@ -228,14 +229,14 @@
         step.tasks.get(index as usize)
     }
 
-    /// The same, to change it.
+    /// Returns a task of the job for changes.
     pub fn task_mut(&mut self, occurrence: u32, step: u32, index: u32) -> Option<&mut TaskState> {
         let occurrence = self.occurrences.get_mut(&occurrence)?;
         let step = occurrence.steps.get_mut(step as usize)?;
         step.tasks.get_mut(index as usize)
     }
 
-    /// All tasks of its open occurrences, each with its name and its step.
+    /// Returns all tasks of its open occurrences, each with its key and the plan of its step.
     pub fn tasks(&self) -> impl Iterator<Item = (TaskKey, &StepPlan, &TaskState)> {
         self.occurrences
             .iter()
@@ -255,17 +256,17 @@
             })
     }
 
-    /// True while something is left to do.
+    /// Returns true until the job has ended.
     pub fn is_open(&self) -> bool {
         matches!(self.phase, WorkPhase::Open | WorkPhase::CancelPending)
     }
 
-    /// True if its caller cancelled it and that is stored.
+    /// Returns true if its caller cancelled it and the cancellation is stored.
     pub fn is_cancelled(&self) -> bool {
         matches!(self.phase, WorkPhase::Cancelled | WorkPhase::Unsubmitted)
     }
 
-    /// Opens the occurrences that are due at a time of the Unix epoch.
+    /// Opens the occurrences that are due at `unix`, up to `early` ahead of time.
     pub fn open_due_occurrences(&mut self, unix: Duration, boot: BootTime, early: Duration) {
         while self.opened < self.plan.occurrences() && self.is_open() {
             if let Some(repeat) = self.plan.repeat {
@@ -280,7 +281,7 @@
         }
     }
 
-    /// Opens the occurrences up to one that the log or a target tells of.
+    /// Opens all occurrences up to one that the log or a target reports.
     pub(super) fn open_occurrences_until(&mut self, occurrence: u32, boot: BootTime) {
         while self.opened <= occurrence && self.opened < self.plan.occurrences() {
             let state = OccurrenceState::new(&self.plan, boot);
@@ -289,7 +290,7 @@
         }
     }
 
-    /// True if all its occurrences are done.
+    /// Returns true if all occurrences are done.
     pub fn is_done(&self) -> bool {
         self.finished == self.plan.occurrences()
     }
