--- a/crates/decide/src/work/mod.rs
+++ b/crates/decide/src/work/mod.rs
@@ -1,9 +1,9 @@
-//! Decisions of the owner of a cell: which task starts where and when, what becomes of an
-//! end, and which orders are in doubt.
+//! Scheduling decisions of the owner of a cell: which task starts where and when, how ended runs
+//! are handled, and which orders are unconfirmed.
 //!
-//! Start with [`WorkScheduler`]. It is told of accepted jobs, of targets and of what they say, and
-//! it returns orders; the crate `cell` carries them out. Ownership, fencing and the job log
-//! are argued in `docs/design/13-platform.md`.
+//! Start with [`WorkScheduler`]. It receives accepted jobs, the host list and the reports of targets,
+//! and returns the actions that the crate `cell` executes. Ownership, fencing and the job log are
+//! described in `docs/design/13-platform.md`.
 
 mod compacted_log;
 mod demand_meter;
--- a/crates/decide/src/work/ranked_steps.rs
+++ b/crates/decide/src/work/ranked_steps.rs
@@ -2,29 +2,29 @@
 
 use super::{objective::StartRank, step_key::StepKey};
 
-/// Steps that are kept together; a larger block is split into two.
+/// Maximum number of steps in a block; a larger block is split in two.
 const MAX_BLOCK_STEPS: usize = 64;
 
-/// A step with tasks that wait.
+/// A step with waiting tasks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct WaitingStep {
-    /// When it gets room, compared with others.
+    /// Rank that decides the order in which steps get resources.
     pub(super) rank: StartRank,
     /// The step.
     pub(super) step: StepKey,
-    /// Room that a target must have for it to be looked at.
+    /// Resources that a target must have free for the step to be considered.
     pub(super) resources: ResourceVector,
-    /// What its workspace must have left for it to be looked at.
+    /// Resources that its workspace must have left for the step to be considered.
     pub(super) charged: ResourceVector,
 }
 
 impl WaitingStep {
-    /// What it is ordered by.
+    /// Returns the key that steps are ordered by.
     pub(super) fn key(&self) -> StepRank {
         (self.rank, self.step.clone())
     }
 
-    /// True if it gets room before another.
+    /// Returns true if this step gets resources before `other`.
     pub(super) fn is_before_step(&self, other: &Self) -> bool {
         (&self.rank, &self.step) < (&other.rank, &other.step)
     }
@@ -38,34 +38,37 @@
     }
 }
 
-/// What steps are ordered by.
+/// Key that steps are ordered by.
 pub(super) type StepRank = (StartRank, StepKey);
 
-/// What may be looked at: what fits nowhere in the pool, or goes beyond its workspace's limit, is
-/// passed over.
+/// Filter for steps that may start: skips steps that fit on no target of the pool or that exceed
+/// their workspace's limit.
 #[derive(Clone, Debug)]
 pub(super) struct StepFilter<'a> {
-    /// The most that a target of the pool has, of each resource by itself.
+    /// Maximum free resources of any target of the pool, component by component.
     pub(super) max_free: ResourceVector,
-    /// What the workspace may still take.
+    /// Resources that the workspace may still use.
     pub(super) workspace_left: ResourceVector,
-    /// Rooms that were looked for in vain.
+    /// Amounts of resources for which no target was found.
     pub(super) unplaceable: &'a [ResourceVector],
 }
 
 impl StepFilter<'_> {
-    fn admits(&self, room: ResourceVector, need: ResourceVector) -> bool {
-        room.fits_in(self.max_free)
-            && need.fits_in(self.workspace_left)
-            && !self.unplaceable.iter().any(|refused| refused.fits_in(room))
+    fn admits(&self, resources: ResourceVector, charged: ResourceVector) -> bool {
+        resources.fits_in(self.max_free)
+            && charged.fits_in(self.workspace_left)
+            && !self
+                .unplaceable
+                .iter()
+                .any(|amount| amount.fits_in(resources))
     }
 }
 
-/// Steps of one workspace that wait for one pool, the next to be started first.
+/// Waiting steps of one workspace in one pool, in starting order.
 ///
-/// The pattern it answers: in its turn a pool is full and thousands of steps wait. Blocks know the
-/// least that one of their steps needs, so that the first step that may fit is found without
-/// looking at all before it.
+/// In a burst a pool is full and thousands of steps wait. Each block stores the minimum that any of
+/// its steps needs, so that the first step that may fit is found without visiting all steps before
+/// it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RankedSteps {
     blocks: Vec<StepBlock>,
@@ -109,45 +112,45 @@
         }
     }
 
-    /// The first step after a place that a filter admits, and how many steps and blocks of steps
-    /// were looked at.
+    /// Returns the first step after `after` that the filter admits, and the number of steps and
+    /// blocks visited.
     pub(super) fn next(
         &self,
         after: Option<&StepRank>,
         filter: &StepFilter<'_>,
     ) -> (Option<&WaitingStep>, u64) {
-        let mut looked = 0;
+        let mut visited = 0;
         let first = after.map_or(0, |key| self.block_index(key));
         for block in self.blocks.iter().skip(first) {
-            looked += 1;
+            visited += 1;
             if !filter.admits(block.min_resources, block.min_charged) {
                 continue;
             }
             for step in &block.steps {
-                let passed = after.is_some_and(|key| step.is_before(key) || step.has_key(key));
-                if passed {
+                let is_passed = after.is_some_and(|key| step.is_before(key) || step.has_key(key));
+                if is_passed {
                     continue;
                 }
-                looked += 1;
+                visited += 1;
                 if filter.admits(step.resources, step.charged) {
-                    return (Some(step), looked);
+                    return (Some(step), visited);
                 }
             }
         }
-        (None, looked)
+        (None, visited)
     }
 
-    /// True if nothing waits.
+    /// Returns true if no step waits.
     pub(super) fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 
-    /// All steps, the first to be started first.
+    /// Returns all steps in starting order.
     fn steps(&self) -> impl Iterator<Item = &WaitingStep> {
         self.blocks.iter().flat_map(|block| &block.steps)
     }
 
-    /// The block that holds a key, or would.
+    /// Returns the index of the block that holds a key, or that would hold it.
     fn block_index(&self, key: &StepRank) -> usize {
         let ends_before = |block: &StepBlock| {
             let last = block.steps.last();
@@ -190,11 +193,11 @@
     }
 
     fn recompute_minimums(&mut self) {
-        let mut rooms = self.steps.iter().map(|step| step.resources);
-        let first = rooms.next().unwrap_or_default();
-        self.min_resources = rooms.fold(first, ResourceVector::min_each);
-        let mut needs = self.steps.iter().map(|step| step.charged);
-        let first = needs.next().unwrap_or_default();
-        self.min_charged = needs.fold(first, ResourceVector::min_each);
+        let mut resources = self.steps.iter().map(|step| step.resources);
+        let first = resources.next().unwrap_or_default();
+        self.min_resources = resources.fold(first, ResourceVector::min_each);
+        let mut charged = self.steps.iter().map(|step| step.charged);
+        let first = charged.next().unwrap_or_default();
+        self.min_charged = charged.fold(first, ResourceVector::min_each);
     }
 }
--- a/crates/decide/src/work/target_index.rs
+++ b/crates/decide/src/work/target_index.rs
@@ -11,29 +11,30 @@
 
 use super::{HostDrainState, TargetState};
 
-/// Targets by what decisions ask for, so that none walks over all of them.
+/// Index of targets by what scheduling decisions look up, so that no decision iterates over all
+/// targets.
 ///
-/// It says nothing that the books of targets don't: it can be made anew from them at any time.
+/// It holds no information of its own and can be rebuilt from the state of the targets at any time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct TargetIndex {
     summaries: HashMap<HostId, TargetSummary>,
     pools: BTreeMap<PoolId, PoolTargets>,
     addresses: BTreeMap<CompactString, BTreeSet<HostId>>,
-    /// When pauses end.
+    /// Ends of pauses.
     pauses: BTreeSet<(BootTime, HostId)>,
-    /// When calls to listed targets failed last that are heard otherwise.
+    /// Times of the last failed calls to listed targets that otherwise respond.
     failures: BTreeSet<(BootTime, HostId)>,
-    /// Targets that are leaving or kept free.
+    /// Targets that are draining, by their mode or for an operation on their host.
     pub(super) draining: BTreeSet<HostId>,
-    /// Targets that nothing is to be done with any more.
+    /// Targets that can be forgotten.
     pub(super) forgettable: BTreeSet<HostId>,
-    /// Targets whose granted time runs out, since they are silent or were never reached.
+    /// Targets whose leases will expire, because they are unresponsive or were never reached.
     pub(super) expiring: BTreeSet<HostId>,
-    /// How many targets the host list has.
+    /// Number of targets in the host list.
     pub(super) listed: usize,
-    /// How many of these are silent, or have not been reached.
+    /// Number of these that are unresponsive or have not been reached.
     pub(super) not_responding: usize,
-    /// How many of the listed have been reached.
+    /// Number of listed targets that have been reached.
     pub(super) reached: usize,
 }
 
@@ -41,28 +42,28 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 struct PoolTargets {
     all: BTreeSet<HostId>,
-    /// Those that take tasks, but for pauses, by what is free.
+    /// Targets that accept tasks or are paused, by free processor time and by free memory.
     by_cpu: BTreeSet<(u64, HostId)>,
     by_memory: BTreeSet<(u64, HostId)>,
-    /// Targets of which nobody knows what a predecessor has started there.
+    /// Number of targets on which a predecessor may have started unknown tasks.
     unknown: usize,
 }
 
-/// What the index knows of a target.
+/// Summary of a target for the index.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct TargetSummary {
     pool: PoolId,
     address: CompactString,
     free: ResourceVector,
-    /// Whether it takes tasks, but for a pause.
+    /// Whether it accepts tasks or is only paused.
     open: bool,
     paused_until: BootTime,
     listed: bool,
     token_seen: bool,
     unresponsive: bool,
-    /// Whether a predecessor may have used it, and no look has reached it.
+    /// Whether a predecessor may have used it, and no poll has reached it.
     never_reached: bool,
-    /// Whether nobody knows what a predecessor has started there.
+    /// Whether a predecessor may have started unknown tasks there.
     unknown: bool,
     last_failure: BootTime,
     draining: bool,
@@ -98,7 +99,7 @@
         self.listed && !self.is_not_responding() && !self.last_failure.is_zero()
     }
 
-    /// True if nothing but its room has changed since `before`.
+    /// Returns true if only its free resources differ from `before`.
     fn differs_only_in_free(&self, before: &Self) -> bool {
         let before = Self {
             free: self.free,
@@ -107,18 +108,18 @@
         *self == before
     }
 
-    /// True if something may be started by what has changed since `before`.
+    /// Returns true if a task may be able to start because of the changes since `before`.
     fn frees_capacity(&self, before: &Self) -> bool {
-        let opened = self.open && (!before.open || before.pool != self.pool);
-        let grown = self.open && !self.free.fits_in(before.free);
-        let known = before.unknown && (!self.unknown || before.pool != self.pool);
-        opened || grown || known || self.paused_until < before.paused_until
+        let has_opened = self.open && (!before.open || before.pool != self.pool);
+        let has_grown = self.open && !self.free.fits_in(before.free);
+        let became_known = before.unknown && (!self.unknown || before.pool != self.pool);
+        has_opened || has_grown || became_known || self.paused_until < before.paused_until
     }
 }
 
 impl TargetIndex {
-    /// Takes in what became of a target; the pools in which something may be started by that are
-    /// added to `due`. True if the target is new.
+    /// Updates the summary of a target. If a task may be able to start because of the change, adds
+    /// the pools to `due`. Returns true if the target is new.
     pub(super) fn update(
         &mut self,
         id: &HostId,
@@ -133,16 +134,16 @@
             }
             return false;
         };
-        let Some(facts) = self.summaries.get_mut(id) else {
+        let Some(summary) = self.summaries.get_mut(id) else {
             due.insert(new.pool.clone());
             self.add(id, &new, now);
             self.summaries.insert(id.clone(), new);
             return true;
         };
-        if *facts == new {
+        if *summary == new {
             return false;
         }
-        let old = std::mem::replace(facts, new.clone());
+        let old = std::mem::replace(summary, new.clone());
         if new.frees_capacity(&old) {
             due.insert(old.pool.clone());
             due.insert(new.pool.clone());
@@ -156,13 +157,13 @@
         false
     }
 
-    /// Targets of a pool.
+    /// Returns all targets of a pool.
     pub(super) fn of_pool(&self, pool: &str) -> impl Iterator<Item = &HostId> + Clone {
         self.pools.get(pool).into_iter().flat_map(|pool| &pool.all)
     }
 
-    /// Targets of a pool that take tasks, or pause, and that have so much of a processor free; those
-    /// with the least first.
+    /// Returns the targets of a pool that accept tasks or are paused and have at least `cpu` free,
+    /// least free first.
     pub(super) fn with_capacity(
         &self,
         pool: &str,
@@ -174,18 +175,19 @@
             .map(|(_, id)| id)
     }
 
-    /// The most that targets of a pool have free that take tasks, of each resource by itself.
+    /// Returns the maximum free resources of the targets of a pool that accept tasks, component by
+    /// component.
     pub(super) fn most_free(&self, pool: &str, now: BootTime) -> ResourceVector {
         let Some(pool) = self.pools.get(pool) else {
             return ResourceVector::default();
         };
-        let most = |by_room: &BTreeSet<(u64, HostId)>| {
-            let mut rooms = by_room.iter().rev();
-            let open = rooms.find(|(_, id)| {
-                let facts = self.summaries.get(id);
-                facts.is_some_and(|facts| facts.paused_until <= now)
+        let most = |by_amount: &BTreeSet<(u64, HostId)>| {
+            let mut amounts = by_amount.iter().rev();
+            let candidate = amounts.find(|(_, id)| {
+                let summary = self.summaries.get(id);
+                summary.is_some_and(|summary| summary.paused_until <= now)
             });
-            open.map_or(0, |(free, _)| *free)
+            candidate.map_or(0, |(free, _)| *free)
         };
         ResourceVector {
             cpu: most(&pool.by_cpu),
@@ -194,12 +196,13 @@
         }
     }
 
-    /// Targets at an address.
+    /// Returns the targets at an address.
     pub(super) fn at_address(&self, address: &str) -> impl Iterator<Item = &HostId> {
         self.addresses.get(address).into_iter().flatten()
     }
 
-    /// Pools in which a task of a predecessor may run on a target that has not been reached.
+    /// Returns the pools in which tasks of a predecessor may run on a target that has not been
+    /// reached.
     pub(super) fn unknown_pools(&self) -> BTreeSet<PoolId> {
         let unknown = self.pools.iter().filter(|(_, pool)| pool.unknown > 0);
         unknown.map(|(name, _)| name.clone()).collect()
@@ -210,20 +213,20 @@
         while let Some((until, id)) = self.pauses.first()
             && *until <= now
         {
-            if let Some(facts) = self.summaries.get(id) {
-                due.insert(facts.pool.clone());
+            if let Some(summary) = self.summaries.get(id) {
+                due.insert(summary.pool.clone());
             }
             self.pauses.pop_first();
         }
     }
 
-    /// How many listed targets a call has failed to since a time, beside those that are unheard.
+    /// Returns the number of responding listed targets to which a call has failed since a time.
     pub(super) fn failed_since(&self, since: BootTime) -> usize {
         let after = (since, HostId::default());
         self.failures.range(after..).count()
     }
 
-    /// What it says, less what passes with time alone.
+    /// Returns a copy without the pauses, which end by time alone.
     #[must_use]
     pub(super) fn without_pauses(&self) -> Self {
         Self {
@@ -232,7 +235,7 @@
         }
     }
 
-    /// Takes in that the room of a target has changed, and nothing else.
+    /// Updates the free resources of a target of which nothing else has changed.
     fn update_free(&mut self, id: &HostId, old: &TargetSummary, new: &TargetSummary) {
         let Some(pool) = self.pools.get_mut(&old.pool).filter(|_| old.open) else {
             return;
@@ -243,59 +246,59 @@
         pool.by_memory.insert((new.free.memory_mb, id.clone()));
     }
 
-    fn add(&mut self, id: &HostId, facts: &TargetSummary, now: BootTime) {
-        let pool = self.pools.entry(facts.pool.clone()).or_default();
+    fn add(&mut self, id: &HostId, summary: &TargetSummary, now: BootTime) {
+        let pool = self.pools.entry(summary.pool.clone()).or_default();
         pool.all.insert(id.clone());
-        if facts.open {
-            pool.by_cpu.insert((facts.free.cpu, id.clone()));
-            pool.by_memory.insert((facts.free.memory_mb, id.clone()));
+        if summary.open {
+            pool.by_cpu.insert((summary.free.cpu, id.clone()));
+            pool.by_memory.insert((summary.free.memory_mb, id.clone()));
         }
-        pool.unknown += usize::from(facts.unknown);
-        let address = self.addresses.entry(facts.address.clone()).or_default();
+        pool.unknown += usize::from(summary.unknown);
+        let address = self.addresses.entry(summary.address.clone()).or_default();
         address.insert(id.clone());
-        if facts.paused_until > now {
-            self.pauses.insert((facts.paused_until, id.clone()));
+        if summary.paused_until > now {
+            self.pauses.insert((summary.paused_until, id.clone()));
         }
-        if facts.has_failed() {
-            self.failures.insert((facts.last_failure, id.clone()));
+        if summary.has_failed() {
+            self.failures.insert((summary.last_failure, id.clone()));
         }
-        if facts.draining {
+        if summary.draining {
             self.draining.insert(id.clone());
         }
-        if facts.forgettable {
+        if summary.forgettable {
             self.forgettable.insert(id.clone());
         }
-        if facts.unresponsive || facts.never_reached {
+        if summary.unresponsive || summary.never_reached {
             self.expiring.insert(id.clone());
         }
-        self.listed += usize::from(facts.listed);
-        self.not_responding += usize::from(facts.is_not_responding());
-        self.reached += usize::from(facts.listed && facts.token_seen);
+        self.listed += usize::from(summary.listed);
+        self.not_responding += usize::from(summary.is_not_responding());
+        self.reached += usize::from(summary.listed && summary.token_seen);
     }
 
-    fn remove(&mut self, id: &HostId, facts: &TargetSummary) {
-        if let Some(pool) = self.pools.get_mut(&facts.pool) {
+    fn remove(&mut self, id: &HostId, summary: &TargetSummary) {
+        if let Some(pool) = self.pools.get_mut(&summary.pool) {
             pool.all.remove(id);
-            pool.by_cpu.remove(&(facts.free.cpu, id.clone()));
-            pool.by_memory.remove(&(facts.free.memory_mb, id.clone()));
-            pool.unknown -= usize::from(facts.unknown);
+            pool.by_cpu.remove(&(summary.free.cpu, id.clone()));
+            pool.by_memory.remove(&(summary.free.memory_mb, id.clone()));
+            pool.unknown -= usize::from(summary.unknown);
             if pool.all.is_empty() {
-                self.pools.remove(&facts.pool);
+                self.pools.remove(&summary.pool);
             }
         }
-        if let Some(address) = self.addresses.get_mut(&facts.address) {
+        if let Some(address) = self.addresses.get_mut(&summary.address) {
             address.remove(id);
             if address.is_empty() {
-                self.addresses.remove(&facts.address);
+                self.addresses.remove(&summary.address);
             }
         }
-        self.pauses.remove(&(facts.paused_until, id.clone()));
-        self.failures.remove(&(facts.last_failure, id.clone()));
+        self.pauses.remove(&(summary.paused_until, id.clone()));
+        self.failures.remove(&(summary.last_failure, id.clone()));
         self.draining.remove(id);
         self.forgettable.remove(id);
         self.expiring.remove(id);
-        self.listed -= usize::from(facts.listed);
-        self.not_responding -= usize::from(facts.is_not_responding());
-        self.reached -= usize::from(facts.listed && facts.token_seen);
+        self.listed -= usize::from(summary.listed);
+        self.not_responding -= usize::from(summary.is_not_responding());
+        self.reached -= usize::from(summary.listed && summary.token_seen);
     }
 }
--- a/crates/decide/src/work/target_state.rs
+++ b/crates/decide/src/work/target_state.rs
@@ -10,117 +10,117 @@
 
 use super::SchedulerTuning;
 
-/// A target's steady clock may be this much slow, in thousandths, as the platform says.
+/// How slow a target's monotonic clock may be, in thousandths, as the platform specifies.
 const CLOCK_LAG_PERMILLE: u32 = 20;
 
-/// How long after an answer a target is taken to live on while no call to it fails. Where ends are
-/// being stored the next look follows within 0.3 s.
+/// How long after an answer a target is assumed to be in the same incarnation if no call to it
+/// fails. While ends are being stored, the next poll follows within 0.3 s.
 const SAME_INCARNATION: Duration = Duration::from_millis(500);
 
-/// How old the last answer of a target at work may be: a look waits for up to a second, and its
-/// answer takes some milliseconds.
+/// Maximum age of the last answer of a target with running tasks: a poll waits for up to a second,
+/// and its answer takes some milliseconds.
 pub(super) const RESPONSE_MAX_AGE: Duration = Duration::from_millis(1300);
 
-/// Unanswered starts that are remembered of one target; it pauses longer after each, so that
-/// there are few.
+/// Maximum number of unconfirmed starts that are kept for a target. A target pauses longer after
+/// each, so there are few.
 const MAX_UNCONFIRMED: usize = 64;
 
-/// One run on a target, by task and number of the start.
+/// Key of a run on a target: the task and the number of the start.
 pub type RunKey = (TaskKey, AttemptNumber);
 
-/// What a run takes, for as long as it may be there.
+/// Resources that are claimed for a run while it may exist.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RunClaim {
-    /// Part of the target's room.
+    /// Resources of the target that the run uses.
     pub resources: ResourceVector,
-    /// Part of the workspace's limit.
+    /// Resources that are charged against the workspace's limit.
     pub charged: ResourceVector,
-    /// The workspace.
+    /// Workspace that is charged.
     pub workspace: WorkspaceId,
 }
 
-/// What is known of the life that a target lives.
+/// State of the current incarnation of a target.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TargetIncarnation {
-    /// Counts the lives that this desk has seen.
+    /// Number of the incarnation, as counted by this scheduler.
     pub number: u64,
-    /// When it began, as the target says; zero if unknown.
+    /// Start of the incarnation as reported by the target; zero if unknown.
     pub started_at: Duration,
-    /// When this desk heard of it. The answer to a call that was sent before may be an earlier
-    /// life's.
+    /// When this scheduler learned of the incarnation. The answer to a call that was sent earlier
+    /// may come from an earlier incarnation.
     pub since: BootTime,
-    /// The target's clock, and when it was read.
+    /// Last reading of the target's clock, and when it was read.
     pub clock: Option<(Duration, BootTime)>,
     /// Whether the target has seen this owner's token.
     pub token_seen: bool,
     /// Highest number of an end that has been handled.
     pub last_handled_end: u64,
-    /// Ends that have been handled and not observed, those of them with an entry that is not
+    /// Numbers of ends that have been handled and not acknowledged, and whose log entry is not
     /// stored yet.
     pub unstored_ends: BTreeSet<u64>,
-    /// What `observed` was in the last look that was answered.
+    /// Value of `acked_end` in the last poll that was answered.
     pub last_acked_end: u64,
 }
 
-/// A target as the owner sees it.
+/// State of a target as known to the owner.
 #[derive(Clone, Debug, Default)]
 pub struct TargetState {
-    /// What the host list says.
+    /// Entry of the host list.
     pub entry: TargetEntry,
-    /// Whether the host list has it.
+    /// Whether the host list contains it.
     pub listed: bool,
-    /// Whether the log says that tasks may be on it.
+    /// Whether the log records that tasks may run on it.
     pub recorded: bool,
     /// Whether a predecessor may have started tasks on it.
     pub inherited: bool,
-    /// Whether the log says what may run there, and that nothing is started there until it is
-    /// recorded anew.
+    /// Whether the log records it as unreachable, with the tasks that may run there. No task is
+    /// started there until it is recorded as reachable.
     pub unreachable_recorded: bool,
-    /// Its life.
+    /// Current incarnation.
     pub incarnation: TargetIncarnation,
-    /// What may be there.
+    /// Claims of the runs that may exist on it.
     pub claims: BTreeMap<RunKey, RunClaim>,
-    /// Room that the claims take together.
+    /// Sum of the resources of the claims.
     pub used: ResourceVector,
-    /// When the last call that was answered had been sent; zero for none.
+    /// Time at which the last answered call was sent; zero for none.
     pub last_answered_call: BootTime,
-    /// When the last answer came. A look may wait for a second, and what it tells is fresh.
+    /// Time of the last answer. A poll may wait for a second, but its report is current.
     pub last_response: BootTime,
-    /// When the last look that was answered had been sent.
+    /// Time at which the last answered poll was sent.
     pub last_answered_poll: BootTime,
-    /// When a call last failed: its life may have ended since.
+    /// Time of the last failed call; the incarnation may have ended since.
     pub last_failure: BootTime,
-    /// Last call that renewed and may still be under way.
+    /// Time of the last call that renewed leases and may still be in progress.
     pub last_grant: BootTime,
-    /// Whether it is known to be silent.
+    /// Whether it is known to be unresponsive.
     pub unresponsive: bool,
-    /// Gets no new tasks before this time.
+    /// Time until which it gets no new tasks.
     pub paused_until: BootTime,
-    /// Refusals and failures in a row.
+    /// Number of consecutive refusals and failures.
     pub consecutive_failures: u32,
-    /// Starts that were not answered, with the time of their sending. They may be carried out
-    /// long after, also by a later life of the target, which knows nothing of their stops.
+    /// Unanswered starts, with the time of sending. They may be carried out much later, even by a
+    /// later incarnation of the target, which does not know of their stops.
     pub unconfirmed_starts: Vec<(RunKey, BootTime)>,
-    /// What its host is wanted for, which keeps it free of new tasks.
+    /// Drain state of its host; a draining host gets no new tasks.
     pub drain: HostDrainState,
-    /// How many lists of hosts in a row had no host with this life.
+    /// Number of consecutive host lists without a host for this target.
     pub lists_absent: u32,
 }
 
-/// Whether a target's host is kept free, for its maintenance or a move.
+/// Whether a target's host is drained for maintenance or a move.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum HostDrainState {
-    /// It takes tasks.
+    /// The host accepts tasks.
     #[default]
     None,
-    /// It is being emptied; this can still be given up.
+    /// The host is draining; this can still be reverted.
     Draining,
-    /// The order to the host may have been sent: whatever starts there may end at once.
+    /// The order to the host may have been sent: tasks that start there may end at any time.
     Ordered,
 }
 
 impl TargetState {
-    /// A target that the host list has begun to show.
+    /// Creates the state of a target that is new in the host list.
     pub fn new(entry: TargetEntry, now: BootTime) -> Self {
         Self {
             incarnation: TargetIncarnation {
@@ -136,17 +136,17 @@
         }
     }
 
-    /// Room that is left.
+    /// Returns the resources that are not claimed.
     pub fn free(&self) -> ResourceVector {
         self.entry.capacity.minus(self.used)
     }
 
-    /// True if a task may be started there now.
+    /// Returns true if a task may be started there now.
     pub fn accepts_tasks(&self, now: BootTime) -> bool {
         self.can_run() && self.drain == HostDrainState::None && now >= self.paused_until
     }
 
-    /// True if a task could run there, though other things speak against starting it.
+    /// Returns true if the target can run tasks, even if it is draining or paused.
     pub fn can_run(&self) -> bool {
         self.listed
             && self.recorded
@@ -156,34 +156,35 @@
             && self.entry.mode == TargetMode::Ready
     }
 
-    /// True if the desk knows what may run there: a successor does once it has looked.
+    /// Returns true if the scheduler knows what may run there. A new owner does once a poll has
+    /// been answered.
     pub fn is_state_known(&self) -> bool {
         self.incarnation.token_seen || !self.inherited
     }
 
-    /// True if nothing can be running there.
+    /// Returns true if nothing can be running there.
     ///
-    /// A target that a successor has not looked at has no claims either. Taken for empty, its
-    /// host would be the first to be maintained or moved, and the order would end whatever a
-    /// predecessor had started there; the look answers some milliseconds later.
+    /// A target that a new owner has not polled yet has no claims either. If it were considered
+    /// empty, its host would be the first to be maintained or moved, and the order would end the
+    /// tasks that a predecessor started there. The answer to the poll takes only some milliseconds.
     pub fn is_empty(&self) -> bool {
         (self.is_state_known() || self.unreachable_recorded) && self.claims.is_empty()
     }
 
-    /// The target's clock at a time, at least.
+    /// Returns a lower bound of the target's clock at a time.
     pub fn clock_at(&self, now: BootTime) -> Option<Duration> {
         let (clock, read) = self.incarnation.clock?;
-        let passed = now.saturating_sub(read);
-        Some(clock + passed - passed * CLOCK_LAG_PERMILLE / 1000)
+        let elapsed = now.saturating_sub(read);
+        Some(clock + elapsed - elapsed * CLOCK_LAG_PERMILLE / 1000)
     }
 
-    /// When everything that was granted so far has certainly lapsed.
+    /// Returns the time at which all leases that were granted so far have certainly expired.
     pub fn leases_expired_at(&self, tuning: &SchedulerTuning) -> BootTime {
-        let longest = tuning.lease_limit + tuning.lease_limit * CLOCK_LAG_PERMILLE / 1000;
-        self.last_grant + longest + tuning.lapse_margin
+        let max_lease = tuning.lease_limit + tuning.lease_limit * CLOCK_LAG_PERMILLE / 1000;
+        self.last_grant + max_lease + tuning.lapse_margin
     }
 
-    /// Highest number up to which all ends are handled and stored.
+    /// Returns the highest number up to which all ends are handled and stored.
     pub fn ackable_end(&self) -> u64 {
         match self.incarnation.unstored_ends.first() {
             Some(&first) => first - 1,
@@ -191,17 +192,22 @@
         }
     }
 
-    /// What a look sent at a time may tell the target to forget.
+    /// Returns up to which number a poll sent now may acknowledge ends.
     ///
-    /// A life that began unnoticed counts its ends anew. Told by a number of the life before, it
-    /// would forget ends that nobody has seen, and their tasks would run again.
+    /// An undetected new incarnation numbers its ends from the start. If it received a number of
+    /// the previous incarnation, it would forget ends that nobody has recorded, and their tasks
+    /// would run again.
     pub fn acked_end_at(&self, now: BootTime) -> u64 {
-        let same_life = self.last_answered_poll > self.last_failure
+        let same_incarnation = self.last_answered_poll > self.last_failure
             && now.saturating_sub(self.last_response) < SAME_INCARNATION;
-        if same_life { self.ackable_end() } else { 0 }
+        if same_incarnation {
+            self.ackable_end()
+        } else {
+            0
+        }
     }
 
-    /// Takes room for a run.
+    /// Claims resources for a run.
     pub fn claim(&mut self, run: RunKey, claim: RunClaim) {
         self.used = self.used.plus(claim.resources);
         if let Some(old) = self.claims.insert(run, claim) {
@@ -209,22 +215,23 @@
         }
     }
 
-    /// Gives the room of a run back; `None` if it held none.
+    /// Releases the claim of a run; returns `None` if there was none.
     pub fn release_claim(&mut self, run: &RunKey) -> Option<RunClaim> {
         let claim = self.claims.remove(run)?;
         self.used = self.used.minus(claim.resources);
         Some(claim)
     }
 
-    /// Begins another life, of which nothing is known. Returns what the old one held.
+    /// Begins a new incarnation in an unknown state. Returns the claims of the previous one.
     ///
-    /// What was granted stays granted: the calls may have reached the new life.
+    /// Granted leases stay in effect: the calls may have reached the new incarnation.
     pub fn begin_incarnation(
         &mut self,
         started_at: Duration,
         now: BootTime,
     ) -> Vec<(RunKey, RunClaim)> {
-        // The silence was the old life's; taken for the new one's, it would end that at once.
+        // The previous incarnation was unresponsive. If the flag were kept, it would end the new
+        // incarnation at once.
         self.unresponsive = false;
         self.last_answered_call = now;
         self.incarnation = TargetIncarnation {
@@ -237,8 +244,8 @@
         std::mem::take(&mut self.claims).into_iter().collect()
     }
 
-    /// Counts a failed run. One says little, since tasks fail by their own fault too; several
-    /// in a row without a success between make the target pause.
+    /// Counts a failed run. One failure says little, since tasks may fail by themselves; several in
+    /// a row without a success in between make the target pause.
     pub fn count_failure(&mut self, tuning: &SchedulerTuning, now: BootTime) {
         if self.consecutive_failures == 0 {
             self.consecutive_failures = 1;
@@ -247,7 +254,7 @@
         }
     }
 
-    /// Notes a start that was not answered.
+    /// Adds a start that was not answered.
     pub fn add_unconfirmed(&mut self, run: RunKey, now: BootTime) {
         if self.unconfirmed_starts.len() == MAX_UNCONFIRMED {
             self.unconfirmed_starts.remove(0);
@@ -255,19 +262,19 @@
         self.unconfirmed_starts.push((run, now));
     }
 
-    /// Takes the unanswered starts that may still be carried out.
+    /// Removes all unanswered starts and returns those that may still be carried out.
     pub fn take_unconfirmed(&mut self, tuning: &SchedulerTuning, now: BootTime) -> Vec<RunKey> {
-        let doubts = std::mem::take(&mut self.unconfirmed_starts);
-        let fresh =
+        let unconfirmed = std::mem::take(&mut self.unconfirmed_starts);
+        let may_be_pending =
             |(_, sent): &(RunKey, BootTime)| now.saturating_sub(*sent) < tuning.max_delivery_delay;
-        doubts
+        unconfirmed
             .into_iter()
-            .filter(fresh)
+            .filter(may_be_pending)
             .map(|(run, _)| run)
             .collect()
     }
 
-    /// Pauses after a refusal or a failure, longer with each in a row.
+    /// Pauses after a refusal or a failure, longer after each consecutive one.
     pub fn pause(&mut self, tuning: &SchedulerTuning, now: BootTime) {
         let doublings = self.consecutive_failures.min(8);
         let pause = tuning.failure_pause * 2_u32.pow(doublings);
--- a/crates/decide/src/work/throttle.rs
+++ b/crates/decide/src/work/throttle.rs
@@ -5,27 +5,27 @@
 
 use super::{SchedulerAction, WorkScheduler, target_state::RunKey};
 
-/// Part of the tail's target, in percent, above which tasks that fill are stopped from
-/// working. The tail is a rough figure of the last half second, so there has to be a margin.
+/// Tail latency in percent of its target at which best-effort tasks are suspended. The tail latency
+/// is a rough estimate over the last half second, so a margin is needed.
 const SUSPEND_TAIL_PERCENT: u64 = 85;
-/// Part of the target, in percent, below which they may work more.
+/// Tail latency in percent of its target below which best-effort tasks may run more.
 const RELAX_TAIL_PERCENT: u64 = 60;
-/// Share of time, in percent, by which they may work more after each look.
+/// Increase of the share of time, in percent, after each poll.
 const RELAX_STEP_PERCENT: u8 = 20;
 
 impl WorkScheduler {
-    /// Sets the share of time of the tasks that fill on a target by the response times of the
-    /// tasks that serve there.
+    /// Sets the share of time of the best-effort tasks on a target by the tail latencies of its
+    /// serving tasks.
     ///
-    /// Tasks that fill disturb those that serve by amounts that change within seconds. They
-    /// give way at once when a tail comes near its target, and return in steps.
+    /// Best-effort tasks slow serving tasks down to an extent that changes within seconds. They are
+    /// suspended as soon as a tail latency comes near its target, and resumed in steps.
     pub(super) fn set_throttles(&mut self, id: &HostId) {
-        let Some(worst) = self.worst_tail_percent(id) else {
+        let Some(highest) = self.worst_tail_percent(id) else {
             self.throttles.remove(id);
             return;
         };
         let old = self.throttles.get(id).copied().unwrap_or(100);
-        let new = match worst {
+        let new = match highest {
             SUSPEND_TAIL_PERCENT.. => 0,
             RELAX_TAIL_PERCENT..SUSPEND_TAIL_PERCENT => old,
             _ => (old + RELAX_STEP_PERCENT).min(100),
@@ -39,14 +39,15 @@
         }
     }
 
-    /// Sets the share of a task that fills right after its start, since it starts at full.
+    /// Sets the share of time of a best-effort task right after its start, since it starts with the
+    /// full share.
     pub(super) fn throttle_new(&mut self, id: &HostId, run: &RunKey) {
-        let fills = self.step_plan(&run.0).is_some_and(|step| step.best_effort);
+        let is_best_effort = self.step_plan(&run.0).is_some_and(|step| step.best_effort);
         let Some(percent) = self
             .throttles
             .get(id)
             .copied()
-            .filter(|&percent| fills && percent < 100)
+            .filter(|&percent| is_best_effort && percent < 100)
         else {
             return;
         };
@@ -68,25 +69,31 @@
         let Some(target) = self.targets.get(id) else {
             return Vec::new();
         };
-        let fills = |run: &&RunKey| self.step_plan(&run.0).is_some_and(|step| step.best_effort);
-        target.claims.keys().filter(fills).cloned().collect()
+        let is_best_effort =
+            |run: &&RunKey| self.step_plan(&run.0).is_some_and(|step| step.best_effort);
+        target
+            .claims
+            .keys()
+            .filter(is_best_effort)
+            .cloned()
+            .collect()
     }
 
-    /// The worst tail on a target, in percent of its target; `None` if nothing fills beside
-    /// a task that serves.
+    /// Returns the highest tail latency on a target, in percent of its target; `None` if no
+    /// best-effort task runs beside a serving task.
     fn worst_tail_percent(&self, id: &HostId) -> Option<u64> {
         if self.best_effort_runs(id).is_empty() {
             return None;
         }
         let target = self.targets.get(id)?;
-        let tails = target.claims.keys().filter_map(|run| {
+        let tail_percents = target.claims.keys().filter_map(|run| {
             let job = self.job_table.jobs.get(&run.0.job)?;
             let step = job.plan.steps.get(run.0.step as usize)?;
             let task = job.task(run.0.occurrence, run.0.step, run.0.index)?;
             let place = task.placement.as_ref().filter(|_| step.serves_requests())?;
             Some(tail_percent(place.load, step))
         });
-        tails.max()
+        tail_percents.max()
     }
 }
 
