--- a/crates/decide/src/work/throttle.rs
+++ b/crates/decide/src/work/throttle.rs
@@ -7,11 +7,11 @@
 
 /// Tail latency in percent of its target at which best-effort tasks are suspended. The tail latency
 /// is a rough estimate over the last half second, so a margin is needed.
-const SUSPEND_TAIL_PERCENT: u64 = 85;
+const HIGH_TAIL: u64 = 85;
 /// Tail latency in percent of its target below which best-effort tasks may run more.
-const RELAX_TAIL_PERCENT: u64 = 60;
+const LOW_TAIL: u64 = 60;
 /// Increase of the share of time, in percent, after each poll.
-const RELAX_STEP_PERCENT: u8 = 20;
+const RAISE: u8 = 20;
 
 impl WorkScheduler {
     /// Sets the share of time of the best-effort tasks on a target by the tail latencies of its
@@ -20,15 +20,15 @@
     /// Best-effort tasks slow serving tasks down to an extent that changes within seconds. They are
     /// suspended as soon as a tail latency comes near its target, and resumed in steps.
     pub(super) fn set_throttles(&mut self, id: &HostId) {
-        let Some(highest) = self.worst_tail_percent(id) else {
+        let Some(worst) = self.worst_tail(id) else {
             self.throttles.remove(id);
             return;
         };
         let old = self.throttles.get(id).copied().unwrap_or(100);
-        let new = match highest {
-            SUSPEND_TAIL_PERCENT.. => 0,
-            RELAX_TAIL_PERCENT..SUSPEND_TAIL_PERCENT => old,
-            _ => (old + RELAX_STEP_PERCENT).min(100),
+        let new = match worst {
+            HIGH_TAIL.. => 0,
+            LOW_TAIL..HIGH_TAIL => old,
+            _ => (old + RAISE).min(100),
         };
         self.throttles.insert(id.clone(), new);
         if new == old {
@@ -79,21 +79,21 @@
             .collect()
     }
 
-    /// Returns the highest tail latency on a target, in percent of its target; `None` if no
+    /// Returns the worst tail latency on a target, in percent of its target; `None` if no
     /// best-effort task runs beside a serving task.
-    fn worst_tail_percent(&self, id: &HostId) -> Option<u64> {
+    fn worst_tail(&self, id: &HostId) -> Option<u64> {
         if self.best_effort_runs(id).is_empty() {
             return None;
         }
         let target = self.targets.get(id)?;
-        let tail_percents = target.claims.keys().filter_map(|run| {
+        let tails = target.claims.keys().filter_map(|run| {
             let job = self.job_table.jobs.get(&run.0.job)?;
             let step = job.plan.steps.get(run.0.step as usize)?;
             let task = job.task(run.0.occurrence, run.0.step, run.0.index)?;
             let place = task.placement.as_ref().filter(|_| step.serves_requests())?;
             Some(tail_percent(place.load, step))
         });
-        tail_percents.max()
+        tails.max()
     }
 }
 
