--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -6,11 +6,11 @@
 
 mod admission_loop;
 mod demand_meter;
-mod held_work;
-mod pool_desk;
+mod finish_attempt;
 mod pool_queue;
-mod settle_work;
-mod start_work;
+mod pool_state;
+mod resource_hold;
+mod start_requests;
 mod target_table;
 
 pub(crate) use admission_loop::{AdmissionConfig, AdmissionInbox, AdmissionLoop, LoopCommand};
--- a/crates/entry/src/admission/admission_loop.rs
+++ b/crates/entry/src/admission/admission_loop.rs
@@ -11,14 +11,14 @@
 use store::Clock;
 
 use super::{
-    held_work::{HeldWork, expired},
-    pool_desk::{PoolDesk, desk_of},
+    pool_state::{PoolState, pool_state_mut},
+    resource_hold::{ResourceHold, deadline_problem},
     target_table::TargetTable,
 };
 use crate::{
     CallerProblem,
+    caller_request::CallerRequest,
     dispatch::{AttemptReport, DispatchPool},
-    work::CallerRequest,
 };
 
 /// How often leases and quotas are looked at while requests wait for them.
@@ -76,19 +76,19 @@
 /// Owns the queues, the use of targets and the retries.
 ///
 /// Its work is in three parts: taking requests in and ending them here, starting them in
-/// `start_work`, and what follows from an ended attempt in `settle_work`.
+/// `start_requests`, and what follows from an ended attempt in `finish_attempt`.
 pub(crate) struct AdmissionLoop {
     pub(super) config: AdmissionConfig,
     inbox: AdmissionInbox,
     pub(super) dispatch: DispatchPool,
-    pub(super) desks: BTreeMap<PoolId, PoolDesk>,
+    pub(super) pools: BTreeMap<PoolId, PoolState>,
     pub(super) table: TargetTable,
-    pub(super) held: Vec<HeldWork>,
-    pub(super) waiting: HashMap<TeamId, u32>,
+    pub(super) holds: Vec<ResourceHold>,
+    pub(super) quota_waits: HashMap<TeamId, u32>,
     pub(super) finish: Option<LoopCommand>,
-    swept: BootTime,
-    culled: BootTime,
-    pub(super) turn: usize,
+    last_sweep: BootTime,
+    last_cull: BootTime,
+    pub(super) tie_break: usize,
 }
 
 impl AdmissionLoop {
@@ -103,47 +103,47 @@
             config,
             inbox,
             dispatch,
-            desks: BTreeMap::new(),
+            pools: BTreeMap::new(),
             table,
-            held: Vec::new(),
-            waiting: HashMap::new(),
+            holds: Vec::new(),
+            quota_waits: HashMap::new(),
             finish: None,
-            swept: BootTime::ZERO,
-            culled: BootTime::ZERO,
-            turn: 0,
+            last_sweep: BootTime::ZERO,
+            last_cull: BootTime::ZERO,
+            tie_break: 0,
         }
     }
 
     /// Runs until a `Finish` is done or the server is gone.
     pub fn run(mut self) {
         loop {
-            let alive = self.wait();
-            self.take_in();
+            let alive = self.wait_for_event();
+            self.drain_inbox();
             let now = self.config.clock.boot_now();
-            self.release_held(now);
-            self.drop_gone(now);
+            self.release_expired_holds(now);
+            self.remove_ended(now);
             self.start_waiting(now);
             self.report_demand(now);
             if !alive || self.is_finished(now) {
                 break;
             }
         }
-        self.take_in();
+        self.drain_inbox();
         self.refuse_queued("this entry host shut down before the request could start");
     }
 
     /// Waits for something to do; false once the server is gone.
-    fn wait(&mut self) -> bool {
-        let queued = self.desks.values().any(|desk| !desk.queue.is_empty());
+    fn wait_for_event(&mut self) -> bool {
+        let queued = self.pools.values().any(|state| !state.queue.is_empty());
         let tick = if queued { WAITING_TICK } else { IDLE_TICK };
         select! {
-            recv(self.inbox.requests) -> work => match work {
-                Ok(work) => self.admit(work),
+            recv(self.inbox.requests) -> request => match request {
+                Ok(request) => self.admit(request),
                 Err(_) => return false,
             },
             recv(self.inbox.reports) -> report => {
                 if let Ok(report) = report {
-                    self.settle(report);
+                    self.handle_report(report);
                 }
             }
             recv(self.inbox.commands) -> command => match command {
@@ -155,28 +155,28 @@
         true
     }
 
-    fn take_in(&mut self) {
+    fn drain_inbox(&mut self) {
         for _ in 0..BATCH {
             let Ok(report) = self.inbox.reports.try_recv() else {
                 break;
             };
-            self.settle(report);
+            self.handle_report(report);
         }
         for _ in 0..BATCH {
-            let Ok(work) = self.inbox.requests.try_recv() else {
+            let Ok(request) = self.inbox.requests.try_recv() else {
                 break;
             };
-            self.admit(work);
+            self.admit(request);
         }
     }
 
-    fn admit(&mut self, mut work: Box<CallerRequest>) {
+    fn admit(&mut self, mut request: Box<CallerRequest>) {
         let now = self.config.clock.boot_now();
-        let desk = desk_of(&mut self.desks, &self.config.retries, &work.pool);
-        let lease = self.config.slots.lease(&work.pool);
-        if let Some(wait) = desk.expected_wait(&work, &lease, now)
+        let state = pool_state_mut(&mut self.pools, &self.config.retries, &request.pool);
+        let lease = self.config.slots.lease(&request.pool);
+        if let Some(wait) = state.expected_wait(&request, &lease, now)
             && Duration::ZERO < wait
-            && work.deadline < now + wait + desk.needed_time()
+            && request.deadline < now + wait + state.required_time()
         {
             let detail = format!(
                 "the request would wait about {} ms, too long for its deadline",
@@ -184,50 +184,50 @@
             );
             let problem =
                 CallerProblem::not_run(ProblemKind::Deadline, detail).with_retry_after(wait);
-            work.refuse(problem);
+            request.refuse(problem);
             return;
         }
-        desk.meter.note_queue();
-        desk.retries.record_first_attempt();
-        if let Some(mut surplus) = desk.queue.push(work, self.config.max_queue) {
-            let wait = desk.drain_time(&lease).max(Duration::from_millis(200));
+        state.meter.mark_queue_changed();
+        state.retries.record_first_attempt();
+        if let Some(mut evicted) = state.queue.push(request, self.config.max_queue) {
+            let wait = state.drain_time(&lease).max(Duration::from_millis(200));
             let problem = CallerProblem::not_run(
                 ProblemKind::QueueFull,
                 "the queue of the pool is full, and this team fills the most of it",
             )
             .with_retry_after(wait);
-            surplus.refuse(problem);
+            evicted.refuse(problem);
         }
     }
 
     /// Ends requests whose deadline passed, and forgets those whose caller went away.
-    fn drop_gone(&mut self, now: BootTime) {
+    fn remove_ended(&mut self, now: BootTime) {
         // Looks at every queued request, so not after each event.
-        if now.saturating_sub(self.culled) < CULL_INTERVAL {
+        if now.saturating_sub(self.last_cull) < CULL_INTERVAL {
             return;
         }
-        self.culled = now;
-        for desk in self.desks.values_mut() {
-            let outlook = desk.outlook();
-            let gone = desk.queue.take_out(|work| {
-                outlook.waited_too_long(work, now)
-                    || now >= work.deadline
-                    || work.reply.is_abandoned()
+        self.last_cull = now;
+        for state in self.pools.values_mut() {
+            let service_estimate = state.service_estimate();
+            let removed = state.queue.remove_where(|request| {
+                service_estimate.would_miss_deadline(request, now)
+                    || now >= request.deadline
+                    || request.reply.is_abandoned()
             });
-            if gone.is_empty() {
+            if removed.is_empty() {
                 continue;
             }
-            desk.meter.note_queue();
-            for mut work in gone {
-                let limited = self.waiting.contains_key(&work.team);
-                work.refuse(expired(limited));
+            state.meter.mark_queue_changed();
+            for mut request in removed {
+                let limited = self.quota_waits.contains_key(&request.team);
+                request.refuse(deadline_problem(limited));
             }
         }
     }
 
     fn report_demand(&mut self, now: BootTime) {
-        for (pool, desk) in &mut self.desks {
-            let Some(teams) = desk.meter.due_report(&desk.queue, now) else {
+        for (pool, state) in &mut self.pools {
+            let Some(teams) = state.meter.due_report(&state.queue, now) else {
                 continue;
             };
             let targets = self.config.targets.pool_targets(pool);
@@ -237,10 +237,10 @@
                 in_flight: self.table.in_flight(&targets),
             });
         }
-        if now.saturating_sub(self.swept) >= Duration::from_secs(1) {
-            self.swept = now;
+        if now.saturating_sub(self.last_sweep) >= Duration::from_secs(1) {
+            self.last_sweep = now;
             self.table.sweep(now);
-            let queued: usize = self.desks.values().map(|desk| desk.queue.len()).sum();
+            let queued: usize = self.pools.values().map(|state| state.queue.len()).sum();
             metrics::gauge!("lws_requests_queued").set(queued as f64);
             metrics::gauge!("lws_requests_in_flight").set(self.dispatch.busy() as f64);
         }
@@ -251,16 +251,16 @@
             return false;
         };
         let idle =
-            self.dispatch.busy() == 0 && self.desks.values().all(|desk| desk.queue.is_empty());
+            self.dispatch.busy() == 0 && self.pools.values().all(|state| state.queue.is_empty());
         (idle && self.inbox.requests.is_empty()) || now >= end_at
     }
 
     pub(super) fn refuse_queued(&mut self, detail: &str) {
-        for desk in self.desks.values_mut() {
-            for mut work in desk.queue.take_out(|_| true) {
+        for state in self.pools.values_mut() {
+            for mut request in state.queue.remove_where(|_| true) {
                 let problem = CallerProblem::not_run(ProblemKind::NotServing, detail)
                     .with_retry_after(Duration::from_secs(1));
-                work.refuse(problem);
+                request.refuse(problem);
             }
         }
     }
--- a/crates/entry/src/admission/demand_meter.rs
+++ b/crates/entry/src/admission/demand_meter.rs
@@ -26,7 +26,7 @@
     /// What of `total` the reports have told.
     reported: Duration,
     /// What of `total` the lease now held has counted in.
-    counted: Duration,
+    accounted: Duration,
     since: BootTime,
 }
 
@@ -46,38 +46,38 @@
     ///
     /// Charging what runs ahead keeps one team from taking every slot that is free at the
     /// same moment.
-    pub fn uncounted(&self, team: &TeamId, service: Duration, now: BootTime) -> Duration {
+    pub fn unaccounted(&self, team: &TeamId, service_time: Duration, now: BootTime) -> Duration {
         let Some(meter) = self.teams.get(team) else {
             return Duration::ZERO;
         };
-        let running = now.saturating_sub(meter.since) + service;
-        meter.total.saturating_sub(meter.counted) + running * meter.running
+        let running = now.saturating_sub(meter.since) + service_time;
+        meter.total.saturating_sub(meter.accounted) + running * meter.running
     }
 
     /// Notes that a lease arrived, which counts in what was reported before.
-    pub fn note_lease(&mut self) {
+    pub fn begin_lease(&mut self) {
         for meter in self.teams.values_mut() {
-            meter.counted = meter.reported;
+            meter.accounted = meter.reported;
         }
     }
 
     /// Notes that something was queued or left the queue.
-    pub fn note_queue(&mut self) {
+    pub fn mark_queue_changed(&mut self) {
         self.changed = true;
     }
 
     /// Notes that `team` took a slot.
-    pub fn note_start(&mut self, team: &TeamId, now: BootTime) {
+    pub fn record_start(&mut self, team: &TeamId, now: BootTime) {
         let meter = self.teams.entry(team.clone()).or_default();
-        meter.advance(now);
+        meter.accumulate(now);
         meter.running += 1;
         self.changed = true;
     }
 
     /// Notes that `team` gave a slot back.
-    pub fn note_end(&mut self, team: &TeamId, now: BootTime) {
+    pub fn record_end(&mut self, team: &TeamId, now: BootTime) {
         let meter = self.teams.entry(team.clone()).or_default();
-        meter.advance(now);
+        meter.accumulate(now);
         meter.running = meter.running.saturating_sub(1);
         self.changed = true;
     }
@@ -101,14 +101,14 @@
         }
         let mut demands = Vec::new();
         for (team, meter) in &mut self.teams {
-            meter.advance(now);
+            meter.accumulate(now);
             let (queued, urgent) = queue.team_len(team);
             demands.push(TeamDemand {
                 team: team.clone(),
                 running: meter.running,
                 queued: u32::try_from(queued).unwrap_or(u32::MAX),
                 urgent: u32::try_from(urgent).unwrap_or(u32::MAX),
-                used_ms: meter.take_used(),
+                used_ms: meter.take_unreported_ms(),
             });
         }
         self.teams
@@ -119,12 +119,12 @@
 }
 
 impl TeamMeter {
-    fn advance(&mut self, now: BootTime) {
+    fn accumulate(&mut self, now: BootTime) {
         self.total += now.saturating_sub(self.since) * self.running;
         self.since = now;
     }
 
-    fn take_used(&mut self) -> u64 {
+    fn take_unreported_ms(&mut self) -> u64 {
         let used = self.total.saturating_sub(self.reported);
         let whole = u64::try_from(used.as_millis()).unwrap_or(u64::MAX);
         // The rest below a millisecond stays for the next report.
--- a/crates/entry/src/admission/settle_work.rs
+++ b/crates/entry/src/admission/finish_attempt.rs
@@ -4,57 +4,59 @@
 use model::{BootTime, HostId, PoolId, ProblemKind, TeamId};
 use ports::QuotaPermit;
 
-use super::{admission_loop::AdmissionLoop, held_work::HeldWork, pool_desk::desk_of};
+use super::{
+    admission_loop::AdmissionLoop, pool_state::pool_state_mut, resource_hold::ResourceHold,
+};
 use crate::{
     CallerProblem,
-    dispatch::{AttemptEnd, AttemptReport, TargetBlame},
-    work::CallerRequest,
+    caller_request::CallerRequest,
+    dispatch::{AttemptEnd, AttemptReport, NotRunCause},
 };
 
 /// How much longer than its deadline a request of unknown fate counts as running, at least
 /// and at most; between them it is the mean service time of its pool.
-const SHORTEST_GRACE: Duration = Duration::from_millis(300);
-const LONGEST_GRACE: Duration = Duration::from_secs(5);
+const MIN_GRACE: Duration = Duration::from_millis(300);
+const MAX_GRACE: Duration = Duration::from_secs(5);
 
 /// What follows from ended attempts.
 impl AdmissionLoop {
     /// Draws the consequences of an ended attempt.
-    pub(super) fn settle(&mut self, report: AttemptReport) {
+    pub(super) fn handle_report(&mut self, report: AttemptReport) {
         let now = self.config.clock.boot_now();
-        self.dispatch.settle();
+        self.dispatch.finish_job();
         let AttemptReport {
             mut request,
             host,
-            lane,
+            connection,
             permit,
             end,
             elapsed,
         } = report;
-        if let Some(lane) = lane {
-            let part = self.pool_parts(&request.pool).connections;
-            self.table.keep_lane(lane, part, now);
+        if let Some(connection) = connection {
+            let max_connections = self.pool_snapshot(&request.pool).max_connections;
+            self.table.keep_connection(connection, max_connections, now);
         }
-        self.note_health(&request, &host, &end, now);
+        self.update_health(&request, &host, &end, now);
         match end {
             AttemptEnd::Answered { .. } => {
                 self.release(&request.pool, &request.team, &host, now);
-                let desk = desk_of(&mut self.desks, &self.config.retries, &request.pool);
-                desk.note_service(elapsed);
+                let state = pool_state_mut(&mut self.pools, &self.config.retries, &request.pool);
+                state.record_service_time(elapsed);
             }
             AttemptEnd::Refused(problem) => {
                 self.release(&request.pool, &request.team, &host, now);
                 request.refuse(problem);
             }
-            AttemptEnd::NotRun { detail, blame } => {
+            AttemptEnd::NotRun { detail, cause } => {
                 self.release(&request.pool, &request.team, &host, now);
                 let problem = CallerProblem::not_run(ProblemKind::NoTarget, detail)
                     .with_retry_after(Duration::from_secs(1));
                 // What never left this host costs its pool nothing, so it needs no budget.
-                let free = blame == TargetBlame::None;
+                let free = cause == NotRunCause::Local;
                 self.retry(request, problem, free, now);
             }
-            AttemptEnd::Unknown { detail, silent } => {
-                self.hold(&request, host, permit, silent, now);
+            AttemptEnd::Unknown { detail, timed_out } => {
+                self.hold_resources(&request, host, permit, timed_out, now);
                 request.may_have_run = true;
                 let problem = CallerProblem::may_have_run(ProblemKind::TargetFailed, detail);
                 if request.idempotent {
@@ -67,7 +69,7 @@
         }
     }
 
-    fn note_health(
+    fn update_health(
         &mut self,
         request: &CallerRequest,
         host: &HostId,
@@ -76,24 +78,24 @@
     ) {
         let failed = match end {
             AttemptEnd::Answered { failed } => *failed,
-            AttemptEnd::NotRun { blame, .. } => match blame {
-                TargetBlame::None => return,
-                TargetBlame::Refused => {
-                    self.table.note_refusal(host, now);
+            AttemptEnd::NotRun { cause, .. } => match cause {
+                NotRunCause::Local => return,
+                NotRunCause::Refused => {
+                    self.table.on_refusal(host, now);
                     return;
                 }
-                TargetBlame::Unreachable => true,
+                NotRunCause::Unreachable => true,
             },
             AttemptEnd::Unknown { .. } => true,
             AttemptEnd::Refused(_) => return,
         };
         if !failed {
-            self.table.note_success(host);
+            self.table.on_success(host);
             return;
         }
-        let parts = self.pool_parts(&request.pool);
+        let snapshot = self.pool_snapshot(&request.pool);
         let answered = matches!(end, AttemptEnd::Answered { .. });
-        self.table.note_failure(&parts.view(), host, answered, now);
+        self.table.on_failure(&snapshot.view(), host, answered, now);
     }
 
     /// Sends a request again if its pool can afford it or it is `free`, and refuses it at
@@ -105,17 +107,17 @@
         free: bool,
         now: BootTime,
     ) {
-        let desk = desk_of(&mut self.desks, &self.config.retries, &request.pool);
+        let state = pool_state_mut(&mut self.pools, &self.config.retries, &request.pool);
         request.attempts += 1;
         let wait = RetryWait::default().wait(request.attempts, rand::random());
-        if now + wait >= request.deadline || !(free || desk.retries.take_retry()) {
+        if now + wait >= request.deadline || !(free || state.retries.take_retry()) {
             metrics::counter!("lws_retries_refused").increment(1);
             request.refuse(problem);
             return;
         }
         metrics::counter!("lws_retries").increment(1);
-        desk.queue.push_retry(request, now + wait);
-        desk.meter.note_queue();
+        state.queue.push_retry(request, now + wait);
+        state.meter.mark_queue_changed();
     }
 
     /// Keeps the permit of a request whose fate is unknown: it may run until its deadline,
@@ -127,46 +129,46 @@
     /// the connection or answered something else has most likely ended the request; it
     /// refuses what it has no slot for, while keeping the slot would leave a target
     /// that died and came back idle until the last deadline.
-    fn hold(
+    fn hold_resources(
         &mut self,
         request: &CallerRequest,
         host: HostId,
         permit: QuotaPermit,
-        silent: bool,
+        timed_out: bool,
         now: BootTime,
     ) {
-        let desk = desk_of(&mut self.desks, &self.config.retries, &request.pool);
-        let grace = desk.service_time().clamp(SHORTEST_GRACE, LONGEST_GRACE);
-        if !silent {
-            desk.meter.note_end(&request.team, now);
-            self.table.linger(&host);
+        let state = pool_state_mut(&mut self.pools, &self.config.retries, &request.pool);
+        let grace = state.service_time().clamp(MIN_GRACE, MAX_GRACE);
+        if !timed_out {
+            state.meter.record_end(&request.team, now);
+            self.table.release_unconfirmed(&host);
         }
-        self.held.push(HeldWork {
+        self.holds.push(ResourceHold {
             until: request.deadline.max(now) + grace,
             pool: request.pool.clone(),
             team: request.team.clone(),
             host,
-            slot: silent,
+            slot: timed_out,
             _permit: permit,
         });
     }
 
     fn release(&mut self, pool: &PoolId, team: &TeamId, host: &HostId, now: BootTime) {
-        self.table.end(host);
-        let desk = desk_of(&mut self.desks, &self.config.retries, pool);
-        desk.meter.note_end(team, now);
+        self.table.release_slot(host);
+        let state = pool_state_mut(&mut self.pools, &self.config.retries, pool);
+        state.meter.record_end(team, now);
     }
 
     /// Gives back what was held for requests that are surely over now.
-    pub(super) fn release_held(&mut self, now: BootTime) {
-        let (over, kept) = self.held.drain(..).partition(|held| now >= held.until);
-        self.held = kept;
-        let over: Vec<HeldWork> = over;
-        for held in over {
-            if held.slot {
-                self.release(&held.pool, &held.team, &held.host, now);
+    pub(super) fn release_expired_holds(&mut self, now: BootTime) {
+        let (over, kept) = self.holds.drain(..).partition(|hold| now >= hold.until);
+        self.holds = kept;
+        let over: Vec<ResourceHold> = over;
+        for hold in over {
+            if hold.slot {
+                self.release(&hold.pool, &hold.team, &hold.host, now);
             } else {
-                self.table.end_lingering(&held.host);
+                self.table.end_unconfirmed(&hold.host);
             }
         }
     }
--- a/crates/entry/src/admission/pool_queue.rs
+++ b/crates/entry/src/admission/pool_queue.rs
@@ -5,7 +5,7 @@
 
 use model::{BootTime, TeamId};
 
-use crate::work::CallerRequest;
+use crate::caller_request::CallerRequest;
 
 /// The requests that wait for a slot of one pool, in a queue for each team.
 #[derive(Default)]
@@ -23,7 +23,7 @@
 
 struct DelayedRequest {
     due: BootTime,
-    work: Box<CallerRequest>,
+    request: Box<CallerRequest>,
 }
 
 impl PoolQueue {
@@ -55,63 +55,73 @@
 
     /// Queues a request. If that makes more than `most`, gives back the newest one of the
     /// team that queues most, so that a team that floods the pool delays only itself.
-    pub fn push(&mut self, work: Box<CallerRequest>, most: usize) -> Option<Box<CallerRequest>> {
-        let queue = self.teams.entry(work.team.clone()).or_default();
-        if work.urgent {
-            queue.urgent.push_back(work);
+    pub fn push(
+        &mut self,
+        request: Box<CallerRequest>,
+        max_len: usize,
+    ) -> Option<Box<CallerRequest>> {
+        let queue = self.teams.entry(request.team.clone()).or_default();
+        if request.urgent {
+            queue.urgent.push_back(request);
         } else {
-            queue.normal.push_back(work);
+            queue.normal.push_back(request);
         }
         self.length += 1;
-        if self.length <= most {
+        if self.length <= max_len {
             return None;
         }
         let longest = self.teams.values_mut().max_by_key(|queue| queue.len())?;
-        let surplus = longest
+        let evicted = longest
             .normal
             .pop_back()
             .or_else(|| longest.urgent.pop_back())?;
         self.length -= 1;
-        Some(surplus)
+        Some(evicted)
     }
 
     /// Queues a request that goes first in its team once `due` has come.
-    pub fn push_retry(&mut self, work: Box<CallerRequest>, due: BootTime) {
+    pub fn push_retry(&mut self, request: Box<CallerRequest>, due: BootTime) {
         self.length += 1;
-        self.delayed.push(DelayedRequest { due, work });
+        self.delayed.push(DelayedRequest { due, request });
     }
 
     /// Moves retries whose time has come to the front of their teams.
-    pub fn wake_retries(&mut self, now: BootTime) {
+    pub fn queue_due_retries(&mut self, now: BootTime) {
         let mut index = 0;
         while index < self.delayed.len() {
             if self.delayed[index].due > now {
                 index += 1;
                 continue;
             }
-            let work = self.delayed.swap_remove(index).work;
-            let queue = self.teams.entry(work.team.clone()).or_default();
-            if work.urgent {
-                queue.urgent.push_front(work);
+            let request = self.delayed.swap_remove(index).request;
+            let queue = self.teams.entry(request.team.clone()).or_default();
+            if request.urgent {
+                queue.urgent.push_front(request);
             } else {
-                queue.normal.push_front(work);
+                queue.normal.push_front(request);
             }
         }
     }
 
     /// Takes out every request that `gone` says is of no more use.
-    pub fn take_out(&mut self, mut gone: impl FnMut(&CallerRequest) -> bool) -> Vec<CallerRequest> {
+    pub fn remove_where(
+        &mut self,
+        mut should_remove: impl FnMut(&CallerRequest) -> bool,
+    ) -> Vec<CallerRequest> {
         let mut taken = Vec::new();
         for queue in self.teams.values_mut() {
-            take_from(&mut queue.urgent, &mut gone, &mut taken);
-            take_from(&mut queue.normal, &mut gone, &mut taken);
+            remove_from(&mut queue.urgent, &mut should_remove, &mut taken);
+            remove_from(&mut queue.normal, &mut should_remove, &mut taken);
         }
         let (out, kept) = self
             .delayed
             .drain(..)
-            .partition(|delayed| gone(&delayed.work));
+            .partition(|delayed| should_remove(&delayed.request));
         self.delayed = kept;
-        taken.extend(out.into_iter().map(|delayed: DelayedRequest| *delayed.work));
+        taken.extend(
+            out.into_iter()
+                .map(|delayed: DelayedRequest| *delayed.request),
+        );
         self.length -= taken.len();
         self.teams.retain(|_, queue| queue.len() > 0);
         taken
@@ -134,21 +144,21 @@
     /// Takes the next request of `team`, urgent ones first.
     pub fn pop(&mut self, team: &TeamId) -> Option<Box<CallerRequest>> {
         let queue = self.teams.get_mut(team)?;
-        let work = queue
+        let request = queue
             .urgent
             .pop_front()
             .or_else(|| queue.normal.pop_front())?;
         self.length -= 1;
-        Some(work)
+        Some(request)
     }
 
     /// Puts a request that could not start back where it was taken from.
-    pub fn unpop(&mut self, work: Box<CallerRequest>) {
-        let queue = self.teams.entry(work.team.clone()).or_default();
-        if work.urgent {
-            queue.urgent.push_front(work);
+    pub fn restore_front(&mut self, request: Box<CallerRequest>) {
+        let queue = self.teams.entry(request.team.clone()).or_default();
+        if request.urgent {
+            queue.urgent.push_front(request);
         } else {
-            queue.normal.push_front(work);
+            queue.normal.push_front(request);
         }
         self.length += 1;
     }
@@ -160,15 +170,16 @@
     }
 }
 
-fn take_from(
+fn remove_from(
     queue: &mut VecDeque<Box<CallerRequest>>,
-    gone: &mut impl FnMut(&CallerRequest) -> bool,
+    should_remove: &mut impl FnMut(&CallerRequest) -> bool,
     taken: &mut Vec<CallerRequest>,
 ) {
-    if !queue.iter().any(|work| gone(work)) {
+    if !queue.iter().any(|request| should_remove(request)) {
         return;
     }
-    let (out, kept): (VecDeque<_>, VecDeque<_>) = queue.drain(..).partition(|work| gone(work));
+    let (out, kept): (VecDeque<_>, VecDeque<_>) =
+        queue.drain(..).partition(|request| should_remove(request));
     *queue = kept;
-    taken.extend(out.into_iter().map(|work| *work));
+    taken.extend(out.into_iter().map(|request| *request));
 }
--- a/crates/entry/src/admission/held_work.rs
+++ b/crates/entry/src/admission/resource_hold.rs
@@ -6,7 +6,7 @@
 use crate::CallerProblem;
 
 /// A unit of a team's limit, and maybe a slot, whose request may still run on its target.
-pub(super) struct HeldWork {
+pub(super) struct ResourceHold {
     pub(super) until: BootTime,
     pub(super) pool: PoolId,
     pub(super) team: TeamId,
@@ -17,7 +17,7 @@
 }
 
 /// What a caller is told whose request waited until its deadline.
-pub(super) fn expired(limited: bool) -> CallerProblem {
+pub(super) fn deadline_problem(limited: bool) -> CallerProblem {
     let (kind, detail) = if limited {
         (
             ProblemKind::TeamLimit,
--- a/crates/entry/src/admission/target_table.rs
+++ b/crates/entry/src/admission/target_table.rs
@@ -8,39 +8,39 @@
 use parking_lot::Mutex;
 use ports::{SlotLease, TargetHost, TargetSlots, TargetState};
 
-use crate::{dispatch::TargetLane, event};
+use crate::{dispatch::TargetConnection, event};
 
 /// How long a lane may stay unused before its connection is closed. Short, because a
 /// target that closes it at the moment of use leaves the fate of a request unknown.
-const LANE_IDLE: Duration = Duration::from_secs(4);
+const MAX_IDLE_TIME: Duration = Duration::from_secs(4);
 /// How long a target that refused work is left alone, first and at most.
-const FIRST_REST: Duration = Duration::from_millis(50);
-const LONGEST_REST: Duration = Duration::from_secs(1);
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Requests in flight by target, as other areas may read them.
 pub(crate) type RunningCounts = Arc<Mutex<HashMap<HostId, u32>>>;
 
 /// What this entry host has in flight to each target, and how each target does.
 pub(crate) struct TargetTable {
-    entries: HashMap<HostId, TargetEntry>,
+    entries: HashMap<HostId, TargetUsage>,
     counts: RunningCounts,
     data_centre: DataCentreId,
     connect_timeout: Duration,
 }
 
 #[derive(Default)]
-struct TargetEntry {
+struct TargetUsage {
     in_flight: u32,
     /// Requests without a slot that may run all the same.
-    lingering: u32,
-    lanes: Vec<IdleLane>,
+    unconfirmed: u32,
+    idle_connections: Vec<IdleConnection>,
     health: TargetHealth,
-    rest: Duration,
-    rests_until: BootTime,
+    backoff: Duration,
+    backoff_until: BootTime,
 }
 
-struct IdleLane {
-    lane: TargetLane,
+struct IdleConnection {
+    connection: TargetConnection,
     since: BootTime,
 }
 
@@ -51,7 +51,7 @@
     /// The slots that this entry host may use.
     pub lease: &'a SlotLease,
     /// Connections that this entry host may hold to each target.
-    pub connections: u32,
+    pub max_connections: u32,
     /// How many hosts the pool must keep in service.
     pub budget: u32,
 }
@@ -83,69 +83,79 @@
             return None;
         }
         let count = view.targets.len().max(1);
-        let open = view
+        let usable = view
             .targets
             .iter()
             .enumerate()
             .filter_map(|(index, target)| {
-                let room = self.room(view, target, now);
-                (room > 0).then_some((index, target, room))
+                let free_slots = self.free_slots(view, target, now);
+                (free_slots > 0).then_some((index, target, free_slots))
             });
-        let best = open.max_by_key(|(index, target, room)| {
-            let near = target.data_centre == self.data_centre;
-            let sound = !self.is_suspect(target, now);
-            (sound, *room, near, (index + tie) % count)
+        let best = usable.max_by_key(|(index, target, free_slots)| {
+            let local = target.data_centre == self.data_centre;
+            let healthy = !self.is_suspect(target, now);
+            (healthy, *free_slots, local, (index + tie) % count)
         });
         best.map(|(_, target, _)| target)
     }
 
     /// Takes a slot of `target` and a lane to it.
-    pub fn start(&mut self, target: &TargetHost) -> TargetLane {
+    pub fn acquire(&mut self, target: &TargetHost) -> TargetConnection {
         let entry = self.entries.entry(target.host.clone()).or_default();
         entry.in_flight += 1;
-        publish(&self.counts, &target.host, entry);
+        publish_count(&self.counts, &target.host, entry);
         let kept = entry
-            .lanes
+            .idle_connections
             .pop()
-            .filter(|idle| idle.lane.address == target.address);
+            .filter(|idle| idle.connection.address == target.address);
         match kept {
-            Some(idle) => idle.lane,
-            None => TargetLane::new(target.host.clone(), &target.address, self.connect_timeout),
+            Some(idle) => idle.connection,
+            None => {
+                TargetConnection::new(target.host.clone(), &target.address, self.connect_timeout)
+            }
         }
     }
 
     /// Gives a slot back.
-    pub fn end(&mut self, host: &HostId) {
+    pub fn release_slot(&mut self, host: &HostId) {
         let Some(entry) = self.entries.get_mut(host) else {
             return;
         };
         entry.in_flight = entry.in_flight.saturating_sub(1);
-        publish(&self.counts, host, entry);
+        publish_count(&self.counts, host, entry);
     }
 
     /// Gives a slot back whose request may still run on the target.
-    pub fn linger(&mut self, host: &HostId) {
+    pub fn release_unconfirmed(&mut self, host: &HostId) {
         let entry = self.entries.entry(host.clone()).or_default();
         entry.in_flight = entry.in_flight.saturating_sub(1);
-        entry.lingering += 1;
+        entry.unconfirmed += 1;
     }
 
     /// Notes that such a request is surely over.
-    pub fn end_lingering(&mut self, host: &HostId) {
+    pub fn end_unconfirmed(&mut self, host: &HostId) {
         let Some(entry) = self.entries.get_mut(host) else {
             return;
         };
-        entry.lingering = entry.lingering.saturating_sub(1);
-        publish(&self.counts, host, entry);
+        entry.unconfirmed = entry.unconfirmed.saturating_sub(1);
+        publish_count(&self.counts, host, entry);
     }
 
     /// Keeps a lane for the next request to its target, unless the target then has more
     /// than `part` connections from here: the part shrinks when an entry host joins.
-    pub fn keep_lane(&mut self, lane: TargetLane, part: u32, now: BootTime) {
-        let entry = self.entries.entry(lane.host.clone()).or_default();
-        let others = entry.in_flight.saturating_sub(1) as usize + entry.lanes.len();
-        if others < part as usize {
-            entry.lanes.push(IdleLane { lane, since: now });
+    pub fn keep_connection(
+        &mut self,
+        connection: TargetConnection,
+        max_connections: u32,
+        now: BootTime,
+    ) {
+        let entry = self.entries.entry(connection.host.clone()).or_default();
+        let others = entry.in_flight.saturating_sub(1) as usize + entry.idle_connections.len();
+        if others < max_connections as usize {
+            entry.idle_connections.push(IdleConnection {
+                connection,
+                since: now,
+            });
         }
     }
 
@@ -165,26 +175,26 @@
     pub fn sweep(&mut self, now: BootTime) {
         for entry in self.entries.values_mut() {
             entry
-                .lanes
-                .retain(|idle| now.saturating_sub(idle.since) < LANE_IDLE);
+                .idle_connections
+                .retain(|idle| now.saturating_sub(idle.since) < MAX_IDLE_TIME);
         }
         self.entries.retain(|_, entry| {
-            entry.in_flight + entry.lingering > 0
-                || !entry.lanes.is_empty()
+            entry.in_flight + entry.unconfirmed > 0
+                || !entry.idle_connections.is_empty()
                 || entry.health != TargetHealth::default()
-                || now < entry.rests_until
+                || now < entry.backoff_until
         });
     }
 
     /// Notes that a target answered.
-    pub fn note_success(&mut self, host: &HostId) {
+    pub fn on_success(&mut self, host: &HostId) {
         let entry = self.entries.entry(host.clone()).or_default();
         entry.health.record_success();
-        entry.rest = Duration::ZERO;
+        entry.backoff = Duration::ZERO;
     }
 
     /// Notes that a target failed a request, by an answer or without one.
-    pub fn note_failure(
+    pub fn on_failure(
         &mut self,
         view: &PoolView<'_>,
         host: &HostId,
@@ -200,7 +210,7 @@
         let entry = self.entries.entry(host.clone()).or_default();
         if !answered {
             // The connections may lead to a life of the target that is gone.
-            entry.lanes.clear();
+            entry.idle_connections.clear();
         }
         if entry.health.record_failure(now, may_eject) {
             metrics::counter!("lws_targets_ejected").increment(1);
@@ -211,25 +221,26 @@
     /// Notes that a target refused new work: it drains, or its slots are taken. It is left
     /// alone for a moment that grows to a second while it goes on refusing, so that a
     /// draining target is spared and one that was only full is not left idle for long.
-    pub fn note_refusal(&mut self, host: &HostId, now: BootTime) {
+    pub fn on_refusal(&mut self, host: &HostId, now: BootTime) {
         let entry = self.entries.entry(host.clone()).or_default();
-        entry.rest = (entry.rest * 2).clamp(FIRST_REST, LONGEST_REST);
-        entry.rests_until = now + entry.rest;
+        entry.backoff = (entry.backoff * 2).clamp(MIN_BACKOFF, MAX_BACKOFF);
+        entry.backoff_until = now + entry.backoff;
         info(
             &event::TARGET_REFUSED,
-            format_args!("host={host} rest_ms={}", entry.rest.as_millis()),
+            format_args!("host={host} rest_ms={}", entry.backoff.as_millis()),
         );
     }
 
-    fn room(&self, view: &PoolView<'_>, target: &TargetHost, now: BootTime) -> u32 {
+    fn free_slots(&self, view: &PoolView<'_>, target: &TargetHost, now: BootTime) -> u32 {
         let in_flight = self
             .entries
             .get(&target.host)
             .map_or(0, |entry| entry.in_flight);
-        self.allowed(view, target, now).saturating_sub(in_flight)
+        self.allowed_slots(view, target, now)
+            .saturating_sub(in_flight)
     }
 
-    fn allowed(&self, view: &PoolView<'_>, target: &TargetHost, now: BootTime) -> u32 {
+    fn allowed_slots(&self, view: &PoolView<'_>, target: &TargetHost, now: BootTime) -> u32 {
         if target.state != TargetState::Serving {
             return 0;
         }
@@ -239,11 +250,11 @@
             .iter()
             .find(|slots| slots.host == target.host)
             .map_or(0, |slots| slots.slots)
-            .min(view.connections);
+            .min(view.max_connections);
         let Some(entry) = self.entries.get(&target.host) else {
             return leased;
         };
-        if now < entry.rests_until {
+        if now < entry.backoff_until {
             return 0;
         }
         match entry.health.allowed_use(now) {
@@ -266,8 +277,8 @@
     }
 }
 
-fn publish(counts: &RunningCounts, host: &HostId, entry: &TargetEntry) {
-    let running = entry.in_flight + entry.lingering;
+fn publish_count(counts: &RunningCounts, host: &HostId, entry: &TargetUsage) {
+    let running = entry.in_flight + entry.unconfirmed;
     let mut counts = counts.lock();
     if running == 0 {
         counts.remove(host);
@@ -280,7 +291,7 @@
 ///
 /// Each of `members` entry hosts keeps to its part without asking the others, so the sum
 /// stays within what the target allows.
-pub(crate) fn connection_part(connections: u32, members: usize) -> u32 {
+pub(crate) fn connection_share(max_connections: u32, members: usize) -> u32 {
     let members = u32::try_from(members).unwrap_or(u32::MAX).max(1);
-    (connections / members).max(1)
+    (max_connections / members).max(1)
 }
--- a/crates/entry/src/caller/body_budget.rs
+++ b/crates/entry/src/caller/body_budget.rs
@@ -15,18 +15,18 @@
 #[derive(Debug)]
 pub(crate) struct BodyBudget {
     total: usize,
-    held: Mutex<HeldBytes>,
+    reserved: Mutex<ReservedBytes>,
 }
 
 #[derive(Debug, Default)]
-struct HeldBytes {
+struct ReservedBytes {
     sum: usize,
     teams: HashMap<TeamId, usize>,
 }
 
 /// Bytes taken from a [`BodyBudget`], given back when dropped.
 #[derive(Debug)]
-pub(crate) struct BodyShare {
+pub(crate) struct BodyReservation {
     budget: Arc<BodyBudget>,
     team: TeamId,
     bytes: usize,
@@ -37,79 +37,82 @@
     pub fn new(total: usize) -> Arc<Self> {
         Arc::new(Self {
             total,
-            held: Mutex::new(HeldBytes::default()),
+            reserved: Mutex::new(ReservedBytes::default()),
         })
     }
 
     /// An empty share for `team`, to be grown.
-    pub fn share(self: &Arc<Self>, team: &TeamId) -> BodyShare {
-        BodyShare {
+    pub fn reservation(self: &Arc<Self>, team: &TeamId) -> BodyReservation {
+        BodyReservation {
             budget: Arc::clone(self),
             team: team.clone(),
             bytes: 0,
         }
     }
 
-    fn take(&self, team: &TeamId, bytes: usize) -> bool {
-        let mut held = self.held.lock();
-        let mine = held.teams.get(team).copied().unwrap_or_default();
-        if held.sum + bytes > self.total || mine + bytes > self.total / 4 * 3 {
+    fn try_reserve(&self, team: &TeamId, bytes: usize) -> bool {
+        let mut reserved = self.reserved.lock();
+        let team_bytes = reserved.teams.get(team).copied().unwrap_or_default();
+        if reserved.sum + bytes > self.total || team_bytes + bytes > self.total / 4 * 3 {
             return false;
         }
-        held.sum += bytes;
-        held.teams.insert(team.clone(), mine + bytes);
+        reserved.sum += bytes;
+        reserved.teams.insert(team.clone(), team_bytes + bytes);
         true
     }
 
-    fn give_back(&self, team: &TeamId, bytes: usize) {
-        let mut held = self.held.lock();
-        held.sum = held.sum.saturating_sub(bytes);
-        let Some(mine) = held.teams.get_mut(team) else {
+    fn release(&self, team: &TeamId, bytes: usize) {
+        let mut reserved = self.reserved.lock();
+        reserved.sum = reserved.sum.saturating_sub(bytes);
+        let Some(team_bytes) = reserved.teams.get_mut(team) else {
             return;
         };
-        *mine = mine.saturating_sub(bytes);
-        if *mine == 0 {
-            held.teams.remove(team);
+        *team_bytes = team_bytes.saturating_sub(bytes);
+        if *team_bytes == 0 {
+            reserved.teams.remove(team);
         }
     }
 }
 
-impl BodyShare {
+impl BodyReservation {
     /// Takes `bytes` more; false if there are none left for the team.
     pub fn grow(&mut self, bytes: usize) -> bool {
-        let taken = self.budget.take(&self.team, bytes);
-        if taken {
+        let granted = self.budget.try_reserve(&self.team, bytes);
+        if granted {
             self.bytes += bytes;
         }
-        taken
+        granted
     }
 
     /// Gives back what is held above `bytes`.
     pub fn shrink_to(&mut self, bytes: usize) {
         let surplus = self.bytes.saturating_sub(bytes);
-        self.budget.give_back(&self.team, surplus);
+        self.budget.release(&self.team, surplus);
         self.bytes -= surplus;
     }
 
     /// Bytes of `body` that count as held until the last user of them is done.
     pub fn attach(self, body: Bytes) -> Bytes {
-        Bytes::from_owner(HeldBody { body, _share: self })
+        Bytes::from_owner(ReservedBody {
+            body,
+            _reservation: self,
+        })
     }
 }
 
-struct HeldBody {
+struct ReservedBody {
     body: Bytes,
-    _share: BodyShare,
+    _reservation: BodyReservation,
 }
 
-impl AsRef<[u8]> for HeldBody {
+impl AsRef<[u8]> for ReservedBody {
     fn as_ref(&self) -> &[u8] {
         &self.body
     }
 }
 
-impl Drop for BodyShare {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
-        self.budget.give_back(&self.team, self.bytes);
+        self.budget.release(&self.team, self.bytes);
     }
 }
--- a/crates/entry/src/caller/body_reader.rs
+++ b/crates/entry/src/caller/body_reader.rs
@@ -8,7 +8,7 @@
 };
 use model::ProblemKind;
 
-use super::{body_budget::BodyShare, caller_port::CallerPort, request_head::bad};
+use super::{body_budget::BodyReservation, caller_port::CallerPort, request_head::bad_request};
 use crate::CallerProblem;
 
 /// Reads a whole body within its size, its time and its share of memory.
@@ -18,16 +18,16 @@
 pub(super) async fn read_body(
     port: &CallerPort,
     request: Request<Incoming>,
-    share: &mut BodyShare,
-    patience: Duration,
+    reservation: &mut BodyReservation,
+    timeout: Duration,
 ) -> Result<Bytes, CallerProblem> {
     let announced = announced_length(&request)?;
     if announced > port.max_body {
         return Err(too_large(port.max_body));
     }
-    let limit = port.tuning.body_timeout.min(patience);
+    let limit = port.tuning.body_timeout.min(timeout);
     let body = request.into_body().boxed();
-    let reading = collect_body(body, announced, port.max_body, share);
+    let reading = collect_body(body, announced, port.max_body, reservation);
     match tokio::time::timeout(limit, reading).await {
         Ok(outcome) => outcome,
         Err(_) => Err(CallerProblem::not_run(
@@ -42,20 +42,20 @@
         return Ok(0);
     };
     let length = value.to_str().ok().and_then(|text| text.parse().ok());
-    length.ok_or_else(|| bad("Content-Length is not a number"))
+    length.ok_or_else(|| bad_request("Content-Length is not a number"))
 }
 
 async fn collect_body(
     mut body: BoxBody<Bytes, hyper::Error>,
     announced: usize,
     max_body: usize,
-    share: &mut BodyShare,
+    reservation: &mut BodyReservation,
 ) -> Result<Bytes, CallerProblem> {
     // Untouched memory costs nothing, and growing would copy the body a few times.
     let mut bytes = Vec::with_capacity(announced);
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
-            return Err(bad("the body ended before its announced length"));
+            return Err(bad_request("the body ended before its announced length"));
         };
         let Ok(data) = frame.into_data() else {
             continue;
@@ -63,7 +63,7 @@
         if bytes.len() + data.len() > max_body {
             return Err(too_large(max_body));
         }
-        if !share.grow(data.len()) {
+        if !reservation.grow(data.len()) {
             return Err(CallerProblem::not_run(
                 ProblemKind::QueueFull,
                 "no memory left for bodies of this team",
@@ -73,7 +73,7 @@
         bytes.extend_from_slice(&data);
     }
     if !body.is_end_stream() || bytes.len() < announced {
-        return Err(bad("the body ended before its announced length"));
+        return Err(bad_request("the body ended before its announced length"));
     }
     Ok(Bytes::from(bytes))
 }
--- a/crates/entry/src/caller/caller_port.rs
+++ b/crates/entry/src/caller/caller_port.rs
@@ -10,8 +10,8 @@
 use ports::{ConfigSource, NotServing, ServingGate, TargetSource};
 use store::Clock;
 
-use super::{JobDesk, body_budget::BodyBudget, connection_count::ConnectionCount};
-use crate::{ClaimDesk, EntryTuning, work::CallerRequest};
+use super::{JobThreadPool, body_budget::BodyBudget, connection_limiter::ConnectionLimiter};
+use crate::{ClaimService, EntryTuning, caller_request::CallerRequest};
 
 /// What the caller port needs to answer a request.
 pub(crate) struct CallerPort {
@@ -30,15 +30,15 @@
     /// Clocks for deadlines and for the expiry of keys.
     pub clock: Arc<dyn Clock>,
     /// Mints request ids.
-    pub claims: Arc<ClaimDesk>,
+    pub claims: Arc<ClaimService>,
     /// Takes job operations.
-    pub jobs: JobDesk,
+    pub jobs: JobThreadPool,
     /// Takes admitted requests.
     pub admission: Sender<Box<CallerRequest>>,
     /// Memory of bodies and answers.
     pub budget: Arc<BodyBudget>,
     /// Connections of callers.
-    pub connections: Arc<ConnectionCount>,
+    pub connections: Arc<ConnectionLimiter>,
     /// True once this host shuts down gracefully.
     pub leaving: Arc<AtomicBool>,
 }
--- a/crates/entry/src/caller/caller_stream.rs
+++ b/crates/entry/src/caller/caller_stream.rs
@@ -14,7 +14,7 @@
 
 /// Windows in a row in which a caller may take too little. More than one, because this
 /// thread may be the slow one.
-const STRIKES: u32 = 3;
+const MAX_SLOW_WINDOWS: u32 = 3;
 
 /// A caller's connection that gives up on a caller who takes its answer too slowly.
 ///
@@ -25,58 +25,58 @@
 pub(crate) struct CallerStream {
     stream: TcpStream,
     window: Duration,
-    floor: usize,
-    taken: usize,
-    strikes: u32,
-    stall: Option<Pin<Box<Sleep>>>,
+    min_bytes: usize,
+    written: usize,
+    slow_windows: u32,
+    window_timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl CallerStream {
     /// Demands that `floor` bytes be taken in every few `window`s while a write waits.
-    pub fn new(stream: TcpStream, window: Duration, floor: usize) -> Self {
+    pub fn new(stream: TcpStream, window: Duration, min_bytes: usize) -> Self {
         Self {
             stream,
             window,
-            floor,
-            taken: 0,
-            strikes: 0,
-            stall: None,
+            min_bytes,
+            written: 0,
+            slow_windows: 0,
+            window_timer: None,
         }
     }
 
-    fn note(
+    fn track_write(
         &mut self,
         cx: &mut Context<'_>,
         poll: Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
         match poll {
             Poll::Ready(Ok(count)) => {
-                self.taken += count;
-                if self.taken >= self.floor {
-                    self.settle();
+                self.written += count;
+                if self.written >= self.min_bytes {
+                    self.reset_window();
                 }
                 Poll::Ready(Ok(count))
             }
             Poll::Ready(Err(cause)) => Poll::Ready(Err(cause)),
-            Poll::Pending => self.wait(cx),
+            Poll::Pending => self.poll_window(cx),
         }
     }
 
-    fn settle(&mut self) {
-        self.taken = 0;
-        self.strikes = 0;
-        self.stall = None;
+    fn reset_window(&mut self) {
+        self.written = 0;
+        self.slow_windows = 0;
+        self.window_timer = None;
     }
 
-    fn wait(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
+    fn poll_window(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
         let window = self.window;
-        while self.strikes < STRIKES {
-            let stall = self
-                .stall
+        while self.slow_windows < MAX_SLOW_WINDOWS {
+            let window_timer = self
+                .window_timer
                 .get_or_insert_with(|| Box::pin(tokio::time::sleep_until(Instant::now() + window)));
-            ready!(stall.as_mut().poll(cx));
-            self.strikes += 1;
-            self.stall = None;
+            ready!(window_timer.as_mut().poll(cx));
+            self.slow_windows += 1;
+            self.window_timer = None;
         }
         metrics::counter!("lws_callers_stalled").increment(1);
         Poll::Ready(Err(io::Error::new(
@@ -103,12 +103,12 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let poll = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.note(cx, poll)
+        self.track_write(cx, poll)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         // The last bytes of an answer are with the kernel: the window of this answer ends.
-        self.settle();
+        self.reset_window();
         Pin::new(&mut self.stream).poll_flush(cx)
     }
 
@@ -126,6 +126,6 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let poll = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.note(cx, poll)
+        self.track_write(cx, poll)
     }
 }
--- a/crates/entry/src/caller/job_routes.rs
+++ b/crates/entry/src/caller/job_routes.rs
@@ -7,9 +7,9 @@
 use super::{
     body_reader::read_body,
     caller_port::CallerPort,
-    job_desk::JobCall,
-    key_check::{KeyPass, check_caller, key_stands},
-    request_head::{RequestHead, bad, header_text},
+    job_thread_pool::JobCall,
+    key_check::{VerifiedKey, authenticate, recheck_key},
+    request_head::{RequestHead, bad_request, header_text},
     respond::{CallerResponse, respond_json},
 };
 use crate::CallerProblem;
@@ -20,10 +20,10 @@
     service: ServiceId,
     request: Request<Incoming>,
 ) -> Result<CallerResponse, CallerProblem> {
-    let given = RequestHead::given_order(request.headers());
+    let given_id = RequestHead::single_use_id(request.headers());
     let outcome = submit(port, service, request).await;
-    outcome.map_err(|problem| match given {
-        Some(given) => port.claims.state_fate(&given, problem),
+    outcome.map_err(|problem| match given_id {
+        Some(given_id) => port.claims.qualify_fate(&given_id, problem),
         None => problem,
     })
 }
@@ -34,16 +34,16 @@
     request: Request<Incoming>,
 ) -> Result<CallerResponse, CallerProblem> {
     let config = port.config.current();
-    let pass = check_caller(port, &config, &request)?;
+    let verified = authenticate(port, &config, &request)?;
     port.check_serving()?;
-    let (job, claim) = read_job(port, &config, service, &pass, request.headers())?;
-    let mut share = port.budget.share(&pass.team);
-    let payload = read_body(port, request, &mut share, port.max_deadline).await?;
+    let (job, claim) = read_job(port, &config, service, &verified, request.headers())?;
+    let mut reservation = port.budget.reservation(&verified.team);
+    let payload = read_body(port, request, &mut reservation, port.max_deadline).await?;
     // The key may have been withdrawn while the body arrived.
-    key_stands(
+    recheck_key(
         &port.config.current(),
-        &pass.team,
-        &pass.stamp,
+        &verified.team,
+        &verified.fingerprint,
         port.clock.unix_now(),
     )?;
     port.check_serving()?;
@@ -59,7 +59,7 @@
     port: &CallerPort,
     config: &ActiveConfig,
     service: ServiceId,
-    pass: &KeyPass,
+    verified: &VerifiedKey,
     headers: &HeaderMap,
 ) -> Result<(JobRequest, bool), CallerProblem> {
     let head = RequestHead::read(headers, port.max_deadline)?;
@@ -70,17 +70,19 @@
         ));
     };
     if spec.worker_pool.is_empty() {
-        return Err(bad(format!("service {service} runs no jobs")));
+        return Err(bad_request(format!("service {service} runs no jobs")));
     }
     let workspace = header_text(headers, "workspace")?.unwrap_or_default();
     let owner = config.manifest.workspaces.get(workspace);
-    if !workspace.is_empty() && owner.is_none_or(|spec| spec.team != pass.team) {
-        return Err(bad(format!("the team has no workspace {workspace}")));
+    if !workspace.is_empty() && owner.is_none_or(|spec| spec.team != verified.team) {
+        return Err(bad_request(format!(
+            "the team has no workspace {workspace}"
+        )));
     }
-    let (request, claim) = port.claims.admit_id(head.request, head.idempotent)?;
+    let (request, claim) = port.claims.resolve_id(head.request, head.idempotent)?;
     let job = JobRequest {
         request,
-        team: pass.team.clone(),
+        team: verified.team.clone(),
         service,
         workspace: workspace.into(),
         payload: Vec::new(),
@@ -109,7 +111,7 @@
     };
     match text.parse() {
         Ok(number) if number <= max => Ok(number),
-        _ => Err(bad(format!(
+        _ => Err(bad_request(format!(
             "header {name} must be a whole number from 0 to {max}"
         ))),
     }
@@ -122,11 +124,11 @@
     job: JobId,
     cancel: bool,
 ) -> Result<CallerResponse, CallerProblem> {
-    let pass = check_caller(port, &port.config.current(), request)?;
+    let verified = authenticate(port, &port.config.current(), request)?;
     let call = if cancel {
-        JobCall::Cancel(pass.team, job)
+        JobCall::Cancel(verified.team, job)
     } else {
-        JobCall::View(pass.team, job)
+        JobCall::View(verified.team, job)
     };
     let view = port.jobs.run(call).await?;
     Ok(respond_json(200, &view))
--- a/crates/entry/src/caller/job_desk.rs
+++ b/crates/entry/src/caller/job_thread_pool.rs
@@ -5,10 +5,10 @@
 use ports::{ClaimSource as _, ClaimVerdict, JobError, JobRequest, JobSink, JobView};
 use tokio::sync::oneshot;
 
-use crate::{CallerProblem, ClaimDesk};
+use crate::{CallerProblem, ClaimService};
 
 /// Job operations that wait for a thread.
-const WAITING_JOBS: usize = 256;
+const JOB_QUEUE_LIMIT: usize = 256;
 /// Stack of a job thread, in bytes.
 const JOB_STACK: usize = 256 * 1024;
 
@@ -23,7 +23,7 @@
     Cancel(TeamId, JobId),
 }
 
-struct JobTicket {
+struct JobOperation {
     call: JobCall,
     reply: oneshot::Sender<Result<JobView, CallerProblem>>,
 }
@@ -33,38 +33,38 @@
 /// The threads are many enough that the store's batches fill, and bounded, so that a
 /// store outage holds a known number of operations and refuses the rest at once.
 #[derive(Clone, Debug)]
-pub(crate) struct JobDesk {
-    tickets: Sender<JobTicket>,
+pub(crate) struct JobThreadPool {
+    operations: Sender<JobOperation>,
 }
 
-impl JobDesk {
+impl JobThreadPool {
     /// Starts the threads; they end once every clone of the desk is dropped.
     pub fn start(runner: &JobRunner, threads: usize) -> Result<Self, StepError> {
-        let (sender, receiver) = bounded(WAITING_JOBS);
+        let (sender, receiver) = bounded(JOB_QUEUE_LIMIT);
         for index in 0..threads.max(1) {
             let runner = runner.clone();
-            let receiver: Receiver<JobTicket> = receiver.clone();
+            let receiver: Receiver<JobOperation> = receiver.clone();
             thread::Builder::new()
                 .name(format!("entry-job-{index}"))
                 .stack_size(JOB_STACK)
-                .spawn(move || runner.run_all(&receiver))
+                .spawn(move || runner.run_loop(&receiver))
                 .map_err(|cause| StepError::new("start job thread", "", cause))?;
         }
-        Ok(Self { tickets: sender })
+        Ok(Self { operations: sender })
     }
 
     /// Runs one operation and waits for its outcome.
     pub async fn run(&self, call: JobCall) -> Result<JobView, CallerProblem> {
         let (reply, outcome) = oneshot::channel();
-        match self.tickets.try_send(JobTicket { call, reply }) {
+        match self.operations.try_send(JobOperation { call, reply }) {
             Ok(()) => {}
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
-                return Err(explain(&JobError::QueueFull));
+                return Err(job_problem(&JobError::QueueFull));
             }
         }
         match outcome.await {
             Ok(outcome) => outcome,
-            Err(_) => Err(explain(&JobError::Unknown(
+            Err(_) => Err(job_problem(&JobError::Unknown(
                 "the operation was dropped".to_owned(),
             ))),
         }
@@ -77,23 +77,25 @@
     /// Where jobs are recorded.
     pub sink: Arc<dyn JobSink>,
     /// Settles whether a request id may be used.
-    pub claims: Arc<ClaimDesk>,
+    pub claims: Arc<ClaimService>,
     /// Longest wait for the home of a request id.
-    pub claim_patience: Duration,
+    pub claim_timeout: Duration,
 }
 
 impl JobRunner {
-    fn run_all(&self, receiver: &Receiver<JobTicket>) {
-        for ticket in receiver {
-            let outcome = match ticket.call {
+    fn run_loop(&self, receiver: &Receiver<JobOperation>) {
+        for operation in receiver {
+            let outcome = match operation.call {
                 JobCall::Submit(request, claim) => self.submit(*request, claim),
-                JobCall::View(team, job) => self.sink.view(&team, &job).map_err(|e| explain(&e)),
+                JobCall::View(team, job) => {
+                    self.sink.view(&team, &job).map_err(|e| job_problem(&e))
+                }
                 JobCall::Cancel(team, job) => {
-                    self.sink.cancel(&team, &job).map_err(|e| explain(&e))
+                    self.sink.cancel(&team, &job).map_err(|e| job_problem(&e))
                 }
             };
             // The caller may have gone away; the job stands or not all the same.
-            let _ = ticket.reply.send(outcome);
+            let _ = operation.reply.send(outcome);
         }
     }
 
@@ -105,7 +107,7 @@
     fn submit(&self, request: JobRequest, claim: bool) -> Result<JobView, CallerProblem> {
         if claim {
             let (id, team) = (&request.request, &request.team);
-            let verdict = self.claims.claim(id, team, self.claim_patience);
+            let verdict = self.claims.claim(id, team, self.claim_timeout);
             if verdict != ClaimVerdict::First {
                 return self.sink.find(team, id).ok_or_else(|| {
                     CallerProblem::may_have_run(
@@ -118,12 +120,12 @@
         }
         self.sink.submit(request).map_err(|cause| CallerProblem {
             claimed: claim,
-            ..explain(&cause)
+            ..job_problem(&cause)
         })
     }
 }
 
-fn explain(cause: &JobError) -> CallerProblem {
+fn job_problem(cause: &JobError) -> CallerProblem {
     let text = cause.to_string();
     match cause {
         JobError::StoreDown(_) => CallerProblem::not_run(ProblemKind::StoreDown, text)
--- a/crates/entry/src/caller/key_check.rs
+++ b/crates/entry/src/caller/key_check.rs
@@ -7,22 +7,22 @@
 use wire::state::KeyRecord;
 
 use super::{caller_port::CallerPort, request_head::header_text};
-use crate::{CallerProblem, work::KeyStamp};
+use crate::{CallerProblem, caller_request::KeyFingerprint};
 
 /// A key that was found good, and the team that it admits work for.
-pub(crate) struct KeyPass {
+pub(crate) struct VerifiedKey {
     /// Team whose work the key admits.
     pub team: TeamId,
     /// What is checked again before the work goes out.
-    pub stamp: KeyStamp,
+    pub fingerprint: KeyFingerprint,
 }
 
 /// The team whose key came with a request.
-pub(super) fn check_caller<B>(
+pub(super) fn authenticate<B>(
     port: &CallerPort,
     config: &ActiveConfig,
     request: &Request<B>,
-) -> Result<KeyPass, CallerProblem> {
+) -> Result<VerifiedKey, CallerProblem> {
     let authorization = header_text(request.headers(), "authorization")?;
     check_key(config, authorization, port.clock.unix_now())
 }
@@ -35,28 +35,28 @@
     config: &ActiveConfig,
     authorization: Option<&str>,
     unix_now: Duration,
-) -> Result<KeyPass, CallerProblem> {
+) -> Result<VerifiedKey, CallerProblem> {
     let Some(text) = authorization else {
-        return Err(refused("header Authorization is missing"));
+        return Err(key_refused("header Authorization is missing"));
     };
     let Some(text) = read_bearer(text) else {
-        return Err(refused("Authorization must be `Bearer KEYID.SECRET`"));
+        return Err(key_refused("Authorization must be `Bearer KEYID.SECRET`"));
     };
     let unknown = KeyRecord::default();
     let record = config.keys.get(&text.key_id);
     let known = digest_matches(record.unwrap_or(&unknown), &text);
     let Some(record) = record.filter(|_| known) else {
-        return Err(refused("the key is not known, or was withdrawn"));
+        return Err(key_refused("the key is not known, or was withdrawn"));
     };
     if record.admin || record.team.is_empty() {
-        return Err(refused("an administration key admits no work"));
+        return Err(key_refused("an administration key admits no work"));
     }
     if has_expired(record, unix_now) {
-        return Err(refused("the key has expired"));
+        return Err(key_refused("the key has expired"));
     }
-    Ok(KeyPass {
+    Ok(VerifiedKey {
         team: TeamId::from(record.team.as_str()),
-        stamp: KeyStamp {
+        fingerprint: KeyFingerprint {
             key: text.key_id,
             digest: record.digest.clone(),
         },
@@ -66,22 +66,22 @@
 /// Whether a key that admitted a request still stands in the configuration now in force.
 ///
 /// A key withdrawn while its request is queued must not start it.
-pub(crate) fn key_stands(
+pub(crate) fn recheck_key(
     config: &ActiveConfig,
     team: &TeamId,
-    stamp: &KeyStamp,
+    fingerprint: &KeyFingerprint,
     unix_now: Duration,
 ) -> Result<(), CallerProblem> {
-    let stands = config.keys.get(&stamp.key).is_some_and(|record| {
+    let is_valid = config.keys.get(&fingerprint.key).is_some_and(|record| {
         !record.admin
             && record.team == team.as_str()
-            && record.digest == stamp.digest
+            && record.digest == fingerprint.digest
             && !has_expired(record, unix_now)
     });
-    if stands {
+    if is_valid {
         Ok(())
     } else {
-        Err(refused(
+        Err(key_refused(
             "the key was withdrawn or expired while the request waited",
         ))
     }
@@ -104,6 +104,6 @@
     record.expires_unix_ms != 0 && unix_now >= Duration::from_millis(record.expires_unix_ms)
 }
 
-fn refused(detail: &str) -> CallerProblem {
+fn key_refused(detail: &str) -> CallerProblem {
     CallerProblem::not_run(ProblemKind::KeyRefused, detail)
 }
--- a/crates/entry/src/caller/port_loop.rs
+++ b/crates/entry/src/caller/port_loop.rs
@@ -17,7 +17,7 @@
 use super::{
     caller_port::CallerPort,
     caller_stream::CallerStream,
-    connection_count::{ConnectionCount, ConnectionTicket},
+    connection_limiter::{ConnectionLimiter, ConnectionPermit},
     routes,
 };
 use crate::event;
@@ -29,7 +29,7 @@
 /// Refusals of surplus connections that are written at once; more are just closed.
 const MAX_REFUSALS: usize = 64;
 /// Longest wait for a refused caller to take its refusal.
-const REFUSAL_PATIENCE: Duration = Duration::from_millis(500);
+const REFUSAL_TIMEOUT: Duration = Duration::from_millis(500);
 /// What a surplus connection is told.
 const REFUSAL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\n\
 Content-Length: 115\r\nRetry-After: 1\r\nConnection: close\r\n\r\n\
@@ -54,8 +54,8 @@
     mut phase: watch::Receiver<PortPhase>,
 ) {
     // Every connection task holds a sender; the receiver ends when the last one is gone.
-    let (alive, mut gone) = tokio::sync::mpsc::channel::<()>(1);
-    let refusals = ConnectionCount::new(MAX_REFUSALS, MAX_REFUSALS);
+    let (open_task, mut all_ended) = tokio::sync::mpsc::channel::<()>(1);
+    let refusals = ConnectionLimiter::new(MAX_REFUSALS, MAX_REFUSALS);
     loop {
         let open = *phase.borrow_and_update() == PortPhase::Open;
         // Connections that wait in the listener would be reset with it, so they are taken in
@@ -72,24 +72,24 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        let Some(ticket) = port.connections.admit(peer.ip()) else {
+        let Some(permit) = port.connections.try_acquire(peer.ip()) else {
             metrics::counter!("lws_connections_refused").increment(1);
             refuse_connection(stream, peer.ip(), &refusals);
             continue;
         };
-        metrics::gauge!("lws_connections").set(port.connections.held() as f64);
+        metrics::gauge!("lws_connections").set(port.connections.open_count() as f64);
         let serving = serve_connection(
             Arc::clone(&port),
             stream,
             peer,
-            ticket,
+            permit,
             phase.clone(),
-            alive.clone(),
+            open_task.clone(),
         );
         tokio::spawn(serving);
     }
     drop(listener);
-    drop(alive);
+    drop(open_task);
     let closed = async {
         while *phase.borrow_and_update() != PortPhase::Closed {
             if phase.changed().await.is_err() {
@@ -98,7 +98,7 @@
         }
     };
     tokio::select! {
-        _ = gone.recv() => {}
+        _ = all_ended.recv() => {}
         () = closed => {}
     }
 }
@@ -107,14 +107,14 @@
     port: Arc<CallerPort>,
     stream: TcpStream,
     peer: SocketAddr,
-    ticket: ConnectionTicket,
+    permit: ConnectionPermit,
     mut phase: watch::Receiver<PortPhase>,
-    _alive: tokio::sync::mpsc::Sender<()>,
+    _open_task: tokio::sync::mpsc::Sender<()>,
 ) {
     // Small answers must not wait for the caller's acknowledgement of the last one.
     let _ = stream.set_nodelay(true);
     let tuning = &port.tuning;
-    let stream = CallerStream::new(stream, tuning.write_window, tuning.write_floor);
+    let stream = CallerStream::new(stream, tuning.write_window, tuning.min_write_bytes);
     let head_timeout = tuning.head_timeout;
     let service = service_fn(|request| {
         let port = Arc::clone(&port);
@@ -147,12 +147,12 @@
             format_args!("peer={peer} cause=\"{cause}\""),
         );
     }
-    drop(ticket);
+    drop(permit);
 }
 
 /// Tells a surplus connection that it is one, without letting it hold anything for long.
-fn refuse_connection(stream: TcpStream, address: IpAddr, refusals: &Arc<ConnectionCount>) {
-    let Some(ticket) = refusals.admit(address) else {
+fn refuse_connection(stream: TcpStream, address: IpAddr, refusals: &Arc<ConnectionLimiter>) {
+    let Some(permit) = refusals.try_acquire(address) else {
         return;
     };
     let writing = async move {
@@ -160,9 +160,9 @@
             let _ = stream.try_write(REFUSAL);
         }
         // Closing with unread bytes would reset the connection before the refusal is read.
-        let mut scrap = [0_u8; 4096];
+        let mut discarded = [0_u8; 4096];
         while stream.readable().await.is_ok() {
-            match stream.try_read(&mut scrap) {
+            match stream.try_read(&mut discarded) {
                 Ok(0) => return,
                 Ok(_) => {}
                 Err(cause) if cause.kind() == std::io::ErrorKind::WouldBlock => {}
@@ -171,7 +171,7 @@
         }
     };
     tokio::spawn(async move {
-        let _ = tokio::time::timeout(REFUSAL_PATIENCE, writing).await;
-        drop(ticket);
+        let _ = tokio::time::timeout(REFUSAL_TIMEOUT, writing).await;
+        drop(permit);
     });
 }
--- a/crates/entry/src/caller/request_head.rs
+++ b/crates/entry/src/caller/request_head.rs
@@ -18,7 +18,7 @@
     /// Header `Request-Id`.
     pub request: Option<RequestId>,
     /// Header `Deadline-Ms`: how long an answer is of use.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Header `Idempotent`.
     pub idempotent: bool,
     /// Header `Urgent`.
@@ -35,7 +35,7 @@
     pub fn read(headers: &HeaderMap, max_deadline: Duration) -> Result<Self, CallerProblem> {
         Ok(Self {
             request: read_id(headers)?,
-            patience: read_patience(headers, max_deadline)?,
+            timeout: read_deadline(headers, max_deadline)?,
             idempotent: read_flag(headers, "idempotent")?,
             urgent: read_flag(headers, "urgent")?,
             content_type: headers
@@ -46,7 +46,7 @@
     }
 
     /// The id of a request that must run once at most and may be a repetition.
-    pub fn given_order(headers: &HeaderMap) -> Option<RequestId> {
+    pub fn single_use_id(headers: &HeaderMap) -> Option<RequestId> {
         let request = read_id(headers).ok()??;
         let idempotent = read_flag(headers, "idempotent").unwrap_or_default();
         (!idempotent && MintedId::parse(&request).is_some()).then_some(request)
@@ -65,10 +65,12 @@
     };
     // Two values could be read as different requests by different hosts.
     if values.next().is_some() {
-        return Err(bad(format!("header {name} is given twice")));
+        return Err(bad_request(format!("header {name} is given twice")));
     }
     let Ok(text) = value.to_str() else {
-        return Err(bad(format!("header {name} is not plain ASCII text")));
+        return Err(bad_request(format!(
+            "header {name} is not plain ASCII text"
+        )));
     };
     Ok(Some(text.trim()))
 }
@@ -82,14 +84,14 @@
             .bytes()
             .all(|byte| byte.is_ascii_alphanumeric() || b"._:-".contains(&byte));
     if !fits {
-        return Err(bad(format!(
+        return Err(bad_request(format!(
             "Request-Id must have 1 to {MAX_ID} characters out of letters, digits and ._:-"
         )));
     }
     Ok(Some(RequestId::from(text)))
 }
 
-fn read_patience(
+fn read_deadline(
     headers: &HeaderMap,
     max_deadline: Duration,
 ) -> Result<Option<Duration>, CallerProblem> {
@@ -106,10 +108,12 @@
             format!("the deadline has passed; Deadline-Ms may be {range}"),
         ));
     }
-    let patience = text.parse().ok().map(Duration::from_millis);
-    match patience {
-        Some(patience) if whole && patience <= max_deadline => Ok(Some(patience)),
-        _ => Err(bad(format!("Deadline-Ms must be a whole number {range}"))),
+    let timeout = text.parse().ok().map(Duration::from_millis);
+    match timeout {
+        Some(timeout) if whole && timeout <= max_deadline => Ok(Some(timeout)),
+        _ => Err(bad_request(format!(
+            "Deadline-Ms must be a whole number {range}"
+        ))),
     }
 }
 
@@ -118,11 +122,11 @@
         None => Ok(false),
         Some(text) if text.eq_ignore_ascii_case("true") => Ok(true),
         Some(text) if text.eq_ignore_ascii_case("false") => Ok(false),
-        Some(_) => Err(bad(format!("header {name} must be true or false"))),
+        Some(_) => Err(bad_request(format!("header {name} must be true or false"))),
     }
 }
 
 /// A refusal of a malformed request.
-pub(crate) fn bad(detail: impl Into<String>) -> CallerProblem {
+pub(crate) fn bad_request(detail: impl Into<String>) -> CallerProblem {
     CallerProblem::not_run(ProblemKind::BadRequest, detail)
 }
--- a/crates/entry/src/caller/respond.rs
+++ b/crates/entry/src/caller/respond.rs
@@ -7,7 +7,7 @@
 use model::RequestId;
 use serde::Serialize;
 
-use crate::{CallerProblem, work::TargetAnswer};
+use crate::{CallerProblem, caller_request::TargetAnswer};
 
 /// The type of every response of the caller port.
 pub(crate) type CallerResponse = Response<Full<Bytes>>;
--- a/crates/entry/src/caller/routes.rs
+++ b/crates/entry/src/caller/routes.rs
@@ -14,13 +14,13 @@
     body_reader::read_body,
     caller_port::CallerPort,
     job_routes::{answer_job, answer_submit},
-    key_check::check_caller,
+    key_check::authenticate,
     request_head::RequestHead,
     respond::{CallerResponse, respond_answer, respond_json, respond_problem, respond_text},
 };
 use crate::{
     CallerProblem,
-    work::{CallerOutcome, CallerRequest, ReplySlot},
+    caller_request::{CallerOutcome, CallerRequest, ReplySlot},
 };
 
 /// How long after its deadline a request's outcome is waited for at most. The admission
@@ -51,21 +51,21 @@
     match (request.method().clone(), parts.as_slice()) {
         (Method::GET, ["livez"]) => respond_text(200, "alive"),
         (Method::GET, ["readyz"]) => answer_ready(port),
-        (Method::POST, ["v1", "request-ids"]) => finish(None, answer_mint(port, &request)),
+        (Method::POST, ["v1", "request-ids"]) => into_response(None, answer_mint(port, &request)),
         (Method::POST, ["v1", "services", service, "requests"]) => {
             answer_request(port, &(*service).into(), request).await
         }
         (Method::POST, ["v1", "services", service, "jobs"]) => {
             let outcome = answer_submit(port, (*service).into(), request).await;
-            finish(None, outcome)
+            into_response(None, outcome)
         }
         (Method::GET, ["v1", "jobs", job]) => {
             let outcome = answer_job(port, &request, (*job).into(), false).await;
-            finish(None, outcome)
+            into_response(None, outcome)
         }
         (Method::DELETE, ["v1", "jobs", job]) => {
             let outcome = answer_job(port, &request, (*job).into(), true).await;
-            finish(None, outcome)
+            into_response(None, outcome)
         }
         _ => respond_problem(
             None,
@@ -74,7 +74,7 @@
     }
 }
 
-fn finish(
+fn into_response(
     request: Option<&RequestId>,
     outcome: Result<CallerResponse, CallerProblem>,
 ) -> CallerResponse {
@@ -95,9 +95,9 @@
     port: &CallerPort,
     request: &Request<B>,
 ) -> Result<CallerResponse, CallerProblem> {
-    let pass = check_caller(port, &port.config.current(), request)?;
+    let verified = authenticate(port, &port.config.current(), request)?;
     port.check_serving()?;
-    let minted = port.claims.mint_for(&pass.team);
+    let minted = port.claims.mint_for(&verified.team);
     Ok(respond_json(200, &MintedBody { request_id: minted }))
 }
 
@@ -107,18 +107,18 @@
     request: Request<Incoming>,
 ) -> CallerResponse {
     let arrived = port.clock.boot_now();
-    let given = RequestHead::given_order(request.headers());
-    let state_fate = |problem| match &given {
-        Some(given) => port.claims.state_fate(given, problem),
+    let given_id = RequestHead::single_use_id(request.headers());
+    let qualify_fate = |problem| match &given_id {
+        Some(given_id) => port.claims.qualify_fate(given_id, problem),
         None => problem,
     };
-    let prepared = match prepare(port, service, request, arrived).await {
+    let prepared = match admit_request(port, service, request, arrived).await {
         Ok(prepared) => prepared,
-        Err(problem) => return finish(None, Err(state_fate(problem))),
+        Err(problem) => return into_response(None, Err(qualify_fate(problem))),
     };
     let PreparedRequest { work, outcome } = prepared;
     let id = work.request.clone();
-    let patience = work.deadline.saturating_sub(arrived) + OUTCOME_GRACE;
+    let timeout = work.deadline.saturating_sub(arrived) + OUTCOME_GRACE;
     match port.admission.try_send(work) {
         Ok(()) => {}
         Err(TrySendError::Full(mut work)) => {
@@ -128,18 +128,18 @@
         }
         Err(TrySendError::Disconnected(mut work)) => work.refuse(NotServing::Leaving.into()),
     }
-    match await_outcome(outcome, patience).await {
+    match await_outcome(outcome, timeout).await {
         Ok(answer) => {
             metrics::counter!("lws_requests_answered").increment(1);
             respond_answer(&id, answer)
         }
-        Err(problem) => finish(Some(&id), Err(state_fate(problem))),
+        Err(problem) => into_response(Some(&id), Err(qualify_fate(problem))),
     }
 }
 
 async fn await_outcome(
     outcome: tokio::sync::oneshot::Receiver<CallerOutcome>,
-    patience: Duration,
+    timeout: Duration,
 ) -> CallerOutcome {
     let lost = || {
         CallerProblem::may_have_run(
@@ -147,7 +147,7 @@
             "the outcome was lost in this entry host",
         )
     };
-    match tokio::time::timeout(patience, outcome).await {
+    match tokio::time::timeout(timeout, outcome).await {
         Ok(Ok(outcome)) => outcome,
         Ok(Err(_)) | Err(_) => Err(lost()),
     }
@@ -158,36 +158,36 @@
     outcome: tokio::sync::oneshot::Receiver<CallerOutcome>,
 }
 
-async fn prepare(
+async fn admit_request(
     port: &CallerPort,
     service: &ServiceId,
     request: Request<Incoming>,
     arrived: BootTime,
 ) -> Result<PreparedRequest, CallerProblem> {
     let config = port.config.current();
-    let pass = check_caller(port, &config, &request)?;
+    let verified = authenticate(port, &config, &request)?;
     port.check_serving()?;
     let pool = find_pool(port, &config, service)?;
     let head = RequestHead::read(request.headers(), port.max_deadline)?;
-    let patience = head.patience.unwrap_or(port.tuning.default_deadline);
-    let (id, claim) = port.claims.admit_id(head.request, head.idempotent)?;
-    let mut share = port.budget.share(&pass.team);
-    let body = read_body(port, request, &mut share, patience).await?;
+    let timeout = head.timeout.unwrap_or(port.tuning.default_deadline);
+    let (id, claim) = port.claims.resolve_id(head.request, head.idempotent)?;
+    let mut reservation = port.budget.reservation(&verified.team);
+    let body = read_body(port, request, &mut reservation, timeout).await?;
     let (reply, outcome) = ReplySlot::channel();
     let work = Box::new(CallerRequest {
         request: id,
-        team: pass.team,
-        stamp: pass.stamp,
+        team: verified.team,
+        fingerprint: verified.fingerprint,
         pool,
         arrived,
-        deadline: arrived + patience,
+        deadline: arrived + timeout,
         idempotent: head.idempotent,
         urgent: head.urgent,
         claim,
         attempts: 0,
         may_have_run: false,
         content_type: head.content_type,
-        body: share.attach(body),
+        body: reservation.attach(body),
         reply,
     });
     Ok(PreparedRequest { work, outcome })
--- a/crates/entry/src/work.rs
+++ b/crates/entry/src/caller_request.rs
@@ -21,7 +21,7 @@
 
 /// The key that admitted a request; checked again before the request goes out.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct KeyStamp {
+pub(crate) struct KeyFingerprint {
     /// Its id.
     pub key: KeyId,
     /// The digest it had, so that a key granted anew under the same id does not count.
@@ -36,7 +36,7 @@
     /// Team whose key came with it.
     pub team: TeamId,
     /// The key.
-    pub stamp: KeyStamp,
+    pub fingerprint: KeyFingerprint,
     /// Pool whose executors answer the service.
     pub pool: PoolId,
     /// When it arrived.
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -1,9 +1,9 @@
 //! Claims of request ids, so that a non-idempotent request runs at most once however its
 //! caller repeats it.
 //!
-//! Start with [`ClaimDesk`]. The state is `decide::claim::ClaimLedger`; here are only the
+//! Start with [`ClaimService`]. The state is `decide::claim::ClaimLedger`; here are only the
 //! messages around it.
 
-mod claim_desk;
+mod claim_service;
 
-pub use claim_desk::ClaimDesk;
+pub use claim_service::ClaimService;
--- a/crates/entry/src/claim/claim_desk.rs
+++ b/crates/entry/src/claim/claim_service.rs
@@ -20,24 +20,24 @@
 /// Stack of the claim thread, in bytes.
 const CLAIM_STACK: usize = 128 * 1024;
 /// How often a claim is asked before the home counts as silent.
-const CLAIM_ASKS: u32 = 2;
+const CLAIM_ATTEMPTS: u32 = 2;
 
 /// Mints request ids, answers claims on them, and claims ids of other entry hosts.
-pub struct ClaimDesk {
+pub struct ClaimService {
     members: Arc<dyn MemberSource>,
     link: Arc<dyn PeerLink>,
     ledger: Mutex<ClaimLedger>,
     calls: AtomicU64,
-    waiting: Mutex<HashMap<u64, WaitingClaim>>,
+    pending: Mutex<HashMap<u64, PendingClaim>>,
 }
 
 /// A claim whose home was asked.
-struct WaitingClaim {
+struct PendingClaim {
     minted: MintedId,
     verdict: Sender<ClaimVerdict>,
 }
 
-impl ClaimDesk {
+impl ClaimService {
     /// A desk that keeps at most `open_ids` minted ids open.
     pub fn new(members: Arc<dyn MemberSource>, link: Arc<dyn PeerLink>, open_ids: usize) -> Self {
         Self {
@@ -47,7 +47,7 @@
             // A reply to the life before this one may still be on its way; beginning anew
             // at 1 could match it to a question of this life.
             calls: AtomicU64::new(rand::random::<u64>() >> 8),
-            waiting: Mutex::default(),
+            pending: Mutex::default(),
         }
     }
 
@@ -56,13 +56,13 @@
     /// # Errors
     /// If the thread can't be started.
     pub fn start(self: &Arc<Self>, inbound: Receiver<InboundMessage>) -> Result<(), StepError> {
-        let desk = Arc::clone(self);
+        let service = Arc::clone(self);
         thread::Builder::new()
             .name("entry-claim".to_owned())
             .stack_size(CLAIM_STACK)
             .spawn(move || {
                 for message in inbound {
-                    desk.receive(&message);
+                    service.handle_message(&message);
                 }
             })
             .map(drop)
@@ -72,20 +72,20 @@
     /// A fresh id that `team` may use once.
     pub(crate) fn mint_for(&self, team: &TeamId) -> RequestId {
         let counter = self.ledger.lock().mint(team);
-        self.own_id(counter)
+        self.format_id(counter)
     }
 
     /// A fresh id whose only run is the one under way here.
     pub(crate) fn mint_claimed(&self) -> RequestId {
         let counter = self.ledger.lock().mint_claimed();
-        self.own_id(counter)
+        self.format_id(counter)
     }
 
     /// The id that a request runs under, and whether it must be claimed first.
     ///
     /// A caller's own name for a non-idempotent request is refused: no entry host could
     /// say whether another one has run it.
-    pub(crate) fn admit_id(
+    pub(crate) fn resolve_id(
         &self,
         given: Option<RequestId>,
         idempotent: bool,
@@ -112,22 +112,22 @@
     /// its claim. "Not run" would be true of the repetition and false of the order, and a
     /// caller who believes it orders again under a new id. So it is said only where the
     /// claim was granted to this attempt, or the id is known here to be open still.
-    pub(crate) fn state_fate(&self, given: &RequestId, problem: CallerProblem) -> CallerProblem {
+    pub(crate) fn qualify_fate(&self, given: &RequestId, problem: CallerProblem) -> CallerProblem {
         let is_known = problem.fate != RunFate::NotRun || problem.claimed;
-        if is_known || self.is_open_here(given) {
+        if is_known || self.is_unclaimed_here(given) {
             return problem;
         }
-        problem.into_doubt()
+        problem.into_uncertain()
     }
 
-    fn is_open_here(&self, request: &RequestId) -> bool {
+    fn is_unclaimed_here(&self, request: &RequestId) -> bool {
         let Some(minted) = MintedId::parse(request) else {
             return false;
         };
-        self.is_own(&minted) && self.ledger.lock().is_open(minted.counter)
+        self.is_minted_here(&minted) && self.ledger.lock().is_open(minted.counter)
     }
 
-    fn own_id(&self, counter: u64) -> RequestId {
+    fn format_id(&self, counter: u64) -> RequestId {
         MintedId {
             home: self.members.own_id(),
             incarnation: self.members.own_incarnation(),
@@ -136,7 +136,7 @@
         .to_request()
     }
 
-    fn is_own(&self, minted: &MintedId) -> bool {
+    fn is_minted_here(&self, minted: &MintedId) -> bool {
         minted.home == self.members.own_id() && minted.incarnation == self.members.own_incarnation()
     }
 
@@ -156,7 +156,7 @@
         }
     }
 
-    fn claim_here(&self, counter: u64, team: &TeamId, claimant: &Claimant) -> ClaimVerdict {
+    fn claim_locally(&self, counter: u64, team: &TeamId, claimant: &Claimant) -> ClaimVerdict {
         match self.ledger.lock().claim(counter, team, claimant) {
             ClaimGrant::First => ClaimVerdict::First,
             ClaimGrant::Taken => ClaimVerdict::Taken,
@@ -168,31 +168,31 @@
         minted: &MintedId,
         team: &TeamId,
         call: u64,
-        patience: Duration,
+        timeout: Duration,
     ) -> ClaimVerdict {
         let (sender, receiver) = bounded(1);
-        let waiting = WaitingClaim {
+        let pending = PendingClaim {
             minted: minted.clone(),
             verdict: sender,
         };
-        self.waiting.lock().insert(call, waiting);
-        let verdict = self.ask_home(minted, team, call, patience, &receiver);
-        self.waiting.lock().remove(&call);
+        self.pending.lock().insert(call, pending);
+        let verdict = self.request_from_home(minted, team, call, timeout, &receiver);
+        self.pending.lock().remove(&call);
         verdict
     }
 
     /// Asks twice, because one message can be lost while a link reconnects; the home
     /// recognizes the repeated call and gives the same answer.
-    fn ask_home(
+    fn request_from_home(
         &self,
         minted: &MintedId,
         team: &TeamId,
         call: u64,
-        patience: Duration,
+        timeout: Duration,
         receiver: &Receiver<ClaimVerdict>,
     ) -> ClaimVerdict {
-        let until = Instant::now() + patience;
-        for ask in 1..=CLAIM_ASKS {
+        let until = Instant::now() + timeout;
+        for attempt in 1..=CLAIM_ATTEMPTS {
             let body = Body::ClaimRequest(ClaimRequest {
                 call,
                 request: minted.to_request().into(),
@@ -201,7 +201,7 @@
             // A link that is full or missing now may carry the second question.
             let _ = self.link.send(&minted.home, body);
             let left = until.saturating_duration_since(Instant::now());
-            let wait = left / (CLAIM_ASKS - ask + 1);
+            let wait = left / (CLAIM_ATTEMPTS - attempt + 1);
             if let Ok(verdict) = receiver.recv_timeout(wait) {
                 return verdict;
             }
@@ -210,15 +210,15 @@
         ClaimVerdict::Unknown
     }
 
-    fn receive(&self, message: &InboundMessage) {
+    fn handle_message(&self, message: &InboundMessage) {
         match &message.body {
-            Body::ClaimRequest(request) => self.answer_claim(message, request),
-            Body::ClaimReply(reply) => self.settle_claim(message, reply),
+            Body::ClaimRequest(request) => self.handle_claim_request(message, request),
+            Body::ClaimReply(reply) => self.handle_claim_reply(message, reply),
             _ => {}
         }
     }
 
-    fn answer_claim(&self, message: &InboundMessage, request: &ClaimRequest) {
+    fn handle_claim_request(&self, message: &InboundMessage, request: &ClaimRequest) {
         let claimant = Claimant {
             member: message.from.clone(),
             incarnation: message.incarnation,
@@ -226,22 +226,22 @@
         };
         let minted = MintedId::parse(&RequestId::from(request.request.as_str()));
         let verdict = match minted {
-            Some(minted) if self.is_own(&minted) => {
-                self.claim_here(minted.counter, &request.team.as_str().into(), &claimant)
+            Some(minted) if self.is_minted_here(&minted) => {
+                self.claim_locally(minted.counter, &request.team.as_str().into(), &claimant)
             }
             _ => ClaimVerdict::Unknown,
         };
         let reply = ClaimReply {
             call: request.call,
-            verdict: encode(verdict).into(),
+            verdict: encode_verdict(verdict).into(),
         };
         // A lost reply costs the claimant a repeated question, and then a cautious answer.
         let _ = self.link.send(&message.from, Body::ClaimReply(reply));
     }
 
-    fn settle_claim(&self, message: &InboundMessage, reply: &ClaimReply) {
-        let waiting = self.waiting.lock();
-        let Some(claim) = waiting.get(&reply.call) else {
+    fn handle_claim_reply(&self, message: &InboundMessage, reply: &ClaimReply) {
+        let pending = self.pending.lock();
+        let Some(claim) = pending.get(&reply.call) else {
             return;
         };
         let minted = &claim.minted;
@@ -251,31 +251,31 @@
             return;
         }
         // A second reply to the same call says the same; only the first is read.
-        let _ = claim.verdict.try_send(decode(reply.verdict()));
+        let _ = claim.verdict.try_send(decode_verdict(reply.verdict()));
     }
 }
 
-impl ClaimSource for ClaimDesk {
+impl ClaimSource for ClaimService {
     fn mint(&self, team: &TeamId) -> RequestId {
         self.mint_for(team)
     }
 
-    fn claim(&self, request: &RequestId, team: &TeamId, patience: Duration) -> ClaimVerdict {
+    fn claim(&self, request: &RequestId, team: &TeamId, timeout: Duration) -> ClaimVerdict {
         let Some(minted) = MintedId::parse(request) else {
             return ClaimVerdict::Unknown;
         };
         let claimant = self.next_claimant();
-        if self.is_own(&minted) {
-            return self.claim_here(minted.counter, team, &claimant);
+        if self.is_minted_here(&minted) {
+            return self.claim_locally(minted.counter, team, &claimant);
         }
         if !self.is_member(&minted) {
             return ClaimVerdict::Unknown;
         }
-        self.claim_remote(&minted, team, claimant.call, patience)
+        self.claim_remote(&minted, team, claimant.call, timeout)
     }
 }
 
-fn encode(verdict: ClaimVerdict) -> WireVerdict {
+fn encode_verdict(verdict: ClaimVerdict) -> WireVerdict {
     match verdict {
         ClaimVerdict::First => WireVerdict::First,
         ClaimVerdict::Taken => WireVerdict::Taken,
@@ -283,7 +283,7 @@
     }
 }
 
-fn decode(verdict: WireVerdict) -> ClaimVerdict {
+fn decode_verdict(verdict: WireVerdict) -> ClaimVerdict {
     match verdict {
         WireVerdict::First => ClaimVerdict::First,
         WireVerdict::Taken => ClaimVerdict::Taken,
--- a/crates/entry/src/dispatch/dispatch_pool.rs
+++ b/crates/entry/src/dispatch/dispatch_pool.rs
@@ -11,20 +11,20 @@
 use model::event::error;
 use ports::QuotaPermit;
 
-use super::{AttemptReport, AttemptRunner, TargetLane};
-use crate::{event, work::CallerRequest};
+use super::{AttemptReport, AttemptRunner, TargetConnection};
+use crate::{caller_request::CallerRequest, event};
 
 /// Stack of a dispatch thread, in bytes.
 const DISPATCH_STACK: usize = 256 * 1024;
 /// How long a dispatch thread waits for work before it ends.
-const IDLE_PATIENCE: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// One request to be sent on one lane.
 pub(crate) struct DispatchJob {
     /// The request.
     pub request: Box<CallerRequest>,
     /// The connection to its target.
-    pub lane: TargetLane,
+    pub connection: TargetConnection,
     /// The unit of the team's limit that it uses.
     pub permit: QuotaPermit,
 }
@@ -55,7 +55,7 @@
     }
 
     /// Whether a job would start at once.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.busy < self.capacity
     }
 
@@ -66,7 +66,7 @@
 
     /// Starts a job; gives it back if no thread can be had.
     pub fn start(&mut self, job: DispatchJob) -> Result<(), Box<DispatchJob>> {
-        if !self.has_room() {
+        if !self.has_capacity() {
             return Err(Box::new(job));
         }
         if let Err(refused) = self.jobs.0.try_send(job) {
@@ -89,7 +89,7 @@
     }
 
     /// Notes that the report of a job was taken.
-    pub fn settle(&mut self) {
+    pub fn finish_job(&mut self) {
         self.busy = self.busy.saturating_sub(1);
     }
 
@@ -118,7 +118,7 @@
     threads: &AtomicUsize,
 ) {
     loop {
-        let Ok(job) = jobs.recv_timeout(IDLE_PATIENCE) else {
+        let Ok(job) = jobs.recv_timeout(IDLE_TIMEOUT) else {
             threads.fetch_sub(1, Ordering::AcqRel);
             // A job may have been queued for this thread while it made up its mind.
             match jobs.try_recv() {
--- a/crates/entry/src/dispatch/run_attempt.rs
+++ b/crates/entry/src/dispatch/run_attempt.rs
@@ -9,19 +9,19 @@
 use super::{
     dispatch_pool::DispatchJob,
     send_guard::{SendCheck, SendProgress, SendVeto},
-    target_lane::{LaneRequest, TargetLane},
+    target_connection::{TargetConnection, TargetRequest},
 };
 use crate::{
-    CallerProblem, ClaimDesk,
-    caller::{BodyBudget, BodyShare, key_stands},
+    CallerProblem, ClaimService,
+    caller::{BodyBudget, BodyReservation, recheck_key},
+    caller_request::{CallerRequest, TargetAnswer},
     event,
-    work::{CallerRequest, TargetAnswer},
 };
 
 /// How old the headers of a request may be when its first byte goes out.
-const STALE_AFTER: Duration = Duration::from_millis(250);
+const MAX_HEADER_AGE: Duration = Duration::from_millis(250);
 /// How often memory for an answer is asked for.
-const MEMORY_TICK: Duration = Duration::from_millis(2);
+const MEMORY_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// How an attempt ended.
 #[derive(Debug, PartialEq, Eq)]
@@ -36,14 +36,14 @@
         /// What happened.
         detail: String,
         /// What it says of the target.
-        blame: TargetBlame,
+        cause: NotRunCause,
     },
     /// The target may have run the request, and may be running it still.
     Unknown {
         /// What happened.
         detail: String,
         /// True if the target was silent until the deadline, rather than gone or wrong.
-        silent: bool,
+        timed_out: bool,
     },
     /// The request must not run here at all.
     Refused(CallerProblem),
@@ -51,9 +51,9 @@
 
 /// What an attempt that did not run says of its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum TargetBlame {
+pub(crate) enum NotRunCause {
     /// Nothing: the fault is on this side.
-    None,
+    Local,
     /// It takes no new work now.
     Refused,
     /// It can't be reached.
@@ -67,7 +67,7 @@
     /// The target.
     pub host: HostId,
     /// The lane, for the next request.
-    pub lane: Option<TargetLane>,
+    pub connection: Option<TargetConnection>,
     /// The unit of the team's limit, still held.
     pub permit: QuotaPermit,
     /// How the attempt ended.
@@ -79,7 +79,7 @@
 /// Runs attempts; shared by all dispatch threads.
 pub(crate) struct AttemptRunner {
     /// Claims ids.
-    pub claims: Arc<ClaimDesk>,
+    pub claims: Arc<ClaimService>,
     /// Keys in force.
     pub config: Arc<dyn ConfigSource>,
     /// Whether this host may start work.
@@ -87,7 +87,7 @@
     /// Clocks.
     pub clock: Arc<dyn Clock>,
     /// Longest wait for the home of an id.
-    pub claim_patience: Duration,
+    pub claim_timeout: Duration,
     /// Largest answer, in bytes.
     pub max_answer: usize,
     /// Memory of answers.
@@ -99,20 +99,20 @@
     pub fn run(&self, job: DispatchJob) -> AttemptReport {
         let DispatchJob {
             mut request,
-            lane,
+            connection,
             permit,
         } = job;
-        let begun = self.clock.boot_now();
+        let started = self.clock.boot_now();
         let end = self
             .claim(&mut request)
-            .unwrap_or_else(|| self.send(&mut request, &lane));
-        let elapsed = self.clock.boot_now().saturating_sub(begun);
+            .unwrap_or_else(|| self.send(&mut request, &connection));
+        let elapsed = self.clock.boot_now().saturating_sub(started);
         // After a failure the connection may still carry an answer that nobody waits for.
         let clean = matches!(end, AttemptEnd::Answered { .. });
         AttemptReport {
             request,
-            host: lane.host.clone(),
-            lane: clean.then_some(lane),
+            host: connection.host.clone(),
+            connection: clean.then_some(connection),
             permit,
             end,
             elapsed,
@@ -124,8 +124,8 @@
             return None;
         }
         let left = request.deadline.saturating_sub(self.clock.boot_now());
-        let patience = self.claim_patience.min(left);
-        let verdict = self.claims.claim(&request.request, &request.team, patience);
+        let timeout = self.claim_timeout.min(left);
+        let verdict = self.claims.claim(&request.request, &request.team, timeout);
         let problem = match verdict {
             ClaimVerdict::First => {
                 request.claim = false;
@@ -142,26 +142,26 @@
         )))
     }
 
-    fn send(&self, request: &mut CallerRequest, lane: &TargetLane) -> AttemptEnd {
-        let composed = self.clock.boot_now();
-        let left = request.deadline.saturating_sub(composed);
+    fn send(&self, request: &mut CallerRequest, connection: &TargetConnection) -> AttemptEnd {
+        let composed_at = self.clock.boot_now();
+        let left = request.deadline.saturating_sub(composed_at);
         if left.is_zero() {
             return AttemptEnd::Refused(deadline_passed());
         }
         let target_id = request.target_id();
-        let sending = LaneRequest {
+        let sending = TargetRequest {
             request: &target_id,
             team: &request.team,
             idempotent: request.idempotent,
             content_type: request.content_type.as_deref(),
             body: &request.body,
-            patience: left,
+            timeout: left,
         };
-        let response = match lane.send(&sending, self.check(request, composed)) {
+        let response = match connection.send(&sending, self.send_check(request, composed_at)) {
             Ok(response) => response,
-            Err(cause) => return explain(lane, &cause),
+            Err(cause) => return classify_failure(connection, &cause),
         };
-        self.receive(request, &target_id, lane, response)
+        self.read_response(request, &target_id, connection, response)
     }
 
     /// What must hold at the moment the first byte goes out.
@@ -169,31 +169,31 @@
     /// The target is told the time left as of `composed`. If a slow connect or a pause of
     /// this process came after that, the target would take the request for fresher than it
     /// is and might run it after its deadline, when its unit is given to another one.
-    fn check(&self, request: &CallerRequest, composed: BootTime) -> SendCheck {
+    fn send_check(&self, request: &CallerRequest, composed_at: BootTime) -> SendCheck {
         let gate = Arc::clone(&self.gate);
         let config = Arc::clone(&self.config);
         let clock = Arc::clone(&self.clock);
         let team = request.team.clone();
-        let stamp = request.stamp.clone();
+        let fingerprint = request.fingerprint.clone();
         let deadline = request.deadline;
         Box::new(move || {
-            key_stands(&config.current(), &team, &stamp, clock.unix_now())?;
+            recheck_key(&config.current(), &team, &fingerprint, clock.unix_now())?;
             if clock.boot_now() >= deadline {
                 return Err(deadline_passed().into());
             }
             gate.check()?;
-            if clock.boot_now().saturating_sub(composed) > STALE_AFTER {
+            if clock.boot_now().saturating_sub(composed_at) > MAX_HEADER_AGE {
                 return Err(SendVeto::Stale);
             }
             Ok(())
         })
     }
 
-    fn receive(
+    fn read_response(
         &self,
         request: &mut CallerRequest,
         target_id: &str,
-        lane: &TargetLane,
+        connection: &TargetConnection,
         response: Response<Body>,
     ) -> AttemptEnd {
         let status = response.status().as_u16();
@@ -204,33 +204,33 @@
             let echo = echo.unwrap_or_default();
             warn(
                 &event::ANSWER_MISMATCHED,
-                format_args!("request={target_id} host={} echo={echo}", lane.host),
+                format_args!("request={target_id} host={} echo={echo}", connection.host),
             );
             return AttemptEnd::Unknown {
                 detail: "the target sent the answer of another request".to_owned(),
-                silent: false,
+                timed_out: false,
             };
         }
         if status == 503 && header(&response, "not-run").is_some_and(|text| text == "true") {
             return AttemptEnd::NotRun {
                 detail: "the target takes no new work".to_owned(),
-                blame: TargetBlame::Refused,
+                cause: NotRunCause::Refused,
             };
         }
-        self.read_answer(request, lane, response)
+        self.read_answer(request, connection, response)
     }
 
     fn read_answer(
         &self,
         request: &mut CallerRequest,
-        lane: &TargetLane,
+        connection: &TargetConnection,
         mut response: Response<Body>,
     ) -> AttemptEnd {
         let status = response.status().as_u16();
         let content_type = header(&response, "content-type");
-        let announced: Option<usize> =
+        let content_length: Option<usize> =
             header(&response, "content-length").and_then(|text| text.parse().ok());
-        let Some(mut share) = self.reserve(request, announced) else {
+        let Some(mut reservation) = self.reserve(request, content_length) else {
             return AttemptEnd::Refused(CallerProblem::ran(
                 ProblemKind::TargetFailed,
                 "no memory became free for the answer",
@@ -246,13 +246,13 @@
                 return AttemptEnd::Refused(problem);
             }
             // Fewer bytes than announced, or an unfinished chunk, is an error here too.
-            Err(cause) => return cut_answer(lane, &cause.to_string()),
+            Err(cause) => return truncated_answer(connection, &cause.to_string()),
         };
-        share.shrink_to(body.len());
+        reservation.shrink_to(body.len());
         request.reply.send(Ok(TargetAnswer {
             status,
             content_type,
-            body: share.attach(Bytes::from(body)),
+            body: reservation.attach(Bytes::from(body)),
         }));
         AttemptEnd::Answered {
             failed: status >= 500,
@@ -261,48 +261,57 @@
 
     /// Takes memory for a whole answer before reading any of it, so that two answers can't
     /// each hold half of what they need. While callers take theirs, this one waits.
-    fn reserve(&self, request: &CallerRequest, announced: Option<usize>) -> Option<BodyShare> {
-        let size = announced.unwrap_or(self.max_answer).min(self.max_answer);
-        let mut share = self.budget.share(&request.team);
-        while !share.grow(size) {
+    fn reserve(
+        &self,
+        request: &CallerRequest,
+        content_length: Option<usize>,
+    ) -> Option<BodyReservation> {
+        let size = content_length
+            .unwrap_or(self.max_answer)
+            .min(self.max_answer);
+        let mut reservation = self.budget.reservation(&request.team);
+        while !reservation.grow(size) {
             if self.clock.boot_now() >= request.deadline {
                 return None;
             }
-            thread::sleep(MEMORY_TICK);
+            thread::sleep(MEMORY_POLL_INTERVAL);
         }
-        Some(share)
+        Some(reservation)
     }
 }
 
 /// What a failed exchange says about the fate of its request.
-fn explain(lane: &TargetLane, cause: &ureq::Error) -> AttemptEnd {
-    match lane.progress() {
+fn classify_failure(connection: &TargetConnection, cause: &ureq::Error) -> AttemptEnd {
+    match connection.progress() {
         SendProgress::Vetoed(SendVeto::Final(problem)) => AttemptEnd::Refused(problem),
         SendProgress::Vetoed(SendVeto::Stale) => AttemptEnd::NotRun {
             detail: "the request was held up on this entry host".to_owned(),
-            blame: TargetBlame::None,
+            cause: NotRunCause::Local,
         },
         SendProgress::Unsent => AttemptEnd::NotRun {
-            detail: format!("no connection to {}: {cause}", lane.host),
-            blame: TargetBlame::Unreachable,
+            detail: format!("no connection to {}: {cause}", connection.host),
+            cause: NotRunCause::Unreachable,
         },
         SendProgress::Sent => AttemptEnd::Unknown {
-            detail: format!("{} had the request and did not answer: {cause}", lane.host),
-            silent: matches!(cause, ureq::Error::Timeout(_)),
+            detail: format!(
+                "{} had the request and did not answer: {cause}",
+                connection.host
+            ),
+            timed_out: matches!(cause, ureq::Error::Timeout(_)),
         },
     }
 }
 
 /// An answer that ended early must not pass for a whole one.
-fn cut_answer(lane: &TargetLane, cause: &str) -> AttemptEnd {
+fn truncated_answer(connection: &TargetConnection, cause: &str) -> AttemptEnd {
     metrics::counter!("lws_answers_truncated").increment(1);
     warn(
         &event::ANSWER_TRUNCATED,
-        format_args!("host={} cause=\"{cause}\"", lane.host),
+        format_args!("host={} cause=\"{cause}\"", connection.host),
     );
     AttemptEnd::Unknown {
-        detail: format!("the answer of {} broke off: {cause}", lane.host),
-        silent: false,
+        detail: format!("the answer of {} broke off: {cause}", connection.host),
+        timed_out: false,
     }
 }
 
--- a/crates/entry/src/dispatch/send_guard.rs
+++ b/crates/entry/src/dispatch/send_guard.rs
@@ -77,18 +77,18 @@
         }
     }
 
-    fn pass(&self) -> Result<(), Error> {
+    fn check_first_byte(&self) -> Result<(), Error> {
         let mut state = self.state.lock();
         if state.sent {
             return Ok(());
         }
         let checked = match state.check.take() {
             Some(check) => check(),
-            None => return Err(unarmed()),
+            None => return Err(send_blocked()),
         };
         if let Err(veto) = checked {
             state.vetoed = Some(veto);
-            return Err(unarmed());
+            return Err(send_blocked());
         }
         state.sent = true;
         Ok(())
@@ -147,7 +147,7 @@
     }
 
     fn transmit_output(&mut self, amount: usize, timeout: NextTimeout) -> Result<(), Error> {
-        self.guard.pass()?;
+        self.guard.check_first_byte()?;
         self.inner.transmit_output(amount, timeout)
     }
 
@@ -160,6 +160,6 @@
     }
 }
 
-fn unarmed() -> Error {
+fn send_blocked() -> Error {
     Error::Io(io::Error::other("the request must not go out"))
 }
--- a/crates/entry/src/dispatch/target_lane.rs
+++ b/crates/entry/src/dispatch/target_connection.rs
@@ -12,7 +12,7 @@
 use super::send_guard::{GuardedConnector, SendCheck, SendGuard, SendProgress};
 
 /// What goes to a target.
-pub(crate) struct LaneRequest<'a> {
+pub(crate) struct TargetRequest<'a> {
     /// Id that the target must echo.
     pub request: &'a RequestId,
     /// Team that the target is told.
@@ -24,14 +24,14 @@
     /// The body.
     pub body: &'a Bytes,
     /// Time left until the deadline.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// One connection to one target, kept open between requests.
 ///
 /// Each lane holds an agent of its own, so that no two requests share a connection and the
 /// lanes handed out bound the connections that the target sees.
-pub(crate) struct TargetLane {
+pub(crate) struct TargetConnection {
     /// The target.
     pub host: HostId,
     /// Its address; a lane to another address is of no more use.
@@ -41,7 +41,7 @@
     guard: SendGuard,
 }
 
-impl TargetLane {
+impl TargetConnection {
     /// A lane to `address`; it connects with its first request.
     pub fn new(host: HostId, address: &str, connect_timeout: Duration) -> Self {
         let guard = SendGuard::default();
@@ -69,14 +69,14 @@
     /// first byte goes out.
     ///
     /// # Errors
-    /// The library's error; [`TargetLane::progress`] says how far the request came.
+    /// The library's error; [`TargetConnection::progress`] says how far the request came.
     pub fn send(
         &self,
-        request: &LaneRequest<'_>,
+        request: &TargetRequest<'_>,
         check: SendCheck,
     ) -> Result<Response<Body>, ureq::Error> {
         self.guard.arm(check);
-        let left = request.patience.as_millis().max(1).to_string();
+        let left = request.timeout.as_millis().max(1).to_string();
         let mut builder = self
             .agent
             .post(&self.url)
@@ -89,7 +89,7 @@
         }
         builder
             .config()
-            .timeout_global(Some(request.patience))
+            .timeout_global(Some(request.timeout))
             .build()
             .send(request.body.as_ref())
     }
--- a/crates/entry/src/entry_server.rs
+++ b/crates/entry/src/entry_server.rs
@@ -20,25 +20,27 @@
 use tokio::{net::TcpListener, runtime::Builder, sync::watch};
 
 use crate::{
-    ClaimDesk, EntryTuning,
+    ClaimService, EntryTuning,
     admission::{
         AdmissionConfig, AdmissionInbox, AdmissionLoop, LoopCommand, RunningCounts, TargetTable,
     },
-    caller::{BodyBudget, CallerPort, ConnectionCount, JobDesk, JobRunner, PortPhase, serve_port},
+    caller::{
+        BodyBudget, CallerPort, ConnectionLimiter, JobRunner, JobThreadPool, PortPhase, serve_port,
+    },
     dispatch::{AttemptRunner, DispatchPool},
     event,
 };
 
 /// Requests on their way from the caller port to the admission thread.
-const ADMISSION_RING: usize = 1024;
+const ADMISSION_QUEUE_LEN: usize = 1024;
 /// Stack of the duty threads, in bytes.
-const DUTY_STACK: usize = 1024 * 1024;
+const THREAD_STACK: usize = 1024 * 1024;
 /// How long the port answers on after a shutdown began, at least. Callers that keep their
 /// connections are told by an answer that theirs ends; only one that was silent for this
 /// long can still send a request just as its connection is closed.
-const LEAVE_LINGER: Duration = Duration::from_secs(1);
+const MIN_SHUTDOWN_TIME: Duration = Duration::from_secs(1);
 /// How long callers may take their last answers after the work is done.
-const CLOSE_PATIENCE: Duration = Duration::from_secs(5);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What an entry server works with.
 pub struct EntryConfig {
@@ -74,16 +76,16 @@
 pub struct EntryServer {
     caller_address: SocketAddr,
     clock: Arc<dyn Clock>,
-    claims: Arc<ClaimDesk>,
+    claims: Arc<ClaimService>,
     counts: RunningCounts,
     leaving: Arc<AtomicBool>,
     phase: watch::Sender<PortPhase>,
     commands: Sender<LoopCommand>,
-    threads: Mutex<DutyThreads>,
+    threads: Mutex<ServerThreads>,
 }
 
 #[derive(Default)]
-struct DutyThreads {
+struct ServerThreads {
     admission: Option<JoinHandle<()>>,
     port: Option<JoinHandle<()>>,
 }
@@ -94,7 +96,7 @@
     /// # Errors
     /// If the caller address can't be bound or a thread can't be started.
     pub fn start(config: EntryConfig) -> Result<Self, StepError> {
-        let claims = Arc::new(ClaimDesk::new(
+        let claims = Arc::new(ClaimService::new(
             Arc::clone(&config.members),
             Arc::clone(&config.link),
             config.tuning.open_ids,
@@ -103,12 +105,12 @@
         let leaving = Arc::new(AtomicBool::new(false));
         let counts = RunningCounts::default();
         let budget = BodyBudget::new(config.tuning.body_memory);
-        let (work_sender, requests) = bounded(ADMISSION_RING);
+        let (work_sender, requests) = bounded(ADMISSION_QUEUE_LEN);
         let (commands, command_receiver) = bounded(4);
         let runner = JobRunner {
             sink: Arc::clone(&config.jobs),
             claims: Arc::clone(&claims),
-            claim_patience: config.tuning.claim_patience,
+            claim_timeout: config.tuning.claim_timeout,
         };
         let port = CallerPort {
             tuning: config.tuning.clone(),
@@ -119,10 +121,10 @@
             targets: Arc::clone(&config.targets),
             clock: Arc::clone(&config.clock),
             claims: Arc::clone(&claims),
-            jobs: JobDesk::start(&runner, config.tuning.job_threads)?,
+            jobs: JobThreadPool::start(&runner, config.tuning.job_threads)?,
             admission: work_sender,
             budget,
-            connections: ConnectionCount::new(
+            connections: ConnectionLimiter::new(
                 config.settings.max_connections,
                 (config.settings.max_connections * config.tuning.address_percent / 100).max(1),
             ),
@@ -156,7 +158,7 @@
             leaving,
             phase,
             commands,
-            threads: Mutex::new(DutyThreads {
+            threads: Mutex::new(ServerThreads {
                 admission: Some(admission),
                 port: Some(port_thread),
             }),
@@ -169,7 +171,7 @@
     }
 
     /// Mints and claims request ids.
-    pub fn claims(&self) -> Arc<ClaimDesk> {
+    pub fn claims(&self) -> Arc<ClaimService> {
         Arc::clone(&self.claims)
     }
 
@@ -184,19 +186,19 @@
     /// still start during the first half of `patience` and is refused after that; what
     /// runs may end until `patience` is over. Call it before [`ServingGate::leave`], which
     /// keeps anything from starting.
-    pub fn shutdown(&self, patience: Duration) {
+    pub fn shutdown(&self, timeout: Duration) {
         if self.leaving.swap(true, Ordering::AcqRel) {
             return;
         }
         info(
             &event::CALLER_PORT_LEAVING,
-            format_args!("patience_ms={}", patience.as_millis()),
+            format_args!("patience_ms={}", timeout.as_millis()),
         );
-        let linger_until = Instant::now() + patience.min(LEAVE_LINGER);
+        let accept_until = Instant::now() + timeout.min(MIN_SHUTDOWN_TIME);
         let now = self.clock.boot_now();
         let finish = LoopCommand::Finish {
-            refuse_at: now + patience / 2,
-            end_at: now + patience,
+            refuse_at: now + timeout / 2,
+            end_at: now + timeout,
         };
         // A full ring means that a finish is already on its way.
         let _ = self.commands.try_send(finish);
@@ -205,9 +207,9 @@
             // A panic of the thread was logged where it arose.
             let _ = admission.join();
         }
-        thread::sleep(linger_until.saturating_duration_since(Instant::now()));
+        thread::sleep(accept_until.saturating_duration_since(Instant::now()));
         let _ = self.phase.send(PortPhase::Closing);
-        let until = Instant::now() + CLOSE_PATIENCE;
+        let until = Instant::now() + CLOSE_TIMEOUT;
         while threads
             .port
             .as_ref()
@@ -248,35 +250,35 @@
     address: &str,
     phase: watch::Receiver<PortPhase>,
 ) -> Result<(SocketAddr, JoinHandle<()>), StepError> {
-    let step = |cause| StepError::new("open caller port", address, cause);
-    let listener = std::net::TcpListener::bind(address).map_err(step)?;
-    listener.set_nonblocking(true).map_err(step)?;
-    let local = listener.local_addr().map_err(step)?;
+    let step_error = |cause| StepError::new("open caller port", address, cause);
+    let listener = std::net::TcpListener::bind(address).map_err(step_error)?;
+    listener.set_nonblocking(true).map_err(step_error)?;
+    let local = listener.local_addr().map_err(step_error)?;
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(step)?;
+        .map_err(step_error)?;
     let entered = runtime.enter();
-    let listener = TcpListener::from_std(listener).map_err(step)?;
+    let listener = TcpListener::from_std(listener).map_err(step_error)?;
     drop(entered);
     let thread = thread::Builder::new()
         .name("entry-callers".to_owned())
-        .stack_size(DUTY_STACK)
+        .stack_size(THREAD_STACK)
         .spawn(move || runtime.block_on(serve_port(Arc::new(port), listener, phase)))
-        .map_err(step)?;
+        .map_err(step_error)?;
     Ok((local, thread))
 }
 
 fn start_dispatch(
     config: &EntryConfig,
-    claims: &Arc<ClaimDesk>,
+    claims: &Arc<ClaimService>,
 ) -> (DispatchPool, Receiver<crate::dispatch::AttemptReport>) {
     let runner = AttemptRunner {
         claims: Arc::clone(claims),
         config: Arc::clone(&config.config),
         gate: Arc::clone(&config.gate),
         clock: Arc::clone(&config.clock),
-        claim_patience: config.tuning.claim_patience,
+        claim_timeout: config.tuning.claim_timeout,
         max_answer: config.settings.max_body,
         budget: BodyBudget::new(config.tuning.answer_memory),
     };
@@ -289,7 +291,7 @@
     dispatch: DispatchPool,
     table: TargetTable,
 ) -> Result<JoinHandle<()>, StepError> {
-    let parts = AdmissionConfig {
+    let admission = AdmissionConfig {
         config: config.config,
         quotas: config.quotas,
         targets: config.targets,
@@ -301,7 +303,7 @@
     };
     thread::Builder::new()
         .name("entry-admission".to_owned())
-        .stack_size(DUTY_STACK)
-        .spawn(move || AdmissionLoop::new(parts, inbox, dispatch, table).run())
+        .stack_size(THREAD_STACK)
+        .spawn(move || AdmissionLoop::new(admission, inbox, dispatch, table).run())
         .map_err(|cause| StepError::new("start admission thread", "", cause))
 }
--- a/crates/entry/src/entry_tuning.rs
+++ b/crates/entry/src/entry_tuning.rs
@@ -16,7 +16,7 @@
     /// Time within which a caller must take `write_floor` bytes of its answer.
     pub write_window: Duration,
     /// Fewest bytes of an answer that a caller must take within `write_window`.
-    pub write_floor: usize,
+    pub min_write_bytes: usize,
     /// Most bytes of request bodies held at once; one team gets three quarters at most.
     pub body_memory: usize,
     /// Most bytes of answers held at once; one team gets three quarters at most.
@@ -33,7 +33,7 @@
     /// Retries that a pool may save up.
     pub retry_burst: u32,
     /// Longest wait for the home of a request id.
-    pub claim_patience: Duration,
+    pub claim_timeout: Duration,
     /// Most minted request ids that wait for their use.
     pub open_ids: usize,
     /// Threads that hand jobs to the store.
@@ -47,7 +47,7 @@
             head_timeout: Duration::from_secs(15),
             body_timeout: Duration::from_secs(10),
             write_window: Duration::from_secs(10),
-            write_floor: 64 * 1024,
+            min_write_bytes: 64 * 1024,
             body_memory: 384 * 1024 * 1024,
             answer_memory: 384 * 1024 * 1024,
             default_deadline: Duration::from_secs(10),
@@ -55,7 +55,7 @@
             connect_timeout: Duration::from_millis(250),
             retry_percent: 10,
             retry_burst: 16,
-            claim_patience: Duration::from_millis(400),
+            claim_timeout: Duration::from_millis(400),
             open_ids: 65_536,
             job_threads: 32,
         }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -8,15 +8,15 @@
 
 mod admission;
 mod caller;
+mod caller_request;
 mod claim;
 mod dispatch;
 mod entry_server;
 mod entry_tuning;
 pub mod event;
 mod problem;
-mod work;
 
-pub use claim::ClaimDesk;
+pub use claim::ClaimService;
 pub use entry_server::{EntryConfig, EntryServer};
 pub use entry_tuning::EntryTuning;
 pub use problem::CallerProblem;
--- a/crates/entry/src/problem.rs
+++ b/crates/entry/src/problem.rs
@@ -46,7 +46,7 @@
     }
 
     /// Takes back that the work was not run: only this attempt was not.
-    pub(crate) fn into_doubt(mut self) -> Self {
+    pub(crate) fn into_uncertain(mut self) -> Self {
         self.fate = RunFate::MayHaveRun;
         self.detail += "; this attempt did not run, but an earlier one with the same \
                         Request-Id may have: ask again with that id";
--- a/crates/entry/tests/bad_input.rs
+++ b/crates/entry/tests/bad_input.rs
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use support::{BenchSetup, EntryBench, KEY, RawTarget, SERVICE, raw_exchange};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn small_bench(target: &RawTarget) -> EntryBench {
     let mut setup = BenchSetup::default();
@@ -111,7 +111,7 @@
         bytes.extend_from_slice(&[b'x'; 400]);
         bytes.extend_from_slice(b"\r\n");
     }
-    let text = raw_exchange(bench.server.caller_address(), &bytes, PATIENCE);
+    let text = raw_exchange(bench.server.caller_address(), &bytes, TIMEOUT);
     assert!(text.starts_with("HTTP/1.1 413"), "{text}");
     assert_eq!(target.call_count(), 0);
 }
@@ -137,7 +137,7 @@
     let target = RawTarget::echo();
     let bench = small_bench(&target);
     let text = head("Content-Length: 100\r\n") + "x";
-    let reply = raw_exchange(bench.server.caller_address(), text.as_bytes(), PATIENCE);
+    let reply = raw_exchange(bench.server.caller_address(), text.as_bytes(), TIMEOUT);
     assert!(reply.starts_with("HTTP/1.1 408"), "{reply}");
     assert!(reply.contains("slow-sender") && reply.contains("not-run"));
     assert_eq!(target.call_count(), 0);
@@ -151,8 +151,8 @@
     let target = RawTarget::echo();
     let bench = small_bench(&target);
     let begun = std::time::Instant::now();
-    raw_exchange(bench.server.caller_address(), bytes.as_bytes(), PATIENCE);
-    assert!(begun.elapsed() < PATIENCE, "the connection was left open");
+    raw_exchange(bench.server.caller_address(), bytes.as_bytes(), TIMEOUT);
+    assert!(begun.elapsed() < TIMEOUT, "the connection was left open");
 }
 
 #[rstest]
@@ -165,7 +165,7 @@
 fn request_malformed(#[case] bytes: &str, #[case] status: &str) {
     let target = RawTarget::echo();
     let bench = small_bench(&target);
-    let text = raw_exchange(bench.server.caller_address(), bytes.as_bytes(), PATIENCE);
+    let text = raw_exchange(bench.server.caller_address(), bytes.as_bytes(), TIMEOUT);
     assert!(text.starts_with(&format!("HTTP/1.1 {status}")), "{text}");
     assert_eq!(target.call_count(), 0);
 }
@@ -175,13 +175,13 @@
     let target = RawTarget::echo();
     let bench = small_bench(&target);
     let bytes = head(&format!("X-Filler: {}\r\n", "x".repeat(100_000)));
-    let text = raw_exchange(bench.server.caller_address(), bytes.as_bytes(), PATIENCE);
+    let text = raw_exchange(bench.server.caller_address(), bytes.as_bytes(), TIMEOUT);
     assert!(
         text.starts_with("HTTP/1.1 431") || text.is_empty(),
         "{text}"
     );
     let bytes = head(&"X-Filler: x\r\n".repeat(200));
-    let text = raw_exchange(bench.server.caller_address(), bytes.as_bytes(), PATIENCE);
+    let text = raw_exchange(bench.server.caller_address(), bytes.as_bytes(), TIMEOUT);
     assert!(text.starts_with("HTTP/1.1 431"), "{text}");
 }
 
--- a/crates/entry/tests/floods.rs
+++ b/crates/entry/tests/floods.rs
@@ -16,7 +16,7 @@
 
 use support::{BenchSetup, EntryBench, KEY, OTHER_KEY, RawTarget, SERVICE, TargetReply};
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn head(key: &str, length: usize) -> String {
     format!(
@@ -135,7 +135,7 @@
         .map(|_| TcpStream::connect(address).unwrap())
         .collect();
     let mut surplus = TcpStream::connect(address).unwrap();
-    surplus.set_read_timeout(Some(PATIENCE)).unwrap();
+    surplus.set_read_timeout(Some(TIMEOUT)).unwrap();
     let _ = surplus.write_all((head(KEY, 1) + "x").as_bytes());
     let mut text = String::new();
     surplus.read_to_string(&mut text).unwrap();
@@ -167,7 +167,7 @@
         .map(|_| TcpStream::connect(("127.0.0.1", port)).unwrap())
         .collect();
     let mut surplus = TcpStream::connect(("127.0.0.1", port)).unwrap();
-    surplus.set_read_timeout(Some(PATIENCE)).unwrap();
+    surplus.set_read_timeout(Some(TIMEOUT)).unwrap();
     let mut text = String::new();
     surplus.read_to_string(&mut text).unwrap();
     assert!(text.starts_with("HTTP/1.1 503"), "{text}");
@@ -184,7 +184,7 @@
     let target = RawTarget::echo();
     let mut setup = BenchSetup::default();
     setup.tuning.body_memory = 150_000;
-    setup.tuning.body_timeout = PATIENCE;
+    setup.tuning.body_timeout = TIMEOUT;
     let bench = EntryBench::start_with(&[&target], setup);
     let slow: Vec<TcpStream> = (0..8)
         .map(|_| {
@@ -195,7 +195,7 @@
         })
         .collect();
     // Three of them fit into the team's part, and the other five are refused.
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while slow.iter().filter(|stream| has_answer(stream)).count() < 5 {
         assert!(Instant::now() < until, "fewer than five were refused");
         thread::sleep(Duration::from_millis(5));
@@ -230,19 +230,19 @@
     let bench = EntryBench::start_with(&[&target], setup);
     let mut stream = TcpStream::connect(bench.server.caller_address()).unwrap();
     stream.write_all((head(KEY, 1) + "x").as_bytes()).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     assert_eq!(stream.peek(&mut [0]).unwrap(), 1);
     // The team's part of the memory holds one such answer; this one waits for it.
     let reply = bench.caller().with("deadline-ms", "30000").ask(b"y");
     assert_eq!((reply.status, reply.body.len()), (200, LARGE));
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let mut rest = Vec::new();
     let _ = stream.read_to_end(&mut rest);
     assert!(rest.len() < LARGE);
 }
 
 fn exchange_livez(stream: &mut TcpStream) {
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     stream
         .write_all(b"GET /livez HTTP/1.1\r\nHost: e1\r\n\r\n")
         .unwrap();
--- a/crates/entry/tests/random_bytes.rs
+++ b/crates/entry/tests/random_bytes.rs
@@ -31,8 +31,8 @@
 /// Sends the bytes, and checks that the port still serves a good request.
 fn send(bytes: &[u8]) -> String {
     let bench = &port().bench;
-    let patience = Duration::from_secs(30);
-    let text = raw_exchange(bench.server.caller_address(), bytes, patience);
+    let timeout = Duration::from_secs(30);
+    let text = raw_exchange(bench.server.caller_address(), bytes, timeout);
     assert_eq!(bench.caller().ask(b"still here").text(), "still here");
     text
 }
--- a/crates/entry/tests/support/http_call.rs
+++ b/crates/entry/tests/support/http_call.rs
@@ -130,9 +130,9 @@
 }
 
 /// Sends bytes as they are and reads until the server closes or goes silent.
-pub fn raw_exchange(address: SocketAddr, bytes: &[u8], patience: Duration) -> String {
+pub fn raw_exchange(address: SocketAddr, bytes: &[u8], timeout: Duration) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(patience)).unwrap();
+    stream.set_read_timeout(Some(timeout)).unwrap();
     // The server may close before it has read everything.
     let _ = stream.write_all(bytes);
     let mut text = Vec::new();
