--- a/crates/decide/src/work/work_scheduler.rs
+++ b/crates/decide/src/work/work_scheduler.rs
@@ -17,75 +17,78 @@
     step_key::StepKey, target_state::RunKey, tracked_map::TrackedMap,
 };
 
-/// Events that are kept for the log until they are taken; more are dropped, and counted.
+/// Upper bound of events buffered until [`WorkScheduler::take_events`]; further ones are dropped
+/// and counted.
 const MAX_BUFFERED_EVENTS: usize = 4096;
 
-/// The present, on both clocks.
+/// Current time on both clocks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SchedulerTime {
-    /// Time since boot; leases and pauses count on it.
+    /// Time since boot. Leases and pauses are measured on this clock.
     pub boot: BootTime,
-    /// Time since the Unix epoch; occurrences are due on it, and it may jump.
+    /// Time since the Unix epoch. Due times of occurrences use this clock, which may jump.
     pub unix: Duration,
 }
 
-/// Decides for one cell, for one term of ownership.
+/// Schedules the tasks of one cell during one term of ownership.
 ///
-/// A term begins with the jobs of the log ([`WorkScheduler::replay`]) and with looking at every
-/// target that tasks may be on. It ends with the process's ownership; a new term begins anew.
+/// A term starts by replaying the job log ([`WorkScheduler::replay`]) and polling every target that
+/// may run tasks. The scheduler is dropped when the process loses ownership; a new term starts with
+/// a new one.
 #[derive(Clone, Debug, Default)]
 pub struct WorkScheduler {
     pub(super) tuning: SchedulerTuning,
     pub(super) token: FencingToken,
-    /// What operators ask for.
+    /// Settings of pools, queues and workspaces.
     pub terms: Arc<FleetPolicy>,
-    /// The jobs.
+    /// Jobs and their tasks.
     pub job_table: JobTable,
-    /// The targets.
+    /// Targets by id.
     pub targets: TrackedMap<TargetState>,
     pub(super) index: SchedulerIndex,
-    /// How much was looked at so far.
+    /// How many items the scheduler has examined so far.
     pub counters: WorkCounters,
     pub(super) workspace_usage: BTreeMap<WorkspaceId, ResourceVector>,
     pub(super) actions: Vec<SchedulerAction>,
     pub(super) events: VecDeque<SchedulerEvent>,
-    /// Events that were dropped because nobody took them in time.
+    /// Number of events dropped because the buffer was full.
     pub events_dropped: u64,
-    /// When another process might have owned the cell last.
+    /// Last time at which another process might have owned the cell.
     pub(super) last_uncertain: Option<BootTime>,
-    /// Since when many listed targets have not been heard at once.
+    /// Start of the period in which many listed targets have been unresponsive at once.
     pub(super) mass_unresponsive_since: Option<BootTime>,
-    /// When many listed targets were last not heard at once.
+    /// Last time at which many listed targets were unresponsive at once.
     pub(super) mass_unresponsive_last: Option<BootTime>,
     /// Whether another process may own the cell by now.
     pub(super) ownership_uncertain: bool,
-    /// When the log had been read; zero for a desk that has no predecessor.
+    /// When the replay of the log finished; zero if there is no predecessor.
     pub(super) replay_finished_at: BootTime,
     pub(super) shares: ShareMeter,
     pub(super) forecast: StartForecast,
-    /// Steps of tasks that last for which no target was found, and since when.
+    /// Long-running steps for which no target was found, and since when.
     pub(super) unplaced_since: BTreeMap<StepKey, BootTime>,
-    /// Targets that are kept free, also those that are not listed yet: the list of hosts may tell of
-    /// a life first, and its host be ordered. Tasks that it were given meanwhile would end.
+    /// Drain state of targets, including targets that are not listed yet: the host list may report
+    /// a new incarnation first, and an order for its host may follow. Tasks started there in
+    /// between would be killed.
     pub(super) drains: BTreeMap<HostId, HostDrainState>,
-    /// Of each pool a task that has to leave its host and has no other to go to.
+    /// Per pool, a task that has to leave its host and fits on no other.
     pub(super) stranded: BTreeMap<PoolId, StrandedTask>,
-    /// When waits for another target end, of tasks that failed; the earliest first.
+    /// When failed tasks stop waiting for a different target; the earliest first.
     pub(super) failure_wait_deadlines: VecDeque<BootTime>,
-    /// Occurrences and starts may be due: planning has something to do.
+    /// Whether occurrences or starts may be due, so that starts have to be planned.
     pub(super) replan_needed: bool,
-    /// Stops that have not been answered, with the time of their last sending.
+    /// Stops without an answer, with the time of the last attempt.
     pub(super) pending_stops: BTreeMap<(HostId, RunKey), BootTime>,
-    /// Stops that were answered, and when; a target takes a moment until it lists the end.
+    /// Answered stops, with the time of the answer; a target takes a moment to report the end.
     pub(super) acknowledged_stops: BTreeMap<(HostId, RunKey), BootTime>,
-    /// Runs that stood still at the last look at their target.
+    /// Runs that made no progress up to the last report of their target.
     pub(super) no_progress: BTreeSet<(HostId, RunKey)>,
-    /// Share of time that tasks which fill have on a target; 100 if absent.
+    /// CPU time share of best-effort tasks on each target, in percent; 100 if absent.
     pub(super) throttles: BTreeMap<HostId, u8>,
 }
 
 impl WorkScheduler {
-    /// The desk of a new term.
+    /// Creates the scheduler of a new term.
     pub fn new(tuning: SchedulerTuning, token: FencingToken) -> Self {
         Self {
             tuning,
@@ -94,19 +97,20 @@
         }
     }
 
-    /// Takes an entry of the log in while it is read.
+    /// Applies one entry of the log during the replay.
     pub fn replay(&mut self, entry: &LogEntry, now: SchedulerTime) {
         if let Some(Event::Cancelled(id) | Event::Failed(id)) = &entry.event
             && let Some(job) = self.job_table.jobs.get_mut(id.as_str())
         {
-            // What was due may run on a target that was not reached, and has to be counted.
+            // Occurrences that were due may run on a target that has not been polled yet, and have
+            // to be counted.
             job.open_due_occurrences(now.unix, now.boot, self.tuning.early_start);
         }
         self.job_table.apply(entry, now.unix, now.boot);
     }
 
-    /// Ends the reading of the log. Targets that a predecessor used are to be looked at, also
-    /// those that the host list no longer has: their tasks may still run.
+    /// Ends the replay of the log. Targets that a predecessor used have to be polled, including
+    /// those that are no longer in the host list: their tasks may still run.
     pub fn finish_replay(&mut self, now: SchedulerTime) {
         self.replay_finished_at = now.boot;
         for job in self.job_table.jobs.values_mut() {
@@ -135,21 +139,21 @@
         self.replan_needed = true;
     }
 
-    /// Sets whether another process may own the cell by now, since the lease may have lapsed.
+    /// Sets whether another process may own the cell by now because the lease may have expired.
     ///
-    /// What runs goes on then, but nothing is started and no further life of a target is drawn
-    /// into it ([`WorkScheduler::plan`]).
+    /// Running tasks continue meanwhile, but no task is started and no new incarnation of a target
+    /// is given this owner's token ([`WorkScheduler::plan_starts`]).
     pub fn set_ownership_uncertain(&mut self, alone: bool) {
         self.replan_needed |= self.ownership_uncertain && !alone;
         self.ownership_uncertain = alone;
     }
 
-    /// Token of this term.
+    /// Fencing token of this term.
     pub fn token(&self) -> FencingToken {
         self.token
     }
 
-    /// Sets what operators ask for.
+    /// Replaces the settings of pools, queues and workspaces.
     pub fn set_terms(&mut self, terms: Arc<FleetPolicy>) {
         for job in self.job_table.jobs.values_mut() {
             if let Some(queue) = terms.queue(&job.queue) {
@@ -165,7 +169,7 @@
         self.replan_needed = true;
     }
 
-    /// Takes what the host list says of a target.
+    /// Adds or updates a target from its entry in the host list.
     pub fn upsert_target(&mut self, entry: TargetEntry, now: SchedulerTime) {
         self.sync_indexes(now.boot);
         let id = entry.target.clone();
@@ -187,7 +191,7 @@
         };
         let (born, known) = (entry.started_at, target.incarnation.started_at);
         if !born.is_zero() && born < known {
-            // An entry of the life before, which was under way for long.
+            // A delayed entry of the previous incarnation.
             return;
         }
         let reborn = !known.is_zero() && born > known;
@@ -212,20 +216,20 @@
         }
     }
 
-    /// The host list no longer has a target.
+    /// Marks a target that is no longer in the host list.
     pub fn mark_target_unlisted(&mut self, id: &HostId) {
         if let Some(target) = self.targets.get_mut(id) {
             target.listed = false;
         }
     }
 
-    /// Targets that the host list has.
+    /// Targets that are in the host list.
     pub fn listed_targets(&self) -> Vec<HostId> {
         let listed = self.targets.values().filter(|target| target.listed);
         listed.map(|target| target.entry.target.clone()).collect()
     }
 
-    /// Takes a job in that has been stored.
+    /// Adds a job whose record has been stored.
     pub fn accept_job(&mut self, record: &JobRecord, now: SchedulerTime) {
         self.job_table.accept(record, now.unix, now.boot);
         self.classify_job_share(record, now);
@@ -246,12 +250,12 @@
         }
     }
 
-    /// A host's order was carried out: all that ran on its target is over.
+    /// Ends everything on a target whose host has completed an order.
     pub fn end_target_after_host_order(&mut self, id: &HostId, now: SchedulerTime) {
         self.mark_target_lost(id, "ordered", now);
     }
 
-    /// What callers are told of a job.
+    /// Phase of a job as reported to callers.
     pub fn job_phase(&self, id: &str) -> Option<JobPhase> {
         let job = self.job_table.jobs.get(id)?;
         let running = if job.started {
@@ -269,23 +273,23 @@
         })
     }
 
-    /// How many jobs of a queue have not begun.
+    /// Number of jobs of a queue that have not started.
     pub fn pending_jobs(&mut self, queue: &str, now: SchedulerTime) -> u64 {
         self.sync_indexes(now.boot);
         self.index.jobs.pending(queue)
     }
 
-    /// What is to be done, oldest first.
+    /// Takes the pending actions, oldest first.
     pub fn take_actions(&mut self) -> Vec<SchedulerAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// What is to be logged, oldest first.
+    /// Takes the buffered events, oldest first.
     pub fn take_events(&mut self) -> VecDeque<SchedulerEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// An entry of the log has been stored.
+    /// Handles that an entry of the job log has been stored.
     pub fn handle_stored_entry(&mut self, order: &LogAppend, now: SchedulerTime) {
         if let Some(origin) = &order.origin {
             self.mark_end_stored(origin);
@@ -337,9 +341,9 @@
         }));
     }
 
-    /// Writes down that tasks may be on a target, before the first is started there. After a
-    /// failure of this process, its successor would otherwise not know of a target that has
-    /// left the host list while its tasks run on.
+    /// Records that tasks may run on a target, before the first one is started there. After a
+    /// failure of this process, its successor would otherwise not know of a target that has left
+    /// the host list while its tasks keep running.
     pub(super) fn record_target_use(&mut self, id: &HostId) {
         let Some(target) = self.targets.get(id).filter(|target| !target.recorded) else {
             return;
@@ -352,12 +356,12 @@
         self.append_log_entry(Event::Used(used), None, None);
     }
 
-    /// True if a later life is known at the address of an entry.
+    /// Whether a later incarnation is known at the address of an entry.
     ///
-    /// The entry of a life that ended behind a cut may show once more after the next life has
-    /// begun. Taken for the present one, it would end the life that is at work, and what runs there
-    /// would be started a second time. While the store is away, the entry of the life at work may
-    /// have lapsed. An entry that does not tell when its life began is another writer's.
+    /// The entry of an incarnation that ended during a network partition may show up again after
+    /// the next one has started. Accepting it would end the current incarnation, and its tasks
+    /// would be started a second time. While the store is unavailable, the entry of the current
+    /// incarnation may have expired. An entry without a start time comes from another writer.
     fn is_superseded_entry(&self, entry: &TargetEntry) -> bool {
         let others = self.other_targets_at_address(entry);
         let mut others = others.iter().filter_map(|id| self.targets.get(id));
@@ -374,11 +378,11 @@
         others.cloned().collect()
     }
 
-    /// Ends the lives of other targets at the address of a new one: one address, one target. An
-    /// entry of a pool that nobody knows is another writer's and ends nothing.
+    /// Ends the incarnations of other targets at the address of a new one, since an address has one
+    /// target at a time. An entry of an unknown pool comes from another writer and ends nothing.
     ///
-    /// Of a predecessor's target that no look has reached it is not known which of both is the
-    /// newer; a look tells.
+    /// For a predecessor's target that has not been polled yet, it is unknown which of the two is
+    /// newer; a poll decides that.
     fn end_other_incarnations_at_address(&mut self, entry: &TargetEntry, now: SchedulerTime) {
         if !self.terms.pools.iter().any(|pool| pool.name == entry.pool) {
             return;
