--- a/crates/cell/src/term_run.rs
+++ b/crates/cell/src/term_run.rs
@@ -108,7 +108,7 @@
     )
     .await;
     if let Some(policy) = term.view.policy() {
-        scheduler.set_terms(policy);
+        scheduler.set_policy(policy);
     }
     let took = term.now().boot.saturating_sub(started);
     metric::record_duration(metric::LOG_READ_SECONDS, took);
@@ -168,7 +168,7 @@
         if version != applied_version {
             applied_version = version;
             if let Some(policy) = term.view.policy() {
-                term.scheduler.borrow_mut().set_terms(policy);
+                term.scheduler.borrow_mut().set_policy(policy);
             }
         }
         let now = term.now();
--- a/crates/decide/src/work/host_moves.rs
+++ b/crates/decide/src/work/host_moves.rs
@@ -34,7 +34,7 @@
         let standby = standby_pool(scheduler);
         let mut capacities = self.pool_capacities();
         let pools: Vec<PoolId> = scheduler
-            .terms
+            .policy
             .pools
             .iter()
             .filter(|pool| !pool.standby)
@@ -192,7 +192,7 @@
 
     /// Returns the number of hosts that an idle pool keeps for the first tasks of a burst.
     fn min_idle_hosts(&self, scheduler: &WorkScheduler) -> usize {
-        let serving = scheduler.terms.pools.iter().filter(|pool| !pool.standby);
+        let serving = scheduler.policy.pools.iter().filter(|pool| !pool.standby);
         let share = self.hosts.len() / serving.count().max(1);
         (share / IDLE_SHARE_DIVISOR).max(MIN_IDLE_HOSTS)
     }
@@ -232,7 +232,7 @@
     }
 
     fn observe_pools(&mut self, scheduler: &WorkScheduler, now: BootTime) {
-        for pool in &scheduler.terms.pools {
+        for pool in &scheduler.policy.pools {
             let (present, long_running) = scheduler.core_demand(&pool.name);
             self.meter.observe(&pool.name, present, long_running, now);
             self.anti_affinity_hosts
@@ -266,7 +266,7 @@
 }
 
 fn standby_pool(scheduler: &WorkScheduler) -> Option<PoolId> {
-    let standby = scheduler.terms.pools.iter().find(|pool| pool.standby);
+    let standby = scheduler.policy.pools.iter().find(|pool| pool.standby);
     standby.map(|pool| pool.name.clone())
 }
 
--- a/crates/decide/src/work/scheduler_admit.rs
+++ b/crates/decide/src/work/scheduler_admit.rs
@@ -32,7 +32,7 @@
             return None;
         }
         self.sync_indexes(now.boot);
-        let terms = self.terms.clone();
+        let terms = self.policy.clone();
         let queue: &QueuePolicy = terms.queue(queue)?;
         let weight = terms.workspace(workspace).map_or(0, |space| space.weight);
         let beyond = self.shares.would_be_beyond(workspace, weight, now.boot);
--- a/crates/decide/src/work/scheduler_advice.rs
+++ b/crates/decide/src/work/scheduler_advice.rs
@@ -24,7 +24,7 @@
         let Some(job) = self.job_table.jobs.get(&key.job) else {
             return;
         };
-        let queue = self.terms.queue(&job.queue);
+        let queue = self.policy.queue(&job.queue);
         let valid = queue
             .and_then(|queue| queue.advice)
             .unwrap_or_default()
@@ -52,7 +52,7 @@
         let Some(job) = self.job_table.jobs.get(&step.job) else {
             return false;
         };
-        let Some(advice) = self.terms.queue(&job.queue).and_then(|queue| queue.advice) else {
+        let Some(advice) = self.policy.queue(&job.queue).and_then(|queue| queue.advice) else {
             return false;
         };
         let pool = job.pool.clone();
--- a/crates/decide/src/work/scheduler_answer.rs
+++ b/crates/decide/src/work/scheduler_answer.rs
@@ -205,7 +205,7 @@
     }
 
     fn release_run(&mut self, id: &HostId, run: &RunKey) {
-        self.unclaim(id, run);
+        self.release_claim(id, run);
         self.clear_placement(id, run);
     }
 
--- a/crates/decide/src/work/scheduler_claim.rs
+++ b/crates/decide/src/work/scheduler_claim.rs
@@ -26,7 +26,7 @@
     }
 
     /// Gives back what a run took; nothing of it can be on the target any more.
-    pub(super) fn unclaim(&mut self, id: &HostId, run: &RunKey) {
+    pub(super) fn release_claim(&mut self, id: &HostId, run: &RunKey) {
         let Some(claim) = self
             .targets
             .get_mut(id)
--- a/crates/decide/src/work/scheduler_end.rs
+++ b/crates/decide/src/work/scheduler_end.rs
@@ -13,7 +13,7 @@
     /// Handles an end that a target lists for the first time.
     pub(super) fn handle_task_end(&mut self, id: &HostId, end: &EndReport, now: SchedulerTime) {
         let run: RunKey = (end.task.clone(), end.attempt);
-        self.unclaim(id, &run);
+        self.release_claim(id, &run);
         let job = &end.task.job;
         // As for a run: what a predecessor found due is due.
         self.job_table
@@ -194,7 +194,7 @@
             return;
         }
         let most = self
-            .terms
+            .policy
             .queue(&job.queue)
             .map_or(u32::MAX, |queue| queue.max_attempts);
         if let Some(target) = self.targets.get_mut(&target) {
--- a/crates/decide/src/work/scheduler_index.rs
+++ b/crates/decide/src/work/scheduler_index.rs
@@ -90,7 +90,7 @@
         self.sync_target_index(now);
         let jobs = self
             .index
-            .update_jobs(&mut self.job_table, &self.terms, now);
+            .update_jobs(&mut self.job_table, &self.policy, now);
         WorkCounters::add(&self.counters.index_updates, jobs as u64);
     }
 
@@ -114,7 +114,7 @@
         anew.update_targets(&self.targets, &targets, now);
         for (id, job) in &self.job_table.jobs {
             anew.jobs
-                .update(id, Some(job), &self.terms, now, &mut anew.startable_pools);
+                .update(id, Some(job), &self.policy, now, &mut anew.startable_pools);
         }
         for (id, target) in &self.targets {
             let rows = target.claims.keys();
--- a/crates/decide/src/work/scheduler_report.rs
+++ b/crates/decide/src/work/scheduler_report.rs
@@ -307,7 +307,7 @@
             // A run without a task: it is gone once its stop was answered before the look.
             let stopped = self.pending_stops.contains_key(&(id.clone(), run.clone()));
             if !stopped {
-                self.unclaim(id, run);
+                self.release_claim(id, run);
             }
             return;
         };
@@ -324,11 +324,11 @@
             }
             PlacementPhase::Running => {
                 self.emit(SchedulerEvent::Vanished(key.clone(), *attempt, id.clone()));
-                self.unclaim(id, run);
+                self.release_claim(id, run);
                 self.clear_placement(id, run);
             }
             PlacementPhase::Stopping(true) => {
-                self.unclaim(id, run);
+                self.release_claim(id, run);
                 self.clear_placement(id, run);
             }
         }
--- a/crates/decide/src/work/scheduler_start.rs
+++ b/crates/decide/src/work/scheduler_start.rs
@@ -78,7 +78,7 @@
         let placed = self.place_tasks(step, plan, &indices, doubt, now);
         if plan.gang && placed.runs.len() < indices.len() {
             for (id, run) in placed.runs {
-                self.unclaim(&id, &run);
+                self.release_claim(&id, &run);
                 self.clear_placement(&id, &run);
             }
             return nothing;
@@ -99,7 +99,7 @@
     /// failure fails the job at once, but may die before all of that is recorded.
     fn has_exhausted_attempts(&self, step: &StepKey, plan: &model::work::StepPlan) -> bool {
         let job = self.job_table.jobs.get(&step.job);
-        let queue = job.and_then(|job| self.terms.queue(&job.queue));
+        let queue = job.and_then(|job| self.policy.queue(&job.queue));
         let most = queue.map_or(usize::MAX, |queue| queue.max_attempts.max(1) as usize);
         let tasks = self.step_state(step).map(|state| state.tasks.as_slice());
         let mut left = tasks.unwrap_or_default().iter().filter(|task| !task.done);
--- a/crates/decide/src/work/work_scheduler.rs
+++ b/crates/decide/src/work/work_scheduler.rs
@@ -40,7 +40,7 @@
     pub(super) tuning: SchedulerTuning,
     pub(super) token: FencingToken,
     /// Settings of pools, queues and workspaces.
-    pub terms: Arc<FleetPolicy>,
+    pub policy: Arc<FleetPolicy>,
     /// Jobs and their tasks.
     pub job_table: JobTable,
     /// Targets by id.
@@ -154,7 +154,7 @@
     }
 
     /// Replaces the settings of pools, queues and workspaces.
-    pub fn set_terms(&mut self, terms: Arc<FleetPolicy>) {
+    pub fn set_policy(&mut self, terms: Arc<FleetPolicy>) {
         for job in self.job_table.jobs.values_mut() {
             if let Some(queue) = terms.queue(&job.queue) {
                 job.pool = queue.pool.clone();
@@ -165,7 +165,7 @@
         self.index.limits = limited
             .map(|space| (space.name.clone(), space.limit))
             .collect();
-        self.terms = terms;
+        self.policy = terms;
         self.replan_needed = true;
     }
 
@@ -240,7 +240,7 @@
     }
 
     fn classify_job_share(&mut self, record: &JobRecord, now: SchedulerTime) {
-        let space = self.terms.workspace(&record.workspace);
+        let space = self.policy.workspace(&record.workspace);
         let weight = space.map_or(0, |space| space.weight);
         let beyond = self
             .shares
@@ -384,7 +384,7 @@
     /// For a predecessor's target that has not been polled yet, it is unknown which of the two is
     /// newer; a poll decides that.
     fn end_other_incarnations_at_address(&mut self, entry: &TargetEntry, now: SchedulerTime) {
-        if !self.terms.pools.iter().any(|pool| pool.name == entry.pool) {
+        if !self.policy.pools.iter().any(|pool| pool.name == entry.pool) {
             return;
         }
         for id in self.other_targets_at_address(entry) {
--- a/crates/decide/tests/desk/fleet.rs
+++ b/crates/decide/tests/desk/fleet.rs
@@ -64,7 +64,7 @@
             name: STANDBY.into(),
             standby: true,
         });
-        scene.desk.set_terms(Arc::new(terms));
+        scene.desk.set_policy(Arc::new(terms));
         let mut fleet = Self {
             scene,
             planner: HostPlanner::default(),
--- a/crates/decide/tests/desk/scene.rs
+++ b/crates/decide/tests/desk/scene.rs
@@ -44,7 +44,7 @@
             stored: Vec::new(),
             store_away: false,
         };
-        scene.desk.set_terms(Arc::new(terms()));
+        scene.desk.set_policy(Arc::new(terms()));
         scene
     }
 
@@ -210,12 +210,12 @@
 
     /// Gives the workspace a weight.
     pub fn weigh(&mut self, weight: u32) {
-        let mut terms = FleetPolicy::clone(&self.desk.terms);
+        let mut terms = FleetPolicy::clone(&self.desk.policy);
         terms
             .workspaces
             .iter_mut()
             .for_each(|space| space.weight = weight);
-        self.desk.set_terms(Arc::new(terms));
+        self.desk.set_policy(Arc::new(terms));
     }
 
     /// Answers all starts with success; returns them.
--- a/crates/decide/tests/desk/turn.rs
+++ b/crates/decide/tests/desk/turn.rs
@@ -79,7 +79,7 @@
             ended: 0,
             started: 0,
         };
-        load.desk.set_terms(Arc::new(terms(size, first_limit)));
+        load.desk.set_policy(Arc::new(terms(size, first_limit)));
         for number in 0..size.targets {
             load.add_target(number);
         }
--- a/crates/decide/tests/desk/world.rs
+++ b/crates/decide/tests/desk/world.rs
@@ -278,7 +278,7 @@
             desk.replay(entry, self.now);
         }
         desk.finish_replay(self.now);
-        desk.set_terms(std::sync::Arc::new(terms_with_limit(LIMIT)));
+        desk.set_policy(std::sync::Arc::new(terms_with_limit(LIMIT)));
         self.owners.push(WorldOwner {
             desk,
             token: self.token,
--- a/crates/decide/tests/work_admit.rs
+++ b/crates/decide/tests/work_admit.rs
@@ -41,7 +41,7 @@
             limit: ResourceVector::default(),
             ..terms.workspaces[0].clone()
         });
-        scene.desk.set_terms(Arc::new(terms));
+        scene.desk.set_policy(Arc::new(terms));
         scene.weigh(1);
         scene.add("t1", 2000);
         Self {
@@ -170,10 +170,10 @@
 fn admit_jobs_without_hurry() {
     for (slack_factor, slack_time) in [(0.0, Duration::ZERO), (2.0, Duration::from_secs(3600))] {
         let mut pool = BusyPool::new();
-        let mut terms = FleetPolicy::clone(&pool.scene.desk.terms);
+        let mut terms = FleetPolicy::clone(&pool.scene.desk.policy);
         terms.queues[0].slack_factor = slack_factor;
         terms.queues[0].slack_time = slack_time;
-        pool.scene.desk.set_terms(Arc::new(terms));
+        pool.scene.desk.set_policy(Arc::new(terms));
         for _ in 0..200 {
             assert_eq!(pool.hand_in(SPACE), None);
             pool.pass();
--- a/crates/decide/tests/work_hosts.rs
+++ b/crates/decide/tests/work_hosts.rs
@@ -32,13 +32,13 @@
 }
 
 fn with_standby(scene: &mut DeskScene) {
-    let terms = FleetPolicy::clone(&scene.desk.terms);
+    let terms = FleetPolicy::clone(&scene.desk.policy);
     let standby = PoolPolicy {
         name: STANDBY.into(),
         standby: true,
     };
     let pools = terms.pools.iter().cloned().chain([standby]).collect();
-    scene.desk.set_terms(std::sync::Arc::new(FleetPolicy {
+    scene.desk.set_policy(std::sync::Arc::new(FleetPolicy {
         revision: terms.revision + 1,
         pools,
         ..terms
@@ -280,14 +280,14 @@
 fn idle_pool_keeps_part_of_share() {
     let mut scene = DeskScene::new(1);
     with_standby(&mut scene);
-    let terms = FleetPolicy::clone(&scene.desk.terms);
+    let terms = FleetPolicy::clone(&scene.desk.policy);
     let other = PoolPolicy {
         name: "other".into(),
         standby: false,
     };
     let pools = terms.pools.iter().cloned().chain([other]).collect();
     let terms = FleetPolicy { pools, ..terms };
-    scene.desk.set_terms(std::sync::Arc::new(terms));
+    scene.desk.set_policy(std::sync::Arc::new(terms));
     let mut planner = HostPlanner::default();
     let list = (0..18).map(|number| host(&format!("h{number:02}"), POOL, &format!("t{number}")));
     planner.apply_host_list(list.collect(), scene.now.boot);
--- a/crates/decide/tests/work_load.rs
+++ b/crates/decide/tests/work_load.rs
@@ -10,7 +10,7 @@
 /// A scene without a limit on its workspace.
 fn scene() -> DeskScene {
     let mut scene = DeskScene::new(1);
-    scene.desk.set_terms(Arc::new(terms_with_limit(0)));
+    scene.desk.set_policy(Arc::new(terms_with_limit(0)));
     scene
 }
 
--- a/crates/decide/tests/work_services.rs
+++ b/crates/decide/tests/work_services.rs
@@ -101,7 +101,7 @@
             unix: Duration::from_secs(1_000_000),
         };
         let mut desk = WorkScheduler::new(SchedulerTuning::default(), 7);
-        desk.set_terms(Arc::new(terms_with_limit(100_000)));
+        desk.set_policy(Arc::new(terms_with_limit(100_000)));
         let names = (0..TARGETS).map(|number| HostId::from(format!("t{number}")));
         let fresh = |name: HostId| {
             let state = WorldTarget {
