--- a/crates/decide/src/work/scheduler_action.rs
+++ b/crates/decide/src/work/scheduler_action.rs
@@ -8,89 +8,89 @@
 
 use super::RankClass;
 
-/// Something the desk wants done.
+/// An action for the caller of the scheduler to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SchedulerAction {
     /// Start a task on a target.
     Start(HostId, StartOrder),
     /// Stop a run on a target.
     Stop(HostId, StopOrder),
-    /// Set a run's share of time.
+    /// Set a run's CPU time share.
     Throttle(HostId, ThrottleOrder),
-    /// Look at a target now, beside the look that may be waiting there.
+    /// Poll a target now, even if a long poll is already waiting there.
     Poll(HostId),
-    /// Write to the job log.
+    /// Append an entry to the job log.
     AppendLog(LogAppend),
-    /// A target refused an order because a newer owner has given some: stop deciding.
+    /// Step down: a target refused an order because a newer owner has sent some.
     StepDown(HostId),
-    /// Ask which targets may run a step.
+    /// Request advice on which targets may run a step.
     RequestAdvice(TaskKey, Vec<HostId>),
 }
 
-/// An entry for the job log, and the end on a target that it settles.
+/// An entry to append to the job log, and the end on a target that may be acknowledged then.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogAppend {
     /// The entry.
     pub entry: LogEntry,
-    /// The end that may be observed once the entry is stored.
+    /// The end that the target may forget once the entry is stored.
     pub origin: Option<EndOrigin>,
-    /// Job whose state is shown only once the entry is stored.
+    /// Job whose new phase is reported only once the entry is stored.
     pub job: Option<JobId>,
-    /// Whether somebody waits for it; others may be stored together a little later.
+    /// Whether a caller waits for the entry. Others may be batched and stored a little later.
     pub urgent: bool,
 }
 
-/// One end of one life of a target.
+/// Identifies a reported end: the target, its incarnation and the end's number.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EndOrigin {
     /// The target.
     pub target: HostId,
-    /// Counts the lives of the target that this desk has seen.
+    /// Number of the target's incarnation, counted by this scheduler.
     pub incarnation: u64,
-    /// Number of the end.
+    /// Number of the end within the incarnation.
     pub number: u64,
 }
 
-/// What a task's place was decided by, for the log.
+/// Inputs of a placement decision, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlacementInputs {
-    /// How urgent its job was.
+    /// Rank class of the job.
     pub class: RankClass,
-    /// Age of the last answer of the target.
+    /// Age of the target's last response.
     pub last_response_age: Duration,
-    /// Room that was left there with this task, in thousandths of a core.
+    /// CPU left on the target with this task placed, in thousandths of a core.
     pub free_cpu: u64,
 }
 
-/// A change of belief or a decision, for the log.
+/// A decision, or a change of the known state, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SchedulerEvent {
     /// A task was placed.
     Placed(TaskKey, AttemptNumber, HostId, PlacementInputs),
-    /// A run was found that the desk did not start; it is taken over.
+    /// A run that this scheduler did not start was found and is adopted.
     Adopted(TaskKey, AttemptNumber, HostId),
-    /// A run that nobody wants was found; it is stopped.
+    /// A run without a matching task was found and is stopped.
     Unwanted(TaskKey, AttemptNumber, HostId),
     /// A run ended.
     Ended(TaskKey, AttemptNumber, HostId, &'static str),
-    /// A start or a stop was not answered; what became of it is asked.
+    /// A start was not answered, so its outcome is polled.
     Unconfirmed(TaskKey, AttemptNumber, HostId),
     /// A start was refused.
     StartRefused(TaskKey, AttemptNumber, HostId, &'static str),
-    /// A run has stood still for long; it is stopped, to start elsewhere.
+    /// A run made no progress for too long. It is stopped, to be started elsewhere.
     Stalled(TaskKey, AttemptNumber, HostId),
-    /// A run that should be there is not.
+    /// A run is missing from the report of its target.
     Vanished(TaskKey, AttemptNumber, HostId),
     /// A job ended.
     JobEnded(JobId, &'static str),
-    /// A target may be used.
+    /// A target has become usable.
     TargetUsable(HostId),
-    /// A target's life ended; everything on it is over.
+    /// A target's incarnation ended with all of its runs.
     TargetLost(HostId, &'static str, usize),
-    /// A target was not heard; what may run there, so many runs, is recorded.
+    /// A target is unreachable; its possible runs, with this count, are recorded.
     TargetUnreachable(HostId, usize),
-    /// A target stopped answering.
+    /// A target has become unresponsive.
     TargetUnresponsive(HostId),
-    /// Of so many listed targets so many are not heard at once that none is given up for now.
+    /// Many of this number of listed targets are unresponsive at once, so none is given up for now.
     MassUnresponsive(usize),
 }
--- a/crates/decide/src/work/scheduler_admit.rs
+++ b/crates/decide/src/work/scheduler_admit.rs
@@ -7,20 +7,20 @@
 
 use super::{SchedulerTime, WorkScheduler, job_summary::PoolBacklog, objective::longest_wait};
 
-/// Time in which all that is accepted has to be begun, however little of it still counts; more for
-/// jobs that may wait longer.
+/// Time within which every accepted job has to start, however little of it still counts towards its
+/// objective. Jobs that may wait longer get more time.
 const MAX_BACKLOG_DRAIN_TIME: Duration = Duration::from_secs(8);
-/// Waits below this are not foreseen well enough to refuse a job for them.
+/// Shorter predicted waits are too uncertain to refuse a job for them.
 const MIN_PREDICTABLE_WAIT: Duration = Duration::from_secs(2);
-/// Part of the foreseen wait that is taken for sure: pools get more hosts while demand rises.
+/// Fraction of the predicted wait that is certain: pools get more hosts while demand rises.
 const CERTAIN_WAIT_FRACTION: (u32, u32) = (4, 5);
 
 impl WorkScheduler {
-    /// Tells whether a job that is handed in now would be begun too late to count; holds how long it
-    /// takes until one would not be. `None` if it may be accepted.
+    /// Predicts whether a job submitted now would start too late to count. Returns the time after
+    /// which it would no longer be too late, or `None` if the job may be accepted.
     ///
-    /// What is within a workspace's share waits for what is within the shares of all, so that a
-    /// workspace which sends many times its usual does not have others refused.
+    /// Jobs within their workspace's share only wait for other jobs within the shares, so that a
+    /// workspace which submits many times its usual amount does not get others refused.
     pub fn predict_lateness(
         &mut self,
         plan: &JobPlan,
@@ -54,12 +54,12 @@
         Some(late.max(long)).filter(|excess| !excess.is_zero())
     }
 
-    /// Sets how many starts a second the owner's link carries at most.
+    /// Sets how many starts per second the owner's link can carry.
     pub fn set_max_start_rate(&mut self, starts_a_second: f64) {
         self.forecast.set_link_rate(starts_a_second);
     }
 
-    /// Notes in which pools tasks wait.
+    /// Reports the pools in which tasks wait to the start forecast.
     pub(super) fn observe_backlog(&mut self, now: SchedulerTime) {
         let pools = self.index.jobs.backlogged_pools();
         let waited_for = pools.filter(|pool| self.backlog(pool).all() > 0);
@@ -67,8 +67,8 @@
         self.forecast.observe_waiting(&waited_for, now.boot);
     }
 
-    /// The tasks that wait for a pool. Where a predecessor's targets have not been reached, its jobs
-    /// wait for that, and others go ahead of them.
+    /// Tasks that wait for a pool. While a predecessor's targets have not been polled yet, its jobs
+    /// wait for that, and other jobs go ahead of them.
     fn backlog(&self, pool: &PoolId) -> PoolBacklog {
         let inherited = !self.index.unobserved_pools.contains(pool);
         self.index.jobs.backlog(pool, inherited)
--- a/crates/decide/src/work/scheduler_advice.rs
+++ b/crates/decide/src/work/scheduler_advice.rs
@@ -5,16 +5,18 @@
 
 use super::{SchedulerAction, SchedulerTime, WorkScheduler, step_key::StepKey};
 
-/// Targets that are asked about at once; each costs the service time, and it takes a hundred.
+/// Targets per advice request. Each one costs the service time, and the service accepts up to a
+/// hundred.
 const MAX_TARGETS_PER_ADVICE: u32 = 16;
-/// Least time between two questions about one step.
+/// Minimum time between two advice requests for one step.
 const MIN_ADVICE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A ticket is not used in the last part of its time: the start has to arrive within it.
+/// A ticket is not used in the last part of its validity, because the start has to arrive within
+/// it.
 const TICKET_EXPIRY_MARGIN: Duration = Duration::from_millis(100);
 
 impl WorkScheduler {
-    /// Takes the tickets for a step; none if the question failed.
+    /// Stores the tickets for a step; there are none if the advice request failed.
     pub fn handle_advice(
         &mut self,
         key: &TaskKey,
@@ -47,7 +49,7 @@
         }
     }
 
-    /// True if the step has to wait for advice; asks for it.
+    /// Whether the step has to wait for advice. Sends the advice request if it is due.
     pub(super) fn must_wait_for_advice(&mut self, step: &StepKey, now: SchedulerTime) -> bool {
         let Some(job) = self.job_table.jobs.get(&step.job) else {
             return false;
@@ -62,7 +64,7 @@
         if state.tickets.values().any(|(_, until)| now.boot < *until) {
             return false;
         }
-        // A step is not asked about again before the answer to its last question is overdue.
+        // No new request is sent for a step before the answer to its last one is overdue.
         let patience = advice.fixed + advice.per_target * MAX_TARGETS_PER_ADVICE * 4;
         let asked = !state.advice_requested_at.is_zero();
         if asked
--- a/crates/decide/src/work/scheduler_answer.rs
+++ b/crates/decide/src/work/scheduler_answer.rs
@@ -9,7 +9,7 @@
 };
 
 impl WorkScheduler {
-    /// Takes the answer to a start.
+    /// Handles the answer to a start order.
     pub fn handle_start_answer(
         &mut self,
         id: &HostId,
@@ -20,7 +20,7 @@
     ) {
         let run: RunKey = (task.clone(), attempt);
         if !self.is_starting(id, &run) {
-            // A look has told before what became of it, or it was stopped meanwhile.
+            // A report already showed the outcome, or the run was stopped meanwhile.
             self.track_unconfirmed_start(id, run, answer, now);
             return;
         }
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes back a start that this process did not send. That says nothing of its target.
+    /// Withdraws a start that this process did not send. This says nothing about its target.
     pub fn withdraw_unsent_start(&mut self, id: &HostId, task: &TaskKey, attempt: AttemptNumber) {
         let run: RunKey = (task.clone(), attempt);
         if self.is_starting(id, &run) {
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Remembers an unanswered start that was stopped before: a later life of its target, which
-    /// knows nothing of the stop, may carry it out.
+    /// Remembers an unanswered start that was already stopped: a later incarnation of its target
+    /// does not know of the stop and may execute the start.
     fn track_unconfirmed_start(
         &mut self,
         id: &HostId,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Takes the answer to a stop that was sent at `sent`.
+    /// Handles the answer to a stop order that was sent at `sent`.
     pub fn handle_stop_answer(
         &mut self,
         id: &HostId,
@@ -96,7 +96,8 @@
     ) {
         let run: RunKey = (task.clone(), attempt);
         if self.predates_incarnation(id, sent) && *answer != OrderAnswer::Fenced {
-            // An earlier life's answer says nothing of the present one, where it is stopped anew.
+            // The answer of an earlier incarnation says nothing about the present one, where the
+            // run is stopped again.
             return;
         }
         match answer {
@@ -116,22 +117,22 @@
         }
     }
 
-    /// True if the present life of a target was not known when a call was sent.
+    /// Whether a call was sent before the present incarnation of the target was known.
     pub(super) fn predates_incarnation(&self, id: &HostId, sent: BootTime) -> bool {
         let target = self.targets.get(id);
         target.is_some_and(|target| sent < target.incarnation.since)
     }
 
-    /// True if a start that was ordered is still to be sent: its job may have ended or be held, or
-    /// the target be lost, while it waited for a connection.
+    /// Whether an ordered start still has to be sent. While it waited for a connection, its job may
+    /// have ended, its cancellation may have become pending, or the target may have been lost.
     pub fn should_send_start(&self, id: &HostId, task: &TaskKey, attempt: AttemptNumber) -> bool {
         let job = self.job_table.jobs.get(&task.job);
         let held = job.is_some_and(|job| job.phase == WorkPhase::CancelPending);
         !held && self.is_starting(id, &(task.clone(), attempt))
     }
 
-    /// Grants a start that has waited for its turn its time from now on. What was granted when it was
-    /// decided may be over, and the target would refuse it.
+    /// Extends the lease of a start that was queued, counted from now. The lease granted when the
+    /// start was decided may have expired, and the target would refuse it.
     pub fn renew_start_deadline(
         &mut self,
         id: &HostId,
@@ -154,7 +155,7 @@
         self.run_phase(id, run) == Some(PlacementPhase::Starting)
     }
 
-    /// True if a task is known to run on a target under this number.
+    /// Whether a task is known to run on a target with this attempt number.
     pub(super) fn is_running(&self, id: &HostId, run: &RunKey) -> bool {
         self.run_phase(id, run) == Some(PlacementPhase::Running)
     }
@@ -189,7 +190,7 @@
             StartRefusal::OtherLife => self.mark_target_lost(id, "replaced", now),
             StartRefusal::NoTicket => self.clear_tickets(&run.0),
             StartRefusal::Late => {
-                // The clock is not what it was taken for; the next look reads it anew.
+                // The estimate of the target's clock is wrong; the next poll reads the clock again.
                 if let Some(target) = self.targets.get_mut(id) {
                     target.incarnation.clock = None;
                     target.incarnation.token_seen = false;
--- a/crates/decide/src/work/scheduler_claim.rs
+++ b/crates/decide/src/work/scheduler_claim.rs
@@ -5,9 +5,9 @@
     target_state::{RunClaim, RunKey},
 };
 
-/// The books of what runs take: of a target's room, and of their workspace's limit.
+/// Accounting of what runs use: the capacity of a target and the limit of their workspace.
 impl WorkScheduler {
-    /// Takes room and a part of the workspace's limit for a run.
+    /// Reserves capacity and a part of the workspace's limit for a run.
     pub(super) fn claim(&mut self, id: &HostId, run: RunKey) {
         let claim = self.claim_for_task(&run.0);
         let Some(target) = self.targets.get_mut(id) else {
@@ -25,7 +25,7 @@
         target.claim(run, claim);
     }
 
-    /// Gives back what a run took; nothing of it can be on the target any more.
+    /// Releases what a run reserved. The run must not be on the target any more.
     pub(super) fn release_claim(&mut self, id: &HostId, run: &RunKey) {
         let Some(claim) = self
             .targets
@@ -56,7 +56,7 @@
             .collect()
     }
 
-    /// Takes a run out of the books that count runs beyond its target.
+    /// Removes a run from the accounting beyond its target: the run index and the workspace usage.
     pub(super) fn remove_run_accounting(&mut self, id: &HostId, run: &RunKey, claim: &RunClaim) {
         self.index.runs.remove(&(run.0.clone(), run.1, id.clone()));
         if let Some(usage) = self.workspace_usage.get_mut(&claim.workspace) {
@@ -73,8 +73,7 @@
         };
         let Some(step) = job.plan.steps.get(key.step as usize) else {
             // A predecessor ended the job and was still stopping its runs, or one of its orders is
-            // carried out late. Counted as nothing, they would let the target be filled beyond
-            // its room.
+            // executed late. Counting such a run as nothing would overcommit the target.
             return RunClaim {
                 resources: job.closed_resources,
                 charged: job.closed_resources,
--- a/crates/decide/src/work/scheduler_end.rs
+++ b/crates/decide/src/work/scheduler_end.rs
@@ -10,12 +10,12 @@
 };
 
 impl WorkScheduler {
-    /// Handles an end that a target lists for the first time.
+    /// Handles an end that a target reports for the first time.
     pub(super) fn handle_task_end(&mut self, id: &HostId, end: &EndReport, now: SchedulerTime) {
         let run: RunKey = (end.task.clone(), end.attempt);
         self.release_claim(id, &run);
         let job = &end.task.job;
-        // As for a run: what a predecessor found due is due.
+        // An occurrence that a predecessor found due is due, as for a reported run.
         self.job_table
             .open_occurrences_until(job, end.task.occurrence, now.boot);
         self.job_table.mark_started(job);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// An entry about an end has been stored, so the target may forget the end.
+    /// Marks an end as stored in the job log, so that the target may forget it.
     pub(super) fn mark_end_stored(&mut self, origin: &EndOrigin) {
         if let Some(target) = self.targets.get_mut_untracked(&origin.target)
             && target.incarnation.number == origin.incarnation
@@ -62,14 +62,14 @@
         }
     }
 
-    /// Stops all that runs of a job that has ended.
+    /// Stops all runs of a job that has ended.
     pub(super) fn stop_job_runs(&mut self, job: &str, now: SchedulerTime) {
         for (id, run) in self.runs_of_job(job, None) {
             self.stop_run(&id, &run, now);
         }
     }
 
-    /// Orders the stop of a run, also of one that may not have reached its target yet.
+    /// Orders the stop of a run, including one that may not have reached its target yet.
     pub(super) fn stop_run(&mut self, id: &HostId, run: &RunKey, now: SchedulerTime) {
         self.set_run_phase(id, run, PlacementPhase::Stopping(false), now);
         let order = model::work::StopOrder {
@@ -82,7 +82,7 @@
         self.actions.push(SchedulerAction::Stop(id.clone(), order));
     }
 
-    /// Sets what is known of a run, if its task is taken to be there.
+    /// Sets the phase of a run, if its task is placed there.
     pub(super) fn set_run_phase(
         &mut self,
         id: &HostId,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The place of a run's task, if the task is taken to be there.
+    /// Placement of a run's task, if the task is placed there with this attempt.
     pub(super) fn placement_mut(
         &mut self,
         id: &HostId,
@@ -108,7 +108,8 @@
         (place.target == *id && place.attempt == *attempt).then_some(place)
     }
 
-    /// The task of a run waits again, or is done, if it was taken to be there.
+    /// Removes the placement of a run's task, if it was placed there. The task waits again unless
+    /// it is done.
     pub(super) fn clear_placement(&mut self, id: &HostId, run: &RunKey) {
         let (key, _) = run;
         self.pending_stops.remove(&(id.clone(), run.clone()));
@@ -130,7 +131,8 @@
             .get(&end.task.job)
             .is_some_and(WorkJob::is_open);
         if !open {
-            // The job may have been completed by this very end, with an entry that is not stored.
+            // The job may have been completed by this same end, with a log entry that is not stored
+            // yet.
             self.record_duplicate_end(end, true, origin);
             return;
         }
@@ -190,7 +192,7 @@
         let failures = task.failed_attempts.len();
         let target = origin.target.clone();
         if lasting {
-            // A serving task may fail at any time by itself, and is only restarted.
+            // A long-running task may fail at any time by itself and is only restarted.
             return;
         }
         let most = self
@@ -213,11 +215,12 @@
         self.stop_job_runs(job, now);
     }
 
-    /// Records an end that is known already, unless all that is known of its job is stored.
+    /// Records an end that is already known, unless everything known of its job is stored.
     ///
-    /// Another end may stand for this one: of a gang that of another member, and of a target
-    /// that was given up and came back the same end. While that entry is not stored, observing
-    /// this end would leave a successor with neither, and it would run the task again.
+    /// A different end may have been recorded for the same result: that of another gang member, or
+    /// the same end of a target that was given up and came back. While that entry is not stored,
+    /// letting the target forget this end would leave a successor with neither, and it would run
+    /// the task again.
     fn record_duplicate_end(&mut self, end: &EndReport, done: bool, origin: EndOrigin) {
         let job = self.job_table.jobs.get(&end.task.job);
         if job.is_some_and(|job| job.unstored_entries > 0) {
@@ -242,9 +245,9 @@
         self.append_log_entry(Event::Ended(ended), Some(origin), Some(&job));
     }
 
-    /// Members of a task's gang of which it is not known that they run. When the gang is done its
-    /// tasks are forgotten; a start that is still under way then would run beside other work in
-    /// room that was given back, so it is closed by a stop.
+    /// Members of a task's gang that are not confirmed to run. The tasks of a gang are dropped once
+    /// it is done; a start still in flight would then run beside other work in capacity that was
+    /// already released, so it is fenced by a stop.
     fn unconfirmed_gang_members(&self, key: &TaskKey) -> Vec<(HostId, RunKey)> {
         if !self.step_plan(key).is_some_and(|step| step.gang) {
             return Vec::new();
@@ -264,7 +267,7 @@
             .collect()
     }
 
-    /// Stops what may still run of a task that is done; of a gang its members end together.
+    /// Stops other runs of a task that is done. Members of a gang end together and need no stop.
     fn stop_duplicate_runs(&mut self, key: &TaskKey, now: SchedulerTime) {
         let gang = |job: &WorkJob| {
             let step = job.plan.steps.get(key.step as usize);
@@ -285,7 +288,7 @@
         self.set_checkpoint(&end.task, &end.checkpoint);
     }
 
-    /// Keeps the newest checkpoint of a task; one of a gang counts for all its members.
+    /// Stores the newest checkpoint of a task. A checkpoint of a gang counts for all its members.
     pub(super) fn set_checkpoint(
         &mut self,
         key: &TaskKey,
--- a/crates/decide/src/work/scheduler_evacuate.rs
+++ b/crates/decide/src/work/scheduler_evacuate.rs
@@ -13,33 +13,33 @@
     target_state::{RESPONSE_MAX_AGE, RunKey},
 };
 
-/// Time after which a predecessor's last stops have taken effect: a target takes 0.2 s at most,
-/// and a look that shows it up to a second.
+/// Time after which a predecessor's last stops have taken effect: a target takes 0.2 s at most, and
+/// it takes up to a second until a poll reports it.
 const INHERITED_STOP_SETTLE_TIME: Duration = Duration::from_millis(1300);
-/// What a target says of a task that lasts and is at work, in percent.
+/// Progress that a target reports for a long-running task that is ready, in percent.
 pub(super) const READY_PERCENT: u8 = 100;
-/// How long a task that lasts waits on a host that is being emptied for another to go to. A host
-/// that is switched off takes two seconds to come, and half a second more to be listed.
+/// How long a long-running task on a draining host waits for another host. A host that is switched
+/// off takes two seconds to boot and half a second more to be listed.
 const EVACUATION_WAIT: Duration = Duration::from_secs(3);
 
-/// A task that lasts, on a host that is being emptied, which no other host of its pool takes.
+/// A long-running task on a draining host that fits on no other host of its pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct StrandedTask {
     /// Since when the pool has such a task.
     pub(super) since: BootTime,
     /// Label that the host has to have; empty for any.
     pub(super) label: CompactString,
-    /// Room that it takes.
+    /// Resources that the task needs.
     pub(super) need: ResourceVector,
 }
 
 impl WorkScheduler {
-    /// Stops the tasks that last on targets that are leaving or kept free, so that they run
-    /// elsewhere before the target is gone. Other tasks may well end before that.
+    /// Stops the long-running tasks on targets that are draining or leaving, so that they run
+    /// elsewhere before the target is gone. Other tasks can usually finish before that.
     ///
-    /// On a target that is kept free a task works on until another has room for it. Stopped
-    /// sooner it would be started where it was, since a service that lacks a task takes any
-    /// target, and the host would never be empty.
+    /// If we drain the target ourselves, a task keeps running until another target has capacity for
+    /// it. Stopped earlier it would be restarted in the same place, because a service that lacks a
+    /// task accepts any target, and the host would never become empty.
     pub(super) fn evacuate(&mut self, now: SchedulerTime) {
         let before = std::mem::take(&mut self.stranded);
         let mut stops = Vec::new();
@@ -72,14 +72,15 @@
             }
         }
         for (id, pool, run, room, leaving) in stops {
-            // Another owner may be emptying another host, of which this one knows nothing.
+            // Another owner may be draining another host, and this one would not know.
             if !leaving && (self.ownership_uncertain || !self.may_disrupt(&run, now)) {
                 continue;
             }
             let others = coming.entry(pool.clone()).or_default();
             if !leaving && !self.has_alternative_target(&run, &pool, *others, now) {
                 if self.has_alternative_target(&run, &pool, ResourceVector::default(), now) {
-                    // The others are there within a moment; then it shows what is left.
+                    // The other moving tasks will be placed shortly; then the remaining capacity is
+                    // known.
                     continue;
                 }
                 let since = before.get(&pool).map_or(now.boot, |task| task.since);
@@ -94,8 +95,8 @@
         }
     }
 
-    /// True if a target of the pool takes a task that has to leave its own, beside others that
-    /// are on their way and need room as well.
+    /// Whether a target of the pool can take a task that has to leave its own, in addition to the
+    /// tasks that are already moving and need `coming`.
     fn has_alternative_target(
         &self,
         run: &RunKey,
@@ -133,8 +134,8 @@
         });
     }
 
-    /// True if a target would be empty once its tasks that last are stopped, and all of them may
-    /// be missing while its host is away.
+    /// Whether stopping its long-running tasks would empty a target, and all of them may be
+    /// unavailable while its host is away.
     fn stops_would_empty_target(&self, id: &HostId, now: SchedulerTime) -> bool {
         let Some(target) = self.targets.get(id) else {
             return false;
@@ -158,11 +159,12 @@
         self.step_plan(&run.0).is_some_and(|step| step.long_running)
     }
 
-    /// True if a task that lasts may be stopped by our own doing: fewer of its step are away
-    /// than may be. Asked anew before each stop, so that two of one step never go together.
+    /// Whether a long-running task may be stopped by a decision of the owner: fewer tasks of its
+    /// step are unavailable than allowed. Checked again before each stop, so that two tasks of one
+    /// step are never stopped together.
     pub(super) fn may_disrupt(&self, run: &RunKey, now: SchedulerTime) -> bool {
-        // A stop that a predecessor ordered takes a moment, in which its task is still listed
-        // as being at work.
+        // A stop ordered by a predecessor takes a moment, during which its task is still reported
+        // as ready.
         if now.boot.saturating_sub(self.replay_finished_at) < INHERITED_STOP_SETTLE_TIME {
             return false;
         }
@@ -173,8 +175,8 @@
         let Some(state) = self.step_state_at(&key.job, key.occurrence, key.step) else {
             return true;
         };
-        // A task on a target that has just fallen silent may have been away for as long as the
-        // last look is old, though the desk still takes it to be at work.
+        // If a target has just become unresponsive, its task may have been unavailable for as long
+        // as the last report is old, although it still counts as running here.
         let heard = |id: &HostId| {
             let target = self.targets.get(id);
             target.is_some_and(|target| {
@@ -196,13 +198,13 @@
         away < step.max_unavailable.max(1) as usize
     }
 
-    /// True if a stop of a task may still be carried out though it was taken back.
+    /// Whether a stop that was withdrawn may still be executed.
     fn stop_may_still_arrive(&self, place: &super::TaskPlacement, now: SchedulerTime) -> bool {
         let passed = now.boot.saturating_sub(place.stop_sent);
         !place.stop_sent.is_zero() && passed < self.tuning.max_delivery_delay
     }
 
-    /// Keeps the named targets free of new tasks, and no others.
+    /// Sets the drain state of the given targets, and clears it for all others.
     pub(super) fn set_drains(&mut self, wanted: &BTreeMap<HostId, HostDrainState>) {
         let before = std::mem::replace(&mut self.drains, wanted.clone());
         for id in before.keys().chain(wanted.keys()) {
--- a/crates/decide/src/work/scheduler_incarnation.rs
+++ b/crates/decide/src/work/scheduler_incarnation.rs
@@ -7,12 +7,12 @@
     target_state::{RESPONSE_MAX_AGE, RunClaim, RunKey},
 };
 
-/// Lists of hosts in a row that have to lack a life before it counts as ended. A list comes in
-/// pages that are no snapshot, so that one may miss a host that changes just then.
+/// Consecutive host lists that have to lack an incarnation before it counts as ended. A list is
+/// read in pages without a snapshot, so that it may omit a host that changes at that moment.
 const MAX_ABSENT_LISTS: u32 = 2;
 
 impl WorkScheduler {
-    /// A target begins another life: what ran there is over.
+    /// Starts a new incarnation of a target; the runs of the previous one have ended.
     pub(super) fn end_incarnation(
         &mut self,
         id: &HostId,
@@ -29,7 +29,7 @@
         let held = target.begin_incarnation(born, now.boot);
         self.release_runs(id, held, renewed, cause, now);
         for run in doubts {
-            // The start may still reach the new life: it is closed there by a stop.
+            // The start may still reach the new incarnation, so it is fenced there by a stop.
             if let Some(target) = self.targets.get_mut(id) {
                 target.add_unconfirmed(run.clone(), now.boot);
             }
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A target's life is over and no other begins under its id for now.
+    /// Ends a target's incarnation without a new one under the same id for now.
     pub(super) fn mark_target_lost(
         &mut self,
         id: &HostId,
@@ -49,19 +49,19 @@
             return;
         };
         let held = target.begin_incarnation(Duration::ZERO, now.boot);
-        // What was granted ended with it.
+        // The granted lease ended with the incarnation.
         target.last_grant = BootTime::ZERO;
         target.listed = false;
         self.release_runs(id, held, false, cause, now);
     }
 
-    /// Takes which lives the hosts of the fleet live, as the control of hosts listed them when it
-    /// was asked at `asked`.
+    /// Applies the list of incarnations of all hosts, which was requested from the host control at
+    /// `asked`.
     ///
-    /// A target is one life of a host. One whose own entry is gone from the store, and that no
-    /// host lives any more, has ended, and all that ran there with it; nothing need wait until its
-    /// granted time has lapsed. Without this a chain of owners that follow each other within that time
-    /// would never start the tasks of its pool again, as each waits anew.
+    /// A target is one incarnation of a host. If its own entry is gone from the store and no host
+    /// has that incarnation any more, it has ended with all of its runs, and nothing has to wait
+    /// until its lease expires. Without this rule, a chain of owners that follow each other within
+    /// that time would never restart the tasks of its pool, because each of them waits anew.
     pub fn update_incarnations(
         &mut self,
         lives: &BTreeSet<HostId>,
@@ -74,7 +74,8 @@
         let mut gone = Vec::new();
         let mut missed = Vec::new();
         for (id, target) in &self.targets {
-            // A life that answered shortly before the list was asked for is at work, whatever that says.
+            // An incarnation that answered shortly before the list was requested is alive, whatever
+            // the list contains.
             let answers =
                 !target.last_response.is_zero() && target.last_response + RESPONSE_MAX_AGE >= asked;
             let lives = target.listed || answers || lives.contains(id);
@@ -99,14 +100,15 @@
         }
     }
 
-    /// True while tasks may run on lives that no look has reached and the host list lacks.
+    /// Whether tasks may run on incarnations that have not been polled yet and are not in the host
+    /// list.
     pub fn has_unknown_incarnations(&self) -> bool {
         let mut targets = self.targets.values();
         targets.any(|target| !target.is_state_known() && !target.listed)
     }
 
-    /// Gives up the runs of a life that is over, but for those that the next may have: `renewed`
-    /// tells that there is one under the same id.
+    /// Gives up the runs of an ended incarnation, except those that the next one may have.
+    /// `renewed` says whether there is a next one under the same id.
     fn release_runs(
         &mut self,
         id: &HostId,
@@ -121,7 +123,8 @@
             self.remove_run_accounting(id, &run, &claim);
             match self.run_disposition(id, &run) {
                 RunDisposition::Unconfirmed if renewed || listed => {
-                    // The start may still reach the new life: it is closed there by a stop.
+                    // The start may still reach the new incarnation, so it is fenced there by a
+                    // stop.
                     self.claim(id, run.clone());
                     if let Some(place) = self.placement_mut(id, &run) {
                         place.confirmed = false;
@@ -129,7 +132,7 @@
                     self.fence_start(id, &run, now);
                 }
                 RunDisposition::NotReported if renewed => {
-                    // The next look tells which life it is in.
+                    // The next poll shows which incarnation it belongs to.
                     self.claim(id, run);
                     self.actions.push(SchedulerAction::Poll(id.clone()));
                 }
@@ -153,13 +156,13 @@
     }
 }
 
-/// What becomes of a run when the life ends that it was taken to be in.
+/// What happens to a run when the incarnation ends in which it was assumed to be.
 enum RunDisposition {
-    /// It is over.
+    /// It has ended.
     Ended,
-    /// Its start may still be carried out.
+    /// Its start may still be executed.
     Unconfirmed,
-    /// Its start was answered and no look has shown it since, so that the answer may be the next
-    /// life's: idle targets are not looked at, and the host list tells late of a restart.
+    /// Its start was answered and no report has shown it since, so that the answer may come from
+    /// the next incarnation: idle targets are not polled, and the host list reports a restart late.
     NotReported,
 }
--- a/crates/decide/src/work/scheduler_index.rs
+++ b/crates/decide/src/work/scheduler_index.rs
@@ -16,35 +16,35 @@
 /// A run and the target that it may be on, ordered by task.
 pub(super) type RunIndexKey = (TaskKey, AttemptNumber, HostId);
 
-/// Indexes of the desk's books. They follow the books with [`WorkScheduler::sync`].
+/// Indexes over targets, jobs and runs, updated by [`WorkScheduler::sync_indexes`].
 #[derive(Clone, Debug, Default)]
 pub(super) struct SchedulerIndex {
     pub(super) targets: TargetIndex,
     pub(super) jobs: JobIndex,
-    /// Runs that claim room.
+    /// Runs that reserve capacity.
     pub(super) runs: BTreeSet<RunIndexKey>,
-    /// Limits of workspaces that have one.
+    /// Limits of the workspaces that have one.
     pub(super) limits: BTreeMap<WorkspaceId, ResourceVector>,
-    /// Pools in which something may be started.
+    /// Pools in which tasks may be startable.
     pub(super) startable_pools: BTreeSet<PoolId>,
-    /// Pools with targets that had not been reached when starts were planned last.
+    /// Pools with targets that had not been polled yet when starts were last planned.
     pub(super) unobserved_pools: BTreeSet<PoolId>,
-    /// Pools in which tasks wait for their workspace to have less running.
+    /// Pools in which tasks wait because their workspace is at its limit.
     pub(super) capped: BTreeMap<WorkspaceId, BTreeSet<PoolId>>,
-    /// Targets that were added and have not been taken.
+    /// Targets added since [`WorkScheduler::take_added_targets`] was last called.
     pub(super) added_targets: Vec<HostId>,
 }
 
-/// How much a desk has looked at, since its beginning.
+/// Number of items that a scheduler has examined since it was created.
 ///
-/// It shows whether the cost of an event follows what the event changes.
+/// Shows whether the cost of an event is proportional to what the event changes.
 #[derive(Clone, Debug, Default)]
 pub struct WorkCounters {
-    /// Targets that were considered for a task.
+    /// Targets considered for a task.
     pub candidates: Cell<u64>,
-    /// Steps that wait, and blocks of them, that were considered for a start.
+    /// Waiting steps, and blocks of them, considered for a start.
     pub steps: Cell<u64>,
-    /// Entries of the books that indexes were told of.
+    /// Changed jobs and targets with which indexes were updated.
     pub index_updates: Cell<u64>,
 }
 
@@ -85,7 +85,7 @@
 }
 
 impl WorkScheduler {
-    /// Brings the indexes up to the books.
+    /// Updates all indexes with the changes since the last call.
     pub(super) fn sync_indexes(&mut self, now: BootTime) {
         self.sync_target_index(now);
         let jobs = self
@@ -94,19 +94,19 @@
         WorkCounters::add(&self.counters.index_updates, jobs as u64);
     }
 
-    /// Brings the index of targets up to the books.
+    /// Updates the target index with the changes since the last call.
     pub(super) fn sync_target_index(&mut self, now: BootTime) {
         let targets = self.targets.take_changed();
         self.index.update_targets(&self.targets, &targets, now);
         WorkCounters::add(&self.counters.index_updates, targets.len() as u64);
     }
 
-    /// Targets that came to be known since the last time.
+    /// Takes the targets added since the last call.
     pub fn take_added_targets(&mut self) -> Vec<HostId> {
         std::mem::take(&mut self.index.added_targets)
     }
 
-    /// Indexes that don't say what the books say; for tests.
+    /// Names of the indexes that differ from freshly built ones. For tests.
     pub fn index_mismatches(&mut self, now: BootTime) -> Vec<&'static str> {
         self.sync_indexes(now);
         let mut anew = SchedulerIndex::default();
--- a/crates/decide/src/work/scheduler_plan.rs
+++ b/crates/decide/src/work/scheduler_plan.rs
@@ -9,36 +9,36 @@
     step_key::StepKey,
 };
 
-/// Starts that are planned at once; the rest follows with the next answer. It bounds the time
-/// for which the event loop hears nothing else.
+/// Maximum starts per planning pass; the rest follow in the next pass. It bounds the time during
+/// which the event loop handles nothing else.
 const MAX_STARTS_PER_PLAN: usize = 256;
 
-/// Rooms that are remembered of a pool while starts are planned, since no target has them.
+/// Resource amounts remembered per pool during planning because no target has that much free.
 const MAX_UNPLACEABLE_SIZES: usize = 8;
-/// What a workspace without a limit may take.
+/// What a workspace without a limit may use.
 const NO_LIMIT: ResourceVector = ResourceVector {
     cpu: u64::MAX,
     memory_mb: u64::MAX,
     gpu: u64::MAX,
 };
 
-/// What is considered while starts are planned.
+/// State of one planning pass.
 #[derive(Debug, Default)]
 struct StartPlan {
     pools: BTreeSet<PoolId>,
-    /// Pools whose inherited jobs have to wait.
+    /// Pools whose inherited jobs have to wait because targets have not been polled yet.
     unobserved_pools: BTreeSet<PoolId>,
-    /// What workspaces may have running on targets that have not been reached.
+    /// What workspaces may have running on targets that have not been polled yet.
     unconfirmed_usage: BTreeMap<WorkspaceId, ResourceVector>,
-    /// The most that a target of each pool has, of each resource by itself.
+    /// Largest free amount on any target of each pool, per resource.
     max_free: BTreeMap<PoolId, ResourceVector>,
-    /// Rooms that no target of the pool has.
+    /// Resource amounts that no target of the pool has free.
     unplaceable: BTreeMap<PoolId, Vec<ResourceVector>>,
     /// The last step of each group that was tried.
     tried: BTreeMap<PoolId, BTreeMap<WaitingGroup, StepRank>>,
 }
 
-/// A step that is to be started next.
+/// The best step found so far.
 #[derive(Clone, Copy, Debug)]
 struct NextStep<'a> {
     pool: &'a PoolId,
@@ -47,12 +47,12 @@
 }
 
 impl WorkScheduler {
-    /// Starts what can be started; cheap if nothing has changed since the last time.
+    /// Starts tasks as far as possible. Cheap if nothing has changed since the last call.
     ///
-    /// While another process may own the cell nothing is started: its books don't hold what this
-    /// one would add, so that a workspace's limit would be passed, and a target's life that has
-    /// not seen the successor's token yet would run a task that the successor knows to be done.
-    /// An outage of the store for 4.2 s costs 0.03 of a day's worth by that.
+    /// Nothing is started while another process may own the cell. That process does not account for
+    /// what this one would add, so that a workspace's limit could be exceeded. A target that has
+    /// not seen the successor's token yet could also run a task that the successor knows to be
+    /// done. The cost is small: a store outage of 4.2 s loses 0.03 of a day's value.
     pub fn plan_starts(&mut self, now: SchedulerTime) {
         self.sync_indexes(now.boot);
         let is_due = self.replan_needed || !self.index.startable_pools.is_empty();
@@ -87,7 +87,7 @@
         }
         let unobserved_pools = self.index.targets.unknown_pools();
         if self.index.unobserved_pools != unobserved_pools {
-            // What may run there counted against limits, in all pools.
+            // What may run there counted against the limits in all pools.
             pools.extend(self.index.jobs.pools().cloned());
             self.index.unobserved_pools.clone_from(&unobserved_pools);
         }
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The step to be tried next: of all that may be started the first by its rank.
+    /// The step to try next: the first by rank among all that may be started.
     fn next_step(
         &mut self,
         plan: &mut StartPlan,
@@ -133,8 +133,8 @@
         next
     }
 
-    /// The first step of a group that may be started, and whether others before it wait for their
-    /// workspace to have less running; `None` if there is no room for any.
+    /// The first step of a group that may be started, and whether steps before it are held back by
+    /// the limit of their workspace. `None` if no step fits on a target.
     fn next_startable_step<'a>(
         &self,
         plan: &StartPlan,
@@ -162,7 +162,7 @@
         Some((found, true))
     }
 
-    /// Measures the room of the pools that tasks were given room in, or that are new to the plan.
+    /// Computes the free capacity of pools that are new to the plan or in which tasks were placed.
     fn measure_free_capacity(&self, plan: &mut StartPlan, now: SchedulerTime) {
         for pool in &plan.pools {
             if !plan.max_free.contains_key(pool) {
@@ -172,7 +172,7 @@
         }
     }
 
-    /// What a workspace may still have running.
+    /// What remains of a workspace's limit.
     pub(super) fn remaining_workspace_limit(
         &self,
         workspace: &WorkspaceId,
@@ -190,13 +190,13 @@
         limit.remaining_of_limit(used.plus(doubt))
     }
 
-    /// Notes that steps of a workspace wait for it to have less running.
+    /// Marks a pool in which steps of a workspace wait because of its limit.
     pub(super) fn mark_capped(&mut self, workspace: &WorkspaceId, pool: &PoolId) {
         let pools = self.index.capped.entry(workspace.clone()).or_default();
         pools.insert(pool.clone());
     }
 
-    /// Passes over further steps that take as much as one for which there was no room.
+    /// Skips further steps that need as much as one that did not fit.
     fn remember_unplaceable_size(&self, plan: &mut StartPlan, pool: &PoolId, step: &StepKey) {
         let job = self.job_table.jobs.get(&step.job);
         let tried = job.and_then(|job| job.plan.steps.get(step.step as usize));
--- a/crates/decide/src/work/scheduler_report.rs
+++ b/crates/decide/src/work/scheduler_report.rs
@@ -12,14 +12,13 @@
     WorkJob, WorkScheduler, target_state::RunKey,
 };
 
-/// Ends that a target lists at once; where it lists so many there may be more, and a run that
-/// is missing may be among them.
+/// Maximum ends in one report. A full report may omit ends, among them that of a missing run.
 const MAX_ENDS_PER_REPORT: usize = 500;
-/// A look goes ahead of others once this part of the granted time has passed.
+/// A poll gets priority once the granted lease has run for `grant` divided by this.
 const RENEW_FRACTION: u32 = 2;
 
 impl WorkScheduler {
-    /// What a look at a target is for now; `None` if it needs none.
+    /// Call class of the poll that a target needs now; `None` if it needs none.
     pub fn poll_class(&self, id: &HostId, now: SchedulerTime) -> Option<CallClass> {
         let target = self.targets.get(id)?;
         let busy = !target.claims.is_empty();
@@ -39,7 +38,8 @@
         if target.last_failure > target.last_response {
             return Some(CallClass::Probe);
         }
-        // What it runs lapses, what has ended there is not known, and older jobs of its pool wait.
+        // Until it is polled, the leases of its runs expire, ends on it are unknown, and older jobs
+        // of its pool wait.
         let unreached = target.inherited && !target.incarnation.token_seen;
         Some(if unreached {
             CallClass::Renew
@@ -48,7 +48,7 @@
         })
     }
 
-    /// The look that a target needs now; `None` if it needs none.
+    /// The poll that a target needs now; `None` if it needs none.
     pub fn poll_order(&mut self, id: &HostId, now: SchedulerTime) -> Option<PollOrder> {
         self.poll_class(id, now)?;
         let tuning = self.tuning;
@@ -56,7 +56,7 @@
         let target = self.targets.get_mut_untracked(id)?;
         let busy = !target.claims.is_empty();
         let acked_end = target.acked_end_at(now.boot);
-        // A target that doesn't answer gets no more time: what it runs has to lapse, so that it
+        // The lease of an unresponsive target is not renewed: it has to expire so that its tasks
         // can start elsewhere.
         let lease_until = target
             .clock_at(now.boot)
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Takes the answer to a look that was sent at `sent` with `observed`.
+    /// Handles the answer to a poll that was sent at `sent` and acknowledged ends up to `observed`.
     pub fn apply_report(
         &mut self,
         id: &HostId,
@@ -112,7 +112,7 @@
         };
         let known = target.incarnation.started_at;
         if !sight.started_at.is_zero() && !known.is_zero() && sight.started_at < known {
-            // An answer of the life before, which was under way for long.
+            // A delayed answer of the previous incarnation.
             return;
         }
         if known.is_zero() && self.predates_incarnation(id, sent) {
@@ -146,7 +146,7 @@
         self.set_throttles(id);
     }
 
-    /// Takes in that a target answered.
+    /// Records that a target answered a poll.
     fn record_target_answer(
         &mut self,
         id: &HostId,
@@ -161,7 +161,7 @@
         if target.incarnation.started_at.is_zero() {
             target.incarnation.started_at = sight.started_at;
         }
-        // Of two readings the one that promises the later time is the better lower bound.
+        // Of two clock readings, the one that predicts the later time is the better lower bound.
         let known = target.clock_at(now.boot).unwrap_or_default();
         if sight.clock >= known {
             target.incarnation.clock = Some((sight.clock, now.boot));
@@ -194,8 +194,8 @@
             return;
         }
         self.job_table.mark_started(&run.task.job);
-        // A predecessor found the occurrence due, perhaps by a clock that is ahead of this one;
-        // taking its run for a stray one would stop work that is wanted.
+        // A predecessor found the occurrence due, perhaps by a clock that is ahead of this one.
+        // Treating its run as unwanted would stop useful work.
         self.job_table
             .open_occurrences_until(&run.task.job, run.task.occurrence, now.boot);
         self.drop_stale_unreachable(id, &key);
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Notes a run that may have stood still for too long, for the next tick.
+    /// Collects a run that may have made no progress for too long, for the next tick.
     fn track_stalled_run(&mut self, id: &HostId, run: &RunReport) {
         let key: RunKey = (run.task.clone(), run.attempt);
         if self.is_stalled(id, &key) {
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Takes a run over that a predecessor started, or that was carried out late.
+    /// Adopts a run that a predecessor started, or whose start was executed late.
     fn adopt(&mut self, id: &HostId, run: &RunKey, sight: &RunReport, now: SchedulerTime) {
         let (key, attempt) = run;
         self.claim(id, run.clone());
@@ -262,7 +262,7 @@
         self.emit(SchedulerEvent::Adopted(key.clone(), *attempt, id.clone()));
     }
 
-    /// Stops a run that no task is taken to be; its room stays taken until its end is listed.
+    /// Stops a run without a matching task. Its capacity stays reserved until its end is reported.
     fn stop_unwanted_run(&mut self, id: &HostId, run: &RunKey, now: SchedulerTime) {
         self.claim(id, run.clone());
         let key = (id.clone(), run.clone());
@@ -273,7 +273,8 @@
         self.stop_run(id, run, now);
     }
 
-    /// Settles what a look sent at `sent` did not show though it was taken to be there.
+    /// Handles runs that the report of a poll sent at `sent` lacks although they were expected
+    /// there.
     fn handle_missing_runs(
         &mut self,
         id: &HostId,
@@ -304,7 +305,7 @@
         let (key, attempt) = run;
         let place = self.job_table.placement_of(id, run);
         let Some((phase, since)) = place.map(|place| (place.phase, place.since)) else {
-            // A run without a task: it is gone once its stop was answered before the look.
+            // A run without a task is gone if its stop was answered before the poll.
             let stopped = self.pending_stops.contains_key(&(id.clone(), run.clone()));
             if !stopped {
                 self.release_claim(id, run);
@@ -318,8 +319,8 @@
             PlacementPhase::Starting => {}
             PlacementPhase::Stopping(false) => self.fence_start_again(id, run, now),
             PlacementPhase::Unconfirmed => {
-                // It is not there and may come later. A stop of this start closes it: the
-                // target refuses a start that is not newer than one stopped there.
+                // The run is not there but may still start. A stop fences this start: the target
+                // refuses a start that is not newer than one stopped there.
                 self.stop_run(id, run, now);
             }
             PlacementPhase::Running => {
@@ -334,7 +335,7 @@
         }
     }
 
-    /// A look or an order was not answered.
+    /// Handles a poll or an order without an answer.
     pub(super) fn mark_unresponsive(&mut self, id: &HostId, now: SchedulerTime) {
         let silence = self.tuning.unresponsive_after;
         let Some(target) = self.targets.get_mut(id) else {
@@ -368,7 +369,7 @@
 }
 
 impl TargetState {
-    /// True if the desk still has a reason to keep it.
+    /// Whether the scheduler still needs this target's state.
     pub(super) fn is_needed(&self) -> bool {
         self.listed || !self.claims.is_empty() || (self.inherited && !self.incarnation.token_seen)
     }
--- a/crates/decide/src/work/scheduler_start.rs
+++ b/crates/decide/src/work/scheduler_start.rs
@@ -13,32 +13,31 @@
     target_state::RunKey,
 };
 
-/// Numbers of starts that one term may give to one task before the next term's begin. A task
-/// that lasts and fails twice a second uses them up in an hour; the next token is larger by
-/// the entries that were written in that hour, so its numbers still begin above.
+/// Attempt numbers that one term may give to one task before those of the next term begin. A
+/// long-running task that fails twice a second uses them up in an hour. The next token is larger by
+/// the log entries written in that hour, so its attempt numbers are still larger.
 const ATTEMPTS_PER_TERM: u64 = 10_000;
-/// Time without a target after which a task that lasts takes one that is being emptied or that
-/// pauses.
+/// Time without a target after which a long-running task accepts one that is draining or paused.
 const STARVATION_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What became of an attempt to start a step's tasks.
+/// Result of trying to start the tasks of a step.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct StepOutcome {
     pub(super) started: usize,
-    /// Whether no target has room for another task that takes as much.
+    /// Whether no target has capacity for another task of the same size.
     pub(super) no_capacity: bool,
 }
 
-/// Tasks that were given targets.
+/// Tasks that were placed on targets.
 #[derive(Debug, Default)]
 struct PlacedTasks {
     runs: Vec<(HostId, RunKey)>,
-    /// Whether no target has room for another task that takes as much.
+    /// Whether no target has capacity for another task of the same size.
     no_capacity: bool,
 }
 
 impl WorkScheduler {
-    /// Starts tasks of a step as far as there is room.
+    /// Starts the tasks of a step for which there is capacity.
     pub(super) fn start_step(
         &mut self,
         (rank, step): &StepRank,
@@ -46,7 +45,7 @@
         now: SchedulerTime,
     ) -> StepOutcome {
         let nothing = StepOutcome::default();
-        // Another of its steps may have failed it in the same plan.
+        // Another step may have failed the job during the same planning pass.
         let job = self.job_table.jobs.get(&step.job);
         let Some(job) = job.filter(|job| job.phase == WorkPhase::Open) else {
             return nothing;
@@ -72,7 +71,7 @@
             .map(|(index, _)| index)
             .collect();
         if plan.gang && indices.len() != state.tasks.len() {
-            // A gang starts whole: its members that are still about have to end first.
+            // A gang starts as a whole, so its remaining members have to end first.
             return nothing;
         }
         let placed = self.place_tasks(step, plan, &indices, doubt, now);
@@ -95,8 +94,8 @@
         }
     }
 
-    /// True if a task of the step has failed as often as it may. The owner that heard of its last
-    /// failure fails the job at once, but may die before all of that is recorded.
+    /// Whether a task of the step has used up its attempts. The owner that receives the last
+    /// failure fails the job at once, but may crash before all of that is recorded.
     fn has_exhausted_attempts(&self, step: &StepKey, plan: &model::work::StepPlan) -> bool {
         let job = self.job_table.jobs.get(&step.job);
         let queue = job.and_then(|job| self.policy.queue(&job.queue));
@@ -114,7 +113,7 @@
         }
     }
 
-    /// Gives tasks their targets, without an order yet.
+    /// Places tasks on targets without sending orders.
     fn place_tasks(
         &mut self,
         step: &StepKey,
@@ -160,7 +159,7 @@
         placed
     }
 
-    /// True if nothing but room decides which targets a task may have.
+    /// Whether only capacity decides which targets may run a task.
     fn depends_only_on_capacity(
         &self,
         step: &StepKey,
@@ -194,8 +193,8 @@
         if let Some(best) = pick_target(plan, state, task, with_room, of_pool.clone(), now.boot) {
             return Some(best.entry.target.clone());
         }
-        // A service that lacks a task for long is worse off than a host that is emptied later,
-        // or than a task on a target that has refused one.
+        // A service that lacks a task for long is worse than a host that is drained later, or than
+        // a task on a target that has refused one.
         let since = self.unplaced_since.get(step)?;
         if now.boot.saturating_sub(*since) < STARVATION_TIMEOUT {
             return None;
@@ -274,8 +273,8 @@
         task.map_or(0, |task| task.last_attempt)
     }
 
-    /// A number for a start that is above all that any owner has given to the task: the token
-    /// of the term makes the high part, so that none has to be recorded.
+    /// An attempt number larger than any that an owner has given to the task. The high part comes
+    /// from the term's token, so that no attempt number has to be recorded.
     fn attempt_after(&self, last: u64) -> u64 {
         (self.token * ATTEMPTS_PER_TERM).max(last) + 1
     }
--- a/crates/decide/src/work/scheduler_stop.rs
+++ b/crates/decide/src/work/scheduler_stop.rs
@@ -10,16 +10,16 @@
     scheduler_evacuate::READY_PERCENT, target_state::RunKey,
 };
 
-/// How old an answer of a target may be to say that a start has not been carried out: the time in
-/// which a stop that it leads to is on its way.
+/// Maximum age of a report that shows that a start has not been executed: as long as the resulting
+/// stop is in flight.
 const MAX_REPORT_AGE_FOR_STOP: Duration = Duration::from_millis(100);
 
 impl WorkScheduler {
-    /// True if a stop that was ordered is still to be sent.
+    /// Whether an ordered stop still has to be sent.
     ///
-    /// While it waited for a connection, others of a step that lasts may have fallen away, so that
-    /// the step would miss more tasks than it may. `docs/design/15-stops.md` says why this is
-    /// asked at each sending.
+    /// While it waited for a connection, other tasks of a long-running step may have become
+    /// unavailable, so that the step would exceed its limit of unavailable tasks.
+    /// `docs/design/15-stops.md` explains why this is checked before each send.
     pub fn should_send_stop(
         &mut self,
         id: &HostId,
@@ -38,7 +38,7 @@
         !self.stop_may_hit_started_task(id, &run, now)
     }
 
-    /// Closes a start of which it is not known whether it was carried out.
+    /// Fences a start whose outcome is unknown, by a stop.
     pub(super) fn fence_start(&mut self, id: &HostId, run: &RunKey, now: SchedulerTime) {
         let placed = self.placement_mut(id, run).is_some();
         self.set_run_phase(id, run, PlacementPhase::Stopping(false), now);
@@ -49,13 +49,13 @@
         self.poll_before_stop(id, run, now);
         let pause = self.tuning.stop_retry_interval;
         if let Some(place) = self.placement_mut(id, run) {
-            // The next look that lacks it brings the stop.
+            // The next poll whose report lacks the run triggers the stop.
             place.since = now.boot.saturating_sub(pause);
         }
     }
 
-    /// Sends the stop that closes a start again, as a look sent after the last has just shown that
-    /// it is not carried out.
+    /// Sends the stop that fences a start again, after a later poll has shown that the start is not
+    /// executed.
     pub(super) fn fence_start_again(&mut self, id: &HostId, run: &RunKey, now: SchedulerTime) {
         let due = self.stopping_placement(id, run).is_some_and(|place| {
             now.boot.saturating_sub(place.since) >= self.tuning.stop_retry_interval
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Sends a stop again that has not been answered, if it is still wanted.
+    /// Sends an unanswered stop again if it is still wanted.
     pub(super) fn retry_stop(&mut self, id: &HostId, run: &RunKey, now: SchedulerTime) {
         if self.stop_would_exceed_limit(id, run, now) {
             self.withdraw_sent_stop(id, run, now);
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Takes a stop back that was to close a start, since a look shows that start carried out.
+    /// Withdraws the stop that was to fence a start, because a report shows the started run.
     pub(super) fn withdraw_stop_of_late_start(
         &mut self,
         id: &HostId,
@@ -93,14 +93,14 @@
         }
     }
 
-    /// Notes that a stop may be carried out late.
+    /// Records that a stop may still be executed late.
     pub(super) fn mark_stop_unconfirmed(&mut self, id: &HostId, run: &RunKey, now: SchedulerTime) {
         if let Some(place) = self.placement_mut(id, run) {
             place.stop_sent = now.boot;
         }
     }
 
-    /// Takes a stop back that may have been sent, and may be carried out late.
+    /// Withdraws a stop that may have been sent and may still be executed late.
     fn withdraw_sent_stop(&mut self, id: &HostId, run: &RunKey, now: SchedulerTime) {
         self.keep_running(id, run, now);
         self.mark_stop_unconfirmed(id, run, now);
@@ -111,16 +111,17 @@
         self.set_run_phase(id, run, PlacementPhase::Running, now);
     }
 
-    /// True if a stop would end a task that a look has shown at work, while as many others of its
-    /// step are away as may be.
+    /// Whether a stop would end a task that was reported as ready while its step already has as
+    /// many unavailable tasks as allowed.
     fn stop_would_exceed_limit(&self, id: &HostId, run: &RunKey, now: SchedulerTime) -> bool {
         let place = self.stopping_placement(id, run);
         let at_work = place.is_some_and(|place| place.confirmed && place.percent >= READY_PERCENT);
         at_work && self.is_long_running(run) && !self.is_draining(id) && !self.may_disrupt(run, now)
     }
 
-    /// True if a start that is to be closed may have been carried out since its target was heard
-    /// last, while as many others of its step are away as may be. Its stop would end a task at work.
+    /// Whether a start that is to be fenced may have been executed since the last report of its
+    /// target while its step already has as many unavailable tasks as allowed. The stop would end a
+    /// running task.
     fn stop_may_hit_started_task(&self, id: &HostId, run: &RunKey, now: SchedulerTime) -> bool {
         let target = self.targets.get(id);
         let fresh = target.is_some_and(|target| {
@@ -141,7 +142,7 @@
         target.is_some_and(|target| target.entry.mode == TargetMode::Draining)
     }
 
-    /// The place of a task whose stop has not been answered, and that is still wanted.
+    /// Placement of a task with an unanswered stop whose job is still open.
     fn stopping_placement(&self, id: &HostId, run: &RunKey) -> Option<&TaskPlacement> {
         self.job_table
             .jobs
--- a/crates/decide/src/work/scheduler_tick.rs
+++ b/crates/decide/src/work/scheduler_tick.rs
@@ -7,29 +7,32 @@
     PlacementPhase, SchedulerEvent, SchedulerTime, WorkPhase, WorkScheduler, target_state::RunKey,
 };
 
-/// Time without any progress after which a task counts as stalled. Looks come once a second at
-/// least, and a task that is eight times as slow as estimated still gets on by a percent or more
-/// between them, unless it is estimated at above ten seconds.
+/// Time without progress after which a task counts as stalled. Polls come at least once a second. A
+/// task that is eight times as slow as estimated still progresses by a percent or more between
+/// them, unless its estimate is above ten seconds.
 const MIN_STALL_TIME: Duration = Duration::from_millis(2200);
-/// A task may stand still for its estimate divided by this: it gets on by more than a percent in
-/// that time even where it is five times as slow.
+/// A task may make no progress for its estimate divided by this: even if it is five times as slow,
+/// it progresses by more than a percent in that time.
 const STALL_ESTIMATE_FRACTION: u32 = 5;
-/// While one in so many listed targets, or more, is not heard, the owner's own link may be the cause.
+/// If at least one in this many listed targets does not respond, the owner's own link may be the
+/// cause.
 const MASS_UNRESPONSIVE_FRACTION: usize = 4;
-/// The same while the store is heard late too, or where the answer to a doubt costs bytes of the link.
+/// The same while store responses are late too, or where acting on the suspicion would cost
+/// bandwidth of the link.
 const MASS_UNRESPONSIVE_FRACTION_UNCERTAIN: usize = 10;
-/// How long a call that failed speaks against the link.
+/// How long a failed call counts as a sign of a bad link.
 const RECENT_FAILURE_WINDOW: Duration = Duration::from_secs(2);
-/// How long a store that was heard too late speaks against the link.
+/// How long a late store response counts as a sign of a bad link.
 const RECENT_STORE_DELAY_WINDOW: Duration = Duration::from_secs(5);
-/// How long a silence of many targets is waited for. A link that is full for longer does not get
-/// free by waiting, and what a cut has parted from its owner has to go on elsewhere.
+/// How long to wait for many unresponsive targets. A link that is saturated for longer does not
+/// recover by waiting, and work that a network partition has separated from its owner has to
+/// continue elsewhere.
 const MAX_MASS_UNRESPONSIVE_WAIT: Duration = Duration::from_secs(30);
-/// Fewer targets that are not heard tell nothing of the link.
+/// Fewer targets that do not respond say nothing about the link.
 const MIN_NOT_RESPONDING: usize = 8;
 
 impl WorkScheduler {
-    /// Does what is due by time alone. To be called several times a second.
+    /// Runs all time-driven work. Has to be called several times a second.
     pub fn tick(&mut self, now: SchedulerTime) {
         self.sync_indexes(now.boot);
         self.open_occurrences(now);
@@ -44,7 +47,7 @@
         self.observe_backlog(now);
     }
 
-    /// Forgets jobs that have ended long ago.
+    /// Removes jobs whose retention after their end has passed.
     fn remove_expired_jobs(&mut self, now: SchedulerTime) {
         let before = now.boot.saturating_sub(self.tuning.ended_job_retention);
         for id in self.index.jobs.ended_before(before) {
@@ -52,17 +55,18 @@
         }
     }
 
-    /// Takes a cancellation in that has been stored.
+    /// Applies a cancellation that has been stored.
     pub fn cancel_job(&mut self, job: &JobId, now: SchedulerTime) {
         self.job_table.cancel(job, now.boot);
         self.stop_job_runs(job, now);
         self.replan_needed = true;
     }
 
-    /// Starts nothing more of a job whose cancellation can't be stored for now; false if that was
-    /// known, or if it is not open.
+    /// Stops starting tasks of a job whose cancellation can't be stored for now. Returns false if
+    /// the cancellation was already pending or the job is not open.
     ///
-    /// What runs goes on: should the store come back to another owner, that one knows nothing of it.
+    /// Running tasks continue: if another owner gets access to the store first, it does not know of
+    /// the cancellation.
     pub fn mark_cancel_pending(&mut self, job: &str) -> bool {
         let job = self.job_table.jobs.get_mut(job);
         let Some(job) = job.filter(|job| job.phase == WorkPhase::Open) else {
@@ -86,7 +90,8 @@
         }
     }
 
-    /// Targets whose pause is over take tasks again, and questions for advice may be due.
+    /// Ends expired pauses of targets and waits after failures, and replans if advice requests may
+    /// be due.
     fn end_expired_pauses(&mut self, now: SchedulerTime) {
         self.index
             .targets
@@ -129,11 +134,12 @@
         }
     }
 
-    /// Gives up the runs of targets whose granted time has certainly lapsed without an answer.
+    /// Gives up the runs of targets whose lease has certainly expired without an answer.
     ///
-    /// A run that ended in time has ended, though, and its target may have listed that in an answer
-    /// that was lost. While many targets are not heard at once, the answers are probably lost on
-    /// this owner's link, so they are waited for; `docs/design/14-ends-of-targets.md` argues why.
+    /// A run that ended before that has a valid end, and its target may have reported it in an
+    /// answer that was lost. While many targets are unresponsive at once, their answers are
+    /// probably lost on this owner's link, so it waits for them;
+    /// `docs/design/14-ends-of-targets.md` explains why.
     fn give_up_lapsed_targets(&mut self, now: SchedulerTime) {
         if self.ownership_uncertain {
             self.last_uncertain = Some(now.boot);
@@ -162,7 +168,7 @@
         }
     }
 
-    /// True while the silence of many targets is waited for, and for a moment after it.
+    /// Whether to wait for many unresponsive targets; also true for a moment afterwards.
     fn waits_out_mass_unresponsive(&mut self, now: SchedulerTime) -> bool {
         if self.is_mass_unresponsive(now) {
             self.mass_unresponsive_last = Some(now.boot);
@@ -180,9 +186,9 @@
         now.boot.saturating_sub(since) < MAX_MASS_UNRESPONSIVE_WAIT
     }
 
-    /// True while so many listed targets are not heard that their silence says little of each.
+    /// Whether so many listed targets do not respond that this says little about each of them.
     ///
-    /// Hosts that are down leave the host list before what was granted to them lapses.
+    /// Hosts that are down leave the host list before their granted lease expires.
     fn is_mass_unresponsive(&self, now: SchedulerTime) -> bool {
         let recent = |alone: BootTime| now.boot.saturating_sub(alone) < RECENT_STORE_DELAY_WINDOW;
         let share = match self.last_uncertain.is_some_and(recent) {
@@ -192,7 +198,8 @@
         self.not_responding_exceeds(share, now)
     }
 
-    /// True if one in so many listed targets, or more, is not heard, or did not answer lately.
+    /// Whether at least one in `share` listed targets does not respond or has recently failed a
+    /// call.
     fn not_responding_exceeds(&self, share: usize, now: SchedulerTime) -> bool {
         let targets = &self.index.targets;
         let recently = now.boot.saturating_sub(RECENT_FAILURE_WINDOW) + Duration::from_nanos(1);
@@ -200,14 +207,14 @@
         unheard >= MIN_NOT_RESPONDING && unheard * share >= targets.listed
     }
 
-    /// True if calls fail to so many targets that this owner's link may be full.
+    /// Whether calls to so many targets fail that this owner's link may be saturated.
     pub(super) fn suspects_link(&mut self, now: SchedulerTime) -> bool {
         self.sync_target_index(now.boot);
         self.not_responding_exceeds(MASS_UNRESPONSIVE_FRACTION_UNCERTAIN, now)
     }
 
-    /// Stops the members of a gang of which some are missing: they would only wait for the
-    /// others until their target ends them, and the gang starts whole.
+    /// Stops the members of a gang of which some are missing. They would only wait for the others
+    /// until their target ends them, and a gang starts as a whole.
     fn stop_incomplete_gangs(&mut self, now: SchedulerTime) {
         let gangs = self.index.jobs.gangs.iter();
         let gangs = gangs.filter_map(|id| self.job_table.jobs.get(id));
@@ -226,14 +233,14 @@
         }
     }
 
-    /// True if some of a step's tasks are on targets while others wait.
+    /// Whether some of a step's tasks are placed while others wait.
     fn is_incomplete_gang(&self, key: &TaskKey) -> bool {
         let step = self.step_state_at(&key.job, key.occurrence, key.step);
         step.is_some_and(|step| !step.is_done() && step.placed > 0 && step.waiting_tasks() > 0)
     }
 
-    /// Stops tasks that have stood still for some time, to start them elsewhere. Some targets
-    /// answer well while nothing that they run gets on.
+    /// Stops tasks that make no progress, to start them elsewhere. Some targets answer normally
+    /// while none of their tasks progress.
     fn stop_stalled_runs(&mut self, now: SchedulerTime) {
         let still = std::mem::take(&mut self.no_progress).into_iter();
         let stalled: Vec<(HostId, RunKey)> =
@@ -248,7 +255,8 @@
         }
     }
 
-    /// True if a run stands still for longer than its task may, by the last answer of its target.
+    /// Whether a run has made no progress for longer than allowed, up to the last report of its
+    /// target.
     pub(super) fn is_stalled(&self, id: &HostId, run: &RunKey) -> bool {
         let plan = self.step_plan(&run.0);
         let Some(plan) = plan.filter(|plan| !plan.long_running && !plan.best_effort && !plan.gang)
@@ -266,12 +274,13 @@
             && target.last_response.saturating_sub(place.last_progress) >= limit
     }
 
-    /// When all that was granted on a target has lapsed.
+    /// When every lease granted on a target has expired.
     ///
-    /// A predecessor that was cut off from the store may go on for a bounded time. It hears
-    /// from the first target that this owner has reached that it has been succeeded; only
-    /// while few have been reached has the whole of that time to pass. Targets that the host
-    /// list no longer has don't count: after some moves of hosts there are many of them.
+    /// A predecessor that lost the store may continue for a bounded time. The first target that
+    /// this owner has polled tells the predecessor that it has been succeeded; only while few
+    /// targets have been polled does the whole of that time have to pass. Targets that are no
+    /// longer in the host list don't count, because there are many of them after some moves of
+    /// hosts.
     fn lapse_deadline(&self, target: &super::TargetState) -> BootTime {
         let lapse = target.leases_expired_at(&self.tuning);
         if !target.inherited || target.incarnation.token_seen || self.job_table.handed_over {
--- a/crates/decide/src/work/scheduler_tuning.rs
+++ b/crates/decide/src/work/scheduler_tuning.rs
@@ -1,39 +1,39 @@
 use std::time::Duration;
 
-/// Times that the desk works with.
+/// Timing parameters of the scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SchedulerTuning {
-    /// Longest time for which a target lets its tasks run without a renewal, as the platform
-    /// sets it.
+    /// Maximum time for which a target lets its tasks run without a renewal, as set by the
+    /// platform.
     pub lease_limit: Duration,
-    /// Time that each order grants. Long enough that a killed owner's successor renews before
-    /// it is over: a lapse of the ownership, its election and one round of looks take 2.5 s.
+    /// Lease that each order grants. Long enough for the successor of a killed owner to renew it in
+    /// time: expiry of the ownership, the election and one round of polls take 2.5 s.
     pub grant: Duration,
-    /// Added to `lease_limit` before tasks of a silent target start elsewhere: a target's clock
-    /// may be 2 % slow, and an order may be under way for some time.
+    /// Added to `lease_limit` before tasks of an unresponsive target start elsewhere: a target's
+    /// clock may be 2 % slow, and an order may be in flight for some time.
     pub lapse_margin: Duration,
-    /// Longest time for which an owner that can't reach the store goes on giving orders.
+    /// Maximum time for which an owner that can't reach the store continues to send orders.
     pub store_outage_limit: Duration,
-    /// Silence after which a target gets no new tasks and no renewals.
+    /// Time without an answer after which a target gets no new tasks and no renewals.
     pub unresponsive_after: Duration,
-    /// How long a target waits with its answer to a look for an end. Renewals have to come
-    /// more often than `grant`, and each look is paid for.
+    /// How long a target holds a poll open while waiting for an end. Renewals have to be more
+    /// frequent than `grant`, and each poll has a cost.
     pub look_wait: Duration,
-    /// The same on a target where tasks that fill run beside tasks that serve: the share of
-    /// the former has to follow the response times of the latter.
+    /// The same on a target that runs best-effort tasks next to serving tasks: the CPU share of the
+    /// former has to follow the response times of the latter.
     pub mixed_poll_wait: Duration,
-    /// Longest time after which an unanswered order is still carried out: the latest that the
-    /// platform speaks of is twelve seconds.
+    /// Maximum time after which an unanswered order may still be executed: the longest delay that
+    /// the platform specifies is twelve seconds.
     pub max_delivery_delay: Duration,
     /// Time after which an unanswered stop is sent again.
     pub stop_retry_interval: Duration,
-    /// Pause of a target that refused or failed a start; doubled with each in a row.
+    /// Pause of a target that refused or failed a start; doubled with each further one in a row.
     pub failure_pause: Duration,
-    /// Longest pause of a target.
+    /// Maximum pause of a target.
     pub max_failure_pause: Duration,
-    /// How long an ended job's state is shown, as the platform asks.
+    /// How long an ended job is still reported, as the platform requires.
     pub ended_job_retention: Duration,
-    /// How long before its time an occurrence may start; 0 is safe against clocks that differ.
+    /// How long before its due time an occurrence may start; 0 is safe with clocks that differ.
     pub early_start: Duration,
 }
 
--- a/crates/decide/src/work/scheduler_unreachable.rs
+++ b/crates/decide/src/work/scheduler_unreachable.rs
@@ -9,18 +9,18 @@
     target_state::RunKey,
 };
 
-/// What the log tells of targets that are not heard.
+/// Records of unreachable targets in the job log.
 ///
-/// The pattern it answers: a rack is dark and the owner changes. Starts are not recorded, so to the
-/// successor any task that waits may be the one that runs there, and the pools of the rack would
-/// stand still until its targets are given up. `docs/design/14-ends-of-targets.md` argues why what
-/// is recorded can be relied on.
+/// They cover a rack that loses its network while the owner changes. Starts are not recorded, so
+/// for the successor any waiting task could be the one that runs there, and the pools of the rack
+/// would be blocked until its targets are given up. `docs/design/14-ends-of-targets.md` explains
+/// why the records can be relied on.
 impl WorkScheduler {
-    /// Records what may run on a target that was not heard, and starts nothing there until it is
-    /// heard and recorded as used again.
+    /// Records what may run on a target that did not respond. Nothing is started there until it
+    /// responds and is recorded as used again.
     pub(super) fn record_unreachable(&mut self, id: &HostId, now: SchedulerTime) {
-        // Without the store the target would stay closed for as long as that is away, and on a full
-        // link each record makes it fuller.
+        // Without the store the target would stay blocked for the length of the outage, and on a
+        // saturated link each record would add to the load.
         if self.ownership_uncertain || self.suspects_link(now) {
             return;
         }
@@ -53,7 +53,7 @@
         self.append_log_entry(Event::Missed(miss), None, None);
     }
 
-    /// Records a target as used that is heard again.
+    /// Records a target as used again once it responds.
     pub(super) fn record_reachable(&mut self, id: &HostId) {
         if self
             .targets
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Takes over what a predecessor recorded of targets that it missed.
+    /// Adopts a predecessor's records of unreachable targets.
     pub(super) fn adopt_unreachable(&mut self, now: SchedulerTime) {
         let missed: Vec<TargetMiss> = self.job_table.unreachable.values().cloned().collect();
         for miss in missed {
@@ -117,8 +117,8 @@
         );
     }
 
-    /// Forgets that a task may be on a target that a predecessor missed, since a later run of it is
-    /// shown elsewhere: the predecessor had given the earlier one up.
+    /// Drops a task's placement on a target that a predecessor recorded as unreachable, because a
+    /// later run of the task is reported elsewhere: the predecessor had given up the earlier one.
     pub(super) fn drop_stale_unreachable(&mut self, id: &HostId, shown: &RunKey) {
         let (key, attempt) = shown;
         let job = self.job_table.jobs.get(&key.job);
