--- a/crates/decide/src/work/scheduler_admit.rs
+++ b/crates/decide/src/work/scheduler_admit.rs
@@ -32,26 +32,26 @@
             return None;
         }
         self.sync_indexes(now.boot);
-        let terms = self.policy.clone();
-        let queue: &QueuePolicy = terms.queue(queue)?;
-        let weight = terms.workspace(workspace).map_or(0, |space| space.weight);
-        let beyond = self.shares.would_be_beyond(workspace, weight, now.boot);
+        let policy = self.policy.clone();
+        let queue: &QueuePolicy = policy.queue(queue)?;
+        let weight = policy.workspace(workspace).map_or(0, |space| space.weight);
+        let beyond_share = self.shares.would_be_beyond(workspace, weight, now.boot);
         let backlog = self.backlog(&queue.pool);
-        let counted = |backlog: PoolBacklog| match beyond {
+        let counts = |backlog: PoolBacklog| match beyond_share {
             true => (backlog.all(), backlog.all()),
             false => (backlog.not_overdue, backlog.within_share()),
         };
-        let (ahead, accepted) = counted(backlog);
-        let (ahead_of_all, accepted_of_all) = counted(self.index.jobs.total_backlog());
+        let (ahead, accepted) = counts(backlog);
+        let (ahead_of_all, accepted_of_all) = counts(self.index.jobs.total_backlog());
         let wait = |tasks: u64| self.forecast.expected_wait(&queue.pool, tasks, now.boot);
-        let sure = wait(ahead) * CERTAIN_WAIT_FRACTION.0 / CERTAIN_WAIT_FRACTION.1;
-        let sure = sure.max(self.forecast.link_wait(ahead_of_all));
+        let certain_wait = wait(ahead) * CERTAIN_WAIT_FRACTION.0 / CERTAIN_WAIT_FRACTION.1;
+        let certain_wait = certain_wait.max(self.forecast.link_wait(ahead_of_all));
         let longest = longest_wait(plan, Some(queue)).unwrap_or(Duration::MAX);
         let longest = longest.max(MIN_PREDICTABLE_WAIT);
-        let late = sure.saturating_sub(longest);
-        let long = wait(accepted).max(self.forecast.link_wait(accepted_of_all));
-        let long = long.saturating_sub(MAX_BACKLOG_DRAIN_TIME.max(longest));
-        Some(late.max(long)).filter(|excess| !excess.is_zero())
+        let lateness = certain_wait.saturating_sub(longest);
+        let backlog_excess = wait(accepted).max(self.forecast.link_wait(accepted_of_all));
+        let backlog_excess = backlog_excess.saturating_sub(MAX_BACKLOG_DRAIN_TIME.max(longest));
+        Some(lateness.max(backlog_excess)).filter(|excess| !excess.is_zero())
     }
 
     /// Sets how many starts per second the owner's link can carry.
@@ -62,9 +62,9 @@
     /// Reports the pools in which tasks wait to the start forecast.
     pub(super) fn observe_backlog(&mut self, now: SchedulerTime) {
         let pools = self.index.jobs.backlogged_pools();
-        let waited_for = pools.filter(|pool| self.backlog(pool).all() > 0);
-        let waited_for = waited_for.cloned().collect();
-        self.forecast.observe_waiting(&waited_for, now.boot);
+        let waiting_pools = pools.filter(|pool| self.backlog(pool).all() > 0);
+        let waiting_pools = waiting_pools.cloned().collect();
+        self.forecast.observe_waiting(&waiting_pools, now.boot);
     }
 
     /// Tasks that wait for a pool. While a predecessor's targets have not been polled yet, its jobs
--- a/crates/decide/src/work/scheduler_advice.rs
+++ b/crates/decide/src/work/scheduler_advice.rs
@@ -27,14 +27,14 @@
             return;
         };
         let queue = self.policy.queue(&job.queue);
-        let valid = queue
+        let validity = queue
             .and_then(|queue| queue.advice)
             .unwrap_or_default()
             .valid;
-        let until = now.boot + valid.saturating_sub(TICKET_EXPIRY_MARGIN);
+        let expires_at = now.boot + validity.saturating_sub(TICKET_EXPIRY_MARGIN);
         let granted = tickets
             .into_iter()
-            .map(|(id, ticket)| (id, (ticket, until)))
+            .map(|(id, ticket)| (id, (ticket, expires_at)))
             .collect();
         if let Some(step) = self.job_table.step_mut(key) {
             step.tickets = granted;
@@ -61,21 +61,25 @@
         let Some(state) = self.step_state(step) else {
             return true;
         };
-        if state.tickets.values().any(|(_, until)| now.boot < *until) {
+        if state
+            .tickets
+            .values()
+            .any(|(_, expires_at)| now.boot < *expires_at)
+        {
             return false;
         }
         // No new request is sent for a step before the answer to its last one is overdue.
-        let patience = advice.fixed + advice.per_target * MAX_TARGETS_PER_ADVICE * 4;
+        let answer_timeout = advice.fixed + advice.per_target * MAX_TARGETS_PER_ADVICE * 4;
         let asked = !state.advice_requested_at.is_zero();
         if asked
             && now.boot.saturating_sub(state.advice_requested_at)
-                < patience.max(MIN_ADVICE_INTERVAL)
+                < answer_timeout.max(MIN_ADVICE_INTERVAL)
         {
             return true;
         }
-        let of_pool = self.index.targets.of_pool(&pool);
-        let of_pool = of_pool.filter_map(|id| self.targets.get(id));
-        let usable = of_pool.filter(|target| target.accepts_tasks(now.boot));
+        let pool_targets = self.index.targets.of_pool(&pool);
+        let pool_targets = pool_targets.filter_map(|id| self.targets.get(id));
+        let usable = pool_targets.filter(|target| target.accepts_tasks(now.boot));
         let mut usable: Vec<_> = usable.collect();
         usable.sort_by_key(|target| Reverse(target.free().cpu));
         let ids: Vec<HostId> = usable
--- a/crates/decide/src/work/scheduler_answer.rs
+++ b/crates/decide/src/work/scheduler_answer.rs
@@ -127,8 +127,8 @@
     /// have ended, its cancellation may have become pending, or the target may have been lost.
     pub fn should_send_start(&self, id: &HostId, task: &TaskKey, attempt: AttemptNumber) -> bool {
         let job = self.job_table.jobs.get(&task.job);
-        let held = job.is_some_and(|job| job.phase == WorkPhase::CancelPending);
-        !held && self.is_starting(id, &(task.clone(), attempt))
+        let cancel_pending = job.is_some_and(|job| job.phase == WorkPhase::CancelPending);
+        !cancel_pending && self.is_starting(id, &(task.clone(), attempt))
     }
 
     /// Extends the lease of a start that was queued, counted from now. The lease granted when the
@@ -173,7 +173,7 @@
         refusal: StartRefusal,
         now: SchedulerTime,
     ) {
-        let name = match refusal {
+        let reason = match refusal {
             StartRefusal::Fenced => "fenced",
             StartRefusal::OldAttempt => "old-attempt",
             StartRefusal::Late => "late",
@@ -183,7 +183,7 @@
             StartRefusal::OtherLife => "other-life",
             StartRefusal::Malformed => "malformed",
         };
-        self.emit(start_refused_event(run, id, name));
+        self.emit(start_refused_event(run, id, reason));
         self.release_run(id, run);
         match refusal {
             StartRefusal::Fenced => self.actions.push(SchedulerAction::StepDown(id.clone())),
@@ -224,6 +224,6 @@
     }
 }
 
-fn start_refused_event(run: &RunKey, id: &HostId, name: &'static str) -> SchedulerEvent {
-    SchedulerEvent::StartRefused(run.0.clone(), run.1, id.clone(), name)
+fn start_refused_event(run: &RunKey, id: &HostId, reason: &'static str) -> SchedulerEvent {
+    SchedulerEvent::StartRefused(run.0.clone(), run.1, id.clone(), reason)
 }
--- a/crates/decide/src/work/scheduler_end.rs
+++ b/crates/decide/src/work/scheduler_end.rs
@@ -125,18 +125,18 @@
     }
 
     fn handle_task_done(&mut self, end: &EndReport, origin: EndOrigin, now: SchedulerTime) {
-        let open = self
+        let is_open = self
             .job_table
             .jobs
             .get(&end.task.job)
             .is_some_and(WorkJob::is_open);
-        if !open {
+        if !is_open {
             // The job may have been completed by this same end, with a log entry that is not stored
             // yet.
             self.record_duplicate_end(end, true, origin);
             return;
         }
-        let doubtful = self.unconfirmed_gang_members(&end.task);
+        let unconfirmed = self.unconfirmed_gang_members(&end.task);
         if !self.job_table.mark_done(&end.task, now.boot) {
             self.record_duplicate_end(end, true, origin);
             return;
@@ -146,7 +146,7 @@
         }
         self.record_end(end, true, origin);
         self.stop_duplicate_runs(&end.task, now);
-        for (id, run) in doubtful {
+        for (id, run) in unconfirmed {
             self.stop_run(&id, &run, now);
         }
         let job = &end.task.job;
@@ -166,8 +166,8 @@
             return;
         }
         let step = job.plan.steps.get(end.task.step as usize);
-        let lasting = step.is_some_and(|step| step.long_running);
-        let counted = if step.is_some_and(|step| step.gang) {
+        let long_running = step.is_some_and(|step| step.long_running);
+        let counted_index = if step.is_some_and(|step| step.gang) {
             0
         } else {
             end.task.index
@@ -181,7 +181,7 @@
         }
         self.failure_wait_deadlines
             .push_back(now.boot + FAILED_TARGET_WAIT);
-        let Some(task) = job.task_mut(key.occurrence, key.step, counted) else {
+        let Some(task) = job.task_mut(key.occurrence, key.step, counted_index) else {
             return;
         };
         if task.done || task.failed_attempts.contains(&end.attempt) {
@@ -191,11 +191,11 @@
         task.failed_attempts.push(end.attempt);
         let failures = task.failed_attempts.len();
         let target = origin.target.clone();
-        if lasting {
+        if long_running {
             // A long-running task may fail at any time by itself and is only restarted.
             return;
         }
-        let most = self
+        let max_attempts = self
             .policy
             .queue(&job.queue)
             .map_or(u32::MAX, |queue| queue.max_attempts);
@@ -203,7 +203,7 @@
             target.count_failure(&tuning, now.boot);
         }
         self.record_end(end, false, origin);
-        if failures >= most as usize {
+        if failures >= max_attempts as usize {
             self.fail_job(&end.task.job.clone(), now);
         }
     }
@@ -255,8 +255,8 @@
         let step = self.step_state_at(&key.job, key.occurrence, key.step);
         let tasks = step.into_iter().flat_map(|step| (0..).zip(&step.tasks));
         let placed = tasks.filter_map(|(index, task)| Some((index, task.placement.as_ref()?)));
-        let doubtful = placed.filter(|(_, place)| place.phase != PlacementPhase::Running);
-        doubtful
+        let unconfirmed = placed.filter(|(_, place)| place.phase != PlacementPhase::Running);
+        unconfirmed
             .map(|(index, place)| {
                 let member = TaskKey {
                     index,
--- a/crates/decide/src/work/scheduler_evacuate.rs
+++ b/crates/decide/src/work/scheduler_evacuate.rs
@@ -43,7 +43,7 @@
     pub(super) fn evacuate(&mut self, now: SchedulerTime) {
         let before = std::mem::take(&mut self.stranded);
         let mut stops = Vec::new();
-        let mut coming: BTreeMap<PoolId, ResourceVector> = BTreeMap::new();
+        let mut moving: BTreeMap<PoolId, ResourceVector> = BTreeMap::new();
         for id in &self.index.targets.draining {
             let Some(target) = self.targets.get(id) else {
                 continue;
@@ -66,17 +66,17 @@
                         leaving,
                     ));
                 } else {
-                    let room = coming.entry(pool.clone()).or_default();
-                    *room = room.plus(claim.resources);
+                    let resources = moving.entry(pool.clone()).or_default();
+                    *resources = resources.plus(claim.resources);
                 }
             }
         }
-        for (id, pool, run, room, leaving) in stops {
+        for (id, pool, run, resources, leaving) in stops {
             // Another owner may be draining another host, and this one would not know.
             if !leaving && (self.ownership_uncertain || !self.may_disrupt(&run, now)) {
                 continue;
             }
-            let others = coming.entry(pool.clone()).or_default();
+            let others = moving.entry(pool.clone()).or_default();
             if !leaving && !self.has_alternative_target(&run, &pool, *others, now) {
                 if self.has_alternative_target(&run, &pool, ResourceVector::default(), now) {
                     // The other moving tasks will be placed shortly; then the remaining capacity is
@@ -84,13 +84,13 @@
                     continue;
                 }
                 let since = before.get(&pool).map_or(now.boot, |task| task.since);
-                self.mark_stranded(&run, &pool, room, since);
+                self.mark_stranded(&run, &pool, resources, since);
                 let waited = now.boot.saturating_sub(since) >= EVACUATION_WAIT;
                 if !waited || !self.stops_would_empty_target(&id, now) {
                     continue;
                 }
             }
-            *others = others.plus(room);
+            *others = others.plus(resources);
             self.stop_run(&id, &run, now);
         }
     }
@@ -101,7 +101,7 @@
         &self,
         run: &RunKey,
         pool: &PoolId,
-        coming: ResourceVector,
+        moving: ResourceVector,
         now: SchedulerTime,
     ) -> bool {
         let (key, _) = run;
@@ -111,10 +111,10 @@
         ) else {
             return true;
         };
-        let need = plan.footprint().plus(coming);
-        let with_room = self.index.targets.with_capacity(pool, need.cpu);
-        let with_room = with_room.filter_map(|id| self.targets.get(id));
-        can_relocate(plan, state, with_room, coming, now.boot)
+        let need = plan.footprint().plus(moving);
+        let candidates = self.index.targets.with_capacity(pool, need.cpu);
+        let candidates = candidates.filter_map(|id| self.targets.get(id));
+        can_relocate(plan, state, candidates, moving, now.boot)
     }
 
     fn mark_stranded(
@@ -177,7 +177,7 @@
         };
         // If a target has just become unresponsive, its task may have been unavailable for as long
         // as the last report is old, although it still counts as running here.
-        let heard = |id: &HostId| {
+        let recently_reported = |id: &HostId| {
             let target = self.targets.get(id);
             target.is_some_and(|target| {
                 now.boot.saturating_sub(target.last_response) < RESPONSE_MAX_AGE
@@ -187,33 +187,33 @@
             task.placement.as_ref().is_some_and(|place| {
                 place.phase == PlacementPhase::Running
                     && place.percent >= READY_PERCENT
-                    && heard(&place.target)
+                    && recently_reported(&place.target)
                     && !self.stop_may_still_arrive(place, now)
             })
         };
         let others = (0..)
             .zip(&state.tasks)
             .filter(|(index, _)| *index != key.index);
-        let away = others.filter(|(_, task)| !at_work(task)).count();
-        away < step.max_unavailable.max(1) as usize
+        let unavailable = others.filter(|(_, task)| !at_work(task)).count();
+        unavailable < step.max_unavailable.max(1) as usize
     }
 
     /// Whether a stop that was withdrawn may still be executed.
     fn stop_may_still_arrive(&self, place: &super::TaskPlacement, now: SchedulerTime) -> bool {
-        let passed = now.boot.saturating_sub(place.stop_sent);
-        !place.stop_sent.is_zero() && passed < self.tuning.max_delivery_delay
+        let elapsed = now.boot.saturating_sub(place.stop_sent);
+        !place.stop_sent.is_zero() && elapsed < self.tuning.max_delivery_delay
     }
 
     /// Sets the drain state of the given targets, and clears it for all others.
     pub(super) fn set_drains(&mut self, wanted: &BTreeMap<HostId, HostDrainState>) {
         let before = std::mem::replace(&mut self.drains, wanted.clone());
         for id in before.keys().chain(wanted.keys()) {
-            let vacancy = wanted.get(id).copied().unwrap_or_default();
-            let changed = |target: &super::TargetState| target.drain != vacancy;
+            let drain = wanted.get(id).copied().unwrap_or_default();
+            let changed = |target: &super::TargetState| target.drain != drain;
             if self.targets.get(id).is_some_and(changed)
                 && let Some(target) = self.targets.get_mut(id)
             {
-                target.drain = vacancy;
+                target.drain = drain;
             }
         }
     }
--- a/crates/decide/src/work/scheduler_incarnation.rs
+++ b/crates/decide/src/work/scheduler_incarnation.rs
@@ -16,7 +16,7 @@
     pub(super) fn end_incarnation(
         &mut self,
         id: &HostId,
-        born: Duration,
+        started_at: Duration,
         cause: &'static str,
         now: SchedulerTime,
     ) {
@@ -24,11 +24,11 @@
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
-        let doubts = target.take_unconfirmed(&tuning, now.boot);
-        let renewed = born > target.incarnation.started_at;
-        let held = target.begin_incarnation(born, now.boot);
-        self.release_runs(id, held, renewed, cause, now);
-        for run in doubts {
+        let unconfirmed = target.take_unconfirmed(&tuning, now.boot);
+        let renewed = started_at > target.incarnation.started_at;
+        let claims = target.begin_incarnation(started_at, now.boot);
+        self.release_runs(id, claims, renewed, cause, now);
+        for run in unconfirmed {
             // The start may still reach the new incarnation, so it is fenced there by a stop.
             if let Some(target) = self.targets.get_mut(id) {
                 target.add_unconfirmed(run.clone(), now.boot);
@@ -48,11 +48,11 @@
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
-        let held = target.begin_incarnation(Duration::ZERO, now.boot);
+        let claims = target.begin_incarnation(Duration::ZERO, now.boot);
         // The granted lease ended with the incarnation.
         target.last_grant = BootTime::ZERO;
         target.listed = false;
-        self.release_runs(id, held, false, cause, now);
+        self.release_runs(id, claims, false, cause, now);
     }
 
     /// Applies the list of incarnations of all hosts, which was requested from the host control at
@@ -64,35 +64,35 @@
     /// that time would never restart the tasks of its pool, because each of them waits anew.
     pub fn update_incarnations(
         &mut self,
-        lives: &BTreeSet<HostId>,
+        listed_incarnations: &BTreeSet<HostId>,
         asked: BootTime,
         now: SchedulerTime,
     ) {
-        if lives.is_empty() {
+        if listed_incarnations.is_empty() {
             return;
         }
-        let mut gone = Vec::new();
-        let mut missed = Vec::new();
+        let mut ended = Vec::new();
+        let mut tracked = Vec::new();
         for (id, target) in &self.targets {
             // An incarnation that answered shortly before the list was requested is alive, whatever
             // the list contains.
             let answers =
                 !target.last_response.is_zero() && target.last_response + RESPONSE_MAX_AGE >= asked;
-            let lives = target.listed || answers || lives.contains(id);
-            if !lives || target.lists_absent > 0 {
-                missed.push((id.clone(), lives));
+            let is_live = target.listed || answers || listed_incarnations.contains(id);
+            if !is_live || target.lists_absent > 0 {
+                tracked.push((id.clone(), is_live));
             }
         }
-        for (id, lives) in missed {
+        for (id, is_live) in tracked {
             let Some(target) = self.targets.get_mut(&id) else {
                 continue;
             };
-            target.lists_absent = if lives { 0 } else { target.lists_absent + 1 };
+            target.lists_absent = if is_live { 0 } else { target.lists_absent + 1 };
             if target.lists_absent >= MAX_ABSENT_LISTS {
-                gone.push(id);
+                ended.push(id);
             }
         }
-        for id in gone {
+        for id in ended {
             self.mark_target_lost(&id, "no-host", now);
             if let Some(target) = self.targets.get_mut(&id) {
                 target.inherited = false;
@@ -112,14 +112,14 @@
     fn release_runs(
         &mut self,
         id: &HostId,
-        held: Vec<(RunKey, RunClaim)>,
+        claims: Vec<(RunKey, RunClaim)>,
         renewed: bool,
         cause: &'static str,
         now: SchedulerTime,
     ) {
-        self.emit(SchedulerEvent::TargetLost(id.clone(), cause, held.len()));
+        self.emit(SchedulerEvent::TargetLost(id.clone(), cause, claims.len()));
         let listed = self.targets.get(id).is_some_and(|target| target.listed);
-        for (run, claim) in held {
+        for (run, claim) in claims {
             self.remove_run_accounting(id, &run, &claim);
             match self.run_disposition(id, &run) {
                 RunDisposition::Unconfirmed if renewed || listed => {
--- a/crates/decide/src/work/scheduler_index.rs
+++ b/crates/decide/src/work/scheduler_index.rs
@@ -66,16 +66,21 @@
         }
     }
 
-    fn update_jobs(&mut self, board: &mut JobTable, terms: &FleetPolicy, now: BootTime) -> usize {
+    fn update_jobs(
+        &mut self,
+        job_table: &mut JobTable,
+        policy: &FleetPolicy,
+        now: BootTime,
+    ) -> usize {
         for id in self.jobs.take_due_reranks(now) {
-            board.jobs.mark_changed(&id);
+            job_table.jobs.mark_changed(&id);
         }
-        let changed = board.jobs.take_changed();
+        let changed = job_table.jobs.take_changed();
         for id in &changed {
             self.jobs.update(
                 id,
-                board.jobs.get(id),
-                terms,
+                job_table.jobs.get(id),
+                policy,
                 now,
                 &mut self.startable_pools,
             );
@@ -109,27 +114,28 @@
     /// Names of the indexes that differ from freshly built ones. For tests.
     pub fn index_mismatches(&mut self, now: BootTime) -> Vec<&'static str> {
         self.sync_indexes(now);
-        let mut anew = SchedulerIndex::default();
+        let mut fresh = SchedulerIndex::default();
         let targets: Vec<HostId> = self.targets.keys().cloned().collect();
-        anew.update_targets(&self.targets, &targets, now);
+        fresh.update_targets(&self.targets, &targets, now);
         for (id, job) in &self.job_table.jobs {
-            anew.jobs
-                .update(id, Some(job), &self.policy, now, &mut anew.startable_pools);
+            fresh
+                .jobs
+                .update(id, Some(job), &self.policy, now, &mut fresh.startable_pools);
         }
         for (id, target) in &self.targets {
-            let rows = target.claims.keys();
-            let rows = rows.map(|(key, attempt)| (key.clone(), *attempt, id.clone()));
-            anew.runs.extend(rows);
+            let keys = target.claims.keys();
+            let keys = keys.map(|(key, attempt)| (key.clone(), *attempt, id.clone()));
+            fresh.runs.extend(keys);
         }
         let checks = [
             (
                 "targets",
-                anew.targets.without_pauses() == self.index.targets.without_pauses(),
+                fresh.targets.without_pauses() == self.index.targets.without_pauses(),
             ),
-            ("jobs", anew.jobs == self.index.jobs),
-            ("runs", anew.runs == self.index.runs),
+            ("jobs", fresh.jobs == self.index.jobs),
+            ("runs", fresh.runs == self.index.runs),
         ];
-        let broken = checks.into_iter().filter(|(_, holds)| !holds);
-        broken.map(|(name, _)| name).collect()
+        let mismatched = checks.into_iter().filter(|(_, matches)| !matches);
+        mismatched.map(|(name, _)| name).collect()
     }
 }
--- a/crates/decide/src/work/scheduler_plan.rs
+++ b/crates/decide/src/work/scheduler_plan.rs
@@ -60,15 +60,15 @@
             return;
         }
         let mut plan = self.begin_plan();
-        let mut left = MAX_STARTS_PER_PLAN;
+        let mut remaining = MAX_STARTS_PER_PLAN;
         while let Some((pool, group, rank)) = self.next_step(&mut plan, now) {
             let outcome = self.start_step(&rank, &plan.unconfirmed_usage, now);
             if outcome.started > 0 {
                 self.sync_indexes(now.boot);
                 plan.max_free.remove(&pool);
             }
-            left = left.saturating_sub(outcome.started);
-            if left == 0 {
+            remaining = remaining.saturating_sub(outcome.started);
+            if remaining == 0 {
                 self.index.startable_pools.extend(plan.pools);
                 return;
             }
@@ -109,9 +109,9 @@
         let mut capped = Vec::new();
         self.measure_free_capacity(plan, now);
         for pool in &plan.pools {
-            let blocked = plan.unobserved_pools.contains(pool);
+            let is_unobserved = plan.unobserved_pools.contains(pool);
             for (group, ranked) in self.index.jobs.waiting_groups(pool) {
-                if group.inherited && blocked {
+                if group.inherited && is_unobserved {
                     continue;
                 }
                 let found = self.next_startable_step(plan, pool, group, ranked);
@@ -149,16 +149,16 @@
             workspace_left: NO_LIMIT,
             unplaceable,
         };
-        let (found, looked) = ranked.next(tried, &filter);
-        WorkCounters::add(&self.counters.steps, looked);
+        let (found, examined) = ranked.next(tried, &filter);
+        WorkCounters::add(&self.counters.steps, examined);
         let found = found?;
         filter.workspace_left =
             self.remaining_workspace_limit(&group.workspace, &plan.unconfirmed_usage);
         if found.charged.fits_in(filter.workspace_left) {
             return Some((Some(found), false));
         }
-        let (found, looked) = ranked.next(tried, &filter);
-        WorkCounters::add(&self.counters.steps, looked);
+        let (found, examined) = ranked.next(tried, &filter);
+        WorkCounters::add(&self.counters.steps, examined);
         Some((found, true))
     }
 
@@ -176,7 +176,7 @@
     pub(super) fn remaining_workspace_limit(
         &self,
         workspace: &WorkspaceId,
-        doubt: &BTreeMap<WorkspaceId, ResourceVector>,
+        unconfirmed_usage: &BTreeMap<WorkspaceId, ResourceVector>,
     ) -> ResourceVector {
         let Some(limit) = self.index.limits.get(workspace) else {
             return NO_LIMIT;
@@ -186,8 +186,11 @@
             .get(workspace)
             .copied()
             .unwrap_or_default();
-        let doubt = doubt.get(workspace).copied().unwrap_or_default();
-        limit.remaining_of_limit(used.plus(doubt))
+        let unconfirmed_usage = unconfirmed_usage
+            .get(workspace)
+            .copied()
+            .unwrap_or_default();
+        limit.remaining_of_limit(used.plus(unconfirmed_usage))
     }
 
     /// Marks a pool in which steps of a workspace wait because of its limit.
@@ -201,9 +204,9 @@
         let job = self.job_table.jobs.get(&step.job);
         let tried = job.and_then(|job| job.plan.steps.get(step.step as usize));
         if let Some(tried) = tried {
-            let refused = plan.unplaceable.entry(pool.clone()).or_default();
-            if refused.len() < MAX_UNPLACEABLE_SIZES {
-                refused.push(tried.footprint());
+            let unplaceable = plan.unplaceable.entry(pool.clone()).or_default();
+            if unplaceable.len() < MAX_UNPLACEABLE_SIZES {
+                unplaceable.push(tried.footprint());
             }
         }
     }
--- a/crates/decide/src/work/scheduler_report.rs
+++ b/crates/decide/src/work/scheduler_report.rs
@@ -40,8 +40,8 @@
         }
         // Until it is polled, the leases of its runs expire, ends on it are unknown, and older jobs
         // of its pool wait.
-        let unreached = target.inherited && !target.incarnation.token_seen;
-        Some(if unreached {
+        let unpolled = target.inherited && !target.incarnation.token_seen;
+        Some(if unpolled {
             CallClass::Renew
         } else {
             CallClass::Poll
@@ -52,7 +52,7 @@
     pub fn poll_order(&mut self, id: &HostId, now: SchedulerTime) -> Option<PollOrder> {
         self.poll_class(id, now)?;
         let tuning = self.tuning;
-        let both = self.runs_service_and_fill_tasks(id);
+        let mixed = self.runs_service_and_fill_tasks(id);
         let target = self.targets.get_mut_untracked(id)?;
         let busy = !target.claims.is_empty();
         let acked_end = target.acked_end_at(now.boot);
@@ -67,7 +67,7 @@
         }
         let wait = match (
             target.incarnation.token_seen && busy && !target.unresponsive,
-            both,
+            mixed,
         ) {
             (false, _) => Duration::ZERO,
             (true, false) => tuning.look_wait,
@@ -91,7 +91,7 @@
         now: SchedulerTime,
     ) {
         match answer {
-            PollAnswer::Seen(sight) => self.apply_target_report(id, sent, observed, sight, now),
+            PollAnswer::Seen(report) => self.apply_target_report(id, sent, observed, report, now),
             PollAnswer::Fenced => self.actions.push(SchedulerAction::StepDown(id.clone())),
             PollAnswer::OtherLife if self.predates_incarnation(id, sent) => {}
             PollAnswer::OtherLife => self.mark_target_lost(id, "replaced", now),
@@ -104,30 +104,34 @@
         id: &HostId,
         sent: BootTime,
         observed: u64,
-        sight: &TargetReport,
+        report: &TargetReport,
         now: SchedulerTime,
     ) {
         let Some(target) = self.targets.get(id) else {
             return;
         };
         let known = target.incarnation.started_at;
-        if !sight.started_at.is_zero() && !known.is_zero() && sight.started_at < known {
+        if !report.started_at.is_zero() && !known.is_zero() && report.started_at < known {
             // A delayed answer of the previous incarnation.
             return;
         }
         if known.is_zero() && self.predates_incarnation(id, sent) {
             return;
         }
-        if !sight.started_at.is_zero() && !known.is_zero() && sight.started_at > known {
-            self.end_incarnation(id, sight.started_at, "reborn", now);
+        if !report.started_at.is_zero() && !known.is_zero() && report.started_at > known {
+            self.end_incarnation(id, report.started_at, "reborn", now);
         }
-        self.record_target_answer(id, sent, observed, sight, now);
+        self.record_target_answer(id, sent, observed, report, now);
         let ends: Vec<_> = {
             let seen = self
                 .targets
                 .get(id)
                 .map_or(0, |target| target.incarnation.last_handled_end);
-            sight.ended.iter().filter(|end| end.number > seen).collect()
+            report
+                .ended
+                .iter()
+                .filter(|end| end.number > seen)
+                .collect()
         };
         for end in ends {
             if let Some(target) = self.targets.get_mut_untracked(id) {
@@ -136,12 +140,12 @@
             }
             self.handle_task_end(id, end, now);
         }
-        for run in &sight.running {
+        for run in &report.running {
             self.observe_run(id, run, now);
             self.track_stalled_run(id, run);
         }
-        if sight.ended.len() < MAX_ENDS_PER_REPORT {
-            self.handle_missing_runs(id, sent, sight, now);
+        if report.ended.len() < MAX_ENDS_PER_REPORT {
+            self.handle_missing_runs(id, sent, report, now);
         }
         self.set_throttles(id);
     }
@@ -152,19 +156,19 @@
         id: &HostId,
         sent: BootTime,
         observed: u64,
-        sight: &TargetReport,
+        report: &TargetReport,
         now: SchedulerTime,
     ) {
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
         if target.incarnation.started_at.is_zero() {
-            target.incarnation.started_at = sight.started_at;
+            target.incarnation.started_at = report.started_at;
         }
         // Of two clock readings, the one that predicts the later time is the better lower bound.
         let known = target.clock_at(now.boot).unwrap_or_default();
-        if sight.clock >= known {
-            target.incarnation.clock = Some((sight.clock, now.boot));
+        if report.clock >= known {
+            target.incarnation.clock = Some((report.clock, now.boot));
         }
         target.last_answered_call = target.last_answered_call.max(sent);
         target.last_response = now.boot;
@@ -173,13 +177,13 @@
         if self.ownership_uncertain && !target.incarnation.token_seen {
             return;
         }
-        let missed = target.unreachable_recorded;
-        let returned = std::mem::take(&mut target.unresponsive);
-        let raised = !std::mem::replace(&mut target.incarnation.token_seen, true);
-        if returned || raised {
+        let was_unreachable = target.unreachable_recorded;
+        let recovered = std::mem::take(&mut target.unresponsive);
+        let newly_usable = !std::mem::replace(&mut target.incarnation.token_seen, true);
+        if recovered || newly_usable {
             self.emit(SchedulerEvent::TargetUsable(id.clone()));
         }
-        if missed {
+        if was_unreachable {
             self.record_reachable(id);
         }
     }
@@ -241,7 +245,7 @@
     }
 
     /// Adopts a run that a predecessor started, or whose start was executed late.
-    fn adopt(&mut self, id: &HostId, run: &RunKey, sight: &RunReport, now: SchedulerTime) {
+    fn adopt(&mut self, id: &HostId, run: &RunKey, report: &RunReport, now: SchedulerTime) {
         let (key, attempt) = run;
         self.claim(id, run.clone());
         let stopped = self.pending_stops.remove(&(id.clone(), run.clone()));
@@ -253,8 +257,8 @@
             TaskPlacement {
                 phase: PlacementPhase::Running,
                 confirmed: true,
-                percent: sight.percent,
-                load: sight.load,
+                percent: report.percent,
+                load: report.load,
                 stop_sent: stopped.unwrap_or_default(),
                 ..TaskPlacement::new(id, *attempt, now.boot)
             },
@@ -279,16 +283,16 @@
         &mut self,
         id: &HostId,
         sent: BootTime,
-        sight: &TargetReport,
+        report: &TargetReport,
         now: SchedulerTime,
     ) {
-        let shown = sight.running.iter().map(|run| (&run.task, run.attempt));
-        let shown: BTreeSet<_> = shown.collect();
+        let reported = report.running.iter().map(|run| (&run.task, run.attempt));
+        let reported: BTreeSet<_> = reported.collect();
         let Some(target) = self.targets.get(id) else {
             return;
         };
         let missing = target.claims.keys();
-        let missing = missing.filter(|(task, attempt)| !shown.contains(&(task, *attempt)));
+        let missing = missing.filter(|(task, attempt)| !reported.contains(&(task, *attempt)));
         let missing: Vec<RunKey> = missing.cloned().collect();
         for run in missing {
             self.handle_missing_run(id, &run, sent, now);
@@ -337,12 +341,14 @@
 
     /// Handles a poll or an order without an answer.
     pub(super) fn mark_unresponsive(&mut self, id: &HostId, now: SchedulerTime) {
-        let silence = self.tuning.unresponsive_after;
+        let unresponsive_after = self.tuning.unresponsive_after;
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
         target.last_failure = now.boot;
-        if !target.unresponsive && now.boot.saturating_sub(target.last_answered_call) >= silence {
+        if !target.unresponsive
+            && now.boot.saturating_sub(target.last_answered_call) >= unresponsive_after
+        {
             target.unresponsive = true;
             self.emit(SchedulerEvent::TargetUnresponsive(id.clone()));
         }
--- a/crates/decide/src/work/scheduler_start.rs
+++ b/crates/decide/src/work/scheduler_start.rs
@@ -41,46 +41,46 @@
     pub(super) fn start_step(
         &mut self,
         (rank, step): &StepRank,
-        doubt: &BTreeMap<WorkspaceId, ResourceVector>,
+        unconfirmed_usage: &BTreeMap<WorkspaceId, ResourceVector>,
         now: SchedulerTime,
     ) -> StepOutcome {
-        let nothing = StepOutcome::default();
+        let no_start = StepOutcome::default();
         // Another step may have failed the job during the same planning pass.
         let job = self.job_table.jobs.get(&step.job);
         let Some(job) = job.filter(|job| job.phase == WorkPhase::Open) else {
-            return nothing;
+            return no_start;
         };
         let plan = job.plan.clone();
         let Some(plan) = plan.steps.get(step.step as usize) else {
-            return nothing;
+            return no_start;
         };
         if self.has_exhausted_attempts(step, plan) {
             self.fail_job(&step.job, now);
-            return nothing;
+            return no_start;
         }
         if self.must_wait_for_advice(step, now) {
-            return nothing;
+            return no_start;
         }
         let Some(state) = self.step_state(step) else {
-            return nothing;
+            return no_start;
         };
-        let free = |task: &super::TaskState| !task.done && task.placement.is_none();
+        let is_waiting = |task: &super::TaskState| !task.done && task.placement.is_none();
         let indices: Vec<u32> = (0..)
             .zip(&state.tasks)
-            .filter(|(_, task)| free(task))
+            .filter(|(_, task)| is_waiting(task))
             .map(|(index, _)| index)
             .collect();
         if plan.gang && indices.len() != state.tasks.len() {
             // A gang starts as a whole, so its remaining members have to end first.
-            return nothing;
+            return no_start;
         }
-        let placed = self.place_tasks(step, plan, &indices, doubt, now);
+        let placed = self.place_tasks(step, plan, &indices, unconfirmed_usage, now);
         if plan.gang && placed.runs.len() < indices.len() {
             for (id, run) in placed.runs {
                 self.release_claim(&id, &run);
                 self.clear_placement(&id, &run);
             }
-            return nothing;
+            return no_start;
         }
         if plan.long_running {
             self.update_starved(step, placed.runs.len() < indices.len(), now);
@@ -99,10 +99,10 @@
     fn has_exhausted_attempts(&self, step: &StepKey, plan: &model::work::StepPlan) -> bool {
         let job = self.job_table.jobs.get(&step.job);
         let queue = job.and_then(|job| self.policy.queue(&job.queue));
-        let most = queue.map_or(usize::MAX, |queue| queue.max_attempts.max(1) as usize);
+        let max_attempts = queue.map_or(usize::MAX, |queue| queue.max_attempts.max(1) as usize);
         let tasks = self.step_state(step).map(|state| state.tasks.as_slice());
-        let mut left = tasks.unwrap_or_default().iter().filter(|task| !task.done);
-        !plan.long_running && left.any(|task| task.failed_attempts.len() >= most)
+        let mut unfinished = tasks.unwrap_or_default().iter().filter(|task| !task.done);
+        !plan.long_running && unfinished.any(|task| task.failed_attempts.len() >= max_attempts)
     }
 
     fn update_starved(&mut self, step: &StepKey, starved: bool, now: SchedulerTime) {
@@ -119,7 +119,7 @@
         step: &StepKey,
         plan: &model::work::StepPlan,
         indices: &[u32],
-        doubt: &BTreeMap<WorkspaceId, ResourceVector>,
+        unconfirmed_usage: &BTreeMap<WorkspaceId, ResourceVector>,
         now: SchedulerTime,
     ) -> PlacedTasks {
         let mut placed = PlacedTasks::default();
@@ -131,7 +131,7 @@
         for &index in indices {
             if !plan
                 .resources
-                .fits_in(self.remaining_workspace_limit(&workspace, doubt))
+                .fits_in(self.remaining_workspace_limit(&workspace, unconfirmed_usage))
             {
                 self.mark_capped(&workspace, &pool);
                 break;
@@ -146,11 +146,11 @@
                 step: step.step,
                 index,
             };
-            let number = match (plan.gang, self.last_task_attempt(&key)) {
+            let attempt_number = match (plan.gang, self.last_task_attempt(&key)) {
                 (true, _) => attempt,
                 (false, last) => self.attempt_after(last),
             };
-            let run = (key, number);
+            let run = (key, attempt_number);
             self.claim(&id, run.clone());
             self.place_task(&id, &run, now);
             placed.runs.push((id, run));
@@ -168,9 +168,13 @@
     ) -> bool {
         let state = self.step_state(step);
         let task = state.and_then(|state| state.tasks.get(index as usize));
-        let free = task.is_some_and(|task| task.failed_on.is_empty());
-        let advised = state.is_some_and(|state| !state.tickets.is_empty());
-        free && !advised && !plan.gang && plan.required_label.is_empty() && plan.anti_affinity == 0
+        let never_failed = task.is_some_and(|task| task.failed_on.is_empty());
+        let has_tickets = state.is_some_and(|state| !state.tickets.is_empty());
+        never_failed
+            && !has_tickets
+            && !plan.gang
+            && plan.required_label.is_empty()
+            && plan.anti_affinity == 0
     }
 
     fn choose_target(
@@ -187,10 +191,17 @@
             WorkCounters::add(&self.counters.candidates, 1);
             self.targets.get(id)
         };
-        let of_pool = self.index.targets.of_pool(pool).filter_map(target);
-        let with_room = self.index.targets.with_capacity(pool, plan.footprint().cpu);
-        let with_room = with_room.filter_map(target);
-        if let Some(best) = pick_target(plan, state, task, with_room, of_pool.clone(), now.boot) {
+        let pool_targets = self.index.targets.of_pool(pool).filter_map(target);
+        let candidates = self.index.targets.with_capacity(pool, plan.footprint().cpu);
+        let candidates = candidates.filter_map(target);
+        if let Some(best) = pick_target(
+            plan,
+            state,
+            task,
+            candidates,
+            pool_targets.clone(),
+            now.boot,
+        ) {
             return Some(best.entry.target.clone());
         }
         // A service that lacks a task for long is worse than a host that is drained later, or than
@@ -199,7 +210,7 @@
         if now.boot.saturating_sub(*since) < STARVATION_TIMEOUT {
             return None;
         }
-        let best = pick_including_draining(plan, state, task, of_pool, now.boot)?;
+        let best = pick_including_draining(plan, state, task, pool_targets, now.boot)?;
         Some(best.entry.target.clone())
     }
 
--- a/crates/decide/src/work/scheduler_stop.rs
+++ b/crates/decide/src/work/scheduler_stop.rs
@@ -83,12 +83,12 @@
         run: &RunKey,
         now: SchedulerTime,
     ) {
-        let emptied = self.is_draining(id)
+        let draining = self.is_draining(id)
             || self
                 .targets
                 .get(id)
                 .is_some_and(|target| target.drain != HostDrainState::None);
-        if !emptied && self.stopping_placement(id, run).is_some() && self.is_long_running(run) {
+        if !draining && self.stopping_placement(id, run).is_some() && self.is_long_running(run) {
             self.withdraw_sent_stop(id, run, now);
         }
     }
@@ -115,8 +115,8 @@
     /// many unavailable tasks as allowed.
     fn stop_would_exceed_limit(&self, id: &HostId, run: &RunKey, now: SchedulerTime) -> bool {
         let place = self.stopping_placement(id, run);
-        let at_work = place.is_some_and(|place| place.confirmed && place.percent >= READY_PERCENT);
-        at_work && self.is_long_running(run) && !self.is_draining(id) && !self.may_disrupt(run, now)
+        let ready = place.is_some_and(|place| place.confirmed && place.percent >= READY_PERCENT);
+        ready && self.is_long_running(run) && !self.is_draining(id) && !self.may_disrupt(run, now)
     }
 
     /// Whether a start that is to be fenced may have been executed since the last report of its
@@ -124,11 +124,11 @@
     /// running task.
     fn stop_may_hit_started_task(&self, id: &HostId, run: &RunKey, now: SchedulerTime) -> bool {
         let target = self.targets.get(id);
-        let fresh = target.is_some_and(|target| {
+        let recent = target.is_some_and(|target| {
             now.boot.saturating_sub(target.last_response) < MAX_REPORT_AGE_FOR_STOP
         });
-        let closing = self.stopping_placement(id, run).is_some() && self.is_long_running(run);
-        closing && !fresh && !self.is_draining(id) && !self.may_disrupt(run, now)
+        let fencing = self.stopping_placement(id, run).is_some() && self.is_long_running(run);
+        fencing && !recent && !self.is_draining(id) && !self.may_disrupt(run, now)
     }
 
     fn poll_before_stop(&mut self, id: &HostId, run: &RunKey, now: SchedulerTime) {
--- a/crates/decide/src/work/scheduler_tick.rs
+++ b/crates/decide/src/work/scheduler_tick.rs
@@ -77,13 +77,13 @@
     }
 
     pub(super) fn open_occurrences(&mut self, now: SchedulerTime) {
-        let early = self.tuning.early_start;
+        let early_start = self.tuning.early_start;
         for id in &self.index.jobs.repeating {
             let Some(job) = self.job_table.jobs.get_mut_untracked(id) else {
                 continue;
             };
             let before = job.opened;
-            job.open_due_occurrences(now.unix, now.boot, early);
+            job.open_due_occurrences(now.unix, now.boot, early_start);
             if job.opened != before {
                 self.job_table.jobs.mark_changed(id);
             }
@@ -116,13 +116,13 @@
     }
 
     fn retry_stops(&mut self, now: SchedulerTime) {
-        let pause = self.tuning.stop_retry_interval;
+        let interval = self.tuning.stop_retry_interval;
         self.acknowledged_stops
-            .retain(|_, answered| now.boot.saturating_sub(*answered) < pause);
+            .retain(|_, answered| now.boot.saturating_sub(*answered) < interval);
         let due = self
             .pending_stops
             .iter()
-            .filter(|(_, sent)| now.boot.saturating_sub(**sent) >= pause);
+            .filter(|(_, sent)| now.boot.saturating_sub(**sent) >= interval);
         let due: Vec<_> = due.map(|(stop, _)| stop.clone()).collect();
         for (id, run) in due {
             let target = self.targets.get(&id);
@@ -163,8 +163,8 @@
                 self.replan_needed = true;
                 continue;
             }
-            let born = target.incarnation.started_at;
-            self.end_incarnation(&id, born, "lapsed", now);
+            let started_at = target.incarnation.started_at;
+            self.end_incarnation(&id, started_at, "lapsed", now);
         }
     }
 
@@ -173,9 +173,11 @@
         if self.is_mass_unresponsive(now) {
             self.mass_unresponsive_last = Some(now.boot);
         }
-        let silence = self.tuning.unresponsive_after;
-        let missed = self.mass_unresponsive_last;
-        if missed.is_none_or(|missed| now.boot.saturating_sub(missed) >= silence) {
+        let unresponsive_after = self.tuning.unresponsive_after;
+        let last_seen = self.mass_unresponsive_last;
+        if last_seen
+            .is_none_or(|last_seen| now.boot.saturating_sub(last_seen) >= unresponsive_after)
+        {
             self.mass_unresponsive_since = None;
             return false;
         }
@@ -203,8 +205,8 @@
     fn not_responding_exceeds(&self, share: usize, now: SchedulerTime) -> bool {
         let targets = &self.index.targets;
         let recently = now.boot.saturating_sub(RECENT_FAILURE_WINDOW) + Duration::from_nanos(1);
-        let unheard = targets.not_responding + targets.failed_since(recently);
-        unheard >= MIN_NOT_RESPONDING && unheard * share >= targets.listed
+        let not_responding = targets.not_responding + targets.failed_since(recently);
+        not_responding >= MIN_NOT_RESPONDING && not_responding * share >= targets.listed
     }
 
     /// Whether calls to so many targets fail that this owner's link may be saturated.
@@ -242,9 +244,10 @@
     /// Stops tasks that make no progress, to start them elsewhere. Some targets answer normally
     /// while none of their tasks progress.
     fn stop_stalled_runs(&mut self, now: SchedulerTime) {
-        let still = std::mem::take(&mut self.no_progress).into_iter();
-        let stalled: Vec<(HostId, RunKey)> =
-            still.filter(|(id, run)| self.is_stalled(id, run)).collect();
+        let candidates = std::mem::take(&mut self.no_progress).into_iter();
+        let stalled: Vec<(HostId, RunKey)> = candidates
+            .filter(|(id, run)| self.is_stalled(id, run))
+            .collect();
         let tuning = self.tuning;
         for (id, run) in stalled {
             self.emit(SchedulerEvent::Stalled(run.0.clone(), run.1, id.clone()));
--- a/crates/decide/src/work/scheduler_unreachable.rs
+++ b/crates/decide/src/work/scheduler_unreachable.rs
@@ -38,7 +38,7 @@
             attempt: run.1,
             seen: self.is_observed_running(id, run),
         });
-        let miss = TargetMiss {
+        let record = TargetMiss {
             target: id.to_string(),
             runs: runs.collect(),
         };
@@ -48,9 +48,9 @@
         }
         self.emit(SchedulerEvent::TargetUnreachable(
             id.clone(),
-            miss.runs.len(),
+            record.runs.len(),
         ));
-        self.append_log_entry(Event::Missed(miss), None, None);
+        self.append_log_entry(Event::Missed(record), None, None);
     }
 
     /// Records a target as used again once it responds.
@@ -68,15 +68,15 @@
 
     /// Adopts a predecessor's records of unreachable targets.
     pub(super) fn adopt_unreachable(&mut self, now: SchedulerTime) {
-        let missed: Vec<TargetMiss> = self.job_table.unreachable.values().cloned().collect();
-        for miss in missed {
-            let id = HostId::from(miss.target.as_str());
+        let records: Vec<TargetMiss> = self.job_table.unreachable.values().cloned().collect();
+        for record in records {
+            let id = HostId::from(record.target.as_str());
             let Some(target) = self.targets.get_mut(&id) else {
                 continue;
             };
             target.unreachable_recorded = true;
             target.recorded = false;
-            for run in &miss.runs {
+            for run in &record.runs {
                 let key = TaskKey {
                     job: run.job.as_str().into(),
                     occurrence: run.occurrence,
@@ -129,8 +129,8 @@
         if !place.from_record || place.target == *id || place.attempt >= *attempt {
             return;
         }
-        let (older, run) = (place.target.clone(), (key.clone(), place.attempt));
-        self.clear_placement(&older, &run);
+        let (older_target, run) = (place.target.clone(), (key.clone(), place.attempt));
+        self.clear_placement(&older_target, &run);
     }
 
     fn is_observed_running(&self, id: &HostId, run: &RunKey) -> bool {
--- a/crates/decide/src/work/work_scheduler.rs
+++ b/crates/decide/src/work/work_scheduler.rs
@@ -154,18 +154,18 @@
     }
 
     /// Replaces the settings of pools, queues and workspaces.
-    pub fn set_policy(&mut self, terms: Arc<FleetPolicy>) {
+    pub fn set_policy(&mut self, policy: Arc<FleetPolicy>) {
         for job in self.job_table.jobs.values_mut() {
-            if let Some(queue) = terms.queue(&job.queue) {
+            if let Some(queue) = policy.queue(&job.queue) {
                 job.pool = queue.pool.clone();
             }
         }
-        let limited = terms.workspaces.iter();
+        let limited = policy.workspaces.iter();
         let limited = limited.filter(|space| space.limit != ResourceVector::default());
         self.index.limits = limited
             .map(|space| (space.name.clone(), space.limit))
             .collect();
-        self.policy = terms;
+        self.policy = policy;
         self.replan_needed = true;
     }
 
@@ -189,29 +189,29 @@
             self.record_target_use(&id);
             return;
         };
-        let (born, known) = (entry.started_at, target.incarnation.started_at);
-        if !born.is_zero() && born < known {
+        let (started_at, known_start) = (entry.started_at, target.incarnation.started_at);
+        if !started_at.is_zero() && started_at < known_start {
             // A delayed entry of the previous incarnation.
             return;
         }
-        let reborn = !known.is_zero() && born > known;
-        if known.is_zero() {
-            target.incarnation.started_at = born;
+        let has_new_incarnation = !known_start.is_zero() && started_at > known_start;
+        if known_start.is_zero() {
+            target.incarnation.started_at = started_at;
         }
-        let moved = target.recorded && target.entry.pool != entry.pool;
+        let pool_changed = target.recorded && target.entry.pool != entry.pool;
         target.entry = entry;
         if !target.listed {
             target.listed = true;
             target.last_answered_call = now.boot;
         }
-        if moved {
+        if pool_changed {
             target.recorded = false;
         }
-        let (recorded, missed) = (target.recorded, target.unreachable_recorded);
-        if reborn {
-            self.end_incarnation(&id, born, "reborn", now);
+        let (recorded, unreachable) = (target.recorded, target.unreachable_recorded);
+        if has_new_incarnation {
+            self.end_incarnation(&id, started_at, "reborn", now);
         }
-        if !recorded && !missed {
+        if !recorded && !unreachable {
             self.record_target_use(&id);
         }
     }
@@ -233,20 +233,20 @@
     pub fn accept_job(&mut self, record: &JobRecord, now: SchedulerTime) {
         self.job_table.accept(record, now.unix, now.boot);
         self.classify_job_share(record, now);
-        let early = self.tuning.early_start;
+        let early_start = self.tuning.early_start;
         if let Some(job) = self.job_table.jobs.get_mut(record.job.as_str()) {
-            job.open_due_occurrences(now.unix, now.boot, early);
+            job.open_due_occurrences(now.unix, now.boot, early_start);
         }
     }
 
     fn classify_job_share(&mut self, record: &JobRecord, now: SchedulerTime) {
         let space = self.policy.workspace(&record.workspace);
         let weight = space.map_or(0, |space| space.weight);
-        let beyond = self
-            .shares
-            .record_job(&record.workspace.as_str().into(), weight, now.boot);
+        let beyond_share =
+            self.shares
+                .record_job(&record.workspace.as_str().into(), weight, now.boot);
         if let Some(job) = self.job_table.jobs.get_mut(record.job.as_str()) {
-            job.beyond_share = beyond;
+            job.beyond_share = beyond_share;
         }
     }
 
@@ -366,15 +366,15 @@
         let others = self.other_targets_at_address(entry);
         let mut others = others.iter().filter_map(|id| self.targets.get(id));
         others.any(|other| {
-            let lives = other.listed || !other.claims.is_empty();
-            lives && other.incarnation.started_at > entry.started_at
+            let is_live = other.listed || !other.claims.is_empty();
+            is_live && other.incarnation.started_at > entry.started_at
         })
     }
 
     /// Other targets at the address of an entry.
     fn other_targets_at_address(&self, entry: &TargetEntry) -> Vec<HostId> {
-        let there = self.index.targets.at_address(&entry.address);
-        let others = there.filter(|id| **id != entry.target);
+        let at_address = self.index.targets.at_address(&entry.address);
+        let others = at_address.filter(|id| **id != entry.target);
         others.cloned().collect()
     }
 
