--- a/crates/cell/src/log_writer.rs
+++ b/crates/cell/src/log_writer.rs
@@ -189,7 +189,7 @@
                 );
             }
             Some(Event::Cancelled(job)) => {
-                scheduler.cancel_job(&job.as_str().into(), now);
+                scheduler.cancel(&job.as_str().into(), now);
                 log_event::info(&event::JOB_CANCELLED, format_args!("job={job} page={page}"));
             }
             _ => {}
--- a/crates/cell/src/stored_cancellation.rs
+++ b/crates/cell/src/stored_cancellation.rs
@@ -158,7 +158,7 @@
         // A stored cancellation is durable, so it takes effect before it is in the log.
         let now = self.term.now();
         for job in &jobs {
-            self.term.scheduler.borrow_mut().cancel_job(job, now);
+            self.term.scheduler.borrow_mut().cancel(job, now);
         }
         self.term.wake.notify_one();
         self.term
--- a/crates/cell/src/target_orders.rs
+++ b/crates/cell/src/target_orders.rs
@@ -28,9 +28,7 @@
         SchedulerAction::Stop(id, order) => term.spawn(send_stop(cloned, id, order)),
         SchedulerAction::Throttle(id, order) => term.spawn(send_throttle(cloned, id, order)),
         SchedulerAction::Poll(id) => term.spawn(poll_at_once(cloned, id)),
-        SchedulerAction::RequestAdvice(key, targets) => {
-            term.spawn(request_advice(cloned, key, targets))
-        }
+        SchedulerAction::RequestAdvice(key, targets) => term.spawn(advise(cloned, key, targets)),
         // Actions for the log and for the term itself, which the term executes.
         SchedulerAction::AppendLog(_) | SchedulerAction::StepDown(_) => {}
     }
@@ -139,7 +137,7 @@
     poll_once(&term, &id, &address, order, permit).await;
 }
 
-async fn request_advice(term: Rc<Term>, key: TaskKey, targets: Vec<HostId>) {
+async fn advise(term: Rc<Term>, key: TaskKey, targets: Vec<HostId>) {
     let step = format!("{}.{}.{}", key.job, key.occurrence, key.step);
     let answer = term.ports.advice.request_tickets(&step, targets).await;
     let done = answer.is_ok();
--- a/crates/decide/src/work/desk_tick.rs
+++ b/crates/decide/src/work/desk_tick.rs
@@ -56,7 +56,7 @@
     }
 
     /// Applies a cancellation that has been stored.
-    pub fn cancel_job(&mut self, job: &JobId, now: SchedulerTime) {
+    pub fn cancel(&mut self, job: &JobId, now: SchedulerTime) {
         self.job_table.cancel(job, now.boot);
         self.stop_job_runs(job, now);
         self.replan_needed = true;
--- a/crates/decide/tests/desk/scene.rs
+++ b/crates/decide/tests/desk/scene.rs
@@ -189,7 +189,7 @@
 
     /// Cancels a job, as its caller wants.
     pub fn cancel(&mut self, job: &str) {
-        self.desk.cancel_job(&job.into(), self.now);
+        self.desk.cancel(&job.into(), self.now);
         self.stored.push(LogEntry {
             event: Some(Event::Cancelled(job.to_owned())),
         });
--- a/crates/decide/tests/desk/world_log.rs
+++ b/crates/decide/tests/desk/world_log.rs
@@ -303,9 +303,7 @@
         for (_, record) in records {
             match &record.entry.event {
                 Some(Event::Accepted(job)) => owner.desk.accept_job(job, self.now),
-                Some(Event::Cancelled(job)) => {
-                    owner.desk.cancel_job(&job.as_str().into(), self.now)
-                }
+                Some(Event::Cancelled(job)) => owner.desk.cancel(&job.as_str().into(), self.now),
                 _ => {}
             }
             owner.desk.handle_stored_entry(&record, self.now);
--- a/crates/decide/tests/quota_ends.rs
+++ b/crates/decide/tests/quota_ends.rs
@@ -65,7 +65,7 @@
         self.list.members.retain(|member| member.id != name);
         self.list.members.push(Member {
             id: name.to_owned(),
-            incarnation: incarnation,
+            incarnation,
             peer_address: name.to_owned(),
             ..Member::default()
         });
--- a/crates/decide/tests/work_targets.rs
+++ b/crates/decide/tests/work_targets.rs
@@ -238,7 +238,7 @@
 fn stray_run_is_stopped_once() {
     let (mut scene, starts) = DeskScene::started(1000, vec![step(1, 1000)]);
     let (id, start) = &starts[0];
-    scene.desk.cancel_job(&"a".into(), scene.now);
+    scene.desk.cancel(&"a".into(), scene.now);
     scene.run();
     assert_eq!(scene.stops(), 1);
     scene.answer_stop(id, start, scene.now.boot);
