--- a/crates/entry/examples/added_latency.rs
+++ b/crates/entry/examples/added_latency.rs
@@ -15,7 +15,7 @@
 
 use fake::{ExecutorFake, ExecutorSettings};
 use hdrhistogram::Histogram;
-use support::{BenchSetup, EntryBench, KEY, SERVICE};
+use support::{EntryFixture, FixtureSetup, KEY, SERVICE};
 use ureq::{Agent, config::Config};
 
 const SPAN: Duration = Duration::from_secs(3);
@@ -26,10 +26,10 @@
         .map(|_| ExecutorFake::start("127.0.0.1:0", settings()).unwrap())
         .collect();
     let addresses: Vec<String> = fakes.iter().map(ExecutorFake::address).collect();
-    let bench = EntryBench::start_at(&addresses, BenchSetup::default());
+    let fixture = EntryFixture::start_at(&addresses, FixtureSetup::default());
     let entry = format!(
         "http://{}/v1/services/{SERVICE}/requests",
-        bench.server.caller_address()
+        fixture.server.caller_address()
     );
     for callers in [1, 8, 32] {
         let direct: Vec<String> = addresses
@@ -74,8 +74,8 @@
 fn call(url: &str) -> Histogram<u64> {
     let agent: Agent = Config::builder().proxy(None).build().new_agent();
     let mut times = Histogram::new(3).unwrap();
-    let begun = Instant::now();
-    while begun.elapsed() < SPAN {
+    let started = Instant::now();
+    while started.elapsed() < SPAN {
         let sent = Instant::now();
         let reply = agent
             .post(url)
--- a/crates/entry/examples/idle_connections.rs
+++ b/crates/entry/examples/idle_connections.rs
@@ -15,18 +15,18 @@
     time::{Duration, Instant},
 };
 
-use support::{BenchSetup, EntryBench, RawTarget};
+use support::{EntryFixture, FixtureSetup, RawTarget};
 
 const SIZES: [usize; 4] = [0, 250, 1000, 2000];
 
 fn main() {
     println!("server, idle connections, threads, resident KB, one request ms");
     let target = RawTarget::echo();
-    let mut setup = BenchSetup::default();
+    let mut setup = FixtureSetup::default();
     setup.settings.max_connections = 4096;
     setup.tuning.address_percent = 100;
-    let bench = EntryBench::start_with(&[&target], setup);
-    measure("caller port", bench.server.caller_address());
+    let fixture = EntryFixture::start_with(&[&target], setup);
+    measure("caller port", fixture.server.caller_address());
     let server = tiny_http::Server::http("127.0.0.1:0").unwrap();
     let address = server.server_addr().to_ip().unwrap();
     thread::spawn(move || {
@@ -48,14 +48,14 @@
             })
             .collect();
         thread::sleep(Duration::from_millis(500));
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut stream = TcpStream::connect(address).unwrap();
         stream
             .write_all(b"GET /livez HTTP/1.1\r\nHost: e1\r\nConnection: close\r\n\r\n")
             .unwrap();
         let mut text = String::new();
         stream.read_to_string(&mut text).unwrap();
-        let elapsed = begun.elapsed();
+        let elapsed = started.elapsed();
         let (threads, memory) = read_status();
         println!(
             "{name}, {size}, {}, {}, {:.2}",
--- a/crates/entry/examples/retry_storm.rs
+++ b/crates/entry/examples/retry_storm.rs
@@ -18,7 +18,7 @@
 };
 
 use parking_lot::Mutex;
-use support::{BenchSetup, EntryBench, RawTarget, TargetReply};
+use support::{EntryFixture, FixtureSetup, RawTarget, TargetReply};
 
 const RATE: u32 = 200;
 const SPAN: Duration = Duration::from_secs(5);
@@ -31,11 +31,11 @@
 }
 
 fn run(name: &str, percent: u32, burst: u32) {
-    let begun = Instant::now();
+    let started = Instant::now();
     let arrivals: Arc<Mutex<Vec<Duration>>> = Arc::default();
     let behave = |arrivals: Arc<Mutex<Vec<Duration>>>| {
         move |call: &support::TargetCall| {
-            let now = begun.elapsed();
+            let now = started.elapsed();
             arrivals.lock().push(now);
             if fails_at(now) {
                 return TargetReply::Hangup;
@@ -45,19 +45,19 @@
         }
     };
     let targets = [(); 2].map(|()| RawTarget::start(behave(Arc::clone(&arrivals))));
-    let mut setup = BenchSetup::default();
+    let mut setup = FixtureSetup::default();
     setup.pool.budget = 2;
     setup.tuning.retry_percent = percent;
     setup.tuning.retry_burst = burst;
-    let bench = EntryBench::start_with(&targets.each_ref(), setup);
+    let fixture = EntryFixture::start_with(&targets.each_ref(), setup);
     let answered = Arc::new(AtomicUsize::new(0));
     let count = RATE * u32::try_from(SPAN.as_secs()).unwrap();
     let calls: Vec<_> = (0..count)
         .map(|number| {
             let due = SPAN * number / count;
-            thread::sleep(due.saturating_sub(begun.elapsed()));
+            thread::sleep(due.saturating_sub(started.elapsed()));
             let answered = Arc::clone(&answered);
-            let caller = bench
+            let caller = fixture
                 .caller()
                 .with("idempotent", "true")
                 .with("deadline-ms", "2000");
--- a/crates/entry/src/caller/routes.rs
+++ b/crates/entry/src/caller/routes.rs
@@ -117,7 +117,7 @@
         Err(problem) => return into_response(None, Err(qualify_fate(problem))),
     };
     let PreparedRequest { work, outcome } = prepared;
-    let id = work.request.clone();
+    let id = work.id.clone();
     let timeout = work.deadline.saturating_sub(arrived) + OUTCOME_GRACE;
     match port.admission.try_send(work) {
         Ok(()) => {}
@@ -170,12 +170,12 @@
     let pool = find_pool(port, &config, service)?;
     let head = RequestHead::read(request.headers(), port.max_deadline)?;
     let timeout = head.timeout.unwrap_or(port.tuning.default_deadline);
-    let (id, claim) = port.claims.resolve_id(head.request, head.idempotent)?;
+    let (id, needs_claim) = port.claims.resolve_id(head.request, head.idempotent)?;
     let mut reservation = port.budget.reservation(&verified.team);
     let body = read_body(port, request, &mut reservation, timeout).await?;
     let (reply, outcome) = ReplySlot::channel();
     let work = Box::new(CallerRequest {
-        request: id,
+        id,
         team: verified.team,
         fingerprint: verified.fingerprint,
         pool,
@@ -183,7 +183,7 @@
         deadline: arrived + timeout,
         idempotent: head.idempotent,
         urgent: head.urgent,
-        claim,
+        needs_claim,
         attempts: 0,
         may_have_run: false,
         content_type: head.content_type,
--- a/crates/entry/src/caller_request.rs
+++ b/crates/entry/src/caller_request.rs
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub(crate) struct CallerRequest {
     /// Its id.
-    pub request: RequestId,
+    pub id: RequestId,
     /// Team whose key came with it.
     pub team: TeamId,
     /// The key.
@@ -48,7 +48,7 @@
     /// Whether it goes before the other requests of its team.
     pub urgent: bool,
     /// Whether its id must be claimed at the host that minted it; false once it is.
-    pub claim: bool,
+    pub needs_claim: bool,
     /// Attempts made so far.
     pub attempts: u32,
     /// True once an attempt ended that a target may have run.
@@ -67,10 +67,10 @@
     /// Ids that entry hosts minted are unique. A caller's own id is not: two teams may use
     /// the same one at a time, and a target that crosses their answers would go unnoticed.
     pub fn target_id(&self) -> RequestId {
-        if MintedId::parse(&self.request).is_some() {
-            return self.request.clone();
+        if MintedId::parse(&self.id).is_some() {
+            return self.id.clone();
         }
-        RequestId::from(format!("{}:{}", self.team, self.request))
+        RequestId::from(format!("{}:{}", self.team, self.id))
     }
 
     /// Hands the caller its problem.
@@ -81,7 +81,7 @@
         if self.may_have_run && problem.fate == RunFate::NotRun {
             problem.fate = RunFate::MayHaveRun;
         }
-        problem.claimed = !self.claim;
+        problem.claimed = !self.needs_claim;
         self.reply.send(Err(problem));
     }
 }
--- a/crates/entry/src/dispatch/run_attempt.rs
+++ b/crates/entry/src/dispatch/run_attempt.rs
@@ -120,15 +120,15 @@
     }
 
     fn claim(&self, request: &mut CallerRequest) -> Option<AttemptEnd> {
-        if !request.claim {
+        if !request.needs_claim {
             return None;
         }
         let left = request.deadline.saturating_sub(self.clock.boot_now());
         let timeout = self.claim_timeout.min(left);
-        let verdict = self.claims.claim(&request.request, &request.team, timeout);
+        let verdict = self.claims.claim(&request.id, &request.team, timeout);
         let problem = match verdict {
             ClaimVerdict::First => {
-                request.claim = false;
+                request.needs_claim = false;
                 return None;
             }
             ClaimVerdict::Taken => "the Request-Id was used before, or is too old",
--- a/crates/entry/tests/bad_input.rs
+++ b/crates/entry/tests/bad_input.rs
@@ -7,16 +7,16 @@
 
 use ports::JobError;
 use rstest::rstest;
-use support::{BenchSetup, EntryBench, KEY, RawTarget, SERVICE, raw_exchange};
+use support::{EntryFixture, FixtureSetup, KEY, RawTarget, SERVICE, raw_exchange};
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-fn small_bench(target: &RawTarget) -> EntryBench {
-    let mut setup = BenchSetup::default();
+fn start_small_limits(target: &RawTarget) -> EntryFixture {
+    let mut setup = FixtureSetup::default();
     setup.settings.max_body = 1000;
     setup.tuning.body_timeout = Duration::from_millis(200);
     setup.tuning.head_timeout = Duration::from_millis(300);
-    EntryBench::start_with(&[target], setup)
+    EntryFixture::start_with(&[target], setup)
 }
 
 fn head(extra: &str) -> String {
@@ -36,8 +36,8 @@
 #[case::long(&format!("k1.{}", "x".repeat(400)))]
 fn key_refused(#[case] key: &str) {
     let target = RawTarget::echo();
-    let bench = small_bench(&target);
-    let reply = bench.caller().with_key(key).ask(b"x");
+    let fixture = start_small_limits(&target);
+    let reply = fixture.caller().with_key(key).ask(b"x");
     assert_eq!(reply.status, 401);
     assert_eq!(reply.problem(), "key-refused");
     assert_eq!(reply.fate(), "not-run");
@@ -47,10 +47,10 @@
 #[test]
 fn key_missing() {
     let target = RawTarget::echo();
-    let bench = small_bench(&target);
-    let reply = bench.caller().without("authorization").ask(b"x");
+    let fixture = start_small_limits(&target);
+    let reply = fixture.caller().without("authorization").ask(b"x");
     assert_eq!((reply.status, reply.fate().as_str()), (401, "not-run"));
-    let reply = bench.caller().with("authorization", "Basic k1").ask(b"x");
+    let reply = fixture.caller().with("authorization", "Basic k1").ask(b"x");
     assert_eq!((reply.status, reply.fate().as_str()), (401, "not-run"));
 }
 
@@ -70,8 +70,8 @@
 #[case::spaced_id("request-id", "a b", 400)]
 fn header_refused(#[case] name: &str, #[case] value: &str, #[case] status: u16) {
     let target = RawTarget::echo();
-    let bench = small_bench(&target);
-    let reply = bench.caller().with(name, value).ask(b"x");
+    let fixture = start_small_limits(&target);
+    let reply = fixture.caller().with(name, value).ask(b"x");
     assert_eq!(reply.status, status, "{}", reply.text());
     assert_eq!(reply.fate(), "not-run");
     assert!(!reply.json()["detail"].as_str().unwrap().is_empty());
@@ -85,8 +85,8 @@
 #[case::dots("/v1/services/../requests")]
 fn path_unknown(#[case] path: &str) {
     let target = RawTarget::echo();
-    let bench = small_bench(&target);
-    let reply = bench.caller().post(path, b"x");
+    let fixture = start_small_limits(&target);
+    let reply = fixture.caller().post(path, b"x");
     assert_eq!((reply.status, reply.fate().as_str()), (404, "not-run"));
     assert_eq!(target.call_count(), 0);
 }
@@ -94,24 +94,24 @@
 #[test]
 fn body_too_large() {
     let target = RawTarget::echo();
-    let bench = small_bench(&target);
-    let reply = bench.caller().ask(&[b'x'; 1001]);
+    let fixture = start_small_limits(&target);
+    let reply = fixture.caller().ask(&[b'x'; 1001]);
     assert_eq!((reply.status, reply.problem().as_str()), (413, "too-large"));
-    let reply = bench.caller().ask(&[b'x'; 1000]);
+    let reply = fixture.caller().ask(&[b'x'; 1000]);
     assert_eq!(reply.status, 200);
 }
 
 #[test]
 fn chunked_body_too_large() {
     let target = RawTarget::echo();
-    let bench = small_bench(&target);
+    let fixture = start_small_limits(&target);
     let mut bytes = head("Transfer-Encoding: chunked\r\n").into_bytes();
     for _ in 0..3 {
         bytes.extend_from_slice(b"190\r\n");
         bytes.extend_from_slice(&[b'x'; 400]);
         bytes.extend_from_slice(b"\r\n");
     }
-    let text = raw_exchange(bench.server.caller_address(), &bytes, TIMEOUT);
+    let text = raw_exchange(fixture.server.caller_address(), &bytes, TIMEOUT);
     assert!(text.starts_with("HTTP/1.1 413"), "{text}");
     assert_eq!(target.call_count(), 0);
 }
@@ -121,23 +121,23 @@
 #[test]
 fn body_truncated() {
     let target = RawTarget::echo();
-    let bench = small_bench(&target);
+    let fixture = start_small_limits(&target);
     {
         use std::io::Write;
-        let mut stream = std::net::TcpStream::connect(bench.server.caller_address()).unwrap();
+        let mut stream = std::net::TcpStream::connect(fixture.server.caller_address()).unwrap();
         let text = head("Content-Length: 100\r\n") + "half an order";
         stream.write_all(text.as_bytes()).unwrap();
     }
-    assert_eq!(bench.caller().ask(b"next").status, 200);
+    assert_eq!(fixture.caller().ask(b"next").status, 200);
     assert_eq!(target.call_count(), 1);
 }
 
 #[test]
 fn body_slow() {
     let target = RawTarget::echo();
-    let bench = small_bench(&target);
+    let fixture = start_small_limits(&target);
     let text = head("Content-Length: 100\r\n") + "x";
-    let reply = raw_exchange(bench.server.caller_address(), text.as_bytes(), TIMEOUT);
+    let reply = raw_exchange(fixture.server.caller_address(), text.as_bytes(), TIMEOUT);
     assert!(reply.starts_with("HTTP/1.1 408"), "{reply}");
     assert!(reply.contains("slow-sender") && reply.contains("not-run"));
     assert_eq!(target.call_count(), 0);
@@ -149,10 +149,10 @@
 #[case::idle_after_request("GET /livez HTTP/1.1\r\nHost: e1\r\n\r\n")]
 fn head_slow(#[case] bytes: &str) {
     let target = RawTarget::echo();
-    let bench = small_bench(&target);
-    let begun = std::time::Instant::now();
-    raw_exchange(bench.server.caller_address(), bytes.as_bytes(), TIMEOUT);
-    assert!(begun.elapsed() < TIMEOUT, "the connection was left open");
+    let fixture = start_small_limits(&target);
+    let started = std::time::Instant::now();
+    raw_exchange(fixture.server.caller_address(), bytes.as_bytes(), TIMEOUT);
+    assert!(started.elapsed() < TIMEOUT, "the connection was left open");
 }
 
 #[rstest]
@@ -164,8 +164,8 @@
 #[case::two_keys(&head("Authorization: Bearer k2.x\r\nContent-Length: 0\r\n"), "400")]
 fn request_malformed(#[case] bytes: &str, #[case] status: &str) {
     let target = RawTarget::echo();
-    let bench = small_bench(&target);
-    let text = raw_exchange(bench.server.caller_address(), bytes.as_bytes(), TIMEOUT);
+    let fixture = start_small_limits(&target);
+    let text = raw_exchange(fixture.server.caller_address(), bytes.as_bytes(), TIMEOUT);
     assert!(text.starts_with(&format!("HTTP/1.1 {status}")), "{text}");
     assert_eq!(target.call_count(), 0);
 }
@@ -173,23 +173,23 @@
 #[test]
 fn head_too_large() {
     let target = RawTarget::echo();
-    let bench = small_bench(&target);
+    let fixture = start_small_limits(&target);
     let bytes = head(&format!("X-Filler: {}\r\n", "x".repeat(100_000)));
-    let text = raw_exchange(bench.server.caller_address(), bytes.as_bytes(), TIMEOUT);
+    let text = raw_exchange(fixture.server.caller_address(), bytes.as_bytes(), TIMEOUT);
     assert!(
         text.starts_with("HTTP/1.1 431") || text.is_empty(),
         "{text}"
     );
     let bytes = head(&"X-Filler: x\r\n".repeat(200));
-    let text = raw_exchange(bench.server.caller_address(), bytes.as_bytes(), TIMEOUT);
+    let text = raw_exchange(fixture.server.caller_address(), bytes.as_bytes(), TIMEOUT);
     assert!(text.starts_with("HTTP/1.1 431"), "{text}");
 }
 
 #[test]
 fn job_round_trip() {
     let target = RawTarget::echo();
-    let bench = small_bench(&target);
-    let caller = bench
+    let fixture = start_small_limits(&target);
+    let caller = fixture
         .caller()
         .with("cores", "4")
         .with("run-time-ms", "90000");
@@ -201,7 +201,7 @@
     assert_eq!(cancelled.json()["phase"], "cancelled");
     let other = caller.clone().with_key(support::OTHER_KEY);
     assert_eq!(other.get(&format!("/v1/jobs/{job}")).status, 404);
-    let jobs = bench.jobs.jobs.lock();
+    let jobs = fixture.jobs.jobs.lock();
     assert_eq!(
         (jobs[0].cores, jobs[0].payload.as_slice()),
         (4, &b"weights"[..])
@@ -220,9 +220,9 @@
     #[case] again: bool,
 ) {
     let target = RawTarget::echo();
-    let bench = small_bench(&target);
-    *bench.jobs.fail.lock() = Some(cause);
-    let reply = bench
+    let fixture = start_small_limits(&target);
+    *fixture.jobs.fail.lock() = Some(cause);
+    let reply = fixture
         .caller()
         .post(&format!("/v1/services/{SERVICE}/jobs"), b"weights");
     assert_eq!((reply.status, reply.fate().as_str()), (status, fate));
@@ -235,11 +235,11 @@
 #[case::workspace("workspace", "of-another-team")]
 fn job_header_refused(#[case] name: &str, #[case] value: &str) {
     let target = RawTarget::echo();
-    let bench = small_bench(&target);
-    let reply = bench
+    let fixture = start_small_limits(&target);
+    let reply = fixture
         .caller()
         .with(name, value)
         .post(&format!("/v1/services/{SERVICE}/jobs"), b"weights");
     assert_eq!((reply.status, reply.fate().as_str()), (400, "not-run"));
-    assert!(bench.jobs.jobs.lock().is_empty());
+    assert!(fixture.jobs.jobs.lock().is_empty());
 }
--- a/crates/entry/tests/claims.rs
+++ b/crates/entry/tests/claims.rs
@@ -10,42 +10,42 @@
 };
 
 use ports::InboundMessage;
-use support::{BenchSetup, EntryBench, LinkMesh, RawTarget};
+use support::{EntryFixture, FixtureSetup, LinkMesh, RawTarget};
 use wire::peer::{ClaimReply, ClaimVerdict, envelope::Body};
 
 const MEMBERS: [(&str, u64); 3] = [("e1", 1), ("e2", 1), ("e3", 1)];
 
-fn host(target: &RawTarget, mesh: &Arc<LinkMesh>, own: usize) -> EntryBench {
-    host_of(target, mesh, own, MEMBERS.to_vec())
+fn entry_host(target: &RawTarget, mesh: &Arc<LinkMesh>, own: usize) -> EntryFixture {
+    entry_host_with_members(target, mesh, own, MEMBERS.to_vec())
 }
 
-fn host_of(
+fn entry_host_with_members(
     target: &RawTarget,
     mesh: &Arc<LinkMesh>,
     own: usize,
     members: Vec<(&'static str, u64)>,
-) -> EntryBench {
-    let setup = BenchSetup {
+) -> EntryFixture {
+    let setup = FixtureSetup {
         members,
         own,
         mesh: Arc::clone(mesh),
-        ..BenchSetup::default()
+        ..FixtureSetup::default()
     };
-    EntryBench::start_with(&[target], setup)
+    EntryFixture::start_with(&[target], setup)
 }
 
 /// A franchisee's order times out at the caller, and the caller sends it again through
 /// another entry host. The order must not be placed twice.
 #[test]
-fn repeat_through_another_host() {
+fn claim_repeated_through_another_host() {
     let target = RawTarget::echo();
     let mesh = Arc::default();
-    let hosts: Vec<EntryBench> = (0..3).map(|own| host(&target, &mesh, own)).collect();
+    let hosts: Vec<EntryFixture> = (0..3).map(|own| entry_host(&target, &mesh, own)).collect();
     let id = hosts[0].caller().mint();
     let first = hosts[1].caller().with("request-id", &id).ask(b"order");
     assert_eq!((first.status, first.request.as_str()), (200, id.as_str()));
-    for bench in &hosts {
-        let again = bench.caller().with("request-id", &id).ask(b"order");
+    for fixture in &hosts {
+        let again = fixture.caller().with("request-id", &id).ask(b"order");
         assert_eq!((again.status, again.problem().as_str()), (409, "duplicate"));
         assert_eq!(again.fate(), "may-have-run");
     }
@@ -54,15 +54,15 @@
 
 /// The balancer and an impatient caller send the same order through all hosts at once.
 #[test]
-fn repeat_at_once() {
+fn claim_concurrent_repeats() {
     let target = RawTarget::echo();
     let mesh = Arc::default();
-    let hosts: Vec<EntryBench> = (0..3).map(|own| host(&target, &mesh, own)).collect();
+    let hosts: Vec<EntryFixture> = (0..3).map(|own| entry_host(&target, &mesh, own)).collect();
     for round in 0..20 {
         let id = hosts[round % 3].caller().mint();
         let calls: Vec<_> = hosts
             .iter()
-            .flat_map(|bench| [bench.caller(), bench.caller()])
+            .flat_map(|fixture| [fixture.caller(), fixture.caller()])
             .map(|caller| {
                 let caller = caller.with("request-id", &id);
                 thread::spawn(move || caller.ask(b"order").status)
@@ -77,14 +77,14 @@
 
 /// The id that a request got without asking for one must not serve for a second run.
 #[test]
-fn repeat_of_minted_on_arrival() {
+fn claim_of_id_minted_on_arrival() {
     let target = RawTarget::echo();
     let mesh = Arc::default();
-    let bench = host(&target, &mesh, 0);
-    let other = host(&target, &mesh, 1);
-    let first = bench.caller().ask(b"order");
-    for bench in [&bench, &other] {
-        let again = bench
+    let fixture = entry_host(&target, &mesh, 0);
+    let other = entry_host(&target, &mesh, 1);
+    let first = fixture.caller().ask(b"order");
+    for fixture in [&fixture, &other] {
+        let again = fixture
             .caller()
             .with("request-id", &first.request)
             .ask(b"order");
@@ -96,20 +96,20 @@
 /// The host that minted the id left the list, or started anew and remembers nothing. No
 /// one can say whether the order was placed, so it isn't placed now.
 #[test]
-fn home_gone() {
+fn claim_home_gone() {
     let target = RawTarget::echo();
     let mesh = Arc::default();
-    let old_home = host(&target, &mesh, 0);
+    let old_home = entry_host(&target, &mesh, 0);
     let id = old_home.caller().mint();
-    let unknown_home = host_of(&target, &mesh, 0, vec![("e2", 1), ("e3", 1)]);
-    let reborn_home = host_of(&target, &mesh, 1, vec![("e1", 2), ("e3", 1)]);
-    for bench in [&unknown_home, &reborn_home] {
-        let reply = bench.caller().with("request-id", &id).ask(b"order");
+    let unknown_home = entry_host_with_members(&target, &mesh, 0, vec![("e2", 1), ("e3", 1)]);
+    let restarted_home = entry_host_with_members(&target, &mesh, 1, vec![("e1", 2), ("e3", 1)]);
+    for fixture in [&unknown_home, &restarted_home] {
+        let reply = fixture.caller().with("request-id", &id).ask(b"order");
         assert_eq!((reply.status, reply.fate().as_str()), (409, "may-have-run"));
     }
     // The reborn home itself, asked directly.
-    let reborn = host_of(&target, &mesh, 0, vec![("e1", 2), ("e3", 1)]);
-    let reply = reborn.caller().with("request-id", &id).ask(b"order");
+    let restarted = entry_host_with_members(&target, &mesh, 0, vec![("e1", 2), ("e3", 1)]);
+    let reply = restarted.caller().with("request-id", &id).ask(b"order");
     assert_eq!((reply.status, reply.fate().as_str()), (409, "may-have-run"));
     assert_eq!(target.call_count(), 0);
 }
@@ -120,14 +120,14 @@
 fn claim_message_lost() {
     let target = RawTarget::echo();
     let mesh: Arc<LinkMesh> = Arc::default();
-    let home = host(&target, &mesh, 0);
-    let other = host(&target, &mesh, 1);
+    let home = entry_host(&target, &mesh, 0);
+    let other = entry_host(&target, &mesh, 1);
     let id = home.caller().mint();
-    mesh.lose.store(1, Ordering::Release);
+    mesh.messages_to_drop.store(1, Ordering::Release);
     let reply = other.caller().with("request-id", &id).ask(b"order");
     assert_eq!(reply.status, 200, "{}", reply.text());
     let id = home.caller().mint();
-    mesh.lose_replies.store(1, Ordering::Release);
+    mesh.replies_to_drop.store(1, Ordering::Release);
     let reply = other.caller().with("request-id", &id).ask(b"order");
     assert_eq!(reply.status, 200, "{}", reply.text());
     assert_eq!(target.call_count(), 2);
@@ -136,31 +136,31 @@
 /// The home is cut off and answers nothing. The caller gets its final answer well before
 /// its deadline, and nothing is run.
 #[test]
-fn home_silent() {
+fn claim_home_unresponsive() {
     let target = RawTarget::echo();
     let mesh: Arc<LinkMesh> = Arc::default();
-    let home = host(&target, &mesh, 0);
-    let other = host(&target, &mesh, 1);
+    let home = entry_host(&target, &mesh, 0);
+    let other = entry_host(&target, &mesh, 1);
     let id = home.caller().mint();
-    mesh.lose.store(u32::MAX, Ordering::Release);
-    let begun = std::time::Instant::now();
+    mesh.messages_to_drop.store(u32::MAX, Ordering::Release);
+    let started = std::time::Instant::now();
     let caller = other.caller().with("request-id", &id);
     let reply = caller.with("deadline-ms", "60000").ask(b"order");
     assert_eq!((reply.status, reply.fate().as_str()), (409, "may-have-run"));
-    assert!(begun.elapsed() < Duration::from_secs(30));
+    assert!(started.elapsed() < Duration::from_secs(30));
     assert_eq!(target.call_count(), 0);
 }
 
 /// Another team guesses an id and tries it first. It is refused, and the owner's order
 /// still runs.
 #[test]
-fn id_of_another_team() {
+fn claim_by_another_team() {
     let target = RawTarget::echo();
     let mesh = Arc::default();
-    let home = host(&target, &mesh, 0);
+    let home = entry_host(&target, &mesh, 0);
     let id = home.caller().mint();
-    let thief = home.caller().with_key(support::OTHER_KEY);
-    assert_eq!(thief.with("request-id", &id).ask(b"x").status, 409);
+    let other_team = home.caller().with_key(support::OTHER_KEY);
+    assert_eq!(other_team.with("request-id", &id).ask(b"x").status, 409);
     let owner = home.caller().with("request-id", &id).ask(b"order");
     assert_eq!(owner.status, 200);
     assert_eq!(target.call_count(), 1);
@@ -169,19 +169,19 @@
 /// While the home is cut off, replies that are not its own arrive: from another host, and
 /// from an earlier life of the home. Neither may let the order run.
 #[test]
-fn reply_of_another_host() {
+fn claim_reply_from_wrong_member() {
     let target = RawTarget::echo();
     let mesh: Arc<LinkMesh> = Arc::default();
-    let home = host(&target, &mesh, 0);
-    let other = host(&target, &mesh, 1);
+    let home = entry_host(&target, &mesh, 0);
+    let other = entry_host(&target, &mesh, 1);
     let id = home.caller().mint();
-    let (inbox, questions) = crossbeam_channel::bounded(16);
+    let (inbox, requests) = crossbeam_channel::bounded(16);
     mesh.inboxes.lock().insert("e1".into(), inbox);
     let answers = mesh.inboxes.lock()["e2"].clone();
     let forging = thread::spawn(move || {
         let mut forged = 0;
-        while let Ok(question) = questions.recv_timeout(Duration::from_secs(5)) {
-            let Body::ClaimRequest(request) = question.body else {
+        while let Ok(message) = requests.recv_timeout(Duration::from_secs(5)) {
+            let Body::ClaimRequest(request) = message.body else {
                 continue;
             };
             for (from, incarnation) in [("e3", 1), ("e1", 0), ("e1", 2)] {
@@ -211,10 +211,10 @@
 /// refused before its claim with "not run", and so the caller ordered anew. The refusal
 /// was true of the repetition only. At the id's home too, and for a refused key.
 #[test]
-fn repeat_refused_leaves_doubt() {
+fn refusal_of_repeat_is_uncertain() {
     let target = RawTarget::echo();
     let mesh = Arc::default();
-    let hosts: Vec<EntryBench> = (0..2).map(|own| host(&target, &mesh, own)).collect();
+    let hosts: Vec<EntryFixture> = (0..2).map(|own| entry_host(&target, &mesh, own)).collect();
     let id = hosts[0].caller().mint();
     assert_eq!(
         hosts[1]
@@ -224,15 +224,18 @@
             .status,
         200
     );
-    for bench in &hosts {
-        bench.slots.slots.lock().insert("t0".into(), 0);
-        bench.renew_slots();
-        let again = bench
+    for fixture in &hosts {
+        fixture.slots.slots.lock().insert("t0".into(), 0);
+        fixture.renew_slots();
+        let again = fixture
             .caller()
             .with("request-id", &id)
             .with("deadline-ms", "300");
         assert_eq!(again.ask(b"order").fate(), "may-have-run");
-        let refused = bench.caller().with_key("k1.wrong").with("request-id", &id);
+        let refused = fixture
+            .caller()
+            .with_key("k1.wrong")
+            .with("request-id", &id);
         assert_eq!(refused.ask(b"order").fate(), "may-have-run");
     }
     assert_eq!(target.call_count(), 1);
@@ -240,13 +243,13 @@
 
 /// The first use of an id is refused at its home: nobody has claimed it, so it was not run.
 #[test]
-fn first_use_refused_is_not_run() {
+fn refusal_of_first_use_is_not_run() {
     let target = RawTarget::echo();
-    let bench = host(&target, &Arc::default(), 0);
-    let id = bench.caller().mint();
-    bench.slots.slots.lock().insert("t0".into(), 0);
-    bench.renew_slots();
-    let refused = bench
+    let fixture = entry_host(&target, &Arc::default(), 0);
+    let id = fixture.caller().mint();
+    fixture.slots.slots.lock().insert("t0".into(), 0);
+    fixture.renew_slots();
+    let refused = fixture
         .caller()
         .with("request-id", &id)
         .with("deadline-ms", "300");
@@ -256,10 +259,10 @@
 /// A member's batch is recorded and its answer lost; the caller submits it again, and the
 /// balancer sends that to another entry host. Run twice, it would put wrong estimates out.
 #[test]
-fn job_again_through_another_host() {
+fn job_repeated_through_another_host() {
     let target = RawTarget::echo();
     let mesh = Arc::default();
-    let hosts: Vec<EntryBench> = (0..3).map(|own| host(&target, &mesh, own)).collect();
+    let hosts: Vec<EntryFixture> = (0..3).map(|own| entry_host(&target, &mesh, own)).collect();
     let path = format!("/v1/services/{}/jobs", support::SERVICE);
     let id = hosts[0].caller().mint();
     let submit = |own: usize| {
@@ -271,7 +274,10 @@
         let again = submit(own);
         assert_eq!((again.status, again.fate().as_str()), (409, "may-have-run"));
     }
-    let recorded: usize = hosts.iter().map(|bench| bench.jobs.jobs.lock().len()).sum();
+    let recorded: usize = hosts
+        .iter()
+        .map(|fixture| fixture.jobs.jobs.lock().len())
+        .sum();
     assert_eq!(recorded, 1);
     *hosts[2].jobs.fail.lock() = Some(ports::JobError::QueueFull);
     let refused = hosts[2]
--- a/crates/entry/tests/fault_storm.rs
+++ b/crates/entry/tests/fault_storm.rs
@@ -20,7 +20,7 @@
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use rstest::rstest;
-use support::{BenchSetup, CallReply, Caller, EntryBench, OTHER_KEY, OTHER_TEAM, TEAM};
+use support::{CallReply, Caller, EntryFixture, FixtureSetup, OTHER_KEY, OTHER_TEAM, TEAM};
 
 const HOSTS: usize = 3;
 const TARGETS: usize = 4;
@@ -30,7 +30,7 @@
 const UNITS: u32 = 2;
 
 /// What one caller was told of one request, over all its repetitions.
-struct Told {
+struct CallRecord {
     nonce: String,
     idempotent: bool,
     replies: Vec<CallReply>,
@@ -49,26 +49,26 @@
     let hosts = entry_hosts(&executors);
     let over = Arc::new(AtomicBool::new(false));
     let addresses: Vec<String> = executors.iter().map(ExecutorFake::address).collect();
-    let chaos = {
+    let disturber = {
         let over = Arc::clone(&over);
-        thread::spawn(move || upset(seed, &addresses, &over))
+        thread::spawn(move || disturb_targets(seed, &addresses, &over))
     };
     let callers: Vec<_> = (0..CALLERS)
         .map(|caller| {
-            let ports: Vec<Caller> = hosts.iter().map(EntryBench::caller).collect();
-            thread::spawn(move || call_all(seed, caller, &ports))
+            let ports: Vec<Caller> = hosts.iter().map(EntryFixture::caller).collect();
+            thread::spawn(move || run_caller(seed, caller, &ports))
         })
         .collect();
-    let told: Vec<Told> = callers
+    let records: Vec<CallRecord> = callers
         .into_iter()
         .flat_map(|caller| caller.join().unwrap())
         .collect();
     over.store(true, Ordering::Release);
-    chaos.join().unwrap();
+    disturber.join().unwrap();
     // What was lost may still run until its deadline.
     thread::sleep(Duration::from_secs(1));
     let runs: Vec<RunRecord> = executors.iter().flat_map(ExecutorFake::runs).collect();
-    check_outcomes(&told, &runs);
+    check_outcomes(&records, &runs);
     check_limits(&runs);
     let surplus: u64 = executors
         .iter()
@@ -95,59 +95,59 @@
     executor
 }
 
-fn entry_hosts(executors: &[ExecutorFake]) -> Vec<EntryBench> {
+fn entry_hosts(executors: &[ExecutorFake]) -> Vec<EntryFixture> {
     let addresses: Vec<String> = executors.iter().map(ExecutorFake::address).collect();
     let mesh = Arc::default();
     let host = |own| {
-        let setup = BenchSetup {
+        let setup = FixtureSetup {
             slots: 2,
             members: vec![("e1", 1), ("e2", 1), ("e3", 1)],
             own,
             mesh: Arc::clone(&mesh),
-            ..BenchSetup::default()
+            ..FixtureSetup::default()
         };
-        let bench = EntryBench::start_at(&addresses, setup);
+        let fixture = EntryFixture::start_at(&addresses, setup);
         for team in [TEAM, OTHER_TEAM] {
-            bench.quotas.limits.lock().insert(team.into(), UNITS);
+            fixture.quotas.limits.lock().insert(team.into(), UNITS);
         }
-        bench
+        fixture
     };
     (0..HOSTS).map(host).collect()
 }
 
 /// Drains and reboots targets in turn.
-fn upset(seed: u64, addresses: &[String], over: &AtomicBool) {
-    let mut dice = StdRng::seed_from_u64(seed);
+fn disturb_targets(seed: u64, addresses: &[String], over: &AtomicBool) {
+    let mut rng = StdRng::seed_from_u64(seed);
     while !over.load(Ordering::Acquire) {
-        let address = &addresses[dice.random_range(0..addresses.len())];
-        let call = if dice.random_bool(0.5) {
+        let address = &addresses[rng.random_range(0..addresses.len())];
+        let call = if rng.random_bool(0.5) {
             "drain"
         } else {
             "reboot"
         };
         // A target that is away refuses the call, as it does others.
         let _ = ureq::post(format!("http://{address}/v1/{call}")).send_empty();
-        thread::sleep(Duration::from_millis(dice.random_range(50..300)));
+        thread::sleep(Duration::from_millis(rng.random_range(50..300)));
         let _ = ureq::post(format!("http://{address}/v1/undrain")).send_empty();
     }
 }
 
-fn call_all(seed: u64, caller: u64, ports: &[Caller]) -> Vec<Told> {
-    let mut dice = StdRng::seed_from_u64(seed * 1000 + caller);
+fn run_caller(seed: u64, caller: u64, ports: &[Caller]) -> Vec<CallRecord> {
+    let mut rng = StdRng::seed_from_u64(seed * 1000 + caller);
     (0..REQUESTS)
-        .map(|number| call_one(&mut dice, &format!("{caller}-{number}"), ports))
+        .map(|number| send_with_repeats(&mut rng, &format!("{caller}-{number}"), ports))
         .collect()
 }
 
-fn call_one(dice: &mut StdRng, nonce: &str, ports: &[Caller]) -> Told {
-    let idempotent = dice.random_bool(0.4);
+fn send_with_repeats(rng: &mut StdRng, nonce: &str, ports: &[Caller]) -> CallRecord {
+    let idempotent = rng.random_bool(0.4);
     let order = WorkOrder {
-        service: Some(Duration::from_millis(dice.random_range(1..30))),
-        answer: Some(dice.random_range(1..20_000)),
+        service: Some(Duration::from_millis(rng.random_range(1..30))),
+        answer: Some(rng.random_range(1..20_000)),
         nonce: nonce.to_owned(),
     };
     let body = order.body(0);
-    let mut port = || ports[dice.random_range(0..ports.len())].clone();
+    let mut port = || ports[rng.random_range(0..ports.len())].clone();
     let key = if nonce.len().is_multiple_of(2) {
         support::KEY
     } else {
@@ -168,7 +168,7 @@
             break;
         }
     }
-    Told {
+    CallRecord {
         nonce: nonce.to_owned(),
         idempotent,
         replies,
@@ -176,35 +176,35 @@
     }
 }
 
-fn check_outcomes(told: &[Told], runs: &[RunRecord]) {
+fn check_outcomes(records: &[CallRecord], runs: &[RunRecord]) {
     let mut counts: HashMap<&str, usize> = HashMap::new();
     for run in runs {
         *counts.entry(&run.nonce).or_default() += 1;
     }
     let mut answered = 0;
-    for told in told {
-        let nonce = &told.nonce;
+    for record in records {
+        let nonce = &record.nonce;
         let runs = counts.get(nonce.as_str()).copied().unwrap_or_default();
-        if !told.idempotent {
+        if !record.idempotent {
             assert!(runs <= 1, "{nonce} ran {runs} times");
         }
-        for reply in &told.replies {
+        for reply in &record.replies {
             if reply.status == 200 {
                 answered += 1;
-                assert!(reply.body == told.expected, "{nonce} got a wrong answer");
+                assert!(reply.body == record.expected, "{nonce} got a wrong answer");
                 assert!(runs >= 1, "{nonce} was answered and did not run");
             }
         }
         let never = |reply: &CallReply| reply.status != 200 && reply.fate() == "not-run";
-        if told.replies.iter().all(never) {
+        if record.replies.iter().all(never) {
             assert_eq!(runs, 0, "{nonce} was told not-run only");
         }
     }
     // A storm that answers nobody would prove nothing.
     assert!(
-        answered * 2 > told.len(),
+        answered * 2 > records.len(),
         "{answered} of {} answered",
-        told.len()
+        records.len()
     );
 }
 
--- a/crates/entry/tests/floods.rs
+++ b/crates/entry/tests/floods.rs
@@ -14,7 +14,7 @@
     time::{Duration, Instant},
 };
 
-use support::{BenchSetup, EntryBench, KEY, OTHER_KEY, RawTarget, SERVICE, TargetReply};
+use support::{EntryFixture, FixtureSetup, KEY, OTHER_KEY, RawTarget, SERVICE, TargetReply};
 
 const TIMEOUT: Duration = Duration::from_secs(30);
 
@@ -47,10 +47,10 @@
         }
     };
     let targets = [(); 4].map(|()| RawTarget::start(answer(Arc::clone(&calls))));
-    let bench = EntryBench::start(&targets.each_ref());
+    let fixture = EntryFixture::start(&targets.each_ref());
     let calling: Vec<_> = (0..200)
         .map(|number| {
-            let caller = bench
+            let caller = fixture
                 .caller()
                 .with("deadline-ms", "60000")
                 .with("idempotent", "true");
@@ -80,10 +80,10 @@
 #[test]
 fn large_bodies_of_many_callers() {
     let target = RawTarget::echo();
-    let bench = EntryBench::start(&[&target]);
+    let fixture = EntryFixture::start(&[&target]);
     let calls: Vec<_> = (0..200)
         .map(|number| {
-            let caller = bench.caller().with("deadline-ms", "60000");
+            let caller = fixture.caller().with("deadline-ms", "60000");
             thread::Builder::new()
                 .stack_size(256 * 1024)
                 .spawn(move || {
@@ -101,12 +101,12 @@
 
 /// Hundreds of callers send a byte and stop. Others are answered as if they were not there.
 #[test]
-fn slow_senders_starve_nobody() {
+fn slow_senders_do_not_block_others() {
     let target = RawTarget::echo();
-    let bench = EntryBench::start(&[&target]);
+    let fixture = EntryFixture::start(&[&target]);
     let slow: Vec<TcpStream> = (0..400)
         .map(|_| {
-            let mut stream = TcpStream::connect(bench.server.caller_address()).unwrap();
+            let mut stream = TcpStream::connect(fixture.server.caller_address()).unwrap();
             stream
                 .write_all((head(KEY, 1000) + "x").as_bytes())
                 .unwrap();
@@ -114,7 +114,7 @@
         })
         .collect();
     for _ in 0..20 {
-        let reply = bench.caller().with_key(OTHER_KEY).ask(b"quote");
+        let reply = fixture.caller().with_key(OTHER_KEY).ask(b"quote");
         assert_eq!(reply.status, 200);
     }
     assert_eq!(target.call_count(), 20);
@@ -123,12 +123,12 @@
 
 /// Connections beyond the bound are told so at once, and those within it go on.
 #[test]
-fn flood_refused_at_once() {
+fn connection_limit_refused_at_once() {
     let target = RawTarget::echo();
-    let mut setup = BenchSetup::default();
+    let mut setup = FixtureSetup::default();
     setup.settings.max_connections = 10;
-    let bench = EntryBench::start_with(&[&target], setup);
-    let address = bench.server.caller_address();
+    let fixture = EntryFixture::start_with(&[&target], setup);
+    let address = fixture.server.caller_address();
     let mut first = TcpStream::connect(address).unwrap();
     exchange_livez(&mut first);
     let held: Vec<TcpStream> = (0..9)
@@ -155,14 +155,14 @@
 /// One address floods the port. The bound of each address leaves room for the others;
 /// here a caller from another loopback address.
 #[test]
-fn flood_from_one_address() {
+fn connection_limit_per_address() {
     let target = RawTarget::echo();
-    let mut setup = BenchSetup::default();
+    let mut setup = FixtureSetup::default();
     setup.settings.caller_address = "0.0.0.0:0".to_owned();
     setup.settings.max_connections = 10;
     setup.tuning.address_percent = 50;
-    let bench = EntryBench::start_with(&[&target], setup);
-    let port = bench.server.caller_address().port();
+    let fixture = EntryFixture::start_with(&[&target], setup);
+    let port = fixture.server.caller_address().port();
     let held: Vec<TcpStream> = (0..5)
         .map(|_| TcpStream::connect(("127.0.0.1", port)).unwrap())
         .collect();
@@ -182,13 +182,13 @@
 #[test]
 fn body_memory_bounded_by_team() {
     let target = RawTarget::echo();
-    let mut setup = BenchSetup::default();
+    let mut setup = FixtureSetup::default();
     setup.tuning.body_memory = 150_000;
     setup.tuning.body_timeout = TIMEOUT;
-    let bench = EntryBench::start_with(&[&target], setup);
+    let fixture = EntryFixture::start_with(&[&target], setup);
     let slow: Vec<TcpStream> = (0..8)
         .map(|_| {
-            let mut stream = TcpStream::connect(bench.server.caller_address()).unwrap();
+            let mut stream = TcpStream::connect(fixture.server.caller_address()).unwrap();
             stream.write_all(head(KEY, 40_000).as_bytes()).unwrap();
             let _ = stream.write_all(&[b'x'; 30_000]);
             stream
@@ -200,7 +200,7 @@
         assert!(Instant::now() < until, "fewer than five were refused");
         thread::sleep(Duration::from_millis(5));
     }
-    let reply = bench.caller().with_key(OTHER_KEY).ask(&[b'y'; 50_000]);
+    let reply = fixture.caller().with_key(OTHER_KEY).ask(&[b'y'; 50_000]);
     assert_eq!(reply.status, 200, "{}", reply.text());
     for mut stream in slow.into_iter().filter(has_answer) {
         let mut start = [0; 12];
@@ -221,19 +221,19 @@
 /// A caller asks for a large answer and never reads it. Its connection ends, and with it
 /// the memory of its answer.
 #[test]
-fn slow_reader_cut() {
+fn slow_reader_disconnected() {
     let target = RawTarget::start(|_| TargetReply::Answer(vec![b'x'; LARGE]));
-    let mut setup = BenchSetup::default();
+    let mut setup = FixtureSetup::default();
     setup.settings.max_body = LARGE;
     setup.tuning.answer_memory = LARGE * 3 / 2;
     setup.tuning.write_window = Duration::from_secs(1);
-    let bench = EntryBench::start_with(&[&target], setup);
-    let mut stream = TcpStream::connect(bench.server.caller_address()).unwrap();
+    let fixture = EntryFixture::start_with(&[&target], setup);
+    let mut stream = TcpStream::connect(fixture.server.caller_address()).unwrap();
     stream.write_all((head(KEY, 1) + "x").as_bytes()).unwrap();
     stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     assert_eq!(stream.peek(&mut [0]).unwrap(), 1);
     // The team's part of the memory holds one such answer; this one waits for it.
-    let reply = bench.caller().with("deadline-ms", "30000").ask(b"y");
+    let reply = fixture.caller().with("deadline-ms", "30000").ask(b"y");
     assert_eq!((reply.status, reply.body.len()), (200, LARGE));
     stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let mut rest = Vec::new();
--- a/crates/entry/tests/queues.rs
+++ b/crates/entry/tests/queues.rs
@@ -16,11 +16,11 @@
 use ports::TeamUse;
 use rstest::rstest;
 use support::{
-    BenchSetup, CallReply, Caller, EntryBench, JumpClock, OTHER_KEY, OTHER_TEAM, RawTarget,
+    CallReply, Caller, EntryFixture, FixtureSetup, JumpClock, OTHER_KEY, OTHER_TEAM, RawTarget,
     StepClock, TEAM, TargetReply,
 };
 
-const GENEROUS: Duration = Duration::from_secs(20);
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 fn slow_target(service: Duration) -> RawTarget {
     RawTarget::start(move |call| {
@@ -43,7 +43,7 @@
 }
 
 /// A target whose work takes `service` of the clock that its entry server goes by.
-fn step_target(clock: &Arc<StepClock>, service: Duration) -> RawTarget {
+fn stepped_target(clock: &Arc<StepClock>, service: Duration) -> RawTarget {
     let clock = Arc::clone(clock);
     RawTarget::start(move |call| {
         clock.step(service);
@@ -51,57 +51,57 @@
     })
 }
 
-fn one_slot() -> BenchSetup {
-    BenchSetup {
+fn one_slot() -> FixtureSetup {
+    FixtureSetup {
         slots: 1,
-        ..BenchSetup::default()
+        ..FixtureSetup::default()
     }
 }
 
-fn one_slot_by(clock: Arc<StepClock>) -> BenchSetup {
-    BenchSetup {
+fn one_slot_with_clock(clock: Arc<StepClock>) -> FixtureSetup {
+    FixtureSetup {
         clock,
         ..one_slot()
     }
 }
 
-fn ask_later(caller: Caller, body: &str) -> JoinHandle<CallReply> {
+fn ask_in_background(caller: Caller, body: &str) -> JoinHandle<CallReply> {
     let body = body.to_owned();
     thread::spawn(move || caller.ask(body.as_bytes()))
 }
 
 fn wait_for(what: &str, mut reached: impl FnMut() -> bool) {
-    let until = Instant::now() + GENEROUS;
+    let until = Instant::now() + WAIT_LIMIT;
     while !reached() {
         assert!(Instant::now() < until, "{what} was not reached");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-fn queued(bench: &EntryBench, team: &str) -> u32 {
-    let reports = bench.slots.reports.lock();
+fn queued_count(fixture: &EntryFixture, team: &str) -> u32 {
+    let reports = fixture.slots.reports.lock();
     let last = reports.last();
     last.and_then(|demand| demand.teams.iter().find(|demand| demand.team == team))
         .map_or(0, |demand| demand.queued)
 }
 
 /// Takes all slots away, or gives them back.
-fn set_slots(bench: &EntryBench, slots: u32) {
-    bench.slots.slots.lock().insert("t0".into(), slots);
-    bench.renew_slots();
+fn set_slots(fixture: &EntryFixture, slots: u32) {
+    fixture.slots.slots.lock().insert("t0".into(), slots);
+    fixture.renew_slots();
 }
 
 #[test]
 fn slots_never_exceeded() {
     let (target, gate) = gated_target();
-    let setup = BenchSetup {
+    let setup = FixtureSetup {
         slots: 3,
         clock: Arc::new(StepClock::default()),
-        ..BenchSetup::default()
+        ..FixtureSetup::default()
     };
-    let bench = EntryBench::start_with(&[&target], setup);
+    let fixture = EntryFixture::start_with(&[&target], setup);
     let calls: Vec<_> = (0..60)
-        .map(|number| ask_later(bench.caller(), &format!("{number}")))
+        .map(|number| ask_in_background(fixture.caller(), &format!("{number}")))
         .collect();
     wait_for("full slots", || target.call_count() >= 3);
     gate.store(true, Ordering::Release);
@@ -116,19 +116,19 @@
 #[test]
 fn shares_under_saturation() {
     let clock = Arc::new(StepClock::default());
-    let target = step_target(&clock, Duration::from_millis(10));
-    let bench = EntryBench::start_with(&[&target], one_slot_by(clock));
-    set_slots(&bench, 0);
-    let greedy = bench.caller();
-    let modest = bench.caller().with_key(OTHER_KEY);
+    let target = stepped_target(&clock, Duration::from_millis(10));
+    let fixture = EntryFixture::start_with(&[&target], one_slot_with_clock(clock));
+    set_slots(&fixture, 0);
+    let flooding = fixture.caller();
+    let modest = fixture.caller().with_key(OTHER_KEY);
     let calls: Vec<_> = (0..50)
-        .map(|_| ask_later(greedy.clone(), "x"))
-        .chain((0..10).map(|_| ask_later(modest.clone(), "y")))
+        .map(|_| ask_in_background(flooding.clone(), "x"))
+        .chain((0..10).map(|_| ask_in_background(modest.clone(), "y")))
         .collect();
     wait_for("queues", || {
-        queued(&bench, TEAM) == 50 && queued(&bench, OTHER_TEAM) == 10
+        queued_count(&fixture, TEAM) == 50 && queued_count(&fixture, OTHER_TEAM) == 10
     });
-    set_slots(&bench, 1);
+    set_slots(&fixture, 1);
     for call in calls {
         assert_eq!(call.join().unwrap().status, 200);
     }
@@ -148,16 +148,16 @@
 #[test]
 fn free_slots_divided() {
     let (target, gate) = gated_target();
-    let bench = EntryBench::start_with(&[&target], one_slot_by(Arc::default()));
-    set_slots(&bench, 0);
+    let fixture = EntryFixture::start_with(&[&target], one_slot_with_clock(Arc::default()));
+    set_slots(&fixture, 0);
     let calls: Vec<_> = (0..8)
-        .map(|_| ask_later(bench.caller(), "x"))
-        .chain((0..8).map(|_| ask_later(bench.caller().with_key(OTHER_KEY), "y")))
+        .map(|_| ask_in_background(fixture.caller(), "x"))
+        .chain((0..8).map(|_| ask_in_background(fixture.caller().with_key(OTHER_KEY), "y")))
         .collect();
     wait_for("queues", || {
-        queued(&bench, TEAM) == 8 && queued(&bench, OTHER_TEAM) == 8
+        queued_count(&fixture, TEAM) == 8 && queued_count(&fixture, OTHER_TEAM) == 8
     });
-    set_slots(&bench, 8);
+    set_slots(&fixture, 8);
     // None of the first may end before all of them were counted.
     wait_for("full slots", || target.call_count() >= 8);
     let first: Vec<_> = target
@@ -176,13 +176,13 @@
 
 /// What the fleet used counts: a team that used much elsewhere goes second here.
 #[test]
-fn virtual_time_of_the_fleet_counts() {
+fn virtual_time_includes_fleet_usage() {
     let clock = Arc::new(StepClock::default());
-    let target = step_target(&clock, Duration::from_millis(20));
-    let bench = EntryBench::start_with(&[&target], one_slot_by(clock));
-    let blocker = ask_later(bench.caller(), "blocker");
+    let target = stepped_target(&clock, Duration::from_millis(20));
+    let fixture = EntryFixture::start_with(&[&target], one_slot_with_clock(clock));
+    let blocker = ask_in_background(fixture.caller(), "blocker");
     wait_for("blocker", || target.call_count() == 1);
-    *bench.slots.teams.lock() = [(TEAM, 60_000), (OTHER_TEAM, 0)]
+    *fixture.slots.teams.lock() = [(TEAM, 60_000), (OTHER_TEAM, 0)]
         .into_iter()
         .map(|(team, virtual_ms)| TeamUse {
             team: team.into(),
@@ -190,19 +190,19 @@
             virtual_ms,
         })
         .collect();
-    set_slots(&bench, 0);
+    set_slots(&fixture, 0);
     let calls: Vec<_> = (0..3)
         .flat_map(|_| {
             [
-                ask_later(bench.caller(), "x"),
-                ask_later(bench.caller().with_key(OTHER_KEY), "y"),
+                ask_in_background(fixture.caller(), "x"),
+                ask_in_background(fixture.caller().with_key(OTHER_KEY), "y"),
             ]
         })
         .collect();
     wait_for("queues", || {
-        queued(&bench, TEAM) == 3 && queued(&bench, OTHER_TEAM) == 3
+        queued_count(&fixture, TEAM) == 3 && queued_count(&fixture, OTHER_TEAM) == 3
     });
-    set_slots(&bench, 1);
+    set_slots(&fixture, 1);
     for call in calls {
         assert_eq!(call.join().unwrap().status, 200);
     }
@@ -216,15 +216,17 @@
 
 /// Someone waits for a quote while the team's own batch fills the queue.
 #[test]
-fn urgent_goes_first() {
+fn urgent_request_first() {
     let target = slow_target(Duration::from_millis(5));
-    let bench = EntryBench::start_with(&[&target], one_slot());
-    set_slots(&bench, 0);
-    let calls: Vec<_> = (0..5).map(|_| ask_later(bench.caller(), "batch")).collect();
-    wait_for("queue", || queued(&bench, TEAM) == 5);
-    let quote = ask_later(bench.caller().with("urgent", "true"), "quote");
-    wait_for("quote", || queued(&bench, TEAM) == 6);
-    set_slots(&bench, 1);
+    let fixture = EntryFixture::start_with(&[&target], one_slot());
+    set_slots(&fixture, 0);
+    let calls: Vec<_> = (0..5)
+        .map(|_| ask_in_background(fixture.caller(), "batch"))
+        .collect();
+    wait_for("queue", || queued_count(&fixture, TEAM) == 5);
+    let quote = ask_in_background(fixture.caller().with("urgent", "true"), "quote");
+    wait_for("quote", || queued_count(&fixture, TEAM) == 6);
+    set_slots(&fixture, 1);
     assert_eq!(quote.join().unwrap().status, 200);
     assert_eq!(target.calls.lock()[0].body, b"quote");
     for call in calls {
@@ -234,50 +236,54 @@
 
 /// One team runs as much as its limit allows. Its requests wait; the other team's do not.
 #[test]
-fn blocked_team_blocks_no_other() {
+fn quota_blocked_team_blocks_no_other() {
     let target = slow_target(Duration::from_millis(20));
-    let bench = EntryBench::start(&[&target]);
-    bench.quotas.limits.lock().insert(TEAM.into(), 0);
-    let calls: Vec<_> = (0..3).map(|_| ask_later(bench.caller(), "x")).collect();
+    let fixture = EntryFixture::start(&[&target]);
+    fixture.quotas.limits.lock().insert(TEAM.into(), 0);
+    let calls: Vec<_> = (0..3)
+        .map(|_| ask_in_background(fixture.caller(), "x"))
+        .collect();
     wait_for("waiting note", || {
-        bench.quotas.waiting.lock().get(TEAM).copied() == Some(3)
+        fixture.quotas.waiting.lock().get(TEAM).copied() == Some(3)
     });
-    let other = bench.caller().with_key(OTHER_KEY).ask(b"y");
+    let other = fixture.caller().with_key(OTHER_KEY).ask(b"y");
     assert_eq!(other.status, 200);
-    bench.quotas.limits.lock().insert(TEAM.into(), 1);
+    fixture.quotas.limits.lock().insert(TEAM.into(), 1);
     for call in calls {
         assert_eq!(call.join().unwrap().status, 200);
     }
-    assert_eq!(bench.quotas.most_used.lock()[TEAM], 1);
+    assert_eq!(fixture.quotas.most_used.lock()[TEAM], 1);
     wait_for("note withdrawn", || {
-        bench.quotas.waiting.lock().get(TEAM).copied() == Some(0)
+        fixture.quotas.waiting.lock().get(TEAM).copied() == Some(0)
     });
 }
 
 /// A team's requests stop at one entry host for want of units, while another host holds
 /// units that it can't use: it has a long queue and few slots, and asked by its queue.
 #[test]
-fn waiting_counts_what_slots_allow() {
+fn quota_waiting_limited_by_slots() {
     let target = slow_target(Duration::from_millis(20));
-    let bench = EntryBench::start(&[&target]);
-    bench.quotas.limits.lock().insert(TEAM.into(), 0);
-    let calls: Vec<_> = (0..40).map(|_| ask_later(bench.caller(), "x")).collect();
-    wait_for("queue", || queued(&bench, TEAM) == 40);
+    let fixture = EntryFixture::start(&[&target]);
+    fixture.quotas.limits.lock().insert(TEAM.into(), 0);
+    let calls: Vec<_> = (0..40)
+        .map(|_| ask_in_background(fixture.caller(), "x"))
+        .collect();
+    wait_for("queue", || queued_count(&fixture, TEAM) == 40);
     wait_for("waiting note", || {
-        bench.quotas.waiting.lock().get(TEAM).copied() == Some(8)
+        fixture.quotas.waiting.lock().get(TEAM).copied() == Some(8)
     });
-    bench.quotas.limits.lock().insert(TEAM.into(), 8);
+    fixture.quotas.limits.lock().insert(TEAM.into(), 8);
     for call in calls {
         assert_eq!(call.join().unwrap().status, 200);
     }
 }
 
 #[test]
-fn limit_until_deadline() {
+fn deadline_at_team_limit() {
     let target = RawTarget::echo();
-    let bench = EntryBench::start(&[&target]);
-    bench.quotas.limits.lock().insert(TEAM.into(), 0);
-    let reply = bench.caller().with("deadline-ms", "200").ask(b"x");
+    let fixture = EntryFixture::start(&[&target]);
+    fixture.quotas.limits.lock().insert(TEAM.into(), 0);
+    let reply = fixture.caller().with("deadline-ms", "200").ask(b"x");
     assert_eq!(
         (reply.status, reply.problem().as_str()),
         (429, "team-limit")
@@ -288,14 +294,14 @@
 }
 
 #[test]
-fn no_slots_until_deadline() {
+fn deadline_without_slots() {
     let target = RawTarget::echo();
-    let setup = BenchSetup {
+    let setup = FixtureSetup {
         slots: 0,
-        ..BenchSetup::default()
+        ..FixtureSetup::default()
     };
-    let bench = EntryBench::start_with(&[&target], setup);
-    let reply = bench.caller().with("deadline-ms", "200").ask(b"x");
+    let fixture = EntryFixture::start_with(&[&target], setup);
+    let reply = fixture.caller().with("deadline-ms", "200").ask(b"x");
     assert_eq!((reply.status, reply.problem().as_str()), (504, "deadline"));
     assert_eq!(reply.fate(), "not-run");
 }
@@ -303,18 +309,20 @@
 /// The queue is long and the caller's deadline short. Waiting would be for nothing, so the
 /// caller is told at once and may try elsewhere or come back.
 #[test]
-fn hopeless_deadline_refused_at_once() {
+fn deadline_unreachable_refused_at_once() {
     let target = slow_target(Duration::from_millis(50));
-    let bench = EntryBench::start_with(&[&target], one_slot());
+    let fixture = EntryFixture::start_with(&[&target], one_slot());
     for _ in 0..10 {
-        assert_eq!(bench.caller().ask(b"warm").status, 200);
+        assert_eq!(fixture.caller().ask(b"warm").status, 200);
     }
-    set_slots(&bench, 0);
-    let calls: Vec<_> = (0..80).map(|_| ask_later(bench.caller(), "x")).collect();
-    wait_for("queue", || queued(&bench, TEAM) == 80);
-    set_slots(&bench, 1);
+    set_slots(&fixture, 0);
+    let calls: Vec<_> = (0..80)
+        .map(|_| ask_in_background(fixture.caller(), "x"))
+        .collect();
+    wait_for("queue", || queued_count(&fixture, TEAM) == 80);
+    set_slots(&fixture, 1);
     let before = target.call_count();
-    let reply = bench.caller().with("deadline-ms", "1000").ask(b"late");
+    let reply = fixture.caller().with("deadline-ms", "1000").ask(b"late");
     assert_eq!((reply.status, reply.problem().as_str()), (504, "deadline"));
     assert_eq!(reply.fate(), "not-run");
     assert!(reply.json()["retry_after_ms"].as_u64().unwrap() > 500);
@@ -332,32 +340,32 @@
 /// the slot on it, and the answer came too late. Requests that waited too long must be
 /// refused as not run, so that slots go to those that can still end in time.
 #[test]
-fn overload_spends_no_slot_on_the_late() {
+fn overload_refuses_late_requests() {
     let clock = Arc::new(JumpClock::default());
     let target = slow_target(Duration::from_millis(50));
-    let setup = BenchSetup {
+    let setup = FixtureSetup {
         clock: clock.clone(),
         ..one_slot()
     };
-    let bench = EntryBench::start_with(&[&target], setup);
+    let fixture = EntryFixture::start_with(&[&target], setup);
     for _ in 0..10 {
-        assert_eq!(bench.caller().ask(b"warm").status, 200);
+        assert_eq!(fixture.caller().ask(b"warm").status, 200);
     }
-    set_slots(&bench, 0);
-    let begun = Instant::now();
+    set_slots(&fixture, 0);
+    let started = Instant::now();
     let mut calls = Vec::new();
     for number in 0..60 {
         let deadline = format!("{}", 8000 + 20 * number);
-        calls.push(ask_later(
-            bench.caller().with("deadline-ms", &deadline),
+        calls.push(ask_in_background(
+            fixture.caller().with("deadline-ms", &deadline),
             "x",
         ));
         thread::sleep(Duration::from_millis(5));
     }
-    wait_for("queue", || queued(&bench, TEAM) == 60);
+    wait_for("queue", || queued_count(&fixture, TEAM) == 60);
     // However long that took, the first is left half a second.
-    *clock.0.lock() = Duration::from_millis(7500).saturating_sub(begun.elapsed());
-    set_slots(&bench, 1);
+    *clock.0.lock() = Duration::from_millis(7500).saturating_sub(started.elapsed());
+    set_slots(&fixture, 1);
     let replies: Vec<CallReply> = calls.into_iter().map(|call| call.join().unwrap()).collect();
     let answered = replies.iter().filter(|reply| reply.status == 200).count();
     let late = replies
@@ -373,19 +381,22 @@
 /// A team floods a pool whose queue is bounded. It is refused, and a request of the other
 /// team still finds room.
 #[test]
-fn full_queue_refuses_the_flooder() {
+fn queue_full_refuses_longest_team() {
     let target = slow_target(Duration::from_millis(20));
     let mut setup = one_slot();
     setup.settings.max_queue = 20;
-    let bench = EntryBench::start_with(&[&target], setup);
-    set_slots(&bench, 0);
-    let calls: Vec<_> = (0..60).map(|_| ask_later(bench.caller(), "x")).collect();
+    let fixture = EntryFixture::start_with(&[&target], setup);
+    set_slots(&fixture, 0);
+    let calls: Vec<_> = (0..60)
+        .map(|_| ask_in_background(fixture.caller(), "x"))
+        .collect();
     wait_for("full queue", || {
-        queued(&bench, TEAM) == 20 && calls.iter().filter(|call| call.is_finished()).count() == 40
+        queued_count(&fixture, TEAM) == 20
+            && calls.iter().filter(|call| call.is_finished()).count() == 40
     });
-    let other = ask_later(bench.caller().with_key(OTHER_KEY), "y");
-    wait_for("other team", || queued(&bench, OTHER_TEAM) == 1);
-    set_slots(&bench, 1);
+    let other = ask_in_background(fixture.caller().with_key(OTHER_KEY), "y");
+    wait_for("other team", || queued_count(&fixture, OTHER_TEAM) == 1);
+    set_slots(&fixture, 1);
     let other = other.join().unwrap();
     assert_eq!(other.status, 200, "{}", other.text());
     let mut counts: HashMap<u16, usize> = HashMap::new();
@@ -406,13 +417,13 @@
 #[test]
 fn abandoned_request_not_started() {
     let target = slow_target(Duration::from_millis(300));
-    let bench = EntryBench::start_with(&[&target], one_slot());
-    let first = ask_later(bench.caller(), "first");
+    let fixture = EntryFixture::start_with(&[&target], one_slot());
+    let first = ask_in_background(fixture.caller(), "first");
     wait_for("first", || target.call_count() == 1);
-    set_slots(&bench, 0);
+    set_slots(&fixture, 0);
     {
         use std::io::Write;
-        let mut stream = std::net::TcpStream::connect(bench.server.caller_address()).unwrap();
+        let mut stream = std::net::TcpStream::connect(fixture.server.caller_address()).unwrap();
         let text = format!(
             "POST /v1/services/{}/requests HTTP/1.1\r\nHost: e1\r\n\
              Authorization: Bearer {}\r\nContent-Length: 1\r\n\r\nx",
@@ -420,10 +431,10 @@
             support::KEY
         );
         stream.write_all(text.as_bytes()).unwrap();
-        wait_for("queued", || queued(&bench, TEAM) == 1);
+        wait_for("queued", || queued_count(&fixture, TEAM) == 1);
     }
-    wait_for("forgotten", || queued(&bench, TEAM) == 0);
-    set_slots(&bench, 1);
+    wait_for("forgotten", || queued_count(&fixture, TEAM) == 0);
+    set_slots(&fixture, 1);
     assert_eq!(first.join().unwrap().status, 200);
     assert_eq!(target.call_count(), 1);
 }
@@ -431,40 +442,44 @@
 #[rstest]
 #[case::one_host(vec![("e1", 1)], 8)]
 #[case::seven_hosts(vec![("e1", 1), ("e2", 1), ("e3", 1), ("e4", 1), ("e5", 1), ("e6", 1), ("e7", 1)], 2)]
-fn connections_within_part(#[case] members: Vec<(&'static str, u64)>, #[case] part: usize) {
+fn connections_within_share(#[case] members: Vec<(&'static str, u64)>, #[case] share: usize) {
     let target = slow_target(Duration::from_millis(5));
-    let mut setup = BenchSetup {
+    let mut setup = FixtureSetup {
         members,
         clock: Arc::new(StepClock::default()),
-        ..BenchSetup::default()
+        ..FixtureSetup::default()
     };
     setup.pool.connections = 14;
-    let bench = EntryBench::start_with(&[&target], setup);
-    let calls: Vec<_> = (0..50).map(|_| ask_later(bench.caller(), "x")).collect();
+    let fixture = EntryFixture::start_with(&[&target], setup);
+    let calls: Vec<_> = (0..50)
+        .map(|_| ask_in_background(fixture.caller(), "x"))
+        .collect();
     for call in calls {
         assert_eq!(call.join().unwrap().status, 200);
     }
     let most = target.most_connections.load(Ordering::Acquire);
-    assert!(most <= part, "{most} connections");
+    assert!(most <= share, "{most} connections");
 }
 
 #[test]
 fn demand_reported() {
     let target = slow_target(Duration::from_millis(50));
-    let bench = EntryBench::start_with(&[&target], one_slot());
-    let calls: Vec<_> = (0..6).map(|_| ask_later(bench.caller(), "x")).collect();
+    let fixture = EntryFixture::start_with(&[&target], one_slot());
+    let calls: Vec<_> = (0..6)
+        .map(|_| ask_in_background(fixture.caller(), "x"))
+        .collect();
     for call in calls {
         call.join().unwrap();
     }
     wait_for("last report", || {
-        let reports = bench.slots.reports.lock();
+        let reports = fixture.slots.reports.lock();
         let last = reports.last();
         last.is_some_and(|demand| {
             let idle = |team: &ports::TeamDemand| team.running + team.queued == 0;
             demand.teams.iter().all(idle) && demand.in_flight.is_empty()
         })
     });
-    let reports = bench.slots.reports.lock();
+    let reports = fixture.slots.reports.lock();
     let used: u64 = reports
         .iter()
         .flat_map(|demand| &demand.teams)
--- a/crates/entry/tests/random_bytes.rs
+++ b/crates/entry/tests/random_bytes.rs
@@ -6,10 +6,10 @@
 use std::{sync::OnceLock, time::Duration};
 
 use proptest::prelude::*;
-use support::{BenchSetup, EntryBench, KEY, RawTarget, SERVICE, raw_exchange};
+use support::{EntryFixture, FixtureSetup, KEY, RawTarget, SERVICE, raw_exchange};
 
 struct Port {
-    bench: EntryBench,
+    fixture: EntryFixture,
     _target: RawTarget,
 }
 
@@ -17,12 +17,12 @@
     static PORT: OnceLock<Port> = OnceLock::new();
     PORT.get_or_init(|| {
         let target = RawTarget::echo();
-        let mut setup = BenchSetup::default();
+        let mut setup = FixtureSetup::default();
         setup.settings.max_body = 10_000;
         setup.tuning.head_timeout = Duration::from_millis(100);
         setup.tuning.body_timeout = Duration::from_millis(100);
         Port {
-            bench: EntryBench::start_with(&[&target], setup),
+            fixture: EntryFixture::start_with(&[&target], setup),
             _target: target,
         }
     })
@@ -30,10 +30,10 @@
 
 /// Sends the bytes, and checks that the port still serves a good request.
 fn send(bytes: &[u8]) -> String {
-    let bench = &port().bench;
+    let fixture = &port().fixture;
     let timeout = Duration::from_secs(30);
-    let text = raw_exchange(bench.server.caller_address(), bytes, timeout);
-    assert_eq!(bench.caller().ask(b"still here").text(), "still here");
+    let text = raw_exchange(fixture.server.caller_address(), bytes, timeout);
+    assert_eq!(fixture.caller().ask(b"still here").text(), "still here");
     text
 }
 
--- a/crates/entry/tests/request_path.rs
+++ b/crates/entry/tests/request_path.rs
@@ -3,13 +3,13 @@
 
 mod support;
 
-use support::{BenchSetup, EntryBench, RawTarget, TEAM};
+use support::{EntryFixture, FixtureSetup, RawTarget, TEAM};
 
 #[test]
 fn request_whole_answer() {
     let target = RawTarget::echo();
-    let bench = EntryBench::start(&[&target]);
-    let reply = bench.caller().ask(b"glue, 12 pallets");
+    let fixture = EntryFixture::start(&[&target]);
+    let reply = fixture.caller().ask(b"glue, 12 pallets");
     assert_eq!(reply.status, 200, "{}", reply.text());
     assert_eq!(reply.text(), "glue, 12 pallets");
     assert_eq!(reply.request, "e1.1.1");
@@ -23,12 +23,12 @@
 #[test]
 fn request_many_in_turn() {
     let target = RawTarget::echo();
-    let setup = BenchSetup {
+    let setup = FixtureSetup {
         slots: 1,
-        ..BenchSetup::default()
+        ..FixtureSetup::default()
     };
-    let bench = EntryBench::start_with(&[&target], setup);
-    let caller = bench.caller();
+    let fixture = EntryFixture::start_with(&[&target], setup);
+    let caller = fixture.caller();
     for number in 0..50 {
         let body = format!("request {number}");
         assert_eq!(caller.ask(body.as_bytes()).text(), body);
@@ -39,11 +39,11 @@
 #[test]
 fn readiness_follows_gate() {
     let target = RawTarget::echo();
-    let bench = EntryBench::start(&[&target]);
-    let caller = bench.caller();
+    let fixture = EntryFixture::start(&[&target]);
+    let caller = fixture.caller();
     assert_eq!(caller.get("/livez").status, 200);
     assert_eq!(caller.get("/readyz").status, 200);
-    *bench.gate.0.lock() = Some(ports::NotServing::LeaseLapsed);
+    *fixture.gate.0.lock() = Some(ports::NotServing::LeaseLapsed);
     assert_eq!(caller.get("/readyz").status, 503);
     assert_eq!(caller.get("/livez").status, 200);
     let reply = caller.ask(b"x");
--- a/crates/entry/tests/shutdown.rs
+++ b/crates/entry/tests/shutdown.rs
@@ -11,7 +11,7 @@
     time::{Duration, Instant},
 };
 
-use support::{BenchSetup, EntryBench, RawTarget, TargetReply};
+use support::{EntryFixture, FixtureSetup, RawTarget, TargetReply};
 
 fn slow_target(service: Duration) -> RawTarget {
     RawTarget::start(move |call| {
@@ -25,27 +25,27 @@
 #[test]
 fn shutdown_answers_all() {
     let target = slow_target(Duration::from_millis(100));
-    let setup = BenchSetup {
+    let setup = FixtureSetup {
         slots: 2,
-        ..BenchSetup::default()
+        ..FixtureSetup::default()
     };
-    let bench = Arc::new(EntryBench::start_with(&[&target], setup));
+    let fixture = Arc::new(EntryFixture::start_with(&[&target], setup));
     let calls: Vec<_> = (0..10)
         .map(|number| {
-            let caller = bench.caller();
+            let caller = fixture.caller();
             thread::spawn(move || caller.ask(format!("{number}").as_bytes()))
         })
         .collect();
     let until = Instant::now() + Duration::from_secs(20);
-    while bench.server.running(&"t0".into()) < 2 && Instant::now() < until {
+    while fixture.server.running(&"t0".into()) < 2 && Instant::now() < until {
         thread::sleep(Duration::from_millis(1));
     }
     thread::sleep(Duration::from_millis(50));
-    let stopping = Arc::clone(&bench);
+    let stopping = Arc::clone(&fixture);
     let shutdown = thread::spawn(move || stopping.server.shutdown(Duration::from_secs(20)));
     thread::sleep(Duration::from_millis(50));
-    assert_eq!(bench.caller().get("/readyz").status, 503);
-    let late = bench.caller().ask(b"late");
+    assert_eq!(fixture.caller().get("/readyz").status, 503);
+    let late = fixture.caller().ask(b"late");
     assert_eq!((late.status, late.fate().as_str()), (503, "not-run"));
     for (number, call) in calls.into_iter().enumerate() {
         let reply = call.join().unwrap();
@@ -53,7 +53,7 @@
     }
     shutdown.join().unwrap();
     assert_eq!(target.call_count(), 10);
-    assert!(TcpStream::connect(bench.server.caller_address()).is_err());
+    assert!(TcpStream::connect(fixture.server.caller_address()).is_err());
 }
 
 /// The patience ends while requests are queued: they get a true refusal, not a cut
@@ -61,19 +61,19 @@
 #[test]
 fn shutdown_refuses_queued() {
     let target = slow_target(Duration::from_millis(400));
-    let setup = BenchSetup {
+    let setup = FixtureSetup {
         slots: 1,
-        ..BenchSetup::default()
+        ..FixtureSetup::default()
     };
-    let bench = EntryBench::start_with(&[&target], setup);
+    let fixture = EntryFixture::start_with(&[&target], setup);
     let calls: Vec<_> = (0..6)
         .map(|_| {
-            let caller = bench.caller();
+            let caller = fixture.caller();
             thread::spawn(move || caller.ask(b"x"))
         })
         .collect();
     thread::sleep(Duration::from_millis(200));
-    bench.server.shutdown(Duration::from_secs(2));
+    fixture.server.shutdown(Duration::from_secs(2));
     let replies: Vec<_> = calls.into_iter().map(|call| call.join().unwrap()).collect();
     let answered = replies.iter().filter(|reply| reply.status == 200).count();
     for reply in replies.iter().filter(|reply| reply.status != 200) {
@@ -88,8 +88,8 @@
 #[test]
 fn shutdown_while_body_arrives() {
     let target = RawTarget::echo();
-    let bench = EntryBench::start(&[&target]);
-    let mut stream = TcpStream::connect(bench.server.caller_address()).unwrap();
+    let fixture = EntryFixture::start(&[&target]);
+    let mut stream = TcpStream::connect(fixture.server.caller_address()).unwrap();
     let head = format!(
         "POST /v1/services/{}/requests HTTP/1.1\r\nHost: e1\r\n\
          Authorization: Bearer {}\r\nContent-Length: 4\r\n\r\nab",
@@ -99,7 +99,7 @@
     stream.write_all(head.as_bytes()).unwrap();
     thread::sleep(Duration::from_millis(100));
     thread::scope(|scope| {
-        let shutdown = scope.spawn(|| bench.server.shutdown(Duration::from_secs(10)));
+        let shutdown = scope.spawn(|| fixture.server.shutdown(Duration::from_secs(10)));
         thread::sleep(Duration::from_millis(100));
         stream.write_all(b"cd").unwrap();
         stream
@@ -117,10 +117,10 @@
 #[test]
 fn drop_without_shutdown() {
     let target = RawTarget::echo();
-    let bench = EntryBench::start(&[&target]);
-    let address = bench.server.caller_address();
-    assert_eq!(bench.caller().ask(b"x").status, 200);
-    drop(bench);
+    let fixture = EntryFixture::start(&[&target]);
+    let address = fixture.server.caller_address();
+    assert_eq!(fixture.caller().ask(b"x").status, 200);
+    drop(fixture);
     assert!(TcpStream::connect(address).is_err());
 }
 
@@ -128,15 +128,15 @@
 /// down. None may meet a connection that closes under its request: the caller would not
 /// know whether its order was placed.
 #[test]
-fn shutdown_tells_kept_connections() {
+fn shutdown_closes_kept_connections() {
     let target = RawTarget::echo();
-    let bench = EntryBench::start(&[&target]);
-    let address = bench.server.caller_address();
+    let fixture = EntryFixture::start(&[&target]);
+    let address = fixture.server.caller_address();
     let callers: Vec<_> = (0..8)
-        .map(|_| thread::spawn(move || keep_asking(address)))
+        .map(|_| thread::spawn(move || send_until_closed(address)))
         .collect();
     thread::sleep(Duration::from_millis(200));
-    bench.server.shutdown(Duration::from_secs(10));
+    fixture.server.shutdown(Duration::from_secs(10));
     for caller in callers {
         let (answered, refused) = caller.join().unwrap();
         assert!(answered > 0 && refused > 0, "{answered} {refused}");
@@ -144,7 +144,7 @@
 }
 
 /// Sends requests on a kept connection until the port is closed to new ones.
-fn keep_asking(address: std::net::SocketAddr) -> (u32, u32) {
+fn send_until_closed(address: std::net::SocketAddr) -> (u32, u32) {
     let (mut answered, mut refused) = (0, 0);
     let head = format!(
         "POST /v1/services/{}/requests HTTP/1.1\r\nHost: e1\r\n\
--- a/crates/entry/tests/support/entry_bench.rs
+++ b/crates/entry/tests/support/entry_fixture.rs
@@ -26,7 +26,7 @@
 const POOL: &str = "quoting";
 
 /// What a test changes about its entry server.
-pub struct BenchSetup {
+pub struct FixtureSetup {
     pub settings: ServeSettings,
     pub tuning: EntryTuning,
     pub slots: u32,
@@ -37,7 +37,7 @@
     pub clock: Arc<dyn Clock>,
 }
 
-impl Default for BenchSetup {
+impl Default for FixtureSetup {
     fn default() -> Self {
         Self {
             settings: ServeSettings::default(),
@@ -53,7 +53,7 @@
 }
 
 /// An entry server with stand-ins behind its ports.
-pub struct EntryBench {
+pub struct EntryFixture {
     pub server: EntryServer,
     pub config: Arc<ConfigStub>,
     pub gate: Arc<GateStub>,
@@ -64,12 +64,12 @@
     pub members: Arc<MemberStub>,
 }
 
-impl EntryBench {
+impl EntryFixture {
     pub fn start(targets: &[&RawTarget]) -> Self {
-        Self::start_with(targets, BenchSetup::default())
+        Self::start_with(targets, FixtureSetup::default())
     }
 
-    pub fn start_with(targets: &[&RawTarget], setup: BenchSetup) -> Self {
+    pub fn start_with(targets: &[&RawTarget], setup: FixtureSetup) -> Self {
         let addresses: Vec<String> = targets
             .iter()
             .map(|target| target.address.to_string())
@@ -78,7 +78,7 @@
     }
 
     /// Starts with targets at any addresses.
-    pub fn start_at(addresses: &[String], setup: BenchSetup) -> Self {
+    pub fn start_at(addresses: &[String], setup: FixtureSetup) -> Self {
         let hosts: Vec<TargetHost> = addresses
             .iter()
             .enumerate()
@@ -111,8 +111,8 @@
         };
         let (inbox, inbound) = bounded(1024);
         setup.mesh.inboxes.lock().insert(own.into(), inbox);
-        let config = ConfigStub(ArcSwap::from_pointee(force_config(setup.pool)));
-        let bench = EntryParts {
+        let config = ConfigStub(ArcSwap::from_pointee(active_config(setup.pool)));
+        let fixture = EntryParts {
             config: Arc::new(config),
             gate: Arc::default(),
             quotas: Arc::default(),
@@ -129,18 +129,18 @@
         let server = EntryServer::start(EntryConfig {
             settings: setup.settings,
             tuning: setup.tuning,
-            config: bench.config.clone(),
-            gate: bench.gate.clone(),
-            quotas: bench.quotas.clone(),
-            targets: bench.targets.clone(),
-            slots: bench.slots.clone(),
-            members: bench.members.clone(),
-            jobs: bench.jobs.clone(),
+            config: fixture.config.clone(),
+            gate: fixture.gate.clone(),
+            quotas: fixture.quotas.clone(),
+            targets: fixture.targets.clone(),
+            slots: fixture.slots.clone(),
+            members: fixture.members.clone(),
+            jobs: fixture.jobs.clone(),
             link: Arc::new(link),
             inbound,
             clock: setup.clock,
         });
-        bench.with_server(server.unwrap())
+        fixture.with_server(server.unwrap())
     }
 
     pub fn caller(&self) -> Caller {
@@ -171,8 +171,8 @@
 }
 
 impl EntryParts {
-    fn with_server(self, server: EntryServer) -> EntryBench {
-        EntryBench {
+    fn with_server(self, server: EntryServer) -> EntryFixture {
+        EntryFixture {
             server,
             config: self.config,
             gate: self.gate,
@@ -185,7 +185,7 @@
     }
 }
 
-fn force_config(pool: PoolSpec) -> ActiveConfig {
+fn active_config(pool: PoolSpec) -> ActiveConfig {
     let mut manifest = Manifest::default();
     manifest.pools.insert(POOL.into(), pool);
     manifest.services.insert(
--- a/crates/entry/tests/support/http_call.rs
+++ b/crates/entry/tests/support/http_call.rs
@@ -6,7 +6,7 @@
 
 use ureq::{Agent, config::Config};
 
-use super::entry_bench::{KEY, SERVICE};
+use super::entry_fixture::{KEY, SERVICE};
 
 /// What a caller got.
 #[derive(Clone, Debug)]
--- a/crates/entry/tests/support/mod.rs
+++ b/crates/entry/tests/support/mod.rs
@@ -7,13 +7,13 @@
     reason = "each test file uses a part of it"
 )]
 
-mod entry_bench;
+mod entry_fixture;
 mod http_call;
 mod port_stubs;
 mod raw_target;
 
-pub use entry_bench::{
-    BenchSetup, EntryBench, KEY, OTHER_KEY, OTHER_TEAM, SERVICE, TEAM, key_record,
+pub use entry_fixture::{
+    EntryFixture, FixtureSetup, KEY, OTHER_KEY, OTHER_TEAM, SERVICE, TEAM, key_record,
 };
 pub use http_call::{CallReply, Caller, raw_exchange};
 pub use port_stubs::{
--- a/crates/entry/tests/support/port_stubs.rs
+++ b/crates/entry/tests/support/port_stubs.rs
@@ -50,7 +50,7 @@
 /// A clock that a busy machine hardly moves: what its threads wait for a processor counts a
 /// fraction, and what a test says that work takes counts whole.
 pub struct StepClock {
-    begun: Duration,
+    started: Duration,
     steps: Mutex<Duration>,
 }
 
@@ -60,7 +60,7 @@
 impl Default for StepClock {
     fn default() -> Self {
         Self {
-            begun: BootClock.boot_now(),
+            started: BootClock.boot_now(),
             steps: Mutex::default(),
         }
     }
@@ -75,8 +75,8 @@
 
 impl Clock for StepClock {
     fn boot_now(&self) -> Duration {
-        let passed = BootClock.boot_now().saturating_sub(self.begun) / STEP_CLOCK_SLOWNESS;
-        self.begun + passed + *self.steps.lock()
+        let passed = BootClock.boot_now().saturating_sub(self.started) / STEP_CLOCK_SLOWNESS;
+        self.started + passed + *self.steps.lock()
     }
     fn unix_now(&self) -> Duration {
         BootClock.unix_now()
@@ -223,9 +223,9 @@
 pub struct LinkMesh {
     pub inboxes: Mutex<HashMap<MemberId, Sender<InboundMessage>>>,
     /// Messages to drop, counted down.
-    pub lose: AtomicU32,
+    pub messages_to_drop: AtomicU32,
     /// Replies to claims to drop, counted down.
-    pub lose_replies: AtomicU32,
+    pub replies_to_drop: AtomicU32,
     pub sent: AtomicU64,
 }
 
@@ -239,7 +239,9 @@
     fn send(&self, to: &MemberId, body: Body) -> Result<(), LinkError> {
         self.mesh.sent.fetch_add(1, Ordering::AcqRel);
         let is_reply = matches!(body, Body::ClaimReply(_));
-        if count_down(&self.mesh.lose) || (is_reply && count_down(&self.mesh.lose_replies)) {
+        if count_down(&self.mesh.messages_to_drop)
+            || (is_reply && count_down(&self.mesh.replies_to_drop))
+        {
             return Ok(());
         }
         let inboxes = self.mesh.inboxes.lock();
--- a/crates/entry/tests/target_failures.rs
+++ b/crates/entry/tests/target_failures.rs
@@ -16,11 +16,11 @@
 use ports::{NotServing, TargetState};
 use rstest::rstest;
 use support::{
-    BenchSetup, EntryBench, JumpClock, RawTarget, SERVICE, TEAM, TargetCall, TargetReply,
+    EntryFixture, FixtureSetup, JumpClock, RawTarget, SERVICE, TEAM, TargetCall, TargetReply,
 };
 
 /// A target that does `fault` once and answers rightly from then on.
-fn faulty_once(fault: fn(&TargetCall) -> TargetReply) -> RawTarget {
+fn faulty_first_time(fault: fn(&TargetCall) -> TargetReply) -> RawTarget {
     let calls = AtomicUsize::new(0);
     RawTarget::start(move |call| {
         if calls.fetch_add(1, Ordering::AcqRel) == 0 {
@@ -54,12 +54,12 @@
 #[case::truncated(truncated)]
 #[case::hangup(hangup)]
 fn non_idempotent_not_retried(#[case] fault: fn(&TargetCall) -> TargetReply) {
-    let target = faulty_once(fault);
-    let bench = EntryBench::start(&[&target]);
-    let begun = Instant::now();
-    let reply = bench.caller().with("deadline-ms", "50000").ask(b"order");
+    let target = faulty_first_time(fault);
+    let fixture = EntryFixture::start(&[&target]);
+    let started = Instant::now();
+    let reply = fixture.caller().with("deadline-ms", "50000").ask(b"order");
     assert_eq!((reply.status, reply.fate().as_str()), (504, "may-have-run"));
-    assert!(begun.elapsed() < Duration::from_secs(20), "held back");
+    assert!(started.elapsed() < Duration::from_secs(20), "held back");
     assert_eq!(target.call_count(), 1);
 }
 
@@ -70,9 +70,9 @@
 #[case::truncated(truncated)]
 #[case::hangup(hangup)]
 fn idempotent_retried(#[case] fault: fn(&TargetCall) -> TargetReply) {
-    let target = faulty_once(fault);
-    let bench = EntryBench::start(&[&target]);
-    let caller = bench.caller().with("idempotent", "true");
+    let target = faulty_first_time(fault);
+    let fixture = EntryFixture::start(&[&target]);
+    let caller = fixture.caller().with("idempotent", "true");
     let reply = caller.with("request-id", "quote-1").ask(b"quote");
     assert_eq!((reply.status, reply.text().as_str()), (200, "quote"));
     assert_eq!(reply.request, "quote-1");
@@ -84,60 +84,60 @@
 /// An idempotent request is lost once, waits for its retry, and its key is withdrawn
 /// meanwhile. Its first attempt may have run, so the refusal must not say "not run".
 #[test]
-fn refusal_remembers_first_attempt() {
-    let bench_slot: Arc<parking_lot::Mutex<Option<Arc<EntryBench>>>> = Arc::default();
-    let seen = Arc::clone(&bench_slot);
+fn refusal_after_unknown_attempt() {
+    let fixture_slot: Arc<parking_lot::Mutex<Option<Arc<EntryFixture>>>> = Arc::default();
+    let shared = Arc::clone(&fixture_slot);
     let target = RawTarget::start(move |_| {
-        if let Some(bench) = seen.lock().as_ref() {
-            bench.change(|config| {
+        if let Some(fixture) = shared.lock().as_ref() {
+            fixture.change(|config| {
                 config.keys.remove("k1");
             });
         }
         TargetReply::Hangup
     });
-    let bench = Arc::new(EntryBench::start(&[&target]));
-    *bench_slot.lock() = Some(Arc::clone(&bench));
-    let reply = bench.caller().with("idempotent", "true").ask(b"quote");
+    let fixture = Arc::new(EntryFixture::start(&[&target]));
+    *fixture_slot.lock() = Some(Arc::clone(&fixture));
+    let reply = fixture.caller().with("idempotent", "true").ask(b"quote");
     assert_eq!(reply.problem(), "key-refused");
     assert_eq!(reply.fate(), "may-have-run");
     assert_eq!(target.call_count(), 1);
-    bench_slot.lock().take();
+    fixture_slot.lock().take();
 }
 
 /// One of two targets is gone, and the pool's budget allows no ejection. Its free slots must
 /// not draw request after request until the retry budget is spent.
 #[test]
-fn connect_refused_goes_elsewhere() {
+fn connect_refused_uses_other_target() {
     let gone = RawTarget::echo();
     gone.stop();
     let target = RawTarget::echo();
-    let bench = EntryBench::start(&[&gone, &target]);
+    let fixture = EntryFixture::start(&[&gone, &target]);
     for number in 0..100 {
         let body = format!("order {number}");
-        let reply = bench.caller().ask(body.as_bytes());
+        let reply = fixture.caller().ask(body.as_bytes());
         assert_eq!((reply.status, reply.text()), (200, body));
     }
     assert_eq!(target.call_count(), 100);
 }
 
 #[test]
-fn all_targets_gone_not_run() {
+fn all_targets_unreachable_not_run() {
     let gone = RawTarget::echo();
     gone.stop();
-    let bench = EntryBench::start(&[&gone]);
-    let reply = bench.caller().with("deadline-ms", "30000").ask(b"order");
+    let fixture = EntryFixture::start(&[&gone]);
+    let reply = fixture.caller().with("deadline-ms", "30000").ask(b"order");
     assert_eq!((reply.status, reply.problem().as_str()), (503, "no-target"));
     assert_eq!(reply.fate(), "not-run");
     assert!(reply.retry_after.is_some());
 }
 
 #[test]
-fn not_run_answer_goes_elsewhere() {
+fn not_run_answer_uses_other_target() {
     let busy = RawTarget::start(|_| TargetReply::NotRun);
     let target = RawTarget::echo();
-    let bench = EntryBench::start(&[&busy, &target]);
+    let fixture = EntryFixture::start(&[&busy, &target]);
     for number in 0..5 {
-        let reply = bench.caller().ask(format!("order {number}").as_bytes());
+        let reply = fixture.caller().ask(format!("order {number}").as_bytes());
         assert_eq!(reply.status, 200, "{}", reply.text());
     }
     assert_eq!(target.call_count(), 5);
@@ -148,10 +148,10 @@
 #[case::missing(404)]
 #[case::failed(500)]
 #[case::teapot(418)]
-fn service_status_passes(#[case] status: u16) {
+fn service_status_passed_through(#[case] status: u16) {
     let target = RawTarget::start(move |_| TargetReply::Status(status, b"said so".to_vec()));
-    let bench = EntryBench::start(&[&target]);
-    let reply = bench.caller().ask(b"x");
+    let fixture = EntryFixture::start(&[&target]);
+    let reply = fixture.caller().ask(b"x");
     assert_eq!((reply.status, reply.text().as_str()), (status, "said so"));
     assert_eq!(target.call_count(), 1);
 }
@@ -159,13 +159,13 @@
 #[rstest]
 #[case::draining(TargetState::Draining)]
 #[case::out(TargetState::Out)]
-fn leaving_target_spared(#[case] state: TargetState) {
+fn draining_target_gets_no_requests(#[case] state: TargetState) {
     let leaving = RawTarget::echo();
     let target = RawTarget::echo();
-    let bench = EntryBench::start(&[&leaving, &target]);
-    bench.targets.set_state("t0", state);
+    let fixture = EntryFixture::start(&[&leaving, &target]);
+    fixture.targets.set_state("t0", state);
     for _ in 0..10 {
-        assert_eq!(bench.caller().ask(b"x").status, 200);
+        assert_eq!(fixture.caller().ask(b"x").status, 200);
     }
     assert_eq!((leaving.call_count(), target.call_count()), (0, 10));
 }
@@ -179,8 +179,8 @@
 fn failing_target_ejected(#[case] fault: fn(&TargetCall) -> TargetReply) {
     let failing = RawTarget::start(fault);
     let target = RawTarget::echo();
-    let bench = EntryBench::start_with(&[&failing, &target], budget_of(1));
-    let caller = bench.caller().with("deadline-ms", "300");
+    let fixture = EntryFixture::start_with(&[&failing, &target], budget_of(1));
+    let caller = fixture.caller().with("deadline-ms", "300");
     let mut failed = 0;
     for _ in 0..100 {
         if caller.ask(b"x").status != 200 {
@@ -202,12 +202,12 @@
         thread::sleep(Duration::from_millis(10));
         TargetReply::Answer(call.body.clone())
     });
-    let bench = EntryBench::start_with(&[&failing, &target], budget_of(1));
-    bench.slots.slots.lock().insert("t1".into(), 1);
-    bench.renew_slots();
+    let fixture = EntryFixture::start_with(&[&failing, &target], budget_of(1));
+    fixture.slots.slots.lock().insert("t1".into(), 1);
+    fixture.renew_slots();
     let calls: Vec<_> = (0..8)
         .map(|_| {
-            let caller = bench.caller();
+            let caller = fixture.caller();
             thread::spawn(move || (0..20).filter(|_| caller.ask(b"x").status == 500).count())
         })
         .collect();
@@ -218,22 +218,22 @@
 /// The same fault strikes every target of the pool, as after a bad release. Ejecting them
 /// would leave the pool below its budget, so they stay in use.
 #[test]
-fn failing_pool_kept() {
+fn failing_pool_not_ejected() {
     let targets = [(); 2].map(|()| RawTarget::start(failed));
-    let bench = EntryBench::start_with(&targets.each_ref(), budget_of(2));
+    let fixture = EntryFixture::start_with(&targets.each_ref(), budget_of(2));
     for _ in 0..40 {
-        assert_eq!(bench.caller().ask(b"x").status, 500);
+        assert_eq!(fixture.caller().ask(b"x").status, 500);
     }
     assert!(targets.iter().all(|target| target.call_count() >= 10));
 }
 
-fn budget_of(budget: u32) -> BenchSetup {
-    BenchSetup {
+fn budget_of(budget: u32) -> FixtureSetup {
+    FixtureSetup {
         pool: PoolSpec {
             budget,
             ..PoolSpec::default()
         },
-        ..BenchSetup::default()
+        ..FixtureSetup::default()
     }
 }
 
@@ -242,8 +242,8 @@
 #[test]
 fn retries_within_budget() {
     let target = RawTarget::start(|_| TargetReply::Hangup);
-    let bench = EntryBench::start(&[&target]);
-    let caller = bench
+    let fixture = EntryFixture::start(&[&target]);
+    let caller = fixture
         .caller()
         .with("idempotent", "true")
         .with("deadline-ms", "200");
@@ -257,25 +257,25 @@
 /// The serving lease lapses while a request waits for its slot: the host may have been cut
 /// off and its teams' units given to others, so the request must not go out any more.
 #[test]
-fn gate_checked_before_bytes() {
+fn gate_checked_before_first_byte() {
     let target = RawTarget::start(|call| {
         thread::sleep(Duration::from_millis(300));
         TargetReply::Answer(call.body.clone())
     });
-    let setup = BenchSetup {
+    let setup = FixtureSetup {
         slots: 1,
-        ..BenchSetup::default()
+        ..FixtureSetup::default()
     };
-    let bench = EntryBench::start_with(&[&target], setup);
-    let caller = bench.caller();
+    let fixture = EntryFixture::start_with(&[&target], setup);
+    let caller = fixture.caller();
     let first = thread::spawn(move || caller.ask(b"first"));
     while target.call_count() == 0 {
         thread::sleep(Duration::from_millis(1));
     }
-    let caller = bench.caller();
+    let caller = fixture.caller();
     let second = thread::spawn(move || caller.ask(b"second"));
     thread::sleep(Duration::from_millis(50));
-    *bench.gate.0.lock() = Some(NotServing::LeaseLapsed);
+    *fixture.gate.0.lock() = Some(NotServing::LeaseLapsed);
     assert_eq!(first.join().unwrap().status, 200);
     let second = second.join().unwrap();
     assert_eq!((second.status, second.fate().as_str()), (503, "not-run"));
@@ -287,27 +287,27 @@
 #[rstest]
 #[case::withdrawn(None)]
 #[case::granted_anew(Some("secret-new"))]
-fn key_withdrawn_while_queued(#[case] anew: Option<&str>) {
+fn key_withdrawn_while_queued(#[case] new_secret: Option<&str>) {
     let target = RawTarget::start(|call| {
         thread::sleep(Duration::from_millis(300));
         TargetReply::Answer(call.body.clone())
     });
-    let setup = BenchSetup {
+    let setup = FixtureSetup {
         slots: 1,
-        ..BenchSetup::default()
+        ..FixtureSetup::default()
     };
-    let bench = EntryBench::start_with(&[&target], setup);
-    let caller = bench.caller().with_key(support::OTHER_KEY);
+    let fixture = EntryFixture::start_with(&[&target], setup);
+    let caller = fixture.caller().with_key(support::OTHER_KEY);
     let first = thread::spawn(move || caller.ask(b"first"));
     while target.call_count() == 0 {
         thread::sleep(Duration::from_millis(1));
     }
-    let caller = bench.caller();
+    let caller = fixture.caller();
     let second = thread::spawn(move || caller.ask(b"second"));
     thread::sleep(Duration::from_millis(50));
-    bench.change(|config| {
+    fixture.change(|config| {
         config.keys.remove("k1");
-        if let Some(secret) = anew {
+        if let Some(secret) = new_secret {
             let record = support::key_record("k1", secret, TEAM, Duration::ZERO);
             config.keys.insert("k1".into(), record);
         }
@@ -325,20 +325,20 @@
 fn stale_headers_not_sent() {
     let target = RawTarget::echo();
     let clock = Arc::new(JumpClock::default());
-    let setup = BenchSetup {
+    let setup = FixtureSetup {
         clock: clock.clone(),
-        ..BenchSetup::default()
+        ..FixtureSetup::default()
     };
-    let bench = EntryBench::start_with(&[&target], setup);
-    let mut asked = 0;
-    *bench.gate.1.lock() = Some(Box::new(move || {
-        asked += 1;
+    let fixture = EntryFixture::start_with(&[&target], setup);
+    let mut checks = 0;
+    *fixture.gate.1.lock() = Some(Box::new(move || {
+        checks += 1;
         // First at admission, then right before the first byte.
-        if asked == 2 {
+        if checks == 2 {
             *clock.0.lock() += Duration::from_secs(2);
         }
     }));
-    let reply = bench.caller().with("deadline-ms", "30000").ask(b"order");
+    let reply = fixture.caller().with("deadline-ms", "30000").ask(b"order");
     assert_eq!(reply.status, 200, "{}", reply.text());
     let calls = target.calls.lock();
     assert_eq!(calls.len(), 1);
@@ -348,97 +348,97 @@
 /// A target goes silent with a request. The caller is told at its deadline that it may have
 /// run; the team's unit and the target's slot stay taken as long as it may run.
 #[test]
-fn unknown_fate_holds_unit() {
+fn unknown_fate_holds_quota() {
     let target = RawTarget::start(|_| TargetReply::Hangup);
-    let bench = EntryBench::start(&[&target]);
-    let reply = bench.caller().with("deadline-ms", "1500").ask(b"order");
+    let fixture = EntryFixture::start(&[&target]);
+    let reply = fixture.caller().with("deadline-ms", "1500").ask(b"order");
     assert_eq!(reply.fate(), "may-have-run");
-    assert_eq!(bench.quotas.used_by(TEAM), 1);
-    assert_eq!(bench.server.running(&"t0".into()), 1);
+    assert_eq!(fixture.quotas.used_by(TEAM), 1);
+    assert_eq!(fixture.server.running(&"t0".into()), 1);
     let until = Instant::now() + Duration::from_secs(20);
-    while bench.quotas.used_by(TEAM) > 0 && Instant::now() < until {
+    while fixture.quotas.used_by(TEAM) > 0 && Instant::now() < until {
         thread::sleep(Duration::from_millis(10));
     }
-    assert_eq!(bench.quotas.used_by(TEAM), 0);
-    assert_eq!(bench.server.running(&"t0".into()), 0);
+    assert_eq!(fixture.quotas.used_by(TEAM), 0);
+    assert_eq!(fixture.server.running(&"t0".into()), 0);
 }
 
 /// A target dies with a request that had a minute left, and is back at once. Its only slot
 /// must not stay idle for that minute.
 #[test]
-fn slot_back_after_hangup() {
-    let target = faulty_once(hangup);
-    let setup = BenchSetup {
+fn slot_released_after_hangup() {
+    let target = faulty_first_time(hangup);
+    let setup = FixtureSetup {
         slots: 1,
-        ..BenchSetup::default()
+        ..FixtureSetup::default()
     };
-    let bench = EntryBench::start_with(&[&target], setup);
-    let first = bench.caller().with("deadline-ms", "60000").ask(b"order");
+    let fixture = EntryFixture::start_with(&[&target], setup);
+    let first = fixture.caller().with("deadline-ms", "60000").ask(b"order");
     assert_eq!(first.fate(), "may-have-run");
-    let second = bench.caller().with("deadline-ms", "20000").ask(b"next");
+    let second = fixture.caller().with("deadline-ms", "20000").ask(b"next");
     assert_eq!(second.status, 200);
     // The second request's unit comes back just after its answer. The first one's stays
     // taken, and whoever drains the target sees that something may run.
     let until = Instant::now() + Duration::from_secs(20);
-    while bench.quotas.used_by(TEAM) > 1 && Instant::now() < until {
+    while fixture.quotas.used_by(TEAM) > 1 && Instant::now() < until {
         thread::sleep(Duration::from_millis(2));
     }
-    assert_eq!(bench.quotas.used_by(TEAM), 1);
-    assert_eq!(bench.server.running(&"t0".into()), 1);
+    assert_eq!(fixture.quotas.used_by(TEAM), 1);
+    assert_eq!(fixture.server.running(&"t0".into()), 1);
 }
 
 /// A target may work on a request a little beyond its deadline. Until that time has passed,
 /// no other request is sent into the same slot.
 #[test]
-fn slot_kept_while_silent() {
+fn slot_held_after_timeout() {
     let second_at = Arc::new(parking_lot::Mutex::new(None));
-    let noted = Arc::clone(&second_at);
+    let recorded = Arc::clone(&second_at);
     let calls = AtomicUsize::new(0);
     let target = RawTarget::start(move |call| {
         if calls.fetch_add(1, Ordering::AcqRel) == 0 {
             return TargetReply::Silence(Duration::from_secs(2));
         }
-        *noted.lock() = Some(Instant::now());
+        *recorded.lock() = Some(Instant::now());
         TargetReply::Answer(call.body.clone())
     });
-    let setup = BenchSetup {
+    let setup = FixtureSetup {
         slots: 1,
-        ..BenchSetup::default()
+        ..FixtureSetup::default()
     };
-    let bench = EntryBench::start_with(&[&target], setup);
-    let begun = Instant::now();
-    let first = bench.caller().with("deadline-ms", "500").ask(b"order");
+    let fixture = EntryFixture::start_with(&[&target], setup);
+    let started = Instant::now();
+    let first = fixture.caller().with("deadline-ms", "500").ask(b"order");
     assert_eq!(first.fate(), "may-have-run");
-    assert_eq!(bench.caller().ask(b"next").status, 200);
+    assert_eq!(fixture.caller().ask(b"next").status, 200);
     let second_at = second_at.lock().unwrap();
     // The deadline and the shortest grace, both counted from after `begun`.
-    assert!(second_at - begun >= Duration::from_millis(800));
+    assert!(second_at - started >= Duration::from_millis(800));
 }
 
 #[test]
-fn silent_target_told_at_deadline() {
+fn unresponsive_target_times_out() {
     let target = RawTarget::start(|_| TargetReply::Silence(Duration::from_secs(30)));
-    let bench = EntryBench::start(&[&target]);
-    let begun = Instant::now();
-    let reply = bench.caller().with("deadline-ms", "300").ask(b"order");
+    let fixture = EntryFixture::start(&[&target]);
+    let started = Instant::now();
+    let reply = fixture.caller().with("deadline-ms", "300").ask(b"order");
     assert_eq!((reply.status, reply.fate().as_str()), (504, "may-have-run"));
-    assert!(begun.elapsed() < Duration::from_secs(20));
+    assert!(started.elapsed() < Duration::from_secs(20));
 }
 
 #[test]
 fn answer_too_large_refused() {
     let target = RawTarget::start(|_| TargetReply::Answer(vec![b'x'; 5000]));
-    let mut setup = BenchSetup::default();
+    let mut setup = FixtureSetup::default();
     setup.settings.max_body = 1000;
-    let bench = EntryBench::start_with(&[&target], setup);
-    let reply = bench.caller().ask(b"x");
+    let fixture = EntryFixture::start_with(&[&target], setup);
+    let reply = fixture.caller().ask(b"x");
     assert_eq!((reply.status, reply.fate().as_str()), (504, "ran"));
 }
 
 #[test]
 fn pool_without_targets_refused() {
-    let bench = EntryBench::start(&[]);
-    let reply = bench
+    let fixture = EntryFixture::start(&[]);
+    let reply = fixture
         .caller()
         .post(&format!("/v1/services/{SERVICE}/requests"), b"x");
     assert_eq!((reply.status, reply.problem().as_str()), (503, "no-target"));
