--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -1,8 +1,9 @@
-//! Queues of admitted requests, and the choice of what starts next and where.
+//! Queues of admitted requests and the choice of which request starts next, and on which
+//! target.
 //!
-//! Start with [`AdmissionLoop`]: one thread owns every queue, the use of every target and
-//! the retries, so that none of it needs a lock. [`PoolQueue`] orders the requests of one
-//! pool, [`TargetTable`] knows what runs where.
+//! Start with [`AdmissionLoop`]: a single thread owns all queues, the usage of each target
+//! and the retries, so this state needs no locks. [`PoolQueue`] orders the requests of one
+//! pool, [`TargetTable`] tracks the requests in flight on each target.
 
 mod admission_loop;
 mod demand_meter;
--- a/crates/entry/src/admission/admission_loop.rs
+++ b/crates/entry/src/admission/admission_loop.rs
@@ -21,62 +21,62 @@
     dispatch::{AttemptReport, DispatchPool},
 };
 
-/// How often leases and quotas are looked at while requests wait for them.
+/// Interval for checking leases and quotas while requests are queued.
 const WAITING_TICK: Duration = Duration::from_millis(4);
-/// How often demand is reported and idle connections are swept otherwise.
+/// Interval for reporting demand and closing idle connections while no request is queued.
 const IDLE_TICK: Duration = Duration::from_millis(50);
-/// How often the queues are searched for requests that are over.
+/// Interval for removing expired and abandoned requests from the queues.
 const CULL_INTERVAL: Duration = Duration::from_millis(10);
-/// Requests and reports taken in before the queues are looked at again.
+/// Maximum number of requests and of reports handled before requests are started again.
 const BATCH: usize = 256;
 
-/// What the admission thread works with.
+/// Dependencies and settings of the admission thread.
 pub(crate) struct AdmissionConfig {
-    /// Pools, services and teams in force.
+    /// The active configuration: pools, services and teams.
     pub config: Arc<dyn ConfigSource>,
-    /// Units of team limits.
+    /// Units of the team limits.
     pub quotas: Arc<dyn QuotaSource>,
     /// Targets of each pool.
     pub targets: Arc<dyn TargetSource>,
     /// Slots that this entry host may use.
     pub slots: Arc<dyn SlotSource>,
-    /// The other entry hosts.
+    /// The entry hosts, including this one.
     pub members: Arc<dyn MemberSource>,
-    /// The clock of deadlines.
+    /// The clock that deadlines are measured by.
     pub clock: Arc<dyn Clock>,
-    /// Most requests queued for one pool.
+    /// Maximum number of queued requests per pool.
     pub max_queue: usize,
-    /// The retry budget that a pool begins with.
+    /// The retry budget of a new pool.
     pub retries: RetryBudget,
 }
 
-/// What the server asks of the admission thread.
+/// A command from the server to the admission thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LoopCommand {
-    /// Start what is queued until the given time, refuse the rest, and end when nothing
-    /// runs any more.
+    /// Keep starting queued requests until `refuse_at`, then refuse the rest, and exit once
+    /// no request is running.
     Finish {
-        /// When queued requests are refused.
+        /// From this time on, queued requests are refused.
         refuse_at: BootTime,
-        /// When the loop ends although something runs.
+        /// At this time the loop exits even if requests are still running.
         end_at: BootTime,
     },
 }
 
-/// The channels that the admission thread listens to.
+/// The channels that the admission thread receives from.
 pub(crate) struct AdmissionInbox {
     /// Admitted requests.
     pub requests: Receiver<Box<CallerRequest>>,
-    /// Ended attempts.
+    /// Reports of finished attempts.
     pub reports: Receiver<AttemptReport>,
     /// Commands of the server.
     pub commands: Receiver<LoopCommand>,
 }
 
-/// Owns the queues, the use of targets and the retries.
+/// Owns the queues, the usage of targets and the retries.
 ///
-/// Its work is in three parts: taking requests in and ending them here, starting them in
-/// `start_requests`, and what follows from an ended attempt in `finish_attempt`.
+/// This file admits, expires and refuses requests; `start_requests` starts them and
+/// `finish_attempt` handles the reports of finished attempts.
 pub(crate) struct AdmissionLoop {
     pub(super) config: AdmissionConfig,
     inbox: AdmissionInbox,
@@ -92,7 +92,7 @@
 }
 
 impl AdmissionLoop {
-    /// A loop with empty queues.
+    /// Creates a loop with empty queues.
     pub fn new(
         config: AdmissionConfig,
         inbox: AdmissionInbox,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Runs until a `Finish` is done or the server is gone.
+    /// Runs until a `Finish` command has completed or the server has been dropped.
     pub fn run(mut self) {
         loop {
             let alive = self.wait_for_event();
@@ -132,7 +132,8 @@
         self.refuse_queued("this entry host shut down before the request could start");
     }
 
-    /// Waits for something to do; false once the server is gone.
+    /// Waits for a request, a report, a command or the next tick. Returns false once the
+    /// server has been dropped.
     fn wait_for_event(&mut self) -> bool {
         let queued = self.pools.values().any(|state| !state.queue.is_empty());
         let tick = if queued { WAITING_TICK } else { IDLE_TICK };
@@ -200,9 +201,10 @@
         }
     }
 
-    /// Ends requests whose deadline passed, and forgets those whose caller went away.
+    /// Refuses requests whose deadline has passed or will be missed, and drops those whose
+    /// caller has disconnected.
     fn remove_ended(&mut self, now: BootTime) {
-        // Looks at every queued request, so not after each event.
+        // Scans every queued request, so it does not run on each event.
         if now.saturating_sub(self.last_cull) < CULL_INTERVAL {
             return;
         }
--- a/crates/entry/src/admission/demand_meter.rs
+++ b/crates/entry/src/admission/demand_meter.rs
@@ -5,12 +5,13 @@
 
 use super::pool_queue::PoolQueue;
 
-/// Shortest time between two reports of a pool whose demand changes.
+/// Minimum time between two demand reports of a pool whose demand changes.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between two reports of a pool whose demand stays.
+/// Time between two demand reports of a pool whose demand does not change.
 const STEADY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Measures what each team uses of one pool here, and says when to report it.
+/// Measures the slot usage of each team in one pool on this entry host, and decides when to
+/// report it.
 #[derive(Default)]
 pub(crate) struct DemandMeter {
     teams: BTreeMap<TeamId, TeamMeter>,
@@ -23,29 +24,29 @@
     running: u32,
     /// Slot time used since the team was first seen.
     total: Duration,
-    /// What of `total` the reports have told.
+    /// The part of `total` that has been reported.
     reported: Duration,
-    /// What of `total` the lease now held has counted in.
+    /// The part of `total` that the current lease already includes.
     accounted: Duration,
     since: BootTime,
 }
 
 impl DemandMeter {
-    /// Slots that `team` holds here.
+    /// Slots that `team` uses on this entry host.
     pub fn running(&self, team: &TeamId) -> u32 {
         self.teams.get(team).map_or(0, |meter| meter.running)
     }
 
-    /// Slots held here.
+    /// Slots in use on this entry host.
     pub fn total_running(&self) -> u32 {
         self.teams.values().map(|meter| meter.running).sum()
     }
 
-    /// Slot time of `team` that the lease now held has not counted in, with the time that
-    /// what runs is still expected to take.
+    /// Slot time of `team` that the current lease does not include yet, plus the remaining
+    /// time that its running requests are expected to take.
     ///
-    /// Charging what runs ahead keeps one team from taking every slot that is free at the
-    /// same moment.
+    /// Charging running requests in advance keeps one team from taking every slot that
+    /// becomes free at the same moment.
     pub fn unaccounted(&self, team: &TeamId, service_time: Duration, now: BootTime) -> Duration {
         let Some(meter) = self.teams.get(team) else {
             return Duration::ZERO;
@@ -54,19 +55,19 @@
         meter.total.saturating_sub(meter.accounted) + running * meter.running
     }
 
-    /// Notes that a lease arrived, which counts in what was reported before.
+    /// Starts a new lease, which includes all usage reported so far.
     pub fn begin_lease(&mut self) {
         for meter in self.teams.values_mut() {
             meter.accounted = meter.reported;
         }
     }
 
-    /// Notes that something was queued or left the queue.
+    /// Records that a request was queued or removed from the queue.
     pub fn mark_queue_changed(&mut self) {
         self.changed = true;
     }
 
-    /// Notes that `team` took a slot.
+    /// Records that `team` took a slot.
     pub fn record_start(&mut self, team: &TeamId, now: BootTime) {
         let meter = self.teams.entry(team.clone()).or_default();
         meter.accumulate(now);
@@ -74,7 +75,7 @@
         self.changed = true;
     }
 
-    /// Notes that `team` gave a slot back.
+    /// Records that `team` released a slot.
     pub fn record_end(&mut self, team: &TeamId, now: BootTime) {
         let meter = self.teams.entry(team.clone()).or_default();
         meter.accumulate(now);
@@ -82,7 +83,7 @@
         self.changed = true;
     }
 
-    /// The demand by team, if it is time to report it.
+    /// Returns the demand by team if a report is due.
     pub fn due_report(&mut self, queue: &PoolQueue, now: BootTime) -> Option<Vec<TeamDemand>> {
         let since = now.saturating_sub(self.reported);
         let busy = self.total_running() > 0 || !queue.is_empty();
@@ -127,7 +128,7 @@
     fn take_unreported_ms(&mut self) -> u64 {
         let used = self.total.saturating_sub(self.reported);
         let whole = u64::try_from(used.as_millis()).unwrap_or(u64::MAX);
-        // The rest below a millisecond stays for the next report.
+        // The remainder below one millisecond is carried over to the next report.
         self.reported += Duration::from_millis(whole);
         whole
     }
--- a/crates/entry/src/admission/finish_attempt.rs
+++ b/crates/entry/src/admission/finish_attempt.rs
@@ -13,14 +13,15 @@
     dispatch::{AttemptEnd, AttemptReport, NotRunCause},
 };
 
-/// How much longer than its deadline a request of unknown fate counts as running, at least
-/// and at most; between them it is the mean service time of its pool.
+/// Bounds for the time after its deadline during which a request with an unknown outcome
+/// still counts as running. Between them, the mean service time of the pool is used.
 const MIN_GRACE: Duration = Duration::from_millis(300);
 const MAX_GRACE: Duration = Duration::from_secs(5);
 
-/// What follows from ended attempts.
+/// Handling of finished attempts.
 impl AdmissionLoop {
-    /// Draws the consequences of an ended attempt.
+    /// Handles the report of a finished attempt: releases or holds its resources, updates
+    /// the health of the target, and retries or refuses the request if needed.
     pub(super) fn handle_report(&mut self, report: AttemptReport) {
         let now = self.config.clock.boot_now();
         self.dispatch.finish_job();
@@ -51,7 +52,8 @@
                 self.release(&request.pool, &request.team, &host, now);
                 let problem = CallerProblem::not_run(ProblemKind::NoTarget, detail)
                     .with_retry_after(Duration::from_secs(1));
-                // What never left this host costs its pool nothing, so it needs no budget.
+                // An attempt that never left this host put no load on the pool, so its
+                // retry needs no budget.
                 let free = cause == NotRunCause::Local;
                 self.retry(request, problem, free, now);
             }
@@ -62,7 +64,7 @@
                 if request.idempotent {
                     self.retry(request, problem, false, now);
                 } else {
-                    // Its fate won't become known, so the caller is told at once.
+                    // The outcome will not become known, so the caller gets its answer now.
                     request.refuse(problem);
                 }
             }
@@ -98,8 +100,8 @@
         self.table.on_failure(&snapshot.view(), host, answered, now);
     }
 
-    /// Sends a request again if its pool can afford it or it is `free`, and refuses it at
-    /// once otherwise.
+    /// Queues the request for a retry if the retry budget of its pool allows it or `free`
+    /// is true; otherwise refuses it at once.
     fn retry(
         &mut self,
         mut request: Box<CallerRequest>,
@@ -120,15 +122,16 @@
         state.meter.mark_queue_changed();
     }
 
-    /// Keeps the permit of a request whose fate is unknown: it may run until its deadline,
-    /// and giving the permit to another one could put the team above its limit. Targets
-    /// know the deadline, but one that has just started the request may not look at it
-    /// again, so the usual service time is waited out as well.
+    /// Holds the quota permit of a request whose outcome is unknown. The request may run
+    /// until its deadline, and passing the permit to another request could put the team
+    /// above its limit. Targets know the deadline, but a target that has just started the
+    /// request may not check it again, so the hold is extended by the usual service time.
     ///
-    /// A silent target is taken to be at work, so the slot is kept as long. One that closed
-    /// the connection or answered something else has most likely ended the request; it
-    /// refuses what it has no slot for, while keeping the slot would leave a target
-    /// that died and came back idle until the last deadline.
+    /// After a timeout the target is assumed to be working on the request, so its slot is
+    /// held as well. A target that closed the connection or sent an invalid response has
+    /// most likely ended the request, and it refuses requests for which it has no slot.
+    /// Holding the slot would leave a target that crashed and restarted idle until the last
+    /// deadline.
     fn hold_resources(
         &mut self,
         request: &CallerRequest,
@@ -159,7 +162,7 @@
         state.meter.record_end(team, now);
     }
 
-    /// Gives back what was held for requests that are surely over now.
+    /// Releases the resources of requests that can no longer be running.
     pub(super) fn release_expired_holds(&mut self, now: BootTime) {
         let (over, kept) = self.holds.drain(..).partition(|hold| now >= hold.until);
         self.holds = kept;
--- a/crates/entry/src/admission/pool_queue.rs
+++ b/crates/entry/src/admission/pool_queue.rs
@@ -7,7 +7,7 @@
 
 use crate::caller_request::CallerRequest;
 
-/// The requests that wait for a slot of one pool, in a queue for each team.
+/// The requests that wait for a slot of one pool, with one queue per team.
 #[derive(Default)]
 pub(crate) struct PoolQueue {
     teams: BTreeMap<TeamId, TeamQueue>,
@@ -27,17 +27,17 @@
 }
 
 impl PoolQueue {
-    /// Requests queued, those that wait for a retry included.
+    /// Number of queued requests, including those waiting for a retry.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether nothing is queued.
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Requests of `team` queued, and how many of them are urgent.
+    /// Number of queued requests of `team`, and how many of them are urgent.
     pub fn team_len(&self, team: &TeamId) -> (usize, usize) {
         self.teams
             .get(team)
@@ -45,7 +45,7 @@
             .unwrap_or_default()
     }
 
-    /// Teams that have something queued.
+    /// Teams with queued requests.
     pub fn waiting_teams(&self) -> impl Iterator<Item = &TeamId> {
         self.teams
             .iter()
@@ -53,8 +53,9 @@
             .map(|(team, _)| team)
     }
 
-    /// Queues a request. If that makes more than `most`, gives back the newest one of the
-    /// team that queues most, so that a team that floods the pool delays only itself.
+    /// Queues a request. If the queue then exceeds `max_len`, removes and returns the
+    /// newest request of the team with the longest queue, so that a team that floods the
+    /// pool delays only itself.
     pub fn push(
         &mut self,
         request: Box<CallerRequest>,
@@ -79,13 +80,13 @@
         Some(evicted)
     }
 
-    /// Queues a request that goes first in its team once `due` has come.
+    /// Queues a request for a retry at `due`, at the front of its team's queue.
     pub fn push_retry(&mut self, request: Box<CallerRequest>, due: BootTime) {
         self.length += 1;
         self.delayed.push(DelayedRequest { due, request });
     }
 
-    /// Moves retries whose time has come to the front of their teams.
+    /// Moves retries that are due to the front of their teams' queues.
     pub fn queue_due_retries(&mut self, now: BootTime) {
         let mut index = 0;
         while index < self.delayed.len() {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Takes out every request that `gone` says is of no more use.
+    /// Removes and returns all requests for which `should_remove` is true.
     pub fn remove_where(
         &mut self,
         mut should_remove: impl FnMut(&CallerRequest) -> bool,
@@ -127,7 +128,7 @@
         taken
     }
 
-    /// How long the oldest urgent request of `team` has waited; `None` without one.
+    /// How long the oldest urgent request of `team` has waited; `None` if there is none.
     pub fn urgent_wait(&self, team: &TeamId, now: BootTime) -> Option<Duration> {
         let queue = self.teams.get(team)?;
         let first = queue.urgent.front()?;
@@ -141,7 +142,7 @@
         next.map(Box::as_ref)
     }
 
-    /// Takes the next request of `team`, urgent ones first.
+    /// Removes and returns the next request of `team`, urgent ones first.
     pub fn pop(&mut self, team: &TeamId) -> Option<Box<CallerRequest>> {
         let queue = self.teams.get_mut(team)?;
         let request = queue
@@ -152,7 +153,7 @@
         Some(request)
     }
 
-    /// Puts a request that could not start back where it was taken from.
+    /// Puts a request that could not be started back at the front of its queue.
     pub fn restore_front(&mut self, request: Box<CallerRequest>) {
         let queue = self.teams.entry(request.team.clone()).or_default();
         if request.urgent {
--- a/crates/entry/src/admission/pool_state.rs
+++ b/crates/entry/src/admission/pool_state.rs
@@ -7,23 +7,23 @@
 use super::{demand_meter::DemandMeter, pool_queue::PoolQueue, target_table::PoolView};
 use crate::caller_request::CallerRequest;
 
-/// Part of a new measurement in the running mean of service times.
+/// Weight of a new measurement in the moving average of service times.
 const SERVICE_SMOOTHING: f64 = 0.1;
-/// What a start is charged while nothing is known of service times, so that one team does
-/// not take all free slots then.
+/// Minimum service time charged for a start. It applies while no service time is known, so
+/// that one team does not take all free slots then.
 const MIN_SERVICE_TIME: Duration = Duration::from_millis(1);
-/// Service times above the mean that a deadline should leave room for.
+/// Factor applied to the mean service time when checking whether a deadline can be met.
 const SERVICE_MARGIN: f64 = 1.25;
-/// Ended requests before the mean of service times is trusted.
+/// Minimum number of finished requests before the mean service time is used.
 const SERVICE_SAMPLES: u32 = 8;
 
-/// Everything the admission thread keeps of one pool.
+/// State of one pool, owned by the admission thread.
 pub(crate) struct PoolState {
-    /// Its queue.
+    /// Queued requests.
     pub queue: PoolQueue,
-    /// Its use and demand.
+    /// Usage and demand by team.
     pub meter: DemandMeter,
-    /// Its retries.
+    /// Retry budget.
     pub retries: RetryBudget,
     mean_service: Duration,
     samples: u32,
@@ -31,7 +31,7 @@
 }
 
 impl PoolState {
-    /// The desk of a pool that nothing is known of.
+    /// Creates the state of a pool without queued requests or measured service times.
     pub fn new(retries: RetryBudget) -> Self {
         Self {
             queue: PoolQueue::default(),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Notes how long a target took for a request.
+    /// Adds the service time of a finished request to the moving average.
     pub fn record_service_time(&mut self, elapsed: Duration) {
         self.samples = self.samples.saturating_add(1);
         if self.samples == 1 {
@@ -54,12 +54,12 @@
             self.mean_service.mul_f64(1.0 - SERVICE_SMOOTHING) + elapsed.mul_f64(SERVICE_SMOOTHING);
     }
 
-    /// Mean time that targets took for a request lately.
+    /// Moving average of the service time.
     pub fn service_time(&self) -> Duration {
         self.mean_service
     }
 
-    /// Notes the lease now held; a renewed one has counted what was started before.
+    /// Sets the current lease. A new lease includes all usage reported before it.
     pub fn update_lease(&mut self, lease: &Arc<SlotLease>) {
         let known = self
             .lease
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The teams that have something queued, as `decide::share::pick` wants to see them.
+    /// The teams with queued requests, as input for `decide::share::pick_next_team`.
     pub fn team_candidates(&self, snapshot: &PoolSnapshot, now: BootTime) -> Vec<TeamTurn> {
         let candidate = |team: &TeamId| TeamTurn {
             team: team.clone(),
@@ -83,7 +83,8 @@
         self.queue.waiting_teams().map(candidate).collect()
     }
 
-    /// Virtual time of a team: what the lease says, and what was used here since.
+    /// Virtual time of a team: the value in the lease plus the usage here that the lease
+    /// does not include.
     pub fn virtual_time(&self, snapshot: &PoolSnapshot, team: &TeamId, now: BootTime) -> Duration {
         let leased = snapshot.lease.teams.iter().find(|used| used.team == *team);
         let leased = leased.map_or(Duration::ZERO, |used| {
@@ -93,11 +94,11 @@
         leased + self.meter.unaccounted(team, mean_service, now) / snapshot.weight(team)
     }
 
-    /// How long `work` would wait, by recent service times and the slots that its team may
-    /// count on; `None` while nothing is known.
+    /// Expected time in the queue for `request`, from recent service times and the slots
+    /// its team can count on; `None` while too little is known.
     ///
-    /// Those slots are the team's due or what it runs, whichever is more: a team alone in
-    /// the pool gets more than its due.
+    /// The team can count on its due slots or on those it uses now, whichever is more: a
+    /// team that is alone in the pool gets more than its due.
     pub fn expected_wait(
         &self,
         request: &CallerRequest,
@@ -125,14 +126,15 @@
         )
     }
 
-    /// How long requests are likely to take now.
+    /// A snapshot of the expected service time.
     pub fn service_estimate(&self) -> ServiceEstimate {
         ServiceEstimate {
             required: self.required_time(),
         }
     }
 
-    /// Time that a request needs on a target, with a margin; zero while nothing is known.
+    /// Time that a request needs on a target, including a margin; zero while too little is
+    /// known.
     pub fn required_time(&self) -> Duration {
         if self.samples < SERVICE_SAMPLES {
             return Duration::ZERO;
@@ -140,11 +142,12 @@
         self.mean_service.mul_f64(SERVICE_MARGIN)
     }
 
-    /// Starts of `team` that its slots here would allow, if its limit did.
+    /// Number of queued requests of `team` that its slots here would let start, ignoring
+    /// its limit.
     ///
-    /// Units of the limit go to hosts by this number. By the length of the queue a host
-    /// with many requests and few slots would draw units that it can't use, and starts
-    /// elsewhere would stop for want of them.
+    /// Units of the limit are distributed to hosts by this number. If the queue length were
+    /// used, a host with many requests and few slots would draw units that it can't use,
+    /// and requests on other hosts could not start for lack of units.
     pub fn slot_limited_starts(&self, team: &TeamId, lease: &SlotLease) -> u32 {
         let (queued, _) = self.queue.team_len(team);
         if queued == 0 {
@@ -156,7 +159,7 @@
         usable.min(u32::try_from(queued).unwrap_or(u32::MAX))
     }
 
-    /// How long what is queued will take.
+    /// Expected time until all queued requests have run.
     pub fn drain_time(&self, lease: &SlotLease) -> Duration {
         let slots = slot_sum(lease).max(1);
         self.mean_service
@@ -164,7 +167,8 @@
     }
 }
 
-/// The desk of `pool`, a new one with the budget `retries` if there is none.
+/// Returns the state of `pool`, creating it with the retry budget `retries` if it does not
+/// exist.
 pub(crate) fn pool_state_mut<'a>(
     pools: &'a mut BTreeMap<PoolId, PoolState>,
     retries: &RetryBudget,
@@ -175,19 +179,20 @@
         .or_insert_with(|| PoolState::new(retries.clone()))
 }
 
-/// What recent service times say of the requests that wait.
+/// Expected service time of the requests in a queue.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServiceEstimate {
     required: Duration,
 }
 
 impl ServiceEstimate {
-    /// Whether `work`, started now, is likely to outlast its deadline only because it waited.
+    /// Whether `request`, if started now, would probably miss its deadline only because of
+    /// its time in the queue.
     ///
-    /// A target would run it, and its caller would be told that it may have run: the slot is
-    /// spent and nobody gains. Under overload a queue in order of arrival brings every
-    /// request to a slot in this state, so it is refused instead, while that is still
-    /// truthful. A request whose whole span is shorter than the mean service time is tried:
+    /// A target would run it and its caller would get "may have run", so the slot would be
+    /// wasted. Under overload a first-in first-out queue brings every request to a slot in
+    /// this state, so such a request is refused while "not run" is still true. A request
+    /// whose total time allowance is shorter than the mean service time is tried anyway:
     /// the mean may come from other callers.
     pub fn would_miss_deadline(&self, request: &CallerRequest, now: BootTime) -> bool {
         let required = self.required;
@@ -200,22 +205,22 @@
     lease.targets.iter().map(|target| target.slots).sum()
 }
 
-/// What the other areas say of one pool at one moment.
+/// Inputs about one pool from other subsystems at one point in time.
 pub(crate) struct PoolSnapshot {
-    /// Its targets.
+    /// Targets of the pool.
     pub targets: Arc<Vec<TargetHost>>,
-    /// The slots that this entry host may use.
+    /// Slots that this entry host may use.
     pub lease: Arc<SlotLease>,
-    /// Connections that this entry host may hold to each target.
+    /// Maximum number of connections from this entry host to each target.
     pub max_connections: u32,
-    /// How many hosts the pool must keep in service.
+    /// Number of hosts that the pool must keep in service.
     pub budget: u32,
-    /// The configuration in force.
+    /// The active configuration.
     pub config: Arc<ActiveConfig>,
 }
 
 impl PoolSnapshot {
-    /// The parts that the choice of a target needs.
+    /// The part needed to choose a target.
     pub fn view(&self) -> PoolView<'_> {
         PoolView {
             targets: &self.targets,
@@ -225,7 +230,7 @@
         }
     }
 
-    /// Weight of `team` when the pool is full.
+    /// Weight of `team` when the pool is saturated.
     pub fn weight(&self, team: &TeamId) -> u32 {
         let spec = self.config.manifest.teams.get(team);
         spec.map_or(1, |spec| spec.share).max(1)
--- a/crates/entry/src/admission/resource_hold.rs
+++ b/crates/entry/src/admission/resource_hold.rs
@@ -5,18 +5,20 @@
 
 use crate::CallerProblem;
 
-/// A unit of a team's limit, and maybe a slot, whose request may still run on its target.
+/// A quota permit, and optionally a slot, held for a request that may still run on its
+/// target.
 pub(super) struct ResourceHold {
     pub(super) until: BootTime,
     pub(super) pool: PoolId,
     pub(super) team: TeamId,
     pub(super) host: HostId,
-    /// Whether it keeps a slot.
+    /// Whether the slot is held too.
     pub(super) slot: bool,
     pub(super) _permit: QuotaPermit,
 }
 
-/// What a caller is told whose request waited until its deadline.
+/// The problem returned for a request that was queued until its deadline; `limited` if its
+/// team was at its limit.
 pub(super) fn deadline_problem(limited: bool) -> CallerProblem {
     let (kind, detail) = if limited {
         (
--- a/crates/entry/src/admission/start_requests.rs
+++ b/crates/entry/src/admission/start_requests.rs
@@ -11,9 +11,9 @@
 };
 use crate::dispatch::DispatchJob;
 
-/// Starting what is queued.
+/// Starting of queued requests.
 impl AdmissionLoop {
-    /// Starts what can start, in every pool.
+    /// Starts as many queued requests as possible in every pool.
     pub(super) fn start_waiting(&mut self, now: BootTime) {
         let refuse = self.finish.is_some_and(|command| {
             let LoopCommand::Finish { refuse_at, .. } = command;
@@ -36,7 +36,8 @@
         self.update_quota_waits(&blocked);
     }
 
-    /// Starts requests of one pool until its slots, its teams' limits or the queue end.
+    /// Starts requests of one pool until there are no free slots, no team below its limit
+    /// or no queued requests left.
     fn start_pool(&mut self, pool: &PoolId, blocked: &mut BTreeSet<TeamId>, now: BootTime) {
         let snapshot = self.pool_snapshot(pool);
         let view = snapshot.view();
@@ -96,7 +97,8 @@
         }
     }
 
-    /// Tells the quotas how many starts wait for a unit, so that grants move here.
+    /// Reports how many requests wait for a unit of their team's limit, so that units are
+    /// granted to this host.
     fn update_quota_waits(&mut self, blocked: &BTreeSet<TeamId>) {
         let mut quota_waits = HashMap::new();
         for team in blocked {
@@ -122,7 +124,7 @@
         self.quota_waits = quota_waits;
     }
 
-    /// What the other areas say of a pool now.
+    /// Collects the inputs about a pool from other subsystems.
     pub(super) fn pool_snapshot(&self, pool: &PoolId) -> PoolSnapshot {
         let config = self.config.config.current();
         let spec = config.manifest.pools.get(pool);
--- a/crates/entry/src/admission/target_table.rs
+++ b/crates/entry/src/admission/target_table.rs
@@ -10,17 +10,17 @@
 
 use crate::{dispatch::TargetConnection, event};
 
-/// How long a lane may stay unused before its connection is closed. Short, because a
-/// target that closes it at the moment of use leaves the fate of a request unknown.
+/// How long a connection may stay idle before it is closed. Short, because a request whose
+/// target closes the connection just as it is used has an unknown outcome.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(4);
-/// How long a target that refused work is left alone, first and at most.
+/// Bounds of the backoff after a target has refused a request.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Requests in flight by target, as other areas may read them.
+/// Requests in flight by target, shared with other subsystems for reading.
 pub(crate) type RunningCounts = Arc<Mutex<HashMap<HostId, u32>>>;
 
-/// What this entry host has in flight to each target, and how each target does.
+/// Requests in flight on each target, its idle connections and its health.
 pub(crate) struct TargetTable {
     entries: HashMap<HostId, TargetUsage>,
     counts: RunningCounts,
@@ -31,7 +31,7 @@
 #[derive(Default)]
 struct TargetUsage {
     in_flight: u32,
-    /// Requests without a slot that may run all the same.
+    /// Requests that no longer hold a slot but may still be running.
     unconfirmed: u32,
     idle_connections: Vec<IdleConnection>,
     health: TargetHealth,
@@ -44,20 +44,20 @@
     since: BootTime,
 }
 
-/// A pool as the choice of a target needs it.
+/// The inputs about a pool for choosing a target.
 pub(crate) struct PoolView<'a> {
-    /// Its targets.
+    /// Targets of the pool.
     pub targets: &'a [TargetHost],
-    /// The slots that this entry host may use.
+    /// Slots that this entry host may use.
     pub lease: &'a SlotLease,
-    /// Connections that this entry host may hold to each target.
+    /// Maximum number of connections from this entry host to each target.
     pub max_connections: u32,
-    /// How many hosts the pool must keep in service.
+    /// Number of hosts that the pool must keep in service.
     pub budget: u32,
 }
 
 impl TargetTable {
-    /// An empty table for an entry host in `data_centre`.
+    /// Creates an empty table for an entry host in `data_centre`.
     pub fn new(
         data_centre: DataCentreId,
         connect_timeout: Duration,
@@ -71,8 +71,9 @@
         }
     }
 
-    /// The target with the most room, out of those that did not just fail if there are any;
-    /// among equals one in the own data centre, then the one that `tie` falls on.
+    /// Chooses a target with a free slot. Targets without recent failures come first, then
+    /// those with the most free slots, then those in the local data centre; `tie` rotates
+    /// among equal ones.
     pub fn choose<'a>(
         &self,
         view: &PoolView<'a>,
@@ -99,7 +100,8 @@
         best.map(|(_, target, _)| target)
     }
 
-    /// Takes a slot of `target` and a lane to it.
+    /// Takes a slot of `target` and returns a connection to it, reusing an idle one if
+    /// possible.
     pub fn acquire(&mut self, target: &TargetHost) -> TargetConnection {
         let entry = self.entries.entry(target.host.clone()).or_default();
         entry.in_flight += 1;
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Gives a slot back.
+    /// Releases a slot.
     pub fn release_slot(&mut self, host: &HostId) {
         let Some(entry) = self.entries.get_mut(host) else {
             return;
@@ -125,14 +127,14 @@
         publish_count(&self.counts, host, entry);
     }
 
-    /// Gives a slot back whose request may still run on the target.
+    /// Releases the slot of a request that may still run on the target.
     pub fn release_unconfirmed(&mut self, host: &HostId) {
         let entry = self.entries.entry(host.clone()).or_default();
         entry.in_flight = entry.in_flight.saturating_sub(1);
         entry.unconfirmed += 1;
     }
 
-    /// Notes that such a request is surely over.
+    /// Records that such a request can no longer be running.
     pub fn end_unconfirmed(&mut self, host: &HostId) {
         let Some(entry) = self.entries.get_mut(host) else {
             return;
@@ -141,8 +143,8 @@
         publish_count(&self.counts, host, entry);
     }
 
-    /// Keeps a lane for the next request to its target, unless the target then has more
-    /// than `part` connections from here: the part shrinks when an entry host joins.
+    /// Keeps a connection for the next request to its target, unless there would be more
+    /// than `max_connections` to that target. This limit shrinks when an entry host joins.
     pub fn keep_connection(
         &mut self,
         connection: TargetConnection,
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Requests in flight to each of `targets` that has any.
+    /// The number of requests in flight for each of `targets` that has any.
     pub fn in_flight(&self, targets: &[TargetHost]) -> Vec<TargetSlots> {
         let entries = targets.iter().filter_map(|target| {
             let entry = self.entries.get(&target.host)?;
@@ -171,7 +173,7 @@
         entries.collect()
     }
 
-    /// Closes lanes that were idle for long, and forgets targets that nothing is known of.
+    /// Closes connections that were idle for too long, and drops entries without any state.
     pub fn sweep(&mut self, now: BootTime) {
         for entry in self.entries.values_mut() {
             entry
@@ -186,14 +188,14 @@
         });
     }
 
-    /// Notes that a target answered.
+    /// Records a successful response of a target.
     pub fn on_success(&mut self, host: &HostId) {
         let entry = self.entries.entry(host.clone()).or_default();
         entry.health.record_success();
         entry.backoff = Duration::ZERO;
     }
 
-    /// Notes that a target failed a request, by an answer or without one.
+    /// Records a failed request; `answered` is false if there was no valid response.
     pub fn on_failure(
         &mut self,
         view: &PoolView<'_>,
@@ -209,7 +211,7 @@
         let may_eject = can_spare(in_use, view.budget);
         let entry = self.entries.entry(host.clone()).or_default();
         if !answered {
-            // The connections may lead to a life of the target that is gone.
+            // The connections may lead to a process of the target that no longer exists.
             entry.idle_connections.clear();
         }
         if entry.health.record_failure(now, may_eject) {
@@ -218,9 +220,10 @@
         }
     }
 
-    /// Notes that a target refused new work: it drains, or its slots are taken. It is left
-    /// alone for a moment that grows to a second while it goes on refusing, so that a
-    /// draining target is spared and one that was only full is not left idle for long.
+    /// Records that a target refused a request because it drains or has no free slot. The
+    /// target gets no requests during a backoff that doubles up to one second while it
+    /// keeps refusing, so that a draining target gets few requests and a target that was
+    /// only briefly full is not idle for long.
     pub fn on_refusal(&mut self, host: &HostId, now: BootTime) {
         let entry = self.entries.entry(host.clone()).or_default();
         entry.backoff = (entry.backoff * 2).clamp(MIN_BACKOFF, MAX_BACKOFF);
@@ -287,11 +290,12 @@
     }
 }
 
-/// Connections that one entry host may hold to a target that allows `connections` in all.
+/// Maximum number of connections from one entry host to a target that allows `connections`
+/// in total.
 ///
-/// Each of `members` entry hosts keeps to its part without asking the others, so the sum
+/// Each of the `members` entry hosts keeps to its share without coordination, so the sum
 /// stays within what the target allows.
-pub(crate) fn connection_share(max_connections: u32, members: usize) -> u32 {
+pub(crate) fn connection_share(connections: u32, members: usize) -> u32 {
     let members = u32::try_from(members).unwrap_or(u32::MAX).max(1);
-    (max_connections / members).max(1)
+    (connections / members).max(1)
 }
