--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -1,8 +1,8 @@
-//! Claims of request ids, so that a non-idempotent request runs at most once however its
-//! caller repeats it.
+//! Claims of request ids, which ensure that a non-idempotent request runs at most once even
+//! if its caller repeats it.
 //!
-//! Start with [`ClaimService`]. The state is `decide::claim::ClaimLedger`; here are only the
-//! messages around it.
+//! Start with [`ClaimService`]. The state is `decide::claim::ClaimLedger`; this module
+//! exchanges the messages.
 
 mod claim_service;
 
--- a/crates/entry/src/claim/claim_service.rs
+++ b/crates/entry/src/claim/claim_service.rs
@@ -17,12 +17,12 @@
 
 use crate::CallerProblem;
 
-/// Stack of the claim thread, in bytes.
+/// Stack size of the claim thread, in bytes.
 const CLAIM_STACK: usize = 128 * 1024;
-/// How often a claim is asked before the home counts as silent.
+/// How many times a claim is sent before its home counts as unresponsive.
 const CLAIM_ATTEMPTS: u32 = 2;
 
-/// Mints request ids, answers claims on them, and claims ids of other entry hosts.
+/// Mints request ids, answers claims of them, and claims ids that other entry hosts minted.
 pub struct ClaimService {
     members: Arc<dyn MemberSource>,
     link: Arc<dyn PeerLink>,
@@ -31,27 +31,27 @@
     pending: Mutex<HashMap<u64, PendingClaim>>,
 }
 
-/// A claim whose home was asked.
+/// A claim that was sent to the home of its id and has no reply yet.
 struct PendingClaim {
     minted: MintedId,
     verdict: Sender<ClaimVerdict>,
 }
 
 impl ClaimService {
-    /// A desk that keeps at most `open_ids` minted ids open.
+    /// Creates a service that keeps at most `open_ids` minted and unclaimed ids.
     pub fn new(members: Arc<dyn MemberSource>, link: Arc<dyn PeerLink>, open_ids: usize) -> Self {
         Self {
             members,
             link,
             ledger: Mutex::new(ClaimLedger::new(open_ids)),
-            // A reply to the life before this one may still be on its way; beginning anew
-            // at 1 could match it to a question of this life.
+            // A reply to the previous incarnation may still arrive. Counting from 1 again
+            // could match it to a call of this incarnation.
             calls: AtomicU64::new(rand::random::<u64>() >> 8),
             pending: Mutex::default(),
         }
     }
 
-    /// Starts the thread that answers claims; it ends when `inbound` disconnects.
+    /// Starts the thread that answers claims. It exits when `inbound` disconnects.
     ///
     /// # Errors
     /// If the thread can't be started.
@@ -69,22 +69,22 @@
             .map_err(|cause| StepError::new("start claim thread", "", cause))
     }
 
-    /// A fresh id that `team` may use once.
+    /// Mints an id that `team` may use once.
     pub(crate) fn mint_for(&self, team: &TeamId) -> RequestId {
         let counter = self.ledger.lock().mint(team);
         self.format_id(counter)
     }
 
-    /// A fresh id whose only run is the one under way here.
+    /// Mints an id that is already claimed, for a request that runs on this host.
     pub(crate) fn mint_claimed(&self) -> RequestId {
         let counter = self.ledger.lock().mint_claimed();
         self.format_id(counter)
     }
 
-    /// The id that a request runs under, and whether it must be claimed first.
+    /// Returns the id under which a request runs, and whether it must be claimed first.
     ///
-    /// A caller's own name for a non-idempotent request is refused: no entry host could
-    /// say whether another one has run it.
+    /// An id chosen by the caller is refused for a non-idempotent request, because no entry
+    /// host could tell whether another one has run it.
     pub(crate) fn resolve_id(
         &self,
         given: Option<RequestId>,
@@ -106,12 +106,13 @@
         Ok((request, true))
     }
 
-    /// States the fate of a request that was refused under an id which its caller gave.
+    /// Corrects the fate of a request that was refused under an id given by its caller.
     ///
-    /// A caller repeats an order whose answer was lost, and the repetition is refused before
-    /// its claim. "Not run" would be true of the repetition and false of the order, and a
-    /// caller who believes it orders again under a new id. So it is said only where the
-    /// claim was granted to this attempt, or the id is known here to be open still.
+    /// If the response to a request was lost, the caller repeats it, and the repetition may
+    /// be refused before its claim. "Not run" would be true of the repetition but not of
+    /// the first attempt, and a caller who relies on it sends the request again under a new
+    /// id. Therefore "not run" stays only if this attempt holds the claim, or if the id is
+    /// known here to be unclaimed.
     pub(crate) fn qualify_fate(&self, given: &RequestId, problem: CallerProblem) -> CallerProblem {
         let is_known = problem.fate != RunFate::NotRun || problem.claimed;
         if is_known || self.is_unclaimed_here(given) {
@@ -140,7 +141,8 @@
         minted.home == self.members.own_id() && minted.incarnation == self.members.own_incarnation()
     }
 
-    /// A home that left the list or started anew has forgotten the id: nobody can vouch.
+    /// False if the home has left or was restarted: it no longer knows whether the id was
+    /// used.
     fn is_member(&self, minted: &MintedId) -> bool {
         self.members
             .members()
@@ -181,8 +183,8 @@
         verdict
     }
 
-    /// Asks twice, because one message can be lost while a link reconnects; the home
-    /// recognizes the repeated call and gives the same answer.
+    /// Sends the claim twice, because one message can be lost while a link reconnects. The
+    /// home recognizes the repeated call and returns the same answer.
     fn request_from_home(
         &self,
         minted: &MintedId,
@@ -198,7 +200,7 @@
                 request: minted.to_request().into(),
                 team: team.to_string(),
             });
-            // A link that is full or missing now may carry the second question.
+            // If the link is full or missing now, the second message may still get through.
             let _ = self.link.send(&minted.home, body);
             let left = until.saturating_duration_since(Instant::now());
             let wait = left / (CLAIM_ATTEMPTS - attempt + 1);
@@ -235,7 +237,8 @@
             call: request.call,
             verdict: encode_verdict(verdict).into(),
         };
-        // A lost reply costs the claimant a repeated question, and then a cautious answer.
+        // If the reply is lost, the claimant asks again; without any reply it returns
+        // `Unknown`.
         let _ = self.link.send(&message.from, Body::ClaimReply(reply));
     }
 
@@ -250,7 +253,7 @@
             metrics::counter!("lws_claim_replies_dropped").increment(1);
             return;
         }
-        // A second reply to the same call says the same; only the first is read.
+        // A second reply to the same call is identical; only the first one is read.
         let _ = claim.verdict.try_send(decode_verdict(reply.verdict()));
     }
 }
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -1,8 +1,8 @@
-//! Sending requests to targets, each on a thread and a connection of its own.
+//! Sending of requests to targets, each on its own thread and connection.
 //!
-//! Start with [`DispatchPool`]. A [`TargetConnection`] is one connection to one target; the
-//! admission thread hands it out with a request and gets it back with the report, so the
-//! number of lanes bounds the connections a target sees.
+//! Start with [`DispatchPool`]. A [`TargetConnection`] is one connection to one target. The
+//! admission thread passes it along with a request and gets it back with the report, so the
+//! number of these connections bounds the connections that a target sees.
 
 mod dispatch_pool;
 mod run_attempt;
--- a/crates/entry/src/dispatch/dispatch_pool.rs
+++ b/crates/entry/src/dispatch/dispatch_pool.rs
@@ -14,22 +14,23 @@
 use super::{AttemptReport, AttemptRunner, TargetConnection};
 use crate::{caller_request::CallerRequest, event};
 
-/// Stack of a dispatch thread, in bytes.
+/// Stack size of a dispatch thread, in bytes.
 const DISPATCH_STACK: usize = 256 * 1024;
-/// How long a dispatch thread waits for work before it ends.
+/// How long a dispatch thread waits for a job before it exits.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One request to be sent on one lane.
+/// One request to send on one connection.
 pub(crate) struct DispatchJob {
     /// The request.
     pub request: Box<CallerRequest>,
     /// The connection to its target.
     pub connection: TargetConnection,
-    /// The unit of the team's limit that it uses.
+    /// The unit of the team's limit that the request uses.
     pub permit: QuotaPermit,
 }
 
-/// Threads that wait for targets, started when needed and ended when idle.
+/// Threads that block on requests to targets. They are started on demand and exit when
+/// idle.
 pub(crate) struct DispatchPool {
     capacity: usize,
     runner: Arc<AttemptRunner>,
@@ -40,7 +41,8 @@
 }
 
 impl DispatchPool {
-    /// A pool of at most `capacity` threads that send their reports to the receiver.
+    /// Creates a pool of at most `capacity` threads. They send their reports to the
+    /// returned receiver.
     pub fn new(capacity: usize, runner: Arc<AttemptRunner>) -> (Self, Receiver<AttemptReport>) {
         let (reports, receiver) = bounded(capacity);
         let pool = Self {
@@ -54,17 +56,17 @@
         (pool, receiver)
     }
 
-    /// Whether a job would start at once.
+    /// Whether a job would start immediately.
     pub fn has_capacity(&self) -> bool {
         self.busy < self.capacity
     }
 
-    /// Jobs under way.
+    /// Number of jobs started and not yet finished.
     pub fn busy(&self) -> usize {
         self.busy
     }
 
-    /// Starts a job; gives it back if no thread can be had.
+    /// Starts a job; returns it if no thread is available.
     pub fn start(&mut self, job: DispatchJob) -> Result<(), Box<DispatchJob>> {
         if !self.has_capacity() {
             return Err(Box::new(job));
@@ -73,8 +75,8 @@
             return Err(Box::new(refused.into_inner()));
         }
         self.busy += 1;
-        // Counted after the job is in the channel: an idle thread that ends just now has
-        // either seen the job or is no longer counted here.
+        // Read after the job is in the channel: an idle thread that exits at this moment
+        // has either seen the job or is no longer counted.
         let threads = self.threads.load(Ordering::Acquire);
         if threads >= self.busy || self.spawn() || threads > 0 {
             return Ok(());
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Notes that the report of a job was taken.
+    /// Records that the report of a job was handled.
     pub fn finish_job(&mut self) {
         self.busy = self.busy.saturating_sub(1);
     }
@@ -120,7 +122,8 @@
     loop {
         let Ok(job) = jobs.recv_timeout(IDLE_TIMEOUT) else {
             threads.fetch_sub(1, Ordering::AcqRel);
-            // A job may have been queued for this thread while it made up its mind.
+            // A job may have been queued for this thread between the timeout and the
+            // decrement.
             match jobs.try_recv() {
                 Ok(job) => {
                     threads.fetch_add(1, Ordering::AcqRel);
@@ -136,7 +139,7 @@
 
 fn run_job(runner: &AttemptRunner, job: DispatchJob, reports: &Sender<AttemptReport>) {
     let report = runner.run(job);
-    // The channel holds as many reports as there are jobs, so this never waits; it fails
-    // only once the admission thread has ended.
+    // The channel holds as many reports as there are jobs, so this never blocks. It fails
+    // only once the admission thread has exited.
     let _ = reports.send(report);
 }
--- a/crates/entry/src/dispatch/run_attempt.rs
+++ b/crates/entry/src/dispatch/run_attempt.rs
@@ -18,84 +18,85 @@
     event,
 };
 
-/// How old the headers of a request may be when its first byte goes out.
+/// Maximum age of the headers of a request when its first byte is sent.
 const MAX_HEADER_AGE: Duration = Duration::from_millis(250);
-/// How often memory for an answer is asked for.
+/// Interval for retrying a reservation of memory for a response.
 const MEMORY_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum AttemptEnd {
-    /// The caller has its whole answer.
+    /// The caller has the complete response.
     Answered {
-        /// True if the target said that it failed.
+        /// True if the target responded with a server error.
         failed: bool,
     },
-    /// The target did not run the request; another one may.
+    /// The target did not run the request; another target may run it.
     NotRun {
-        /// What happened.
+        /// Details for the caller.
         detail: String,
-        /// What it says of the target.
+        /// Why the request did not run.
         cause: NotRunCause,
     },
-    /// The target may have run the request, and may be running it still.
+    /// The target may have run the request or may still be running it.
     Unknown {
-        /// What happened.
+        /// Details for the caller.
         detail: String,
-        /// True if the target was silent until the deadline, rather than gone or wrong.
+        /// True if the target did not respond before the deadline; false if it closed the
+        /// connection or sent an invalid response.
         timed_out: bool,
     },
-    /// The request must not run here at all.
+    /// The request must not run at all.
     Refused(CallerProblem),
 }
 
-/// What an attempt that did not run says of its target.
+/// Why an attempt did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NotRunCause {
-    /// Nothing: the fault is on this side.
+    /// A problem on this host, not of the target.
     Local,
-    /// It takes no new work now.
+    /// The target accepts no new requests at the moment.
     Refused,
-    /// It can't be reached.
+    /// The target can't be reached.
     Unreachable,
 }
 
-/// What the admission thread hears of an attempt.
+/// The report of an attempt to the admission thread.
 pub(crate) struct AttemptReport {
-    /// The request, unless the caller has its outcome.
+    /// The request. Its reply slot is empty if the caller already has the outcome.
     pub request: Box<CallerRequest>,
     /// The target.
     pub host: HostId,
-    /// The lane, for the next request.
+    /// The connection, if it can be reused for the next request.
     pub connection: Option<TargetConnection>,
     /// The unit of the team's limit, still held.
     pub permit: QuotaPermit,
-    /// How the attempt ended.
+    /// Outcome of the attempt.
     pub end: AttemptEnd,
-    /// How long it took.
+    /// Duration of the attempt.
     pub elapsed: Duration,
 }
 
 /// Runs attempts; shared by all dispatch threads.
 pub(crate) struct AttemptRunner {
-    /// Claims ids.
+    /// Claims request ids.
     pub claims: Arc<ClaimService>,
-    /// Keys in force.
+    /// The active configuration, for the keys.
     pub config: Arc<dyn ConfigSource>,
-    /// Whether this host may start work.
+    /// Whether this host may start requests.
     pub gate: Arc<dyn ServingGate>,
     /// Clocks.
     pub clock: Arc<dyn Clock>,
-    /// Longest wait for the home of an id.
+    /// Maximum wait for the home of a request id to answer a claim.
     pub claim_timeout: Duration,
-    /// Largest answer, in bytes.
+    /// Maximum size of a response body, in bytes.
     pub max_answer: usize,
-    /// Memory of answers.
+    /// Memory budget of response bodies.
     pub budget: Arc<BodyBudget>,
 }
 
 impl AttemptRunner {
-    /// Runs one attempt and hands the caller its answer if there is one.
+    /// Runs one attempt and, on success, passes the response to the caller.
     pub fn run(&self, job: DispatchJob) -> AttemptReport {
         let DispatchJob {
             mut request,
@@ -107,7 +108,8 @@
             .claim(&mut request)
             .unwrap_or_else(|| self.send(&mut request, &connection));
         let elapsed = self.clock.boot_now().saturating_sub(started);
-        // After a failure the connection may still carry an answer that nobody waits for.
+        // After a failure the connection may still receive the response to the failed
+        // request.
         let clean = matches!(end, AttemptEnd::Answered { .. });
         AttemptReport {
             request,
@@ -164,11 +166,12 @@
         self.read_response(request, &target_id, connection, response)
     }
 
-    /// What must hold at the moment the first byte goes out.
+    /// Builds the check that runs immediately before the first byte is sent.
     ///
-    /// The target is told the time left as of `composed`. If a slow connect or a pause of
-    /// this process came after that, the target would take the request for fresher than it
-    /// is and might run it after its deadline, when its unit is given to another one.
+    /// The headers tell the target the time left as of `composed_at`. If the connect was
+    /// slow or this process was paused after that, the target would assume more time than
+    /// is left. It might then run the request after its deadline, when its quota unit
+    /// already belongs to another request.
     fn send_check(&self, request: &CallerRequest, composed_at: BootTime) -> SendCheck {
         let gate = Arc::clone(&self.gate);
         let config = Arc::clone(&self.config);
@@ -245,7 +248,8 @@
                 let problem = CallerProblem::ran(ProblemKind::TargetFailed, detail);
                 return AttemptEnd::Refused(problem);
             }
-            // Fewer bytes than announced, or an unfinished chunk, is an error here too.
+            // A body shorter than its content length or an unfinished chunk is an error
+            // here too.
             Err(cause) => return truncated_answer(connection, &cause.to_string()),
         };
         reservation.shrink_to(body.len());
@@ -259,8 +263,9 @@
         }
     }
 
-    /// Takes memory for a whole answer before reading any of it, so that two answers can't
-    /// each hold half of what they need. While callers take theirs, this one waits.
+    /// Reserves memory for the complete response before reading any of it, so that two
+    /// responses can't deadlock by holding half of what they need each. Waits while callers
+    /// are still reading their responses.
     fn reserve(
         &self,
         request: &CallerRequest,
@@ -280,7 +285,7 @@
     }
 }
 
-/// What a failed exchange says about the fate of its request.
+/// Derives the outcome of an attempt from a failed exchange.
 fn classify_failure(connection: &TargetConnection, cause: &ureq::Error) -> AttemptEnd {
     match connection.progress() {
         SendProgress::Vetoed(SendVeto::Final(problem)) => AttemptEnd::Refused(problem),
@@ -302,7 +307,7 @@
     }
 }
 
-/// An answer that ended early must not pass for a whole one.
+/// A truncated response must not be passed on as a complete one.
 fn truncated_answer(connection: &TargetConnection, cause: &str) -> AttemptEnd {
     metrics::counter!("lws_answers_truncated").increment(1);
     warn(
--- a/crates/entry/src/dispatch/send_guard.rs
+++ b/crates/entry/src/dispatch/send_guard.rs
@@ -10,15 +10,16 @@
 
 use crate::CallerProblem;
 
-/// Asked after the last wait, right before the first byte of a request goes out.
+/// Check that runs after the last wait, immediately before the first byte of a request is
+/// sent.
 pub(crate) type SendCheck = Box<dyn FnOnce() -> Result<(), SendVeto> + Send>;
 
-/// Why a request must not go out.
+/// Why a request must not be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum SendVeto {
-    /// It must not run at all.
+    /// The request must not run at all.
     Final(CallerProblem),
-    /// It waited so long that its headers are no longer true; another attempt may run.
+    /// The request was delayed until its headers became outdated; another attempt may run.
     Stale,
 }
 
@@ -28,12 +29,11 @@
     }
 }
 
-/// Watches the first byte of each request on one connection.
+/// Guards the first byte of each request on one connection.
 ///
-/// Two failures hang on that byte. Connecting can take long enough for a serving lease to
-/// lapse or a key to be withdrawn, so whatever must hold is checked here, behind the
-/// connect. And when a request fails, only the knowledge that no byte went out makes
-/// "not run" true.
+/// Connecting can take long enough for a serving lease to expire or a key to be revoked, so
+/// the preconditions are checked after the connect. When a request fails, "not run" is only
+/// true if it is known that no byte was sent.
 #[derive(Clone, Default)]
 pub(crate) struct SendGuard {
     state: Arc<Mutex<SendState>>,
@@ -46,19 +46,19 @@
     sent: bool,
 }
 
-/// How far a request came.
+/// How far the sending of a request got.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum SendProgress {
-    /// No byte went out.
+    /// No byte was sent.
     Unsent,
-    /// The check forbade it; no byte went out.
+    /// The check failed; no byte was sent.
     Vetoed(SendVeto),
     /// Bytes may have reached the target.
     Sent,
 }
 
 impl SendGuard {
-    /// Arms the guard for the next request on its connection.
+    /// Prepares the guard for the next request on its connection.
     pub fn arm(&self, check: SendCheck) {
         *self.state.lock() = SendState {
             check: Some(check),
@@ -67,7 +67,7 @@
         };
     }
 
-    /// How far the request came that the guard was last armed for.
+    /// How far the request of the last `arm` call got.
     pub fn progress(&self) -> SendProgress {
         let state = self.state.lock();
         match (&state.vetoed, state.sent) {
@@ -101,7 +101,7 @@
     }
 }
 
-/// Opens connections whose first bytes pass a [`SendGuard`].
+/// Opens connections whose first byte is guarded by a [`SendGuard`].
 #[derive(Debug)]
 pub(crate) struct GuardedConnector {
     inner: DefaultConnector,
@@ -109,7 +109,7 @@
 }
 
 impl GuardedConnector {
-    /// A connector for one lane.
+    /// Creates a connector for one [`TargetConnection`](super::TargetConnection).
     pub fn new(guard: SendGuard) -> Self {
         Self {
             inner: DefaultConnector::new(),
@@ -134,7 +134,7 @@
     }
 }
 
-/// A connection whose first bytes pass a [`SendGuard`].
+/// A connection whose first byte is guarded by a [`SendGuard`].
 #[derive(Debug)]
 pub(crate) struct GuardedTransport {
     inner: Box<dyn Transport>,
--- a/crates/entry/src/dispatch/target_connection.rs
+++ b/crates/entry/src/dispatch/target_connection.rs
@@ -11,15 +11,15 @@
 
 use super::send_guard::{GuardedConnector, SendCheck, SendGuard, SendProgress};
 
-/// What goes to a target.
+/// A request to a target.
 pub(crate) struct TargetRequest<'a> {
     /// Id that the target must echo.
     pub request: &'a RequestId,
-    /// Team that the target is told.
+    /// Value of the header `Team`.
     pub team: &'a str,
-    /// What the target is told of repeating the request.
+    /// Value of the header `Idempotent`.
     pub idempotent: bool,
-    /// Header `Content-Type`, if the caller sent one.
+    /// Value of the header `Content-Type`, if the caller sent one.
     pub content_type: Option<&'a str>,
     /// The body.
     pub body: &'a Bytes,
@@ -27,14 +27,14 @@
     pub timeout: Duration,
 }
 
-/// One connection to one target, kept open between requests.
+/// A connection to one target, kept open between requests.
 ///
-/// Each lane holds an agent of its own, so that no two requests share a connection and the
-/// lanes handed out bound the connections that the target sees.
+/// Each one has its own HTTP agent, so that no two requests share a connection and the
+/// number of `TargetConnection`s bounds the connections that the target sees.
 pub(crate) struct TargetConnection {
     /// The target.
     pub host: HostId,
-    /// Its address; a lane to another address is of no more use.
+    /// Address of the target. When the target's address changes, the connection is dropped.
     pub address: String,
     url: String,
     agent: Agent,
@@ -42,7 +42,7 @@
 }
 
 impl TargetConnection {
-    /// A lane to `address`; it connects with its first request.
+    /// Creates a connection to `address`; it is opened by the first request.
     pub fn new(host: HostId, address: &str, connect_timeout: Duration) -> Self {
         let guard = SendGuard::default();
         let config = Config::builder()
@@ -65,11 +65,11 @@
         }
     }
 
-    /// Sends a request and waits for the head of its answer; `check` runs right before the
-    /// first byte goes out.
+    /// Sends a request and waits for the head of the response. `check` runs immediately
+    /// before the first byte is sent.
     ///
     /// # Errors
-    /// The library's error; [`TargetConnection::progress`] says how far the request came.
+    /// The error of the HTTP library; [`TargetConnection::progress`] says how far the request got.
     pub fn send(
         &self,
         request: &TargetRequest<'_>,
@@ -94,7 +94,7 @@
             .send(request.body.as_ref())
     }
 
-    /// How far the last request came.
+    /// How far the last request got.
     pub fn progress(&self) -> SendProgress {
         self.guard.progress()
     }
