--- a/crates/cell/src/fleet_view.rs
+++ b/crates/cell/src/fleet_view.rs
@@ -7,21 +7,21 @@
 
 use model::{
     event as log_event,
-    work::{FleetTerms, MaintenanceWave, WaveId},
+    work::{FleetPolicy, MaintenanceWave, WaveId},
 };
 use ports::{FleetCodec, StoreEvent, StoreItem, StoreRevision};
 use tokio::sync::Notify;
 
-use crate::{event, prefix_watch::PrefixSink};
+use crate::{event, prefix_watch::PrefixObserver};
 
-/// What operators ask for, as far as this process has heard.
+/// The policy and the waves of the operators, as far as this process has read them.
 pub(crate) struct FleetView {
     codec: Rc<dyn FleetCodec>,
-    terms: RefCell<Option<Arc<FleetTerms>>>,
+    policy: RefCell<Option<Arc<FleetPolicy>>>,
     waves: RefCell<BTreeMap<WaveId, MaintenanceWave>>,
     /// Counts the changes.
     pub(crate) version: Cell<u64>,
-    /// Told of each change.
+    /// Notified of each change.
     pub(crate) changed: Notify,
 }
 
@@ -29,50 +29,50 @@
     pub(crate) fn new(codec: Rc<dyn FleetCodec>) -> Self {
         Self {
             codec,
-            terms: RefCell::default(),
+            policy: RefCell::default(),
             waves: RefCell::default(),
             version: Cell::new(0),
             changed: Notify::new(),
         }
     }
 
-    /// The terms in force; `None` before the first were read.
-    pub(crate) fn terms(&self) -> Option<Arc<FleetTerms>> {
-        self.terms.borrow().clone()
+    /// The policy in force; `None` before the first read.
+    pub(crate) fn policy(&self) -> Option<Arc<FleetPolicy>> {
+        self.policy.borrow().clone()
     }
 
-    /// The waves that operators ask for.
+    /// The maintenance waves that operators requested.
     pub(crate) fn waves(&self) -> Vec<MaintenanceWave> {
         self.waves.borrow().values().cloned().collect()
     }
 
-    fn take(&self, item: &StoreItem) {
-        if item.key == self.codec.terms_key() {
-            match self.codec.read_terms(&item.value) {
-                Ok(terms) => self.put_in_force(terms),
-                Err(error) => unreadable(item, &error),
+    fn apply_item(&self, item: &StoreItem) {
+        if item.key == self.codec.policy_key() {
+            match self.codec.read_policy(&item.value) {
+                Ok(policy) => self.replace_policy(policy),
+                Err(error) => log_unreadable(item, &error),
             }
-        } else if let Some(wave) = self.codec.wave_of_key(&item.key) {
+        } else if let Some(wave) = self.codec.parse_wave_key(&item.key) {
             match self.codec.read_wave(&item.value) {
                 Ok(read) => self.add_wave(wave, read),
-                Err(error) => unreadable(item, &error),
+                Err(error) => log_unreadable(item, &error),
             }
         }
     }
 
-    /// Puts terms in force, unless they are older than those that are: a lagging answer of the
-    /// store must not bring back a key or a queue that operators have taken away.
-    fn put_in_force(&self, terms: FleetTerms) {
+    /// Puts a policy in force unless it is older than the current one. A stale response of the
+    /// store must not bring back a key or a queue that operators have removed.
+    fn replace_policy(&self, policy: FleetPolicy) {
         let held = self
-            .terms
+            .policy
             .borrow()
             .as_ref()
-            .map_or(0, |terms| terms.revision);
-        if terms.revision <= held {
-            if terms.revision < held {
+            .map_or(0, |policy| policy.revision);
+        if policy.revision <= held {
+            if policy.revision < held {
                 log_event::warn(
                     &event::TERMS_STALE,
-                    format_args!("revision={} in_force={held}", terms.revision),
+                    format_args!("revision={} in_force={held}", policy.revision),
                 );
             }
             return;
@@ -81,50 +81,54 @@
             &event::TERMS_IN_FORCE,
             format_args!(
                 "revision={} before={held} queues={} workspaces={}",
-                terms.revision,
-                terms.queues.len(),
-                terms.workspaces.len()
+                policy.revision,
+                policy.queues.len(),
+                policy.workspaces.len()
             ),
         );
-        *self.terms.borrow_mut() = Some(Arc::new(terms));
-        self.bump();
+        *self.policy.borrow_mut() = Some(Arc::new(policy));
+        self.mark_changed();
     }
 
     fn add_wave(&self, wave: WaveId, read: MaintenanceWave) {
         log_event::info(
             &event::WAVE_SEEN,
-            format_args!("wave={wave} hosts={} cap={}", read.hosts.len(), read.cap),
+            format_args!(
+                "wave={wave} hosts={} cap={}",
+                read.hosts.len(),
+                read.max_down
+            ),
         );
         self.waves.borrow_mut().insert(wave, read);
-        self.bump();
+        self.mark_changed();
     }
 
-    fn bump(&self) {
+    fn mark_changed(&self) {
         self.version.set(self.version.get() + 1);
         self.changed.notify_waiters();
     }
 }
 
-impl PrefixSink for FleetView {
+impl PrefixObserver for FleetView {
     fn reset(&self, items: Vec<StoreItem>, _revision: StoreRevision) {
-        items.iter().for_each(|item| self.take(item));
+        items.iter().for_each(|item| self.apply_item(item));
     }
 
-    fn change(&self, event: StoreEvent) {
+    fn apply(&self, event: StoreEvent) {
         match event {
-            StoreEvent::Written(item) => self.take(&item),
-            // Operators replace terms and never remove them.
+            StoreEvent::Written(item) => self.apply_item(&item),
+            // Operators replace the policy and never remove it.
             StoreEvent::Removed(key, _) => {
-                if let Some(wave) = self.codec.wave_of_key(&key) {
+                if let Some(wave) = self.codec.parse_wave_key(&key) {
                     self.waves.borrow_mut().remove(&wave);
-                    self.bump();
+                    self.mark_changed();
                 }
             }
         }
     }
 }
 
-fn unreadable(item: &StoreItem, error: &str) {
+fn log_unreadable(item: &StoreItem, error: &str) {
     log_event::warn(
         &event::ENTRY_UNREADABLE,
         format_args!(
--- a/crates/cell/src/log_compact.rs
+++ b/crates/cell/src/log_compact.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use decide::work::ShortLog;
+use decide::work::CompactedLog;
 use model::event as log_event;
 use ports::{StoreChange, StoreOutcome};
 use prost::Message;
@@ -9,64 +9,65 @@
 
 use crate::{
     event,
-    log_page::{largest_page, page_bytes},
+    log_page::{encode_page, max_page_bytes},
     log_pages::LogPages,
     term::Term,
 };
 
-/// Pause after a failed call.
-const FAULT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Writes what the log says in as few pages as hold it, if that is much shorter; the pages before
-/// them can go then. `None` once the term is over.
+/// Rewrites the log in as few pages as possible if that makes it much shorter. The pages before
+/// them can then be removed. Returns `None` once the term is over.
 ///
-/// A process that has just become the owner finds a log of unknown age. If each of a row of owners
-/// with short terms wrote it anew, it would grow by a copy of itself with each.
+/// A new owner finds a log of unknown age. If each owner in a series of short terms rewrote it
+/// unconditionally, the log would grow by a copy of itself with each of them.
 ///
-/// The old pages go only when the new ones are stored, oldest first, and whatever part of them is
-/// left says, with the new ones after it, the same as the new ones alone. So whenever the owner
-/// dies, its successor reads what is true.
-pub(crate) async fn compact(term: &Term, pages: &mut LogPages) -> Option<()> {
-    let entries = term.desk.borrow().board.entries();
-    let (count, part) = (entries.len(), job_part(&entries));
-    let largest = largest_page(&term.options.limits);
-    let values = match ShortLog::pack(entries, largest, pages.most_short(), page_bytes) {
-        ShortLog::Pages(values) => values,
-        ShortLog::Long(bytes) => {
-            note_job_bytes(term, part, bytes);
-            pages.keep(bytes);
-            return Some(());
-        }
-    };
+/// The old pages are removed, oldest first, only after the new ones are stored. Any remaining part
+/// of the old pages, followed by the new ones, has the same meaning as the new ones alone. So a
+/// successor reads the correct state whenever the owner dies.
+pub(crate) async fn compact_log(term: &Term, pages: &mut LogPages) -> Option<()> {
+    let entries = term.scheduler.borrow().job_table.compacted_entries();
+    let (count, share) = (entries.len(), job_byte_share(&entries));
+    let largest = max_page_bytes(&term.options.limits);
+    let values =
+        match CompactedLog::pack(entries, largest, pages.max_compacted_bytes(), encode_page) {
+            CompactedLog::Pages(values) => values,
+            CompactedLog::TooLong(bytes) => {
+                measure_job_bytes(term, share, bytes);
+                pages.postpone_compaction(bytes);
+                return Some(());
+            }
+        };
     let bytes = values.iter().map(Vec::len).sum();
-    note_job_bytes(term, part, bytes);
-    let start = pages.next();
+    measure_job_bytes(term, share, bytes);
+    let start = pages.next_page();
     for value in values {
-        let value = pages.stamped(value);
-        let change = pages.change(&term.options, term.token, value.clone());
-        settle_change(term, change).await?;
-        pages.wrote(&term.copy, value);
+        let value = pages.with_bounds(value);
+        let change = pages.write_change(&term.options, term.token, value.clone());
+        change_until_settled(term, change).await?;
+        pages.page_written(&term.log_cache, value);
     }
-    pages.compacted(start, bytes);
+    pages.log_compacted(start, bytes);
     log_event::info(
         &event::LOG_COMPACTED,
         format_args!(
             "to={start} pages={} entries={count} bytes={bytes}",
-            pages.next() - start
+            pages.next_page() - start
         ),
     );
     Some(())
 }
 
-/// Notes about how many bytes an open job takes in a log of so many bytes.
-pub(crate) fn note_job_bytes(term: &Term, part: f64, bytes: usize) {
+/// Updates the estimate of the bytes that one open job takes, for a log of this many bytes.
+pub(crate) fn measure_job_bytes(term: &Term, share: f64, bytes: usize) {
     #[expect(clippy::cast_precision_loss, reason = "an estimate")]
-    term.log.job_bytes.set(bytes as f64 * part);
+    term.log_queue.job_bytes.set(bytes as f64 * share);
 }
 
-/// Part of the bytes of all entries that one open job takes. The log tells of ended jobs, targets and
-/// hosts as well, which do not grow with what is accepted.
-pub(crate) fn job_part(entries: &[LogEntry]) -> f64 {
+/// The share of the bytes of all entries that one open job takes. The log also describes ended
+/// jobs, targets and hosts, which do not grow with the number of accepted jobs.
+pub(crate) fn job_byte_share(entries: &[LogEntry]) -> f64 {
     let (mut jobs, mut job_bytes, mut all_bytes) = (0, 0.0, 0.0);
     for entry in entries {
         #[expect(clippy::cast_precision_loss, reason = "an estimate")]
@@ -83,15 +84,15 @@
     }
 }
 
-/// Makes a change that is harmless to repeat, until it is known to be made; `None` once this
-/// process no longer owns the cell.
-async fn settle_change(term: &Term, change: StoreChange) -> Option<()> {
+/// Retries an idempotent change until it is known to be made. Returns `None` once this process no
+/// longer owns the cell.
+async fn change_until_settled(term: &Term, change: StoreChange) -> Option<()> {
     loop {
         match term.ports.store.change(change.clone()).await {
             Ok(StoreOutcome::Done(_)) => return Some(()),
             Ok(StoreOutcome::Conflict(items)) => {
-                if term.stands_in(&items) {
-                    // An earlier sending of the same page has landed.
+                if term.holds_owner_entry(&items) {
+                    // An earlier attempt to write the same page succeeded.
                     return Some(());
                 }
                 term.end("succeeded");
@@ -103,7 +104,7 @@
             }
             Err(error) => {
                 log::debug!("compact the log: {error}");
-                sleep(FAULT_PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/crates/cell/src/peer_call.rs
+++ b/crates/cell/src/peer_call.rs
@@ -1,28 +1,28 @@
 use std::time::Duration;
 
 use hyper::Method;
-use link::{CallClient, CallFault, HttpCall};
+use link::{CallClient, CallError, HttpCall};
 use prost::Message;
 use wire::work::{OwnerAnswer, OwnerCall};
 
-/// Path that processes answer each other at.
+/// Path on which processes of the cell answer each other.
 pub(crate) const OWNER_PATH: &str = "/owner";
 
-/// Asks another process as the owner.
+/// Sends a call to another process of the cell.
 ///
 /// # Errors
-/// [`CallFault::NotSent`] if it can't have seen the call.
-pub(crate) async fn ask_owner(
+/// [`CallError::NotSent`] if the process can't have received the call.
+pub(crate) async fn call_peer(
     client: &CallClient,
     address: &str,
     call: &OwnerCall,
     timeout: Duration,
-) -> Result<OwnerAnswer, CallFault> {
+) -> Result<OwnerAnswer, CallError> {
     let request = HttpCall::new("ask owner", address, Method::POST, OWNER_PATH, timeout)
         .with_body(call.encode_to_vec());
     let reply = client.call(request).await?;
     let unreadable =
-        |cause: String| CallFault::Unanswered(model::StepError::new("ask owner", address, cause));
+        |cause: String| CallError::Unanswered(model::StepError::new("ask owner", address, cause));
     if reply.status != 200 {
         return Err(unreadable(format!("status {}", reply.status)));
     }
--- a/crates/cell/src/prefix_watch.rs
+++ b/crates/cell/src/prefix_watch.rs
@@ -2,50 +2,50 @@
 
 use compact_str::CompactString;
 use model::{BootTime, event as log_event};
-use ports::{LeaseStore, StoreEvent, StoreFault, StoreItem, StoreRevision};
+use ports::{LeaseStore, StoreError, StoreEvent, StoreItem, StoreRevision};
 use store::{BootClock, Clock};
 use tokio::time::sleep;
 
-use crate::{dependency_note::DependencyNote, event};
+use crate::{dependency_logger::DependencyLogger, event};
 
-/// Pause after a failed call; a store that is down is asked this often.
-const FAULT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a failed call, and so the interval of retries while the store is down.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Hears what happens below a prefix.
-pub(crate) trait PrefixSink {
-    /// All keys that there were at a revision; what was known before and isn't among them is gone.
+/// Receives the changes of the keys below a prefix.
+pub(crate) trait PrefixObserver {
+    /// Replaces the state by all keys that existed at a revision; keys not among them are gone.
     fn reset(&self, items: Vec<StoreItem>, revision: StoreRevision);
-    /// One change.
-    fn change(&self, event: StoreEvent);
-    /// All is known that had happened when a call was sent.
-    fn answered(&self, _sent: BootTime) {}
+    /// Applies one change.
+    fn apply(&self, event: StoreEvent);
+    /// Reports that all changes made before `_sent`, when a call was sent, have been received.
+    fn caught_up_to(&self, _sent: BootTime) {}
 }
 
-/// Keeps a sink in step with the keys below a prefix, for ever.
+/// Keeps an observer up to date with the keys below a prefix, forever.
 ///
-/// Where the store has dropped the history that the watch needs, everything is read anew.
+/// If the store has dropped the history that the watch needs, all keys are read again.
 pub(crate) async fn watch_prefix(
     store: Rc<dyn LeaseStore>,
     prefix: &str,
-    patience: Duration,
-    sink: &dyn PrefixSink,
+    timeout: Duration,
+    observer: &dyn PrefixObserver,
 ) {
-    let note = DependencyNote::default();
+    let logger = DependencyLogger::default();
     loop {
-        let mut revision = read_anew(&*store, prefix, sink, &note).await;
+        let mut revision = read_all(&*store, prefix, observer, &logger).await;
         loop {
             let sent = BootClock.boot_now();
-            match store.watch(prefix, revision, patience).await {
+            match store.watch(prefix, revision, timeout).await {
                 Ok(changes) => {
-                    note.answered("watch", prefix);
+                    logger.log_answered("watch", prefix);
                     revision = revision.max(changes.revision);
                     changes
                         .events
                         .into_iter()
-                        .for_each(|event| sink.change(event));
-                    sink.answered(sent);
+                        .for_each(|event| observer.apply(event));
+                    observer.caught_up_to(sent);
                 }
-                Err(StoreFault::HistoryGone) => {
+                Err(StoreError::HistoryGone) => {
                     log_event::info(
                         &event::WATCH_RESET,
                         format_args!("prefix={prefix} revision={revision}"),
@@ -53,77 +53,77 @@
                     break;
                 }
                 Err(error) => {
-                    note.failed("watch", prefix, &error);
-                    sleep(FAULT_PAUSE).await;
+                    logger.log_failed("watch", prefix, &error);
+                    sleep(RETRY_DELAY).await;
                 }
             }
         }
     }
 }
 
-/// Reads all keys below a prefix for a sink, for as long as that takes. Returns the revision of the
-/// first page, so that a watch from there misses nothing that changed while the others were read.
-async fn read_anew(
+/// Reads all keys below a prefix for an observer, with retries. Returns the revision of the first
+/// page, so that a watch from there misses no change made while the other pages were read.
+async fn read_all(
     store: &dyn LeaseStore,
     prefix: &str,
-    sink: &dyn PrefixSink,
-    note: &DependencyNote,
+    observer: &dyn PrefixObserver,
+    logger: &DependencyLogger,
 ) -> StoreRevision {
     let mut reader = PrefixReader::new(prefix, CompactString::default());
     let mut sent = BootClock.boot_now();
-    while !reader.is_done() {
+    while !reader.is_complete() {
         if reader.items.is_empty() {
             sent = BootClock.boot_now();
         }
         if let Err(error) = reader.read_page(store).await {
-            note.failed("list", prefix, &error);
-            sleep(FAULT_PAUSE).await;
+            logger.log_failed("list", prefix, &error);
+            sleep(RETRY_DELAY).await;
         }
     }
     let revision = reader.revision.unwrap_or_default();
-    sink.reset(reader.items, revision);
-    sink.answered(sent);
+    observer.reset(reader.items, revision);
+    observer.caught_up_to(sent);
     revision
 }
 
-/// Reads all keys below a prefix a page at a time, and keeps the pages that it has when a call
-/// fails: begun anew after each failure, a long list might never be read to its end.
+/// Reads all keys below a prefix, a page at a time. It keeps the pages that it has when a call
+/// fails. If it restarted after each failure, it might never finish reading a long list.
 pub(crate) struct PrefixReader<'a> {
     prefix: &'a str,
-    /// The key that the next page begins after.
+    /// The next page begins after this key.
     after: CompactString,
     /// The keys that were read.
     pub(crate) items: Vec<StoreItem>,
     revision: Option<StoreRevision>,
-    done: bool,
+    complete: bool,
 }
 
 impl<'a> PrefixReader<'a> {
-    /// Reads the keys that come after one; all of them for an empty key.
+    /// Reads the keys after `after`; all of them if it is empty.
     pub(crate) fn new(prefix: &'a str, after: CompactString) -> Self {
         Self {
             prefix,
             after,
             items: Vec::new(),
             revision: None,
-            done: false,
+            complete: false,
         }
     }
 
     /// True once the last page was read.
-    pub(crate) fn is_done(&self) -> bool {
-        self.done
+    pub(crate) fn is_complete(&self) -> bool {
+        self.complete
     }
 
     /// Reads the next page.
-    pub(crate) async fn read_page(&mut self, store: &dyn LeaseStore) -> Result<(), StoreFault> {
+    pub(crate) async fn read_page(&mut self, store: &dyn LeaseStore) -> Result<(), StoreError> {
         let mut page = store.list(self.prefix, &self.after).await?;
         self.revision.get_or_insert(page.revision);
         if let Some(item) = page.items.last() {
             self.after = item.key.clone();
         }
-        // A page without keys would be asked for again for ever.
-        self.done = !page.more || page.items.is_empty();
+        // A page without keys would be requested again forever.
+        self.complete = !page.more || page.items.is_empty();
         self.items.append(&mut page.items);
         Ok(())
     }
--- a/crates/cell/src/target_lane.rs
+++ b/crates/cell/src/target_lane.rs
@@ -1,22 +1,22 @@
 use tokio::sync::{Notify, Semaphore};
 
-/// Orders to one target at the same time, each on a connection of its own. New connections
-/// are paid for; with three, a step of twenty tasks reaches a target in 25 ms.
-const ORDERS_AT_ONCE: usize = 3;
+/// Maximum number of concurrent orders to one target, each on its own connection. New connections
+/// have a cost; with three, a step of twenty tasks reaches a target in 25 ms.
+const MAX_CONCURRENT_ORDERS: usize = 3;
 
-/// The way to one target.
-pub(crate) struct TargetLane {
-    /// Orders that may be under way at once.
+/// Limits the orders to one target and triggers its polls.
+pub(crate) struct TargetChannel {
+    /// Permits for concurrent orders.
     pub(crate) orders: Semaphore,
-    /// Told when a look is wanted at once.
-    pub(crate) hurry: Notify,
+    /// Notified when the target should be polled at once.
+    pub(crate) poll_now: Notify,
 }
 
-impl Default for TargetLane {
+impl Default for TargetChannel {
     fn default() -> Self {
         Self {
-            orders: Semaphore::new(ORDERS_AT_ONCE),
-            hurry: Notify::new(),
+            orders: Semaphore::new(MAX_CONCURRENT_ORDERS),
+            poll_now: Notify::new(),
         }
     }
 }
--- a/crates/cell/tests/cell_host.rs
+++ b/crates/cell/tests/cell_host.rs
@@ -1,204 +1,214 @@
-//! Processes of a cell on ports in memory: jobs, lost answers, refusals and hand-over.
+//! Processes of a cell on in-memory ports: jobs, lost responses, refusals and hand-over.
 
 mod common;
 
 use std::time::Duration;
 
 use common::{
-    CellBench, KEY, LIMIT, StoreSwitch, accepted, call, run_local, submit, terms_text, until,
-    until_shown,
+    KEY, LIMIT, StoreMode, TestCell, call, policy_text, run_local, submit, submit_until_accepted,
+    wait_for_answer, wait_for_progress,
 };
-use ports::{CallerAnswer, CallerCall, CallerWish, JobProgress};
+use ports::{CallerAnswer, CallerCall, CallerRequest, JobProgress};
 use tokio::time::sleep;
 
 #[test]
 fn cell_completes_job() {
     run_local(async {
-        let bench = CellBench::new();
-        let desk = bench.host("a").desk();
-        accepted(&desk, "job1").await;
-        until_shown(&desk, "job1", JobProgress::Completed).await;
-        assert_eq!(bench.targets.starts.borrow().len(), 6);
-        assert!(bench.targets.started_once());
-        let unknown = desk.answer(call(CallerWish::Look("other".into()))).await;
+        let cell = TestCell::new();
+        let service = cell.start_host("a").service();
+        submit_until_accepted(&service, "job1").await;
+        wait_for_progress(&service, "job1", JobProgress::Completed).await;
+        assert_eq!(cell.targets.starts_by_task.borrow().len(), 6);
+        assert!(cell.targets.started_once());
+        let unknown = service
+            .answer(call(CallerRequest::Status("other".into())))
+            .await;
         assert_eq!(unknown, CallerAnswer::NoJob);
         let foreign = CallerCall {
             key: "wrong".into(),
             ..submit("job2")
         };
-        assert_eq!(desk.answer(foreign).await, CallerAnswer::KeyRefused);
+        assert_eq!(service.answer(foreign).await, CallerAnswer::KeyRefused);
     });
 }
 
-/// Ends can't be stored for a while, and the target lists them again in each answer. Looking as
-/// often as ends come takes the bytes that the log needs on a narrow link, until neither gets
-/// through; so the next look waits, for a quarter of a second at most.
+/// Guards against polling as often as tasks end while the ends can't be stored. The target reports
+/// them again in each response, and on a narrow link these take the bandwidth that the log needs,
+/// until neither gets through. The next poll has to wait, for at most a quarter of a second.
 #[test]
-fn looks_wait_for_stored_ends() {
+fn polls_wait_for_stored_ends() {
     run_local(async {
-        let bench = CellBench::new();
-        bench.targets.set_slow(true);
-        let desk = bench.host("a").desk();
-        accepted(&desk, "job1").await;
-        bench.targets.until_started(3).await;
-        bench.store.set(StoreSwitch::Refuses);
-        // Two ends are listed, and the target is looked at for the third.
-        bench.targets.hold(1);
+        let cell = TestCell::new();
+        cell.targets.set_blocked(true);
+        let service = cell.start_host("a").service();
+        submit_until_accepted(&service, "job1").await;
+        cell.targets.wait_for_started(3).await;
+        cell.store.set_mode(StoreMode::Refuses);
+        // Two ends are reported, and the target is polled for the third.
+        cell.targets.hold_last(1);
         sleep(Duration::from_millis(200)).await;
-        let before = bench.targets.looks.get();
+        let before = cell.targets.polls.get();
         sleep(Duration::from_millis(800)).await;
-        // Four waits and what is looked at for other reasons; one each 30 ms would be 26.
-        assert!(bench.targets.looks.get() - before <= 8);
+        // Four waits, plus polls for other reasons; one poll each 30 ms would be 26.
+        assert!(cell.targets.polls.get() - before <= 8);
     });
 }
 
-/// A caller's job is stored and the store's answer is lost. The owner writes the same page
-/// again, finds it there, and accepts the job once.
+/// Guards against losing or repeating a job that was stored although the store's response was lost.
+/// The owner writes the same page again, finds it in the store, and accepts the job once.
 #[test]
-fn submit_settles_lost_answer() {
+fn submit_accepted_once_after_lost_answer() {
     run_local(async {
-        let bench = CellBench::new();
-        let desk = bench.host("a").desk();
-        accepted(&desk, "job1").await;
-        until_shown(&desk, "job1", JobProgress::Completed).await;
-        bench.store.set(StoreSwitch::LosesAnswers);
-        let store = bench.store.clone();
+        let cell = TestCell::new();
+        let service = cell.start_host("a").service();
+        submit_until_accepted(&service, "job1").await;
+        wait_for_progress(&service, "job1", JobProgress::Completed).await;
+        cell.store.set_mode(StoreMode::LosesAnswers);
+        let store = cell.store.clone();
         tokio::task::spawn_local(async move {
             sleep(Duration::from_millis(200)).await;
-            store.set(StoreSwitch::Well);
+            store.set_mode(StoreMode::Normal);
         });
-        assert_eq!(desk.answer(submit("job2")).await, CallerAnswer::Accepted);
-        until_shown(&desk, "job2", JobProgress::Completed).await;
-        assert!(bench.targets.started_once());
+        assert_eq!(service.answer(submit("job2")).await, CallerAnswer::Accepted);
+        wait_for_progress(&service, "job2", JobProgress::Completed).await;
+        assert!(cell.targets.started_once());
     });
 }
 
-/// The store refuses calls. A caller is told at once to come back, and what it was told is
-/// true: the job is not there afterwards.
+/// Guards against a late or wrong answer while the store refuses calls. The caller is told at once
+/// to retry later, and the job does not exist afterwards.
 #[test]
 fn submit_refused_while_store_refuses() {
     run_local(async {
-        let bench = CellBench::new();
-        let desk = bench.host("a").desk();
-        accepted(&desk, "job1").await;
-        bench.store.set(StoreSwitch::Refuses);
-        let begun = tokio::time::Instant::now();
-        let answer = desk.answer(submit("job2")).await;
+        let cell = TestCell::new();
+        let service = cell.start_host("a").service();
+        submit_until_accepted(&service, "job1").await;
+        cell.store.set_mode(StoreMode::Refuses);
+        let started_at = tokio::time::Instant::now();
+        let answer = service.answer(submit("job2")).await;
         assert!(matches!(answer, CallerAnswer::Refused(wait) if wait >= Duration::from_secs(1)));
-        assert!(begun.elapsed() < Duration::from_secs(1));
-        bench.store.set(StoreSwitch::Well);
+        assert!(started_at.elapsed() < Duration::from_secs(1));
+        cell.store.set_mode(StoreMode::Normal);
         sleep(Duration::from_millis(100)).await;
-        until(&desk, CallerWish::Look("job2".into()), CallerAnswer::NoJob).await;
+        wait_for_answer(
+            &service,
+            CallerRequest::Status("job2".into()),
+            CallerAnswer::NoJob,
+        )
+        .await;
     });
 }
 
-/// The owner is told to stop. Callers of another process go on at once: ownership is handed
-/// over and need not lapse, and the successor knows the jobs.
+/// Guards against an interruption when the owner is stopped. Ownership is handed over without
+/// waiting for the lease to expire, and the successor knows the jobs.
 #[test]
 fn stopped_owner_hands_over() {
     run_local(async {
-        let bench = CellBench::new();
-        let first = bench.host("a");
-        accepted(&first.desk(), "job1").await;
-        let second = bench.host("b");
-        let desk = second.desk();
-        until_shown(&desk, "job1", JobProgress::Completed).await;
-        let begun = tokio::time::Instant::now();
+        let cell = TestCell::new();
+        let first = cell.start_host("a");
+        submit_until_accepted(&first.service(), "job1").await;
+        let second = cell.start_host("b");
+        let service = second.service();
+        wait_for_progress(&service, "job1", JobProgress::Completed).await;
+        let started_at = tokio::time::Instant::now();
         first.stop(std::future::ready(())).await;
-        accepted(&desk, "job2").await;
+        submit_until_accepted(&service, "job2").await;
         assert!(
-            begun.elapsed() < Duration::from_millis(1000),
+            started_at.elapsed() < Duration::from_millis(1000),
             "the lease lasts 1.1 s"
         );
-        until_shown(&desk, "job2", JobProgress::Completed).await;
-        until_shown(&desk, "job1", JobProgress::Completed).await;
-        assert!(bench.targets.started_once());
+        wait_for_progress(&service, "job2", JobProgress::Completed).await;
+        wait_for_progress(&service, "job1", JobProgress::Completed).await;
+        assert!(cell.targets.started_once());
     });
 }
 
-/// The store turns one process away and serves the others; meanwhile the ownership changes. The
-/// callers of that process were refused until the store came back: it hears of the new owner from
-/// its neighbours.
+/// Guards against a process that refuses its callers because the store refuses it and it does not
+/// notice a new owner. It has to ask other members for the owner.
 #[test]
-fn turned_away_process_finds_owner() {
+fn cut_off_process_finds_owner() {
     run_local(async {
-        let bench = CellBench::new();
-        let first = bench.host("a");
-        accepted(&first.desk(), "job1").await;
-        let second = bench.host("b");
-        accepted(&second.desk(), "job2").await;
-        let handle = bench.store.handle();
-        let third = bench.host_on("c", &handle);
-        let desk = third.desk();
-        accepted(&desk, "job3").await;
-        handle.turn_away(true);
+        let cell = TestCell::new();
+        let first = cell.start_host("a");
+        submit_until_accepted(&first.service(), "job1").await;
+        let second = cell.start_host("b");
+        submit_until_accepted(&second.service(), "job2").await;
+        let handle = cell.store.new_handle();
+        let third = cell.start_host_on("c", &handle);
+        let service = third.service();
+        submit_until_accepted(&service, "job3").await;
+        handle.set_cut_off(true);
         first.stop(std::future::ready(())).await;
-        accepted(&second.desk(), "job4").await;
-        accepted(&desk, "job5").await;
+        submit_until_accepted(&second.service(), "job4").await;
+        submit_until_accepted(&service, "job5").await;
     });
 }
 
-/// All processes lose power and come back; the old owner's lease has lapsed meanwhile. Callers were
-/// refused for two seconds more, until the candidates looked by themselves whether there is an
-/// owner: that there is none was no change from what they had begun with.
+/// Guards against a delayed election after a restart of all processes with an expired lease. That
+/// the cell has no owner did not count as a change, so candidates waited two seconds until their
+/// own check.
 #[test]
-fn cold_process_stands_at_once() {
+fn cold_process_campaigns_at_once() {
     run_local(async {
-        let bench = CellBench::new();
-        let begun = tokio::time::Instant::now();
-        let host = bench.host("a");
-        accepted(&host.desk(), "job1").await;
-        let took = begun.elapsed();
+        let cell = TestCell::new();
+        let started_at = tokio::time::Instant::now();
+        let host = cell.start_host("a");
+        submit_until_accepted(&host.service(), "job1").await;
+        let took = started_at.elapsed();
         assert!(took < Duration::from_millis(1000), "{took:?}");
     });
 }
 
-/// A store that lags shows older terms than those in force. A key that operators have taken
-/// away must not come back with them.
+/// Guards against an older policy that replaces the current one when the store returns stale data.
+/// A removed key must not become valid again.
 #[test]
-fn older_terms_ignored() {
+fn older_policy_ignored() {
     run_local(async {
-        let bench = CellBench::new();
-        let desk = bench.host("a").desk();
-        accepted(&desk, "job1").await;
-        bench
-            .store
-            .put("op/terms", terms_text(5, "another").as_bytes());
-        until(
-            &desk,
-            CallerWish::Look("job1".into()),
+        let cell = TestCell::new();
+        let service = cell.start_host("a").service();
+        submit_until_accepted(&service, "job1").await;
+        cell.store
+            .put("op/terms", policy_text(5, "another").as_bytes());
+        wait_for_answer(
+            &service,
+            CallerRequest::Status("job1".into()),
             CallerAnswer::KeyRefused,
         )
         .await;
-        bench.store.put("op/terms", terms_text(4, KEY).as_bytes());
+        cell.store.put("op/terms", policy_text(4, KEY).as_bytes());
         sleep(Duration::from_millis(200)).await;
-        let answer = desk.answer(call(CallerWish::Look("job1".into()))).await;
+        let answer = service
+            .answer(call(CallerRequest::Status("job1".into())))
+            .await;
         assert_eq!(answer, CallerAnswer::KeyRefused);
     });
 }
 
-/// The log grows with each job. After some hundred pages it is replaced by a shorter one, and
-/// a successor still knows each job.
+/// Guards against a log that grows with each job. After some hundred pages it is compacted, and a
+/// successor still knows each job.
 #[test]
 fn long_log_is_compacted() {
     run_local(async {
-        let bench = CellBench::new();
-        let first = bench.host("a");
-        let desk = first.desk();
-        accepted(&desk, "job0").await;
+        let cell = TestCell::new();
+        let first = cell.start_host("a");
+        let service = first.service();
+        submit_until_accepted(&service, "job0").await;
         for number in 1..400 {
-            accepted(&desk, &format!("job{number}")).await;
+            submit_until_accepted(&service, &format!("job{number}")).await;
         }
-        until_shown(&desk, "job399", JobProgress::Completed).await;
+        wait_for_progress(&service, "job399", JobProgress::Completed).await;
         let end = tokio::time::Instant::now() + LIMIT;
         let mut number = 400;
-        while bench.store.keys("cell/log/").len() > 300 {
-            assert!(tokio::time::Instant::now() < end, "not compacted");
-            accepted(&desk, &format!("job{number}")).await;
+        while cell.store.keys("cell/log/").len() > 300 {
+            assert!(
+                tokio::time::Instant::now() < end,
+                "the log was not compacted"
+            );
+            submit_until_accepted(&service, &format!("job{number}")).await;
             number += 1;
         }
         first.stop(std::future::ready(())).await;
-        let second = bench.host("b").desk();
-        until_shown(&second, "job7", JobProgress::Completed).await;
+        let second = cell.start_host("b").service();
+        wait_for_progress(&second, "job7", JobProgress::Completed).await;
     });
 }
--- a/crates/cell/tests/common/memory_ports.rs
+++ b/crates/cell/tests/common/memory_ports.rs
@@ -10,10 +10,10 @@
 use model::{
     HostId, PoolId,
     work::{
-        EndKind, EndSight, FleetHost, FleetTerms, HostOrderAnswer, HostRoom, LookAnswer, LookOrder,
-        MaintenanceWave, OrderAnswer, OrderSender, PaceOrder, PoolTerms, QueueTerms, RunSight,
-        StartAnswer, StartOrder, StopOrder, TargetAddress, TargetEntry, TargetSight, WaveId,
-        WorkspaceTerms,
+        EndKind, EndReport, FleetHost, FleetPolicy, HostOrderAnswer, MaintenanceWave, OrderAnswer,
+        OrderSender, PollAnswer, PollOrder, PoolPolicy, QueuePolicy, ResourceVector, RunReport,
+        StartAnswer, StartOrder, StopOrder, TargetAddress, TargetEntry, TargetReport,
+        ThrottleOrder, WaveId, WorkspacePolicy,
     },
 };
 use ports::{AdvicePort, AdviceTicket, FleetCodec, HostControl, PortFuture, TargetPort};
@@ -22,66 +22,69 @@
 
 use super::{LIMIT, MemoryStore};
 
-/// Targets that do each task at once, but for those that are held back.
+/// Targets that complete each task at once, except for the last ones if told so.
 #[derive(Clone, Default)]
 pub struct MemoryTargets {
-    /// How many of the tasks that a target was given last do not end.
-    held: Rc<Cell<usize>>,
-    /// How often a target was looked at.
-    pub looks: Rc<Cell<usize>>,
-    /// Looks that are under way.
-    looking: Rc<Cell<usize>>,
-    /// Most looks that were under way at once.
-    pub most_looks: Rc<Cell<usize>>,
-    /// When each target was last granted time, by a look or a start.
-    granted: Rc<RefCell<BTreeMap<HostId, Instant>>>,
-    /// How long an order to start a task is under way.
+    /// Number of tasks, the last ones that a target was given, that do not end.
+    unfinished: Rc<Cell<usize>>,
+    /// Number of polls.
+    pub polls: Rc<Cell<usize>>,
+    /// Polls in progress.
+    active_polls: Rc<Cell<usize>>,
+    /// Maximum number of concurrent polls so far.
+    pub max_concurrent_polls: Rc<Cell<usize>>,
+    /// When each target was last granted time, by a poll or a start.
+    last_grant: Rc<RefCell<BTreeMap<HostId, Instant>>>,
+    /// How long a start takes.
     start_delay: Rc<Cell<Duration>>,
-    ended: Rc<RefCell<BTreeMap<HostId, Vec<EndSight>>>>,
-    /// How often each task was started.
-    pub starts: Rc<RefCell<BTreeMap<String, usize>>>,
+    ended: Rc<RefCell<BTreeMap<HostId, Vec<EndReport>>>>,
+    /// Number of starts of each task.
+    pub starts_by_task: Rc<RefCell<BTreeMap<String, usize>>>,
 }
 
 impl MemoryTargets {
-    /// Tasks do not end, or end at once.
-    pub fn set_slow(&self, slow: bool) {
-        self.hold(if slow { usize::MAX } else { 0 });
+    /// Sets whether all tasks run forever or end at once.
+    pub fn set_blocked(&self, blocked: bool) {
+        self.hold_last(if blocked { usize::MAX } else { 0 });
     }
 
-    /// Orders to start a task are under way for so long.
+    /// Sets how long a start takes.
     pub fn delay_starts(&self, delay: Duration) {
         self.start_delay.set(delay);
     }
 
     /// Longest time since a target that runs a task was granted time.
-    pub fn longest_ungranted(&self) -> Duration {
-        let (granted, used) = (self.granted.borrow(), self.ended.borrow());
+    pub fn longest_since_grant(&self) -> Duration {
+        let (granted, used) = (self.last_grant.borrow(), self.ended.borrow());
         let times = used.keys().filter_map(|target| granted.get(target));
         times.map(Instant::elapsed).max().unwrap_or_default()
     }
 
-    /// How many starts were sent.
-    pub fn started(&self) -> usize {
-        self.starts.borrow().values().sum()
+    /// Number of starts that were sent.
+    pub fn start_count(&self) -> usize {
+        self.starts_by_task.borrow().values().sum()
     }
 
     /// True if no task was started more than once.
     pub fn started_once(&self) -> bool {
-        self.starts.borrow().values().all(|&count| count == 1)
+        self.starts_by_task
+            .borrow()
+            .values()
+            .all(|&count| count == 1)
     }
 
-    /// Waits until so many tasks were started.
-    pub async fn until_started(&self, count: usize) {
+    /// Waits until this many tasks were started.
+    pub async fn wait_for_started(&self, count: usize) {
         let end = Instant::now() + LIMIT;
-        while self.starts.borrow().len() < count {
-            assert!(Instant::now() < end, "not started");
+        while self.starts_by_task.borrow().len() < count {
+            assert!(Instant::now() < end, "fewer tasks were started");
             sleep(Duration::from_millis(1)).await;
         }
     }
 
-    /// The tasks that a target was given last, so many of them, do not end.
-    pub fn hold(&self, tasks: usize) {
-        self.held.set(tasks);
+    /// Keeps this many tasks, the last ones that a target was given, from ending.
+    pub fn hold_last(&self, tasks: usize) {
+        self.unfinished.set(tasks);
     }
 }
 
@@ -90,16 +93,16 @@
         let (targets, target) = (self.clone(), target.target.clone());
         Box::pin(async move {
             *targets
-                .starts
+                .starts_by_task
                 .borrow_mut()
                 .entry(order.task.to_string())
                 .or_default() += 1;
             let now = Instant::now();
-            targets.granted.borrow_mut().insert(target.clone(), now);
+            targets.last_grant.borrow_mut().insert(target.clone(), now);
             sleep(targets.start_delay.get()).await;
             let mut ended = targets.ended.borrow_mut();
             let ends = ended.entry(target).or_default();
-            ends.push(EndSight {
+            ends.push(EndReport {
                 number: ends.len() as u64 + 1,
                 task: order.task,
                 attempt: order.attempt,
@@ -116,36 +119,39 @@
         Box::pin(async { OrderAnswer::Done })
     }
 
-    fn pace(&self, _: &TargetAddress, _: PaceOrder) -> PortFuture<OrderAnswer> {
+    fn throttle(&self, _: &TargetAddress, _: ThrottleOrder) -> PortFuture<OrderAnswer> {
         Box::pin(async { OrderAnswer::Done })
     }
 
-    fn look(&self, target: &TargetAddress, order: LookOrder) -> PortFuture<LookAnswer> {
+    fn poll(&self, target: &TargetAddress, order: PollOrder) -> PortFuture<PollAnswer> {
         let (targets, target) = (self.clone(), target.target.clone());
-        self.looks.set(self.looks.get() + 1);
-        if order.until.is_some() {
+        self.polls.set(self.polls.get() + 1);
+        if order.lease_until.is_some() {
             let now = Instant::now();
-            self.granted.borrow_mut().insert(target.clone(), now);
+            self.last_grant.borrow_mut().insert(target.clone(), now);
         }
         Box::pin(async move {
-            targets.looking.set(targets.looking.get() + 1);
-            let most = targets.most_looks.get().max(targets.looking.get());
-            targets.most_looks.set(most);
+            targets.active_polls.set(targets.active_polls.get() + 1);
+            let most = targets
+                .max_concurrent_polls
+                .get()
+                .max(targets.active_polls.get());
+            targets.max_concurrent_polls.set(most);
             sleep(Duration::from_millis(5)).await;
-            targets.looking.set(targets.looking.get() - 1);
+            targets.active_polls.set(targets.active_polls.get() - 1);
             let ended = targets
                 .ended
                 .borrow()
                 .get(&target)
                 .cloned()
                 .unwrap_or_default();
-            let listed = ended.into_iter().filter(|end| end.number > order.observed);
-            let mut ended: Vec<EndSight> = listed.collect();
-            let held = ended.split_off(ended.len().saturating_sub(targets.held.get()));
-            let running = held.into_iter().map(running_sight).collect();
-            LookAnswer::Seen(TargetSight {
+            let listed = ended.into_iter().filter(|end| end.number > order.acked_end);
+            let mut ended: Vec<EndReport> = listed.collect();
+            let held = ended.split_off(ended.len().saturating_sub(targets.unfinished.get()));
+            let running = held.into_iter().map(running_report).collect();
+            PollAnswer::Seen(TargetReport {
                 clock: BootClock.boot_now(),
-                born: Duration::from_secs(1),
+                started_at: Duration::from_secs(1),
                 running,
                 ended,
             })
@@ -153,20 +159,20 @@
     }
 }
 
-/// A task that will end later, while it is at work.
-fn running_sight(end: EndSight) -> RunSight {
-    RunSight {
+/// Reports a task, which would end later, as running.
+fn running_report(end: EndReport) -> RunReport {
+    RunReport {
         task: end.task,
         attempt: end.attempt,
-        ..RunSight::default()
+        ..RunReport::default()
     }
 }
 
-/// Reads the few things that the tests write as plain words.
-pub struct PathCodec;
+/// Decodes the plain words that the tests write.
+pub struct TextCodec;
 
-impl FleetCodec for PathCodec {
-    fn terms_key(&self) -> &'static str {
+impl FleetCodec for TextCodec {
+    fn policy_key(&self) -> &'static str {
         "op/terms"
     }
 
@@ -178,7 +184,7 @@
         "targets/"
     }
 
-    fn wave_of_key(&self, _key: &str) -> Option<WaveId> {
+    fn parse_wave_key(&self, _key: &str) -> Option<WaveId> {
         None
     }
 
@@ -186,33 +192,33 @@
         (format!("status/{wave}"), vec![u8::from(completed)])
     }
 
-    /// The revision, then the keys of the one workspace, separated by spaces.
-    fn read_terms(&self, value: &[u8]) -> Result<FleetTerms, String> {
+    /// The revision, then the keys of the only workspace, separated by spaces.
+    fn read_policy(&self, value: &[u8]) -> Result<FleetPolicy, String> {
         let text = std::str::from_utf8(value).map_err(|error| error.to_string())?;
         let mut words = text.split(' ');
         let revision = words
             .next()
             .and_then(|word| word.parse().ok())
             .ok_or("no revision")?;
-        Ok(FleetTerms {
+        Ok(FleetPolicy {
             revision,
-            queues: vec![QueueTerms {
+            queues: vec![QueuePolicy {
                 name: "queue".into(),
                 host: "jobs.example".into(),
                 prefix: "/queue/".into(),
                 pool: "pool".into(),
                 max_attempts: 2,
                 slack_factor: 2.0,
-                ..QueueTerms::default()
+                ..QueuePolicy::default()
             }],
-            pools: vec![PoolTerms {
+            pools: vec![PoolPolicy {
                 name: "pool".into(),
-                ..PoolTerms::default()
+                ..PoolPolicy::default()
             }],
-            workspaces: vec![WorkspaceTerms {
+            workspaces: vec![WorkspacePolicy {
                 name: "space".into(),
                 keys: words.map(Into::into).collect(),
-                ..WorkspaceTerms::default()
+                ..WorkspacePolicy::default()
             }],
             max_body: 1 << 16,
         })
@@ -230,35 +236,35 @@
             target: target.into(),
             address: format!("{target}:80").into(),
             pool: "pool".into(),
-            capacity: HostRoom {
+            capacity: ResourceVector {
                 cpu: 4000,
                 memory_mb: 4000,
                 gpu: 0,
             },
-            born: Duration::from_secs(1),
+            started_at: Duration::from_secs(1),
             ..TargetEntry::default()
         })
     }
 }
 
-/// What [`PathCodec`] reads as terms.
-pub fn terms_text(revision: u64, key: &str) -> String {
+/// The text that [`TextCodec`] decodes as a policy.
+pub fn policy_text(revision: u64, key: &str) -> String {
     format!("{revision} {key}")
 }
 
 /// A control of no hosts.
 #[derive(Clone, Default)]
-pub struct NoControl {
-    /// How long a list of hosts is under way.
-    pub list_time: Duration,
-    /// How often the hosts were listed.
-    pub lists: Rc<Cell<usize>>,
+pub struct EmptyHostControl {
+    /// How long a list of hosts takes.
+    pub list_delay: Duration,
+    /// Number of lists of hosts.
+    pub list_count: Rc<Cell<usize>>,
 }
 
-impl HostControl for NoControl {
+impl HostControl for EmptyHostControl {
     fn hosts(&self) -> PortFuture<Result<Vec<FleetHost>, String>> {
-        self.lists.set(self.lists.get() + 1);
-        let time = self.list_time;
+        self.list_count.set(self.list_count.get() + 1);
+        let time = self.list_delay;
         Box::pin(async move {
             sleep(time).await;
             Ok(Vec::new())
@@ -277,18 +283,22 @@
 struct NoAdvice;
 
 impl AdvicePort for NoAdvice {
-    fn ask(&self, _: &str, _: Vec<HostId>) -> PortFuture<Result<Vec<AdviceTicket>, String>> {
+    fn request_tickets(
+        &self,
+        _: &str,
+        _: Vec<HostId>,
+    ) -> PortFuture<Result<Vec<AdviceTicket>, String>> {
         Box::pin(async { Err("no advice here".to_owned()) })
     }
 }
 
-/// Ports of one process on a store and targets that several may share.
+/// Ports of one process on a store and targets that several processes may share.
 pub fn ports_on(store: &MemoryStore, targets: &MemoryTargets) -> CellPorts {
     CellPorts {
         store: Rc::new(store.clone()),
-        codec: Rc::new(PathCodec),
+        codec: Rc::new(TextCodec),
         targets: Rc::new(targets.clone()),
-        hosts: Rc::new(NoControl::default()),
+        hosts: Rc::new(EmptyHostControl::default()),
         advice: Rc::new(NoAdvice),
     }
 }
--- a/crates/cell/tests/common/memory_store.rs
+++ b/crates/cell/tests/common/memory_store.rs
@@ -6,7 +6,7 @@
 };
 
 use ports::{
-    LeaseId, LeaseStore, PortFuture, StoreChange, StoreChanges, StoreEvent, StoreFault, StoreItem,
+    LeaseId, LeaseStore, PortFuture, StoreChange, StoreChanges, StoreError, StoreEvent, StoreItem,
     StoreOutcome, StorePage, StoreRevision,
 };
 use tokio::{
@@ -14,50 +14,50 @@
     time::{Instant, sleep, timeout},
 };
 
-/// Keys that a list brings at most.
+/// Maximum number of keys in one list.
 const LIST_KEYS: usize = 100;
-/// How long a change may be under way.
+/// Time after which a change times out.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// What goes wrong at the store.
+/// Which fault the store simulates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum StoreSwitch {
-    /// Nothing.
+pub enum StoreMode {
+    /// None.
     #[default]
-    Well,
+    Normal,
     /// Refuses every call.
     Refuses,
-    /// Makes changes and loses their answers.
+    /// Makes changes and loses the responses.
     LosesAnswers,
 }
 
-/// A store in memory. Each answer takes a millisecond.
+/// An in-memory store. Each response takes a millisecond.
 #[derive(Clone, Default)]
 pub struct MemoryStore {
     state: Rc<StoreState>,
-    /// Whether the store turns away who calls through this handle.
-    away: Rc<Cell<bool>>,
-    /// How lists are answered through this handle.
-    lists: Rc<RefCell<ListFault>>,
-    /// How long answers to reads of a key are under way through this handle.
+    /// Whether the store refuses the calls through this handle.
+    cut_off: Rc<Cell<bool>>,
+    /// Faults of lists through this handle.
+    list_fault: Rc<RefCell<ListFault>>,
+    /// How long responses to reads of a key take through this handle.
     read_delay: Rc<Cell<Duration>>,
-    /// How long changes are under way through this handle before they are made.
+    /// How long changes take through this handle before they are made.
     change_delay: Rc<Cell<Duration>>,
-    /// Bytes of a change that get through this handle in time; 0 for any.
+    /// Maximum bytes of a change through this handle that does not time out; 0 for no limit.
     change_bytes: Rc<Cell<usize>>,
-    /// Bytes of lists a second that this handle carries; 0 for any.
+    /// Bytes of lists a second through this handle; 0 for no limit.
     list_rate: Rc<Cell<usize>>,
-    /// Prefix of which no list and no watch is answered through this handle; empty for none.
-    unheard: Rc<RefCell<String>>,
+    /// Prefix whose lists and watches fail through this handle; empty for none.
+    unreadable_prefix: Rc<RefCell<String>>,
 }
 
-/// What goes wrong with lists of the keys below a prefix.
+/// Faults of lists of the keys below a prefix.
 #[derive(Clone, Default)]
 struct ListFault {
     prefix: String,
-    /// Keys that one call brings; 0 for as many as usual.
+    /// Maximum number of keys in one list; 0 for the usual number.
     page: usize,
-    /// Each so many-th call fails, beginning with the first; 0 for none.
+    /// One call in this many fails, beginning with the first; 0 for none.
     fail_every: usize,
     calls: usize,
 }
@@ -65,84 +65,84 @@
 #[derive(Default)]
 struct StoreState {
     items: RefCell<BTreeMap<String, StoreItem>>,
-    owners: RefCell<BTreeMap<String, LeaseId>>,
+    key_leases: RefCell<BTreeMap<String, LeaseId>>,
     leases: RefCell<BTreeMap<LeaseId, (Instant, Duration)>>,
     history: RefCell<Vec<(StoreRevision, StoreEvent)>>,
     revision: Cell<StoreRevision>,
     changed: Notify,
-    switch: Cell<StoreSwitch>,
+    mode: Cell<StoreMode>,
     renewals: Cell<usize>,
 }
 
 impl MemoryStore {
-    pub fn set(&self, switch: StoreSwitch) {
-        self.state.switch.set(switch);
+    pub fn set_mode(&self, mode: StoreMode) {
+        self.state.mode.set(mode);
     }
 
-    /// Another handle on the same store, for a process that the store is to turn away.
-    pub fn handle(&self) -> Self {
+    /// Another handle on the same store, for a process with its own faults.
+    pub fn new_handle(&self) -> Self {
         Self {
             state: self.state.clone(),
-            away: Rc::default(),
-            lists: Rc::default(),
+            cut_off: Rc::default(),
+            list_fault: Rc::default(),
             read_delay: Rc::default(),
             change_delay: Rc::default(),
             change_bytes: Rc::default(),
             list_rate: Rc::default(),
-            unheard: Rc::default(),
+            unreadable_prefix: Rc::default(),
         }
     }
 
-    /// Answers to reads of a key are under way for so long through this handle.
+    /// Sets how long responses to reads of a key take through this handle.
     pub fn delay_reads(&self, delay: Duration) {
         self.read_delay.set(delay);
     }
 
-    /// Changes are under way for so long through this handle before they are made.
+    /// Sets how long changes take through this handle before they are made.
     pub fn delay_changes(&self, delay: Duration) {
         self.change_delay.set(delay);
     }
 
-    /// Lists come through this handle with so many bytes a second.
-    pub fn pace_lists(&self, bytes_per_second: usize) {
+    /// Limits the bytes of lists a second through this handle.
+    pub fn limit_list_rate(&self, bytes_per_second: usize) {
         self.list_rate.set(bytes_per_second);
     }
 
-    /// How often a lease was renewed.
+    /// Number of lease renewals.
     pub fn renewals(&self) -> usize {
         self.state.renewals.get()
     }
 
-    /// Changes with more bytes than these time out on their way through this handle.
-    pub fn limit_changes(&self, bytes: usize) {
+    /// Lets larger changes through this handle time out.
+    pub fn limit_change_bytes(&self, bytes: usize) {
         self.change_bytes.set(bytes);
     }
 
-    async fn carries(&self, change: &StoreChange) -> Result<(), StoreFault> {
+    async fn check_change_size(&self, change: &StoreChange) -> Result<(), StoreError> {
         let bytes: usize = change.writes.iter().map(|write| write.value.len()).sum();
         let most = self.change_bytes.get();
         if most == 0 || bytes <= most {
             return Ok(());
         }
         sleep(CHANGE_TIMEOUT).await;
-        Err(StoreFault::Unanswered("timed out".to_owned()))
+        Err(StoreError::Unanswered("timed out".to_owned()))
     }
 
-    /// No list and no watch of this prefix is answered through this handle; empty for none.
-    pub fn unhear(&self, prefix: &str) {
-        *self.unheard.borrow_mut() = prefix.to_owned();
+    /// Lets lists and watches of this prefix fail through this handle; empty for none.
+    pub fn set_unreadable_prefix(&self, prefix: &str) {
+        *self.unreadable_prefix.borrow_mut() = prefix.to_owned();
     }
 
-    fn hears(&self, prefix: &str) -> Result<(), StoreFault> {
-        if !prefix.is_empty() && prefix == *self.unheard.borrow() {
-            return Err(StoreFault::Unanswered("timed out".to_owned()));
+    fn check_readable(&self, prefix: &str) -> Result<(), StoreError> {
+        if !prefix.is_empty() && prefix == *self.unreadable_prefix.borrow() {
+            return Err(StoreError::Unanswered("timed out".to_owned()));
         }
         Ok(())
     }
 
-    /// Lists of the keys below a prefix bring `page` keys, and each `fail_every`-th fails.
+    /// Limits lists of the keys below a prefix to `page` keys, and lets each `fail_every`-th fail.
     pub fn limit_lists(&self, prefix: &str, page: usize, fail_every: usize) {
-        *self.lists.borrow_mut() = ListFault {
+        *self.list_fault.borrow_mut() = ListFault {
             prefix: prefix.to_owned(),
             page,
             fail_every,
@@ -150,25 +150,25 @@
         };
     }
 
-    /// No list of the keys below a prefix is answered through this handle.
+    /// Lets all lists of the keys below a prefix fail through this handle.
     pub fn fail_lists(&self, prefix: &str) {
         self.limit_lists(prefix, 0, 1);
     }
 
-    /// All lists through this handle are answered again.
-    pub fn answer_lists(&self) {
-        *self.lists.borrow_mut() = ListFault::default();
+    /// Ends all faults of lists through this handle.
+    pub fn restore_lists(&self) {
+        *self.list_fault.borrow_mut() = ListFault::default();
     }
 
-    /// Most keys that a list may bring.
-    fn list_limit(&self, prefix: &str) -> Result<usize, StoreFault> {
-        let mut fault = self.lists.borrow_mut();
+    /// Maximum number of keys in the next list.
+    fn list_limit(&self, prefix: &str) -> Result<usize, StoreError> {
+        let mut fault = self.list_fault.borrow_mut();
         if prefix != fault.prefix {
             return Ok(LIST_KEYS);
         }
         fault.calls += 1;
         if (fault.calls - 1).checked_rem(fault.fail_every) == Some(0) {
-            return Err(StoreFault::Unanswered("timed out".to_owned()));
+            return Err(StoreError::Unanswered("timed out".to_owned()));
         }
         Ok(match fault.page {
             0 => LIST_KEYS,
@@ -188,15 +188,15 @@
         items.get(key).map(|item| item.value.clone())
     }
 
-    /// Turns away who calls through this handle, or serves it again.
-    pub fn turn_away(&self, away: bool) {
-        self.away.set(away);
+    /// Sets whether the store refuses the calls through this handle.
+    pub fn set_cut_off(&self, cut_off: bool) {
+        self.cut_off.set(cut_off);
     }
 
-    async fn call(&self) -> Result<(), StoreFault> {
+    async fn call(&self) -> Result<(), StoreError> {
         self.state.call().await?;
-        if self.away.get() {
-            return Err(StoreFault::Refused("status 503".to_owned()));
+        if self.cut_off.get() {
+            return Err(StoreError::Refused("status 503".to_owned()));
         }
         Ok(())
     }
@@ -240,7 +240,7 @@
         };
         self.items.borrow_mut().insert(key.to_owned(), item.clone());
         if let Some(lease) = lease {
-            self.owners.borrow_mut().insert(key.to_owned(), lease);
+            self.key_leases.borrow_mut().insert(key.to_owned(), lease);
         }
         self.history
             .borrow_mut()
@@ -264,21 +264,21 @@
     fn end_lease(&self, lease: LeaseId) {
         self.leases.borrow_mut().remove(&lease);
         let owned: Vec<String> = {
-            let mut owners = self.owners.borrow_mut();
-            let keys: Vec<String> = owners
+            let mut key_leases = self.key_leases.borrow_mut();
+            let keys: Vec<String> = key_leases
                 .iter()
                 .filter(|(_, owner)| **owner == lease)
                 .map(|(key, _)| key.clone())
                 .collect();
             keys.iter().for_each(|key| {
-                owners.remove(key);
+                key_leases.remove(key);
             });
             keys
         };
         owned.iter().for_each(|key| self.remove(key));
     }
 
-    fn lapse(&self) {
+    fn expire_leases(&self) {
         let now = Instant::now();
         let over: Vec<LeaseId> = self
             .leases
@@ -290,12 +290,12 @@
         over.into_iter().for_each(|lease| self.end_lease(lease));
     }
 
-    async fn call(&self) -> Result<(), StoreFault> {
+    async fn call(&self) -> Result<(), StoreError> {
         sleep(Duration::from_millis(1)).await;
-        self.lapse();
-        match self.switch.get() {
-            StoreSwitch::Refuses => Err(StoreFault::Refused("status 503".to_owned())),
-            StoreSwitch::Well | StoreSwitch::LosesAnswers => Ok(()),
+        self.expire_leases();
+        match self.mode.get() {
+            StoreMode::Refuses => Err(StoreError::Refused("status 503".to_owned())),
+            StoreMode::Normal | StoreMode::LosesAnswers => Ok(()),
         }
     }
 
@@ -333,7 +333,7 @@
         StoreOutcome::Done(self.revision.get())
     }
 
-    fn since(&self, prefix: &str, after: StoreRevision) -> Vec<StoreEvent> {
+    fn events_after(&self, prefix: &str, after: StoreRevision) -> Vec<StoreEvent> {
         let history = self.history.borrow();
         let newer = history.iter().filter(|(revision, _)| *revision > after);
         let below = newer.filter(|(_, event)| match event {
@@ -345,27 +345,27 @@
 }
 
 impl LeaseStore for MemoryStore {
-    fn read(&self, key: &str) -> PortFuture<Result<Option<StoreItem>, StoreFault>> {
+    fn read(&self, key: &str) -> PortFuture<Result<Option<StoreItem>, StoreError>> {
         let (state, key) = (self.state.clone(), key.to_owned());
-        let door = self.clone();
+        let handle = self.clone();
         Box::pin(async move {
-            door.call().await?;
+            handle.call().await?;
             let found = state.items.borrow().get(&key).cloned();
-            sleep(door.read_delay.get()).await;
+            sleep(handle.read_delay.get()).await;
             Ok(found)
         })
     }
 
-    fn list(&self, prefix: &str, after: &str) -> PortFuture<Result<StorePage, StoreFault>> {
+    fn list(&self, prefix: &str, after: &str) -> PortFuture<Result<StorePage, StoreError>> {
         let (state, prefix, after) = (self.state.clone(), prefix.to_owned(), after.to_owned());
-        let door = self.clone();
+        let handle = self.clone();
         Box::pin(async move {
-            door.call().await?;
-            door.hears(&prefix)?;
-            let limit = door.list_limit(&prefix)?;
+            handle.call().await?;
+            handle.check_readable(&prefix)?;
+            let limit = handle.list_limit(&prefix)?;
             let page = state.page(&prefix, &after, limit);
             let bytes: usize = page.items.iter().map(|item| item.value.len()).sum();
-            if let Some(millis) = (bytes * 1000).checked_div(door.list_rate.get()) {
+            if let Some(millis) = (bytes * 1000).checked_div(handle.list_rate.get()) {
                 sleep(Duration::from_millis(millis as u64)).await;
             }
             Ok(page)
@@ -376,16 +376,16 @@
         &self,
         prefix: &str,
         after: StoreRevision,
-        patience: Duration,
-    ) -> PortFuture<Result<StoreChanges, StoreFault>> {
+        timeout_after: Duration,
+    ) -> PortFuture<Result<StoreChanges, StoreError>> {
         let (state, prefix) = (self.state.clone(), prefix.to_owned());
-        let door = self.clone();
+        let handle = self.clone();
         Box::pin(async move {
-            let end = Instant::now() + patience;
+            let end = Instant::now() + timeout_after;
             loop {
-                door.call().await?;
-                door.hears(&prefix)?;
-                let events = state.since(&prefix, after);
+                handle.call().await?;
+                handle.check_readable(&prefix)?;
+                let events = state.events_after(&prefix, after);
                 if !events.is_empty() || Instant::now() >= end {
                     return Ok(StoreChanges {
                         events,
@@ -397,26 +397,26 @@
         })
     }
 
-    fn change(&self, change: StoreChange) -> PortFuture<Result<StoreOutcome, StoreFault>> {
+    fn change(&self, change: StoreChange) -> PortFuture<Result<StoreOutcome, StoreError>> {
         let state = self.state.clone();
-        let door = self.clone();
+        let handle = self.clone();
         Box::pin(async move {
-            door.call().await?;
-            sleep(door.change_delay.get()).await;
-            door.carries(&change).await?;
+            handle.call().await?;
+            sleep(handle.change_delay.get()).await;
+            handle.check_change_size(&change).await?;
             let outcome = state.apply(change);
-            if state.switch.get() == StoreSwitch::LosesAnswers {
-                return Err(StoreFault::Unanswered("timed out".to_owned()));
+            if state.mode.get() == StoreMode::LosesAnswers {
+                return Err(StoreError::Unanswered("timed out".to_owned()));
             }
             Ok(outcome)
         })
     }
 
-    fn take_lease(&self, length: Duration) -> PortFuture<Result<LeaseId, StoreFault>> {
+    fn take_lease(&self, length: Duration) -> PortFuture<Result<LeaseId, StoreError>> {
         let state = self.state.clone();
-        let door = self.clone();
+        let handle = self.clone();
         Box::pin(async move {
-            door.call().await?;
+            handle.call().await?;
             let lease = state.revision.get() + 1;
             state.revision.set(lease);
             state
@@ -427,11 +427,11 @@
         })
     }
 
-    fn renew_lease(&self, lease: LeaseId) -> PortFuture<Result<bool, StoreFault>> {
+    fn renew_lease(&self, lease: LeaseId) -> PortFuture<Result<bool, StoreError>> {
         let state = self.state.clone();
-        let door = self.clone();
+        let handle = self.clone();
         Box::pin(async move {
-            door.call().await?;
+            handle.call().await?;
             state.renewals.set(state.renewals.get() + 1);
             let mut leases = state.leases.borrow_mut();
             let Some((until, length)) = leases.get_mut(&lease) else {
@@ -442,11 +442,11 @@
         })
     }
 
-    fn end_lease(&self, lease: LeaseId) -> PortFuture<Result<(), StoreFault>> {
+    fn end_lease(&self, lease: LeaseId) -> PortFuture<Result<(), StoreError>> {
         let state = self.state.clone();
-        let door = self.clone();
+        let handle = self.clone();
         Box::pin(async move {
-            door.call().await?;
+            handle.call().await?;
             state.end_lease(lease);
             Ok(())
         })
--- a/crates/cell/tests/succession.rs
+++ b/crates/cell/tests/succession.rs
@@ -1,4 +1,4 @@
-//! Who becomes the owner, and how a successor gets ready, on ports in memory.
+//! Elections, and how a successor gets ready, on in-memory ports.
 
 mod common;
 
@@ -6,47 +6,46 @@
 
 use cell::CellHost;
 use common::*;
-use ports::{CallerAnswer, CallerWish, JobProgress};
+use ports::{CallerAnswer, CallerRequest, JobProgress};
 use prost::Message;
 use tokio::time::{Instant, sleep};
 use wire::work::{LogEntry, LogPage, OwnerRecord, log_entry::Event};
 
-/// The fleet mixes strong hosts and hosts behind narrow links. A weak process happens to win the
-/// first election, before any other is known. The work would wait behind its link all day; it
-/// hands the cell over to a strong one once that is there.
+/// Guards against a weak owner that stays for long. A weak process wins the first election before
+/// it knows any other, and has to hand the cell over once a strong one is there.
 #[test]
 fn owner_hands_over_to_stronger() {
     run_local(async {
         let store = new_store();
-        let _weak = start_host("weak", &store, weak());
-        until_owner(&store, "weak").await;
-        let _strong = start_host("strong", &store, strong());
-        until_owner(&store, "strong").await;
+        let _weak = start_host("weak", &store, weak_limits());
+        wait_for_owner(&store, "weak").await;
+        let _strong = start_host("strong", &store, strong_limits());
+        wait_for_owner(&store, "strong").await;
         sleep(Duration::from_secs(2)).await;
-        assert_eq!(owner(&store).as_deref(), Some("strong"));
+        assert_eq!(owner_name(&store).as_deref(), Some("strong"));
     });
 }
 
-/// The owner goes, and both weak and strong processes are there. A weak one that is faster at
-/// the election would lead the fleet for the rest of the day; strong ones stand first.
+/// Guards against a weak process that wins the election after the owner is gone because it is
+/// faster. Strong processes have to campaign first.
 #[test]
 fn owner_is_strong_after_loss() {
     run_local(async {
         let store = new_store();
-        let mut hosts = vec![start_host("strong-a", &store, strong())];
-        until_owner(&store, "strong-a").await;
+        let mut hosts = vec![start_host("strong-a", &store, strong_limits())];
+        wait_for_owner(&store, "strong-a").await;
         for name in ["weak-a", "weak-b", "weak-c", "weak-d", "weak-e"] {
-            hosts.push(start_host(name, &store, weak()));
+            hosts.push(start_host(name, &store, weak_limits()));
         }
-        hosts.push(start_host("strong-b", &store, strong()));
-        // All have read by then who else is there.
+        hosts.push(start_host("strong-b", &store, strong_limits()));
+        // By then all processes have read the list of members.
         sleep(Duration::from_secs(6)).await;
         let stopping = hosts[0].clone();
         tokio::task::spawn_local(async move { stopping.stop(async {}).await });
         let end = Instant::now() + LIMIT;
         loop {
-            let now = owner(&store).unwrap_or_default();
-            assert!(!now.starts_with("weak"), "{now} leads");
+            let now = owner_name(&store).unwrap_or_default();
+            assert!(!now.starts_with("weak"), "{now} is the owner");
             if now == "strong-b" {
                 return;
             }
@@ -56,51 +55,52 @@
     });
 }
 
-/// All processes lose power and come back within some tenths of a second, a weak one first. It
-/// stood before it had read who else is there, and decided behind its narrow link for more than a
-/// second, until it had handed over. The entries of the others' last lives tell it to wait.
+/// Guards against a weak process that campaigns before it has read the list of members, after all
+/// processes restarted within some tenths of a second. It owned the cell for more than a second
+/// before it handed over. The old entries of the others tell it to wait.
 #[test]
-fn cold_weak_process_lets_strong_stand() {
+fn cold_weak_process_lets_strong_campaign() {
     run_local(async {
         let store = new_store();
         let entry = OwnerRecord {
             member: "strong".to_owned(),
             address: free_address().to_string(),
-            strength: strong().strength(),
+            strength: strong_limits().strength(),
         };
         store.put("cell/member/strong", &entry.encode_to_vec());
-        let narrow = store.handle();
-        // The first list fails, so that the entries are known a moment after the owner's.
-        narrow.limit_lists("cell/member/", 0, 2);
-        let _weak = start_host("weak", &narrow, weak());
+        let narrow_handle = store.new_handle();
+        // The first list fails, so the members are known a moment after the owner's entry.
+        narrow_handle.limit_lists("cell/member/", 0, 2);
+        let _weak = start_host("weak", &narrow_handle, weak_limits());
         sleep(Duration::from_millis(100)).await;
-        let _strong = start_host("strong", &store, strong());
+        let _strong = start_host("strong", &store, strong_limits());
         let end = Instant::now() + LIMIT;
-        while owner(&store).is_none() {
+        while owner_name(&store).is_none() {
             assert!(Instant::now() < end);
             sleep(Duration::from_millis(2)).await;
         }
-        assert_eq!(owner(&store).as_deref(), Some("strong"));
+        assert_eq!(owner_name(&store).as_deref(), Some("strong"));
     });
 }
 
-/// Strong processes are not there. A weak one stands after a short wait: better than nobody.
+/// Guards against a cell without an owner if there are no strong processes. A weak one campaigns
+/// after a short wait.
 #[test]
 fn owner_is_weak_without_others() {
     run_local(async {
         let store = new_store();
-        let begun = Instant::now();
-        let _weak = start_host("weak", &store, weak());
-        until_owner(&store, "weak").await;
-        assert!(begun.elapsed() < Duration::from_secs(1));
+        let started_at = Instant::now();
+        let _weak = start_host("weak", &store, weak_limits());
+        wait_for_owner(&store, "weak").await;
+        assert!(started_at.elapsed() < Duration::from_secs(1));
     });
 }
 
-/// A successor reads a long log, and half of its calls to list it fail. Begun anew at each
-/// failure the log would not be read before the day ends, while the lease is renewed and nobody
-/// else may serve; the pages that came are kept.
+/// Guards against a successor that restarts reading a long log after each failed call. With half of
+/// the calls failing it would never finish, while it renews its lease and no other process may
+/// serve.
 #[test]
-fn log_is_read_beside_failures() {
+fn log_is_read_despite_failures() {
     run_local(async {
         let store = new_store();
         for page in 0..200 {
@@ -108,158 +108,159 @@
         }
         // With 5 keys a call the log takes 40 calls, of which every second fails.
         store.limit_lists(LOG, 5, 2);
-        let _host = start_host("a", &store, strong());
-        until_owner(&store, "a").await;
-        until_page(&store, 200).await;
+        let _host = start_host("a", &store, strong_limits());
+        wait_for_owner(&store, "a").await;
+        wait_for_page(&store, 200).await;
     });
 }
 
-/// An owner renews its lease and can't read the log, since its way to the store has become too
-/// narrow for that. It lets another process take the cell, which serves.
+/// Guards against an owner that renews its lease but can't read the log because its link to the
+/// store has become too narrow. Another process has to take over.
 #[test]
-fn owner_gives_up_unread_log() {
+fn owner_steps_down_with_unread_log() {
     run_local(async {
         let store = new_store();
         put_page(&store, 0, 1);
-        let narrow = store.handle();
-        narrow.fail_lists(LOG);
-        let _first = start_host("first", &narrow, strong());
-        until_owner(&store, "first").await;
-        let _second = start_host("second", &store, strong());
-        until_owner(&store, "second").await;
+        let narrow_handle = store.new_handle();
+        narrow_handle.fail_lists(LOG);
+        let _first = start_host("first", &narrow_handle, strong_limits());
+        wait_for_owner(&store, "first").await;
+        let _second = start_host("second", &store, strong_limits());
+        wait_for_owner(&store, "second").await;
         sleep(Duration::from_secs(4)).await;
-        assert_eq!(owner(&store).as_deref(), Some("second"));
+        assert_eq!(owner_name(&store).as_deref(), Some("second"));
     });
 }
 
-/// Guards against a caller that is told its job may have been accepted while the owner had not read
-/// the log: it can't try again elsewhere, though nothing was done.
+/// Guards against telling a caller that its job may have been accepted while the owner had not read
+/// the log. The caller could not retry elsewhere, although nothing was done.
 #[test]
 fn call_to_unready_owner_is_refused() {
     run_local(async {
         let store = new_store();
         put_page(&store, 0, 1);
-        let narrow = store.handle();
-        narrow.fail_lists(LOG);
-        let _owner = start_host("owner", &narrow, strong());
-        until_owner(&store, "owner").await;
-        let other = start_host("other", &store, strong());
+        let narrow_handle = store.new_handle();
+        narrow_handle.fail_lists(LOG);
+        let _owner = start_host("owner", &narrow_handle, strong_limits());
+        wait_for_owner(&store, "owner").await;
+        let other = start_host("other", &store, strong_limits());
         sleep(Duration::from_millis(300)).await;
-        let begun = Instant::now();
-        let answer = other.desk().answer(submit("job1")).await;
+        let started_at = Instant::now();
+        let answer = other.service().answer(submit("job1")).await;
         assert!(matches!(answer, CallerAnswer::Refused(_)), "{answer:?}");
-        assert!(begun.elapsed() < Duration::from_secs(1));
+        assert!(started_at.elapsed() < Duration::from_secs(1));
     });
 }
 
-/// The store turns the owner away and serves the others. Waiting until its lease has lapsed would
-/// leave the work without an owner for more than a second; it has another process end the lease.
+/// Guards against a cell without an owner for more than a second when the store refuses only the
+/// owner. Another process has to end its lease.
 #[test]
-fn owner_turned_away_is_released() {
+fn cut_off_owner_has_lease_released() {
     run_local(async {
         let store = new_store();
-        let first_way = store.handle();
-        let _first = start_host("first", &first_way, strong());
-        until_owner(&store, "first").await;
-        let _second = start_host("second", &store, strong());
+        let first_handle = store.new_handle();
+        let _first = start_host("first", &first_handle, strong_limits());
+        wait_for_owner(&store, "first").await;
+        let _second = start_host("second", &store, strong_limits());
         sleep(Duration::from_millis(500)).await;
-        let begun = Instant::now();
-        first_way.turn_away(true);
-        until_owner(&store, "second").await;
-        // Its lease lapses after 0.8 s at the earliest.
-        assert!(begun.elapsed() < Duration::from_millis(700));
+        let started_at = Instant::now();
+        first_handle.set_cut_off(true);
+        wait_for_owner(&store, "second").await;
+        // The lease expires after 0.8 s at the earliest.
+        assert!(started_at.elapsed() < Duration::from_millis(700));
     });
 }
 
-/// Accepts a job of two steps, of which the first takes until the store is away.
-async fn accept_before_outage(host: &CellHost, store: &MemoryStore, targets: &MemoryTargets) {
-    let desk = host.desk();
-    accepted(&desk, "job1").await;
-    targets.until_started(3).await;
-    store.set(StoreSwitch::Refuses);
+/// Submits a job of two steps whose first step runs until after the outage of the store began.
+async fn submit_before_outage(host: &CellHost, store: &MemoryStore, targets: &MemoryTargets) {
+    let service = host.service();
+    submit_until_accepted(&service, "job1").await;
+    targets.wait_for_started(3).await;
+    store.set_mode(StoreMode::Refuses);
     sleep(Duration::from_secs(2)).await;
-    targets.set_slow(false);
+    targets.set_blocked(false);
 }
 
-/// The store is away for all, longer than the owner's lease. A job's next step is due then. As
-/// all other processes keep out of elections, there is no other owner, and the step starts.
+/// Guards against an idle owner during an outage of the store that is longer than its lease. All
+/// other processes promise not to campaign, so there is no other owner and the job's next step has
+/// to start.
 #[test]
-fn owner_starts_while_store_is_away() {
+fn owner_starts_tasks_during_store_outage() {
     run_local(async {
         let (store, targets) = (new_store(), MemoryTargets::default());
-        targets.set_slow(true);
-        let first = start_with("first", &store, strong(), &targets);
-        until_owner(&store, "first").await;
-        let _second = start_host("second", &store, strong());
+        targets.set_blocked(true);
+        let first = start_host_with_targets("first", &store, strong_limits(), &targets);
+        wait_for_owner(&store, "first").await;
+        let _second = start_host("second", &store, strong_limits());
         sleep(Duration::from_secs(1)).await;
-        accept_before_outage(&first, &store, &targets).await;
+        submit_before_outage(&first, &store, &targets).await;
         let end = Instant::now() + LIMIT;
-        while targets.starts.borrow().len() < 6 {
+        while targets.starts_by_task.borrow().len() < 6 {
             assert!(Instant::now() < end, "the second step was not started");
             sleep(Duration::from_millis(10)).await;
         }
-        store.set(StoreSwitch::Well);
-        until_owner(&store, "first").await;
+        store.set_mode(StoreMode::Normal);
+        wait_for_owner(&store, "first").await;
     });
 }
 
-/// The store is away, and one process does not answer: it may be the next owner, in a part of the
-/// network that this one does not see. Nothing is started before the store is back.
+/// Guards against starting tasks during an outage of the store while one process does not answer.
+/// That process may be the next owner, in another part of a split network.
 #[test]
-fn owner_starts_nothing_beside_silent_member() {
+fn owner_starts_nothing_with_unresponsive_member() {
     run_local(async {
         let (store, targets) = (new_store(), MemoryTargets::default());
-        targets.set_slow(true);
+        targets.set_blocked(true);
         let record = OwnerRecord {
             member: "silent".to_owned(),
             address: free_address().to_string(),
             ..OwnerRecord::default()
         };
         store.put("cell/member/silent", &record.encode_to_vec());
-        let first = start_with("first", &store, strong(), &targets);
-        until_owner(&store, "first").await;
-        let _second = start_host("second", &store, strong());
+        let first = start_host_with_targets("first", &store, strong_limits(), &targets);
+        wait_for_owner(&store, "first").await;
+        let _second = start_host("second", &store, strong_limits());
         sleep(Duration::from_secs(1)).await;
-        accept_before_outage(&first, &store, &targets).await;
+        submit_before_outage(&first, &store, &targets).await;
         sleep(Duration::from_secs(2)).await;
-        assert_eq!(targets.starts.borrow().len(), 3);
+        assert_eq!(targets.starts_by_task.borrow().len(), 3);
     });
 }
 
-/// A process reads the owner's entry, and the answer is under way while the entry lapses: the
-/// watch tells of that first. Believing the answer it would take the cell for owned for ever, and
+/// Guards against accepting a late response to a read of the owner's entry, after the watch has
+/// already reported that the entry expired. The process would consider the cell owned forever, and
 /// nobody would serve.
 #[test]
-fn owner_view_drops_late_answer() {
+fn owner_view_ignores_late_answer() {
     run_local(async {
         let store = new_store();
-        let _host = start_host("a", &store, strong());
-        until_owner(&store, "a").await;
-        let page = |number: usize| format!("{LOG}{number:012}");
-        while store.value(&page(0)).is_none() {
+        let _host = start_host("a", &store, strong_limits());
+        wait_for_owner(&store, "a").await;
+        let page_key_of = |number: usize| format!("{LOG}{number:012}");
+        while store.value(&page_key_of(0)).is_none() {
             sleep(Duration::from_millis(5)).await;
         }
         let token = store.revision(OWNER);
         store.delay_reads(Duration::from_secs(2));
-        // Another's pages in its way end its term, while its entry stands.
+        // Pages of another writer end its term while its entry exists.
         (1..20).for_each(|number| put_page(&store, number, 1));
         store.put("targets/t3", b"ready");
         let end = Instant::now() + LIMIT;
         while store.revision(OWNER).is_none_or(|now| Some(now) == token) {
-            assert!(Instant::now() < end, "nobody stands");
+            assert!(Instant::now() < end, "no process campaigns");
             sleep(Duration::from_millis(20)).await;
         }
     });
 }
 
-/// Guards against ending the lease while the last page of the log is under way: its successor would
-/// not know that no order is left, nor of what had been recorded last.
+/// Guards against ending the lease before the last page of the log is stored. The successor would
+/// not know that no order is pending, nor the last recorded entries.
 #[test]
 fn hand_over_waits_for_last_page() {
     run_local(async {
         let store = new_store();
-        let host = start_host("a", &store, strong());
-        until_owner(&store, "a").await;
+        let host = start_host("a", &store, strong_limits());
+        wait_for_owner(&store, "a").await;
         sleep(Duration::from_millis(300)).await;
         store.delay_changes(Duration::from_millis(100));
         host.stop(async {}).await;
@@ -271,65 +272,69 @@
     });
 }
 
-/// Guards against an owner that hears a cancellation, can't record it while the store is away, and
-/// starts the job's next step.
+/// Guards against an owner that receives a cancellation, can't record it during an outage of the
+/// store, and starts the job's next step.
 #[test]
-fn refused_cancel_holds_job() {
+fn unrecorded_cancel_blocks_job() {
     run_local(async {
         let (store, targets) = (new_store(), MemoryTargets::default());
-        targets.set_slow(true);
-        let first = start_with("first", &store, strong(), &targets);
-        until_owner(&store, "first").await;
-        let _second = start_with("second", &store, strong(), &targets);
+        targets.set_blocked(true);
+        let first = start_host_with_targets("first", &store, strong_limits(), &targets);
+        wait_for_owner(&store, "first").await;
+        let _second = start_host_with_targets("second", &store, strong_limits(), &targets);
         sleep(Duration::from_secs(1)).await;
-        let desk = first.desk();
-        until(&desk, submit("job1").wish, CallerAnswer::Accepted).await;
-        targets.until_started(3).await;
-        store.set(StoreSwitch::Refuses);
+        let service = first.service();
+        wait_for_answer(&service, submit("job1").request, CallerAnswer::Accepted).await;
+        targets.wait_for_started(3).await;
+        store.set_mode(StoreMode::Refuses);
         sleep(Duration::from_secs(1)).await;
-        let wish = CallerWish::Cancel("job1".into());
-        let answer = desk.answer(call(wish)).await;
-        assert_eq!(answer, CallerAnswer::Unknown, "it is tried on");
-        targets.set_slow(false);
+        let request = CallerRequest::Cancel("job1".into());
+        let answer = service.answer(call(request)).await;
+        assert_eq!(
+            answer,
+            CallerAnswer::Unknown,
+            "it is retried in the background"
+        );
+        targets.set_blocked(false);
         sleep(Duration::from_secs(1)).await;
-        assert_eq!(targets.started(), 3);
-        targets.set_slow(true);
-        store.set(StoreSwitch::Well);
-        until_shown(&desk, "job1", JobProgress::Cancelled).await;
+        assert_eq!(targets.start_count(), 3);
+        targets.set_blocked(true);
+        store.set_mode(StoreMode::Normal);
+        wait_for_progress(&service, "job1", JobProgress::Cancelled).await;
     });
 }
 
-/// Guards against a standby that takes pages which were replaced while it could not read for the whole
-/// log, and forgets what the shorter one tells.
+/// Guards against a standby that missed pages which were replaced while it could not read. It must
+/// not treat what it has as the whole log, and must read the compacted one.
 #[test]
-fn standby_begins_anew_behind_gap() {
+fn standby_restarts_log_after_gap() {
     run_local(async {
         let store = new_store();
-        let (first_way, second_way) = (store.handle(), store.handle());
-        let first = start_host("a", &first_way, strong());
-        until_owner(&store, "a").await;
-        let second = start_host("b", &second_way, strong());
-        let desk = first.desk();
-        accepted(&desk, "before").await;
+        let (first_handle, second_handle) = (store.new_handle(), store.new_handle());
+        let first = start_host("a", &first_handle, strong_limits());
+        wait_for_owner(&store, "a").await;
+        let second = start_host("b", &second_handle, strong_limits());
+        let service = first.service();
+        submit_until_accepted(&service, "before").await;
         sleep(Duration::from_millis(1500)).await;
-        second_way.fail_lists(LOG);
+        second_handle.fail_lists(LOG);
         let oldest = || store.keys(LOG).first().cloned();
         let end = Instant::now() + LIMIT;
-        let begun = oldest();
+        let started_at = oldest();
         for number in 0.. {
-            accepted(&desk, &format!("{}{number}", "x".repeat(3000))).await;
-            if oldest() != begun {
+            submit_until_accepted(&service, &format!("{}{number}", "x".repeat(3000))).await;
+            if oldest() != started_at {
                 break;
             }
-            assert!(Instant::now() < end, "the log was not made shorter");
+            assert!(Instant::now() < end, "the log was not compacted");
         }
-        accepted(&desk, "after").await;
-        until_shown(&desk, "after", JobProgress::Completed).await;
-        second_way.answer_lists();
-        first_way.turn_away(true);
-        until_owner(&store, "b").await;
+        submit_until_accepted(&service, "after").await;
+        wait_for_progress(&service, "after", JobProgress::Completed).await;
+        second_handle.restore_lists();
+        first_handle.set_cut_off(true);
+        wait_for_owner(&store, "b").await;
         for job in ["before", "after"] {
-            until_shown(&second.desk(), job, JobProgress::Completed).await;
+            wait_for_progress(&second.service(), job, JobProgress::Completed).await;
         }
     });
 }
--- a/crates/decide/src/call_budget.rs
+++ b/crates/decide/src/call_budget.rs
@@ -1,159 +1,161 @@
-//! Which of an owner's calls go first when its link can't carry them all.
+//! Prioritizes an owner's calls when its link can't carry them all.
 //!
-//! Start with [`CallBudget`]; `docs/design/13-platform.md` says what an owner calls for.
+//! Start with [`CallBudget`]; `docs/design/13-platform.md` describes the calls of an owner.
 
 use std::time::Duration;
 
 use model::BootTime;
 
-/// Bytes that a short call takes of a link together with its answer, on average.
+/// Average size of a short call with its response on the link, in bytes.
 const CALL_BYTES: f64 = 1500.0;
-/// How long the calls under way may keep the link busy at first.
-const FIRST_FILL: Duration = Duration::from_millis(100);
-/// How long they may keep it busy at most.
-const MOST_FILL: Duration = Duration::from_millis(250);
-/// Least part of the first limit that is left when answers come late.
-const LEAST_PART: f64 = 0.4;
-/// Calls that may be under way on the narrowest link.
-const LEAST_CALLS: f64 = 4.0;
-/// Answers that take longer are late: something on the way holds them back.
-const LATE: Duration = Duration::from_millis(150);
-/// What is left of the limit after a late answer.
-const LATE_PART: f64 = 0.7;
-/// Least time between two such steps, as calls that were sent together are late together.
-const STEP_EVERY: Duration = Duration::from_millis(200);
-/// Lists of hosts are under way for at most one such part of the time.
-const LIST_PARTS: u32 = 6;
-/// Longest time that one list is counted for.
-const LONGEST_LIST: Duration = Duration::from_millis(300);
+/// How long the calls in flight may keep the link busy at first.
+const INITIAL_FILL: Duration = Duration::from_millis(100);
+/// Maximum time for which the calls in flight may keep the link busy.
+const MAX_FILL: Duration = Duration::from_millis(250);
+/// Lower bound of the limit, as a fraction of the initial limit, when responses are late.
+const MIN_LIMIT_FACTOR: f64 = 0.4;
+/// Calls that may be in flight on the narrowest link.
+const MIN_CALLS: f64 = 4.0;
+/// Responses that take longer than this are late: something on the path delays them.
+const LATE_AFTER: Duration = Duration::from_millis(150);
+/// Factor applied to the limit after a late response.
+const LATE_DECREASE: f64 = 0.7;
+/// Minimum time between two such decreases, because calls that were sent together are late
+/// together.
+const DECREASE_INTERVAL: Duration = Duration::from_millis(200);
+/// Lists of hosts are in flight for at most this part of the time: one in six.
+const LIST_SPACING_FACTOR: u32 = 6;
+/// Maximum duration that is counted for one list.
+const MAX_LIST_TIME: Duration = Duration::from_millis(300);
 
-/// What a call to a target is for, in the order in which calls go ahead.
+/// Purpose of a call to a target, in order of priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallClass {
     /// Stops a task.
     Stop,
-    /// Looks at a target whose tasks need more time granted soon, or at one of a predecessor that
+    /// Polls a target whose tasks need their time extended soon, or a target of a predecessor that
     /// has not been reached.
     Renew,
     /// Starts a task.
     Start,
-    /// Looks at a target.
-    Look,
-    /// Looks at a target that did not answer the last call.
+    /// Polls a target.
+    Poll,
+    /// Polls a target that did not respond to the last call.
     Probe,
 }
 
 impl CallClass {
-    /// Part of the limit up to which calls of this class go ahead.
-    fn part(self) -> f64 {
+    /// Fraction of the limit up to which calls of this class are admitted.
+    fn limit_fraction(self) -> f64 {
         match self {
             Self::Stop => f64::INFINITY,
             Self::Renew | Self::Start => 1.0,
-            Self::Look => 0.75,
+            Self::Poll => 0.75,
             Self::Probe => 0.25,
         }
     }
 }
 
-/// Bounds the calls that an owner has under way, by what its link carries and by how soon answers
-/// come.
+/// Limits the calls that an owner has in flight, by the bandwidth of its link and by the latency of
+/// responses.
 ///
-/// More calls than the link carries are answered too late: they time out and are repeated, and the
-/// renewals of the owner's lease wait behind them.
+/// If more calls are sent than the link carries, responses are late. The calls time out and are
+/// repeated, and the renewals of the owner's lease wait behind them.
 #[derive(Clone, Debug)]
 pub struct CallBudget {
-    first_limit: f64,
-    most_limit: f64,
+    initial_limit: f64,
+    max_limit: f64,
     limit: f64,
-    stepped: BootTime,
-    under_way: f64,
-    /// Calls under way to targets that did not answer the last. They may last until they time out
-    /// and take nothing of the link, so they have a part of their own.
+    decreased_at: BootTime,
+    in_flight: f64,
+    /// Calls in flight to targets that did not respond to the last call. They may last until they
+    /// time out but take no bandwidth, so they are counted separately.
     probes: f64,
 }
 
 impl CallBudget {
-    /// The budget of an owner whose link carries so many bytes a second.
+    /// Creates the budget of an owner whose link carries `bytes_per_second`.
     pub fn new(bytes_per_second: f64) -> Self {
         let calls = |fill: Duration| bytes_per_second * fill.as_secs_f64() / CALL_BYTES;
-        let first_limit = calls(FIRST_FILL).max(LEAST_CALLS);
+        let initial_limit = calls(INITIAL_FILL).max(MIN_CALLS);
         Self {
-            first_limit,
-            most_limit: calls(MOST_FILL).max(first_limit),
-            limit: first_limit,
-            stepped: BootTime::ZERO,
-            under_way: 0.0,
+            initial_limit,
+            max_limit: calls(MAX_FILL).max(initial_limit),
+            limit: initial_limit,
+            decreased_at: BootTime::ZERO,
+            in_flight: 0.0,
             probes: 0.0,
         }
     }
 
     /// True if a call may be sent now.
     pub fn admits(&self, class: CallClass) -> bool {
-        let most = (self.limit * class.part()).max(1.0);
+        let most = (self.limit * class.limit_fraction()).max(1.0);
         let used = match class {
             CallClass::Probe => self.probes,
-            _ => self.under_way,
+            _ => self.in_flight,
         };
         used + 1.0 <= most
     }
 
-    /// A call is sent.
+    /// Counts a call that is sent.
     pub fn begin(&mut self, class: CallClass) {
-        *self.used(class) += 1.0;
+        *self.in_flight_mut(class) += 1.0;
     }
 
-    /// A call was answered or given up, so long after its sending.
+    /// Handles the end of a call that was answered or given up after `took`.
     pub fn end(&mut self, class: CallClass, took: Duration, now: BootTime) {
         self.release(class);
-        // A target that did not answer before may be gone, which says nothing of the link.
+        // A target that was unresponsive before may be gone, which says nothing about the link.
         if class == CallClass::Probe {
             return;
         }
-        if took < LATE {
-            self.limit = (self.limit + 1.0 / self.limit).min(self.most_limit);
-        } else if now.saturating_sub(self.stepped) >= STEP_EVERY {
-            self.stepped = now;
-            let least = (self.first_limit * LEAST_PART).max(LEAST_CALLS);
-            self.limit = (self.limit * LATE_PART).max(least);
+        if took < LATE_AFTER {
+            self.limit = (self.limit + 1.0 / self.limit).min(self.max_limit);
+        } else if now.saturating_sub(self.decreased_at) >= DECREASE_INTERVAL {
+            self.decreased_at = now;
+            let least = (self.initial_limit * MIN_LIMIT_FACTOR).max(MIN_CALLS);
+            self.limit = (self.limit * LATE_DECREASE).max(least);
         }
     }
 
-    /// A call is under way whose answer comes when the target has something to tell.
+    /// Stops counting a call whose response is delayed until the target has something to report.
     pub fn release(&mut self, class: CallClass) {
-        let used = self.used(class);
+        let used = self.in_flight_mut(class);
         *used = (*used - 1.0).max(0.0);
     }
 
-    fn used(&mut self, class: CallClass) -> &mut f64 {
+    fn in_flight_mut(&mut self, class: CallClass) -> &mut f64 {
         match class {
             CallClass::Probe => &mut self.probes,
-            _ => &mut self.under_way,
+            _ => &mut self.in_flight,
         }
     }
 }
 
-/// Spaces lists of hosts out by the time that they take.
+/// Spaces out list requests for hosts according to their duration.
 ///
-/// A list grows with the fleet. On a narrow link one list after the other leaves no room for the
-/// renewals of the owner's lease.
+/// The size of a list grows with the fleet. On a narrow link, consecutive lists would leave no
+/// bandwidth for the renewals of the owner's lease.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ListPace {
-    /// Up to when lists have used their part of the time.
-    used_until: BootTime,
-    /// How long before that the next list may begin: two in a row show that a life has ended.
-    ahead: Duration,
+pub struct ListThrottle {
+    /// Until then, lists have used up their part of the time.
+    busy_until: BootTime,
+    /// How much earlier the next list may begin: two lists in a row show that an incarnation has
+    /// ended.
+    lead: Duration,
 }
 
-impl ListPace {
+impl ListThrottle {
     /// True if the hosts may be listed now.
     pub fn admits(&self, now: BootTime) -> bool {
-        now + self.ahead >= self.used_until
+        now + self.lead >= self.busy_until
     }
 
-    /// A list that began at `begun` took so long.
-    pub fn listed(&mut self, begun: BootTime, took: Duration) {
-        let part = took.min(LONGEST_LIST) * LIST_PARTS;
-        self.used_until = self.used_until.max(begun) + part;
-        self.ahead = part;
+    /// Records a list that began at `begun` and lasted `took`.
+    pub fn record_list(&mut self, begun: BootTime, took: Duration) {
+        let counted = took.min(MAX_LIST_TIME) * LIST_SPACING_FACTOR;
+        self.busy_until = self.busy_until.max(begun) + counted;
+        self.lead = counted;
     }
 }
--- a/crates/decide/src/lease.rs
+++ b/crates/decide/src/lease.rs
@@ -1,7 +1,7 @@
-//! The serving lease: when an entry host may start new work.
+//! The serving lease: decides when an entry host may start new work.
 //!
-//! Start with [`LeaseMachine`]. Times go in as values on the boot clock; nothing here reads
-//! a clock. `docs/design/01-membership.md` holds the argument.
+//! Start with [`LeaseMachine`]. Times are passed in as values of the boot clock; nothing here reads
+//! a clock. `docs/design/01-membership.md` explains why the lease is safe.
 
 mod peer_view;
 
@@ -14,35 +14,37 @@
 
 pub use peer_view::PeerView;
 
-use peer_view::PeerVouch;
+use peer_view::PeerAck;
 
-/// Senders of beats that are kept in view, against strays that make up names.
-const PEER_LIMIT: usize = 256;
+/// Maximum number of tracked senders of heartbeats. Protects against strays that invent member
+/// names.
+const MAX_TRACKED_PEERS: usize = 256;
 
-/// A guard that a test takes away, to show that its checker notices. Sources use `None`.
+/// A guard that tests disable to show that their checker notices. Production code uses `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LeaseMutation {
-    /// Every guard is in place.
+    /// All guards are enabled.
     #[default]
     None,
-    /// The lease counts from when an answer came, not from when its question was sent.
+    /// The lease counts from when a response arrived, not from when its request was sent.
     CountFromReceipt,
-    /// A majority's word counts even if the majority knows a newer configuration.
+    /// A majority's acknowledgement counts even if the majority knows a newer configuration.
     SkipRevision,
-    /// A majority's word counts even if the majority knows a newer member list.
+    /// A majority's acknowledgement counts even if the majority knows a newer member list.
     SkipList,
-    /// Beats of any life of a member count, not only of the listed one.
+    /// Heartbeats of any incarnation of a member count, not only those of the listed one.
     AnyLife,
 }
 
-/// How a lease is counted.
+/// Times of the lease.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseOptions {
-    /// How long a lease lasts from the sending of the question that renewed it.
+    /// How long a lease lasts from the sending of the heartbeat that renewed it.
     pub length: Duration,
-    /// A member unheard for this long may leave the list, if a majority agrees.
-    pub silent_after: Duration,
-    /// Which guard a test takes away.
+    /// A member that was unresponsive for this long may be removed from the list if a majority
+    /// agrees.
+    pub unresponsive_after: Duration,
+    /// The guard that a test disables.
     pub mutation: LeaseMutation,
 }
 
@@ -50,7 +52,7 @@
     fn default() -> Self {
         Self {
             length: Duration::from_secs(2),
-            silent_after: Duration::from_secs(10),
+            unresponsive_after: Duration::from_secs(10),
             mutation: LeaseMutation::None,
         }
     }
@@ -59,15 +61,15 @@
 /// Why no new work may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseRefusal {
-    /// This life of the host is not in the member list.
+    /// This incarnation of the host is not in the member list.
     NotListed,
-    /// Neither the store nor a majority was heard within the lease length.
+    /// Neither the store nor a majority responded within the lease length.
     Lapsed,
-    /// The lease lapsed while peers vouched for a newer configuration or member list.
+    /// The lease expired while peers reported a newer configuration or member list.
     Behind,
 }
 
-/// Counts the serving lease of one entry host from beats and store reads.
+/// State machine of one entry host's serving lease, renewed by heartbeats and store reads.
 #[derive(Debug)]
 pub struct LeaseMachine {
     options: LeaseOptions,
@@ -78,13 +80,13 @@
     config_hash: u64,
     leaving: bool,
     was_listed: bool,
-    ticked: Option<BootTime>,
+    last_tick: Option<BootTime>,
     store_read: Option<BootTime>,
     peers: BTreeMap<MemberId, PeerView>,
 }
 
 impl LeaseMachine {
-    /// A machine that holds nothing yet.
+    /// Creates a machine without a lease.
     #[must_use]
     pub fn new(options: LeaseOptions, own: MemberId, incarnation: Incarnation) -> Self {
         Self {
@@ -96,69 +98,70 @@
             config_hash: 0,
             leaving: false,
             was_listed: false,
-            ticked: None,
+            last_tick: None,
             store_read: None,
             peers: BTreeMap::new(),
         }
     }
 
-    /// Begins another life: what was heard as answers to the life before counts no more.
-    pub fn begin_life(&mut self, incarnation: Incarnation) {
+    /// Starts a new incarnation: responses to the previous one no longer count.
+    pub fn begin_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
         self.was_listed = false;
         self.store_read = None;
         self.peers.clear();
     }
 
-    /// Takes a newer member list. The caller holds a configuration of its floor.
+    /// Applies a newer member list. The caller must hold a configuration of at least its
+    /// `config_floor`.
     pub fn set_list(&mut self, list: MemberList) {
         if list.revision() >= self.list.revision() {
             self.list = list;
             self.was_listed |= self.is_listed();
             let list = &self.list;
             self.peers.retain(|member, _| list.find(member).is_some());
-            self.promote_vouches();
+            self.promote_acks();
         }
     }
 
-    /// Takes a newer configuration.
+    /// Applies a newer configuration.
     pub fn set_config(&mut self, revision: Revision, hash: u64) {
         if revision >= self.config_revision {
             self.config_revision = revision;
             self.config_hash = hash;
-            self.promote_vouches();
+            self.promote_acks();
         }
     }
 
-    /// From now on beats say that this host leaves.
+    /// Marks this host as leaving in all further heartbeats.
     pub fn set_leaving(&mut self) {
         self.leaving = true;
     }
 
-    /// The list in use.
+    /// The member list in use.
     #[must_use]
     pub fn list(&self) -> &MemberList {
         &self.list
     }
 
-    /// What is known of the peers.
+    /// State of the peers by member.
     #[must_use]
     pub fn peers(&self) -> &BTreeMap<MemberId, PeerView> {
         &self.peers
     }
 
-    /// Notes that the duty that sends beats runs.
+    /// Records that the loop that sends heartbeats runs.
     pub fn tick(&mut self, now: BootTime) {
-        self.ticked = Some(now);
+        self.last_tick = Some(now);
     }
 
-    /// The next beat for `to`, sent at `now`.
+    /// The next heartbeat to `to`, sent at `now`.
     pub fn next_beat(&mut self, to: &MemberId, now: BootTime) -> Beat {
-        let silent = self.silent_members(now);
+        let silent = self.unresponsive_members(now);
         let view = self.peers.entry(to.clone()).or_default();
         Beat {
-            beat: view.count_beat(now),
-            echo: view.heard_beat(),
+            beat: view.begin_beat(now),
+            echo: view.last_beat(),
             echo_incarnation: view.incarnation,
             member_revision: self.list.revision(),
             config_revision: self.config_revision,
@@ -168,74 +171,81 @@
         }
     }
 
-    /// Takes a beat of `incarnation` of `from` that arrived at `now`.
-    pub fn hear(&mut self, from: &MemberId, incarnation: Incarnation, beat: &Beat, now: BootTime) {
+    /// Handles a heartbeat of `incarnation` of `from` that arrived at `now`.
+    pub fn handle_beat(
+        &mut self,
+        from: &MemberId,
+        incarnation: Incarnation,
+        beat: &Beat,
+        now: BootTime,
+    ) {
         let mutation = self.options.mutation;
-        if self.peers.len() >= PEER_LIMIT && !self.peers.contains_key(from) {
+        if self.peers.len() >= MAX_TRACKED_PEERS && !self.peers.contains_key(from) {
             return;
         }
-        let own_life = beat.echo_incarnation == self.incarnation;
+        let own_incarnation = beat.echo_incarnation == self.incarnation;
         let view = self.peers.entry(from.clone()).or_default();
         if incarnation < view.incarnation {
             return;
         }
         if incarnation > view.incarnation {
-            view.restart(incarnation);
+            view.reset(incarnation);
         }
-        if !view.take_beat(beat, now) {
+        if !view.apply_beat(beat, now) {
             return;
         }
-        if !own_life && mutation != LeaseMutation::AnyLife {
+        if !own_incarnation && mutation != LeaseMutation::AnyLife {
             return;
         }
         let Some(sent) = view.sent_at(beat.echo) else {
             return;
         };
         let receipt = mutation == LeaseMutation::CountFromReceipt;
-        view.vouch(PeerVouch {
+        view.record_ack(PeerAck {
             at: if receipt { now } else { sent },
             config: beat.config_revision,
             members: beat.member_revision,
         });
-        self.promote_vouches();
+        self.promote_acks();
     }
 
-    /// Notes a read of configuration and member list from the store: sent at `sent`, and
-    /// everything that it showed is held by now.
-    pub fn read_store(&mut self, sent: BootTime) {
+    /// Records a read of configuration and member list from the store that was sent at `sent`. The
+    /// caller has applied everything that it returned.
+    pub fn record_store_read(&mut self, sent: BootTime) {
         self.store_read = self.store_read.max(Some(sent));
     }
 
-    /// When the lease ends; `None` if there is none.
+    /// When the lease expires; `None` if there is none.
     #[must_use]
     pub fn expiry(&self) -> Option<BootTime> {
         if !self.is_listed() {
             return None;
         }
-        let renewed = self.quorum_at().max(self.store_read)?;
+        let renewed = self.quorum_acked_at().max(self.store_read)?;
         Some(renewed + self.options.length)
     }
 
-    /// When the question was sent that a quorum answered last.
+    /// Send time of the newest heartbeat that a quorum has acknowledged.
     #[must_use]
-    pub fn quorum_at(&self) -> Option<BootTime> {
+    pub fn quorum_acked_at(&self) -> Option<BootTime> {
         let any_life = self.options.mutation == LeaseMutation::AnyLife;
         self.list.quorum_value(|member| {
             if member.id == self.own.as_str() {
                 return self
-                    .ticked
+                    .last_tick
                     .filter(|_| member.incarnation == self.incarnation);
             }
             let view = self.peers.get(member.id.as_str())?;
-            let same_life = view.incarnation == member.incarnation;
-            view.counted().filter(|_| same_life || any_life)
+            let same_incarnation = view.incarnation == member.incarnation;
+            view.counted_ack_at()
+                .filter(|_| same_incarnation || any_life)
         })
     }
 
-    /// Whether new work may start at `now`.
+    /// Checks whether new work may start at `now`.
     ///
     /// # Errors
-    /// Why not.
+    /// The reason why it may not.
     pub fn check(&self, now: BootTime) -> Result<(), LeaseRefusal> {
         if !self.is_listed() {
             return Err(LeaseRefusal::NotListed);
@@ -249,10 +259,10 @@
         Err(LeaseRefusal::Lapsed)
     }
 
-    /// True if a peer holds a newer member list, or a listed one a newer configuration.
+    /// True if a peer holds a newer member list, or a listed peer a newer configuration.
     ///
-    /// The word of an unlisted peer counts here: it may have joined just now, which the
-    /// list held here can't show.
+    /// An unlisted peer counts for the list: it may have joined just now, which the list held here
+    /// can't show.
     #[must_use]
     pub fn is_behind(&self) -> bool {
         let newer_list = |view: &PeerView| view.member_revision > self.list.revision();
@@ -260,13 +270,13 @@
         self.peers.values().any(newer_list) || self.listed_peers().any(|(_, v)| newer_config(v))
     }
 
-    /// True if this life of the host is in the list.
+    /// True if this incarnation of the host is in the list.
     #[must_use]
     pub fn is_listed(&self) -> bool {
         self.list.contains(&self.own, self.incarnation)
     }
 
-    /// True if this life of the host has been in the list at some time.
+    /// True if this incarnation of the host has ever been in the list.
     #[must_use]
     pub fn was_listed(&self) -> bool {
         self.was_listed
@@ -274,7 +284,7 @@
 
     /// True if a quorum of `list` is known to hold at least `revision` of the configuration.
     #[must_use]
-    pub fn quorum_holds(&self, list: &MemberList, revision: Revision) -> bool {
+    pub fn quorum_holds_config(&self, list: &MemberList, revision: Revision) -> bool {
         list.has_quorum(|member| {
             if member.id == self.own.as_str() {
                 return member.incarnation == self.incarnation && self.config_revision >= revision;
@@ -286,32 +296,33 @@
         })
     }
 
-    /// Listed members that this host has not heard for long.
+    /// Listed members that have been unresponsive to this host for `unresponsive_after`.
     #[must_use]
-    pub fn silent_members(&self, now: BootTime) -> Vec<String> {
-        let after = self.options.silent_after;
+    pub fn unresponsive_members(&self, now: BootTime) -> Vec<String> {
+        let after = self.options.unresponsive_after;
         let members = self.list.members().iter().map(|m| &m.id);
         members
             .filter(|id| id.as_str() != self.own.as_str())
             .filter(|id| {
                 let view = self.peers.get(id.as_str());
-                view.is_some_and(|view| view.is_silent(now, after))
+                view.is_some_and(|view| view.is_unresponsive(now, after))
             })
             .cloned()
             .collect()
     }
 
-    /// Listed members that a majority has not heard for long.
+    /// Listed members that a majority reports as unresponsive.
     ///
-    /// One host's word is not enough: its own link may be cut while all others hear the
-    /// member, and the member would be dropped and rejoin for ever.
+    /// The report of one host is not enough. If only its own link is cut while all others reach the
+    /// member, the member would be removed and rejoin forever.
     #[must_use]
     pub fn lost_members(&self, now: BootTime) -> Vec<String> {
         let needed = majority(self.list.members().len());
-        let mut lost = self.silent_members(now);
+        let mut lost = self.unresponsive_members(now);
         lost.retain(|member| {
             let agrees = |view: &PeerView| {
-                !view.is_silent(now, self.options.length) && view.silent.contains(member)
+                !view.is_unresponsive(now, self.options.length)
+                    && view.reports_unresponsive.contains(member)
             };
             1 + self.listed_peers().filter(|(_, v)| agrees(v)).count() >= needed
         });
@@ -324,23 +335,23 @@
             .filter(|(member, view)| self.list.contains(member, view.incarnation))
     }
 
-    /// Counts the newest word of each peer that knows nothing newer than this host.
+    /// Counts the newest acknowledgement of each peer that knows nothing newer than this host.
     ///
-    /// The failure this guards against: an operator was told that a key is withdrawn, and a
-    /// host that missed it goes on accepting the key, because a majority keeps renewing its
-    /// lease. Any majority holds a member that knows the withdrawal; its word does not count
+    /// The failure this guards against: an operator was told that a key is withdrawn, and a host
+    /// that missed the change keeps accepting the key because a majority keeps renewing its lease.
+    /// Any majority contains a member that knows the withdrawal; its acknowledgement does not count
     /// here until this host knows it too.
-    fn promote_vouches(&mut self) {
+    fn promote_acks(&mut self) {
         let (config, members) = (self.config_revision, self.list.revision());
         let mutation = self.options.mutation;
         for view in self.peers.values_mut() {
-            let Some(vouch) = view.newest() else {
+            let Some(ack) = view.newest_ack() else {
                 continue;
             };
-            let behind = vouch.config > config && mutation != LeaseMutation::SkipRevision
-                || vouch.members > members && mutation != LeaseMutation::SkipList;
+            let behind = ack.config > config && mutation != LeaseMutation::SkipRevision
+                || ack.members > members && mutation != LeaseMutation::SkipList;
             if !behind {
-                view.count(vouch);
+                view.count_ack(ack);
             }
         }
     }
--- a/crates/decide/src/quota/talk.rs
+++ b/crates/decide/src/quota/messages.rs
@@ -1,4 +1,4 @@
-//! What entry hosts say to each other about units.
+//! Messages between entry hosts that move units.
 
 use model::{BootTime, Incarnation, MemberId, TeamId};
 use prost::Message as _;
@@ -9,60 +9,75 @@
 
 use super::{
     QuotaAction, QuotaMachine, QuotaMutation,
-    team::{TeamQuota, UnitRelease, UnitWish},
+    team::{PendingAsk, TeamQuota, UnitRelease},
 };
 
 impl QuotaMachine {
-    /// Takes a note of another host.
-    pub fn hear_note(&mut self, note: &QuotaNote, now: BootTime) {
+    /// Applies a record that another host sent.
+    pub fn handle_record(&mut self, note: &QuotaNote, now: BootTime) {
         let team = TeamId::from(note.team.as_str());
         let Ok(record) = QuotaRecord::decode(note.record.as_slice()) else {
             return;
         };
         if let Some(quota) = self.teams.get_mut(&team) {
-            quota.take_record(note.version, record);
-            self.note_ended(now);
+            quota.apply_record(note.version, record);
+            self.mark_ended(now);
         }
     }
 
-    /// Takes units that another host put aside for this one.
-    pub fn hear_release(&mut self, from: &MemberId, life: Incarnation, release: &QuotaRelease) {
+    /// Stores the offer of units that another host released to this one.
+    pub fn handle_release(
+        &mut self,
+        from: &MemberId,
+        incarnation: Incarnation,
+        release: &QuotaRelease,
+    ) {
         let mutation = self.options.mutation;
         let Some(quota) = self.teams.get_mut(release.team.as_str()) else {
             return;
         };
         if release.version == quota.version || mutation == QuotaMutation::IgnoreVersion {
-            let offer = (life, release.version, release.units);
+            let offer = (incarnation, release.version, release.units);
             quota.offers.insert(from.clone(), offer);
         } else if release.version > quota.version {
             quota.read_due = true;
         }
     }
 
-    /// Answers a question of another host.
-    pub fn hear_ask(&mut self, from: &MemberId, ask: &QuotaAsk, now: BootTime) -> Vec<QuotaAction> {
-        let (own, life, mutation) = (self.own.clone(), self.incarnation, self.options.mutation);
+    /// Answers another host's request for units.
+    pub fn handle_ask(
+        &mut self,
+        from: &MemberId,
+        ask: &QuotaAsk,
+        now: BootTime,
+    ) -> Vec<QuotaAction> {
+        let (own, incarnation, mutation) =
+            (self.own.clone(), self.incarnation, self.options.mutation);
         let Some(quota) = self.teams.get_mut(ask.team.as_str()) else {
             return Vec::new();
         };
-        if !quota.known || quota.version < ask.version {
+        if !quota.record_known || quota.version < ask.version {
             quota.read_due = true;
             return Vec::new();
         }
         if quota.version > ask.version {
-            return vec![QuotaAction::Note(from.clone(), note_of(&ask.team, quota))];
+            return vec![QuotaAction::SendRecord(
+                from.clone(),
+                record_update(&ask.team, quota),
+            )];
         }
-        quota.note_peak(now);
-        let ceiling = quota.ceiling(&own, life, mutation);
-        put_aside(quota, ceiling, from, ask, now);
+        quota.update_peak(now);
+        let ceiling = quota.ceiling(&own, incarnation, mutation);
+        reserve_units(quota, ceiling, from, ask, now);
         if let Some(release) = quota.release.as_mut().filter(|r| r.to == *from) {
-            // Asked again: the promise was lost, or the asker forgot it.
+            // Asked again: the release was lost, or the asking host no longer knows it. Send it
+            // again.
             release.sent = false;
         }
-        if let Some(action) = send_release(quota, &ask.team, &own, life) {
+        if let Some(action) = send_release(quota, &ask.team, &own, incarnation) {
             return vec![action];
         }
-        quota.wish = Some(UnitWish {
+        quota.pending_ask = Some(PendingAsk {
             from: from.clone(),
             ask: ask.clone(),
             at: now,
@@ -76,12 +91,12 @@
     }
 }
 
-/// What a giver can spare: what it did not need lately, or, where both hosts need more, what
-/// it holds beyond its part by need.
+/// Units that this host can give away: those above its recent peak or, if both hosts need more,
+/// those above its proportional part.
 fn units_to_give(quota: &TeamQuota, ceiling: u32, ask: &QuotaAsk) -> u32 {
-    let spare = ceiling.saturating_sub(quota.peak());
-    if spare > 0 {
-        return spare.min(ask.units);
+    let unused = ceiling.saturating_sub(quota.peak());
+    if unused > 0 {
+        return unused.min(ask.units);
     }
     let both = u64::from(ceiling) + u64::from(ask.ceiling);
     let needs = u64::from(quota.need()) + u64::from(ask.need);
@@ -94,22 +109,22 @@
     excess.min(ask.units)
 }
 
-/// Puts units aside for `to`, if any can be spared. From here on they are not used here.
-pub(super) fn put_aside(
+/// Reserves units for `to` if any can be spared. They are not used here from now on.
+pub(super) fn reserve_units(
     quota: &mut TeamQuota,
     ceiling: u32,
     to: &MemberId,
     ask: &QuotaAsk,
     now: BootTime,
 ) {
-    if quota.release.is_some() || quota.open_write.is_some() || quota.is_unsettled() {
+    if quota.release.is_some() || quota.pending_write.is_some() || quota.record_lags_limit() {
         return;
     }
     let units = units_to_give(quota, ceiling, ask);
     if units == 0 {
         return;
     }
-    quota.wish = None;
+    quota.pending_ask = None;
     quota.release = Some(UnitRelease {
         to: to.clone(),
         version: quota.version,
@@ -119,14 +134,14 @@
     });
 }
 
-/// Sends units put aside, once what runs fits into the rest.
+/// Sends the reserved units once the running work fits into the remaining ones.
 pub(super) fn send_release(
     quota: &mut TeamQuota,
     team: &str,
     own: &str,
-    life: Incarnation,
+    incarnation: Incarnation,
 ) -> Option<QuotaAction> {
-    let granted = quota.granted(own, life);
+    let granted = quota.granted(own, incarnation);
     let running = quota.running;
     let release = quota.release.as_mut()?;
     if release.sent || running > granted.saturating_sub(release.units) {
@@ -141,8 +156,8 @@
     Some(QuotaAction::Release(release.to.clone(), message))
 }
 
-/// The note that tells another host what the store holds.
-pub(super) fn note_of(team: &str, quota: &TeamQuota) -> QuotaNote {
+/// The message that carries the stored record to another host.
+pub(super) fn record_update(team: &str, quota: &TeamQuota) -> QuotaNote {
     QuotaNote {
         team: team.to_owned(),
         version: quota.version,
--- a/crates/decide/src/share/broker.rs
+++ b/crates/decide/src/share/broker.rs
@@ -7,23 +7,23 @@
 
 use super::{
     ShareClaim, apportion, fair_split,
-    holder_state::{HolderState, LoadState, TeamDue, reshape},
+    holder_state::{HolderState, LoadState, TeamShare, adjust_offer},
     terms::{BrokerOptions, BrokerSwitch, HolderDemand, PoolOffer, SlotMap, TeamLoad},
 };
 
-// Offers that a holder has not confirmed; a holder this far behind gets no new ones.
-const UNCONFIRMED_MAX: usize = 64;
+// Maximum number of unconfirmed offers; a holder with this many gets no new ones.
+const MAX_UNCONFIRMED_OFFERS: usize = 64;
 
-/// Divides the slots of one pool among entry hosts.
+/// Divides the slots of one pool among entry hosts, the holders.
 ///
-/// A slot is offered to a holder only when no other holder may still believe in it: it
-/// confirmed a lower grant, or its lease and a guard have passed. So the offers in force
-/// never add up to more than a target's slots. See `docs/design/06-shares.md`.
+/// A slot is offered to a holder only when no other holder may still use it: the other confirmed a
+/// lower grant, or its lease and a guard time have passed. So the valid offers never add up to more
+/// than a target's slots. See `docs/design/06-shares.md`.
 #[derive(Debug)]
 pub struct SlotBroker {
     pool: PoolId,
     options: BrokerOptions,
-    cautious_until: BootTime,
+    recovering_until: BootTime,
     targets: SlotMap,
     weights: BTreeMap<TeamId, f64>,
     members: BTreeSet<MemberId>,
@@ -31,17 +31,17 @@
     virtual_times: BTreeMap<TeamId, f64>,
     backlogged: BTreeSet<TeamId>,
     virtual_floor: f64,
-    // Counts changes of anything that offers follow from.
+    // Incremented on each change of anything that offers depend on.
     epoch: u64,
 }
 
 impl SlotBroker {
-    /// A broker that begins at `now`, knowing nothing of what others hold.
+    /// Creates a broker at `now` that knows nothing of existing grants.
     pub fn new(pool: PoolId, now: BootTime, options: BrokerOptions) -> Self {
         Self {
             pool,
             options,
-            cautious_until: now + options.lease + options.guard,
+            recovering_until: now + options.lease + options.guard,
             targets: SlotMap::new(),
             weights: BTreeMap::new(),
             members: BTreeSet::new(),
@@ -53,12 +53,12 @@
         }
     }
 
-    /// The pool.
+    /// The pool whose slots this broker divides.
     pub fn pool(&self) -> &PoolId {
         &self.pool
     }
 
-    /// Replaces the targets that take new work and their slots.
+    /// Replaces the targets that accept new work, with their slots.
     pub fn set_targets(&mut self, targets: SlotMap) {
         if self.targets != targets {
             self.targets = targets;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Replaces the member list, which ends the cautious phase once all have reported.
+    /// Replaces the member list. The recovery phase ends once all members have reported.
     pub fn set_members(&mut self, members: BTreeSet<MemberId>) {
         if self.members != members {
             self.members = members;
@@ -83,28 +83,28 @@
     }
 }
 
-/// What holders say.
+/// Messages from holders.
 impl SlotBroker {
-    /// Takes a holder's first report of a session.
+    /// Handles a holder's first report of a session.
     pub fn open(&mut self, now: BootTime, holder: &MemberId, round: u64, demand: HolderDemand) {
-        // What the holder brings along stays believed in until it confirms an offer of this
-        // session; a later report without it does not mean that it let go.
+        // The slots that the holder brings along count as used until it confirms an offer of this
+        // session. A later report that omits them does not prove that it stopped using them.
         let offers = VecDeque::from([(0, demand.held.clone())]);
         let state = HolderState {
-            heard: now,
+            last_report_at: now,
             round,
             offers,
             ..HolderState::default()
         };
         self.holders.insert(holder.clone(), state);
-        self.report(holder, demand);
+        self.update_load(holder, demand);
     }
 
-    /// Takes the demand of `round` with the newest round whose grant the holder applied.
+    /// Handles the demand of `round`, which names the newest round whose grant the holder applied.
     ///
-    /// False for an unknown holder, and for a demand that a later one overtook: the holder
-    /// drops grants of rounds before its newest, so answering out of order would leave the
-    /// broker believing in an offer that the holder never applies.
+    /// False for an unknown holder and for a demand that a later one overtook. A holder drops
+    /// grants older than its newest one, so after a reply out of order the broker would count an
+    /// offer that the holder never applies.
     pub fn confirm(&mut self, now: BootTime, holder: &MemberId, round: u64, applied: u64) -> bool {
         let Some(state) = self.holders.get_mut(holder) else {
             return false;
@@ -113,23 +113,23 @@
             return false;
         }
         state.round = round;
-        state.heard = now;
+        state.last_report_at = now;
         while let Some((round, _)) = state.offers.get(1)
             && *round <= applied
         {
             state.offers.pop_front();
             self.epoch += 1;
         }
-        if state.fade() {
+        if state.decay_demand() {
             self.epoch += 1;
         }
         true
     }
 
-    /// Notes that the holder began a session without this pool.
+    /// Marks that the holder began a session without this pool.
     ///
-    /// It no longer asks here, but may use what it was granted until that lapses, so its
-    /// slots stay believed in.
+    /// It sends no more demand for the pool but may use its grant until that expires, so its slots
+    /// stay counted.
     pub fn close(&mut self, holder: &MemberId) {
         if let Some(state) = self.holders.get_mut(holder) {
             state.closed = true;
@@ -137,7 +137,7 @@
     }
 
     /// Replaces a holder's load.
-    pub fn report(&mut self, holder: &MemberId, demand: HolderDemand) {
+    pub fn update_load(&mut self, holder: &MemberId, demand: HolderDemand) {
         let Some(state) = self.holders.get_mut(holder) else {
             return;
         };
@@ -150,7 +150,7 @@
             used_by_team.push((load.team.clone(), load.used.saturating_sub(last.used)));
             loads.insert(load.team.clone(), LoadState::next(&load, &last));
         }
-        // A team that is left out has no load; its used time stays known.
+        // A team missing from the report has no load; its used time is kept.
         for (team, last) in std::mem::take(&mut state.loads) {
             let load = TeamLoad {
                 team: team.clone(),
@@ -166,51 +166,53 @@
         self.update_backlog();
     }
 
-    /// Forgets holders that were silent for a lease and a guard.
+    /// Removes holders that were unresponsive for a lease and a guard time.
     ///
-    /// The holder's own clock ran from the sending of its demand, so it stopped using the
-    /// slots before this.
-    pub fn expire(&mut self, now: BootTime) {
+    /// A holder's lease counts from when it sent its demand, so it stopped using the slots before
+    /// this.
+    pub fn expire_holders(&mut self, now: BootTime) {
         let limit = self.options.lease + self.options.guard;
-        self.holders.retain(|_, state| now < state.heard + limit);
+        self.holders
+            .retain(|_, state| now < state.last_report_at + limit);
     }
 }
 
-/// What the broker answers.
+/// Offers to holders.
 impl SlotBroker {
-    /// The offer to `holder` in `round`; `None` for an unknown holder.
+    /// The offer to `holder` in `round`; `None` for an unknown or closed holder, or one with too
+    /// many unconfirmed offers.
     pub fn offer(&mut self, now: BootTime, holder: &MemberId, round: u64) -> Option<PoolOffer> {
-        let dues = self.dues();
-        let wanted = self.wanted_slots(holder, &dues);
+        let shares = self.team_shares();
+        let wanted = self.entitled_slots(holder, &shares);
         let headroom = self.headroom(now, holder);
         let state = self.holders.get_mut(holder)?;
-        if state.closed || UNCONFIRMED_MAX <= state.offers.len() {
+        if state.closed || MAX_UNCONFIRMED_OFFERS <= state.offers.len() {
             return None;
         }
-        state.seen_epoch = self.epoch;
+        state.offered_epoch = self.epoch;
         let (_, last) = state.offers.back()?;
-        let next = reshape(last, wanted, &headroom);
-        // The first offer of a session is told even if it changes nothing: it is what
-        // renews the slots that the holder brought along.
-        if *last != next || state.is_fresh() {
+        let next = adjust_offer(last, wanted, &headroom);
+        // The first offer of a session is recorded even if it changes nothing: it renews the slots
+        // that the holder brought along.
+        if *last != next || state.has_made_no_offer() {
             state.offers.push_back((round, next.clone()));
         }
         Some(PoolOffer {
             targets: next,
-            teams: self.team_uses(holder, &dues),
+            teams: self.team_allotments(holder, &shares),
         })
     }
 
     /// True if an offer to `holder` could differ from the last one made to it.
-    pub fn has_news(&self, now: BootTime, holder: &MemberId) -> bool {
+    pub fn offer_may_change(&self, now: BootTime, holder: &MemberId) -> bool {
         let Some(state) = self.holders.get(holder) else {
             return false;
         };
-        state.seen_epoch < self.epoch || self.is_cautious(now)
+        state.offered_epoch < self.epoch || self.is_recovering(now)
     }
 
     /// True if the last offer to `holder` was made after round `applied`.
-    pub fn unconfirmed(&self, holder: &MemberId, applied: u64) -> bool {
+    pub fn has_unconfirmed_offer(&self, holder: &MemberId, applied: u64) -> bool {
         let last = self
             .holders
             .get(holder)
@@ -218,43 +220,43 @@
         last.is_some_and(|(round, _)| applied < *round)
     }
 
-    /// True if requests queue at the holder, which then needs the teams' virtual times.
+    /// True if requests are queued at the holder, which then needs the teams' virtual times.
     pub fn is_backlogged(&self, holder: &MemberId) -> bool {
         let state = self.holders.get(holder);
         state.is_some_and(|state| state.loads.values().any(|load| 0 < load.queued))
     }
 
-    /// Holders other than `holder` that were offered more than they are due now.
+    /// Holders other than `holder` that were offered more than their present share.
     ///
-    /// They give slots back only when they ask again, which an idle one does rarely.
-    pub fn over_served(&self, holder: &MemberId) -> Vec<MemberId> {
-        let dues = self.dues();
+    /// They return slots only with their next demand, and an idle holder sends that rarely.
+    pub fn holders_above_share(&self, holder: &MemberId) -> Vec<MemberId> {
+        let shares = self.team_shares();
         let offered = |state: &HolderState| -> u32 {
             let last = state.offers.back();
             last.map_or(0, |(_, targets)| targets.values().sum())
         };
         let others = self.holders.iter().filter(|(id, _)| *id != holder);
         others
-            .filter(|(id, state)| self.wanted_slots(id, &dues) < offered(state))
+            .filter(|(id, state)| self.entitled_slots(id, &shares) < offered(state))
             .map(|(id, _)| id.clone())
             .collect()
     }
 
-    /// True if the holder has reported in its session.
-    pub fn knows(&self, holder: &MemberId) -> bool {
+    /// True if the holder has an open session.
+    pub fn has_session(&self, holder: &MemberId) -> bool {
         self.holders.get(holder).is_some_and(|state| !state.closed)
     }
 
-    /// Slots of `target` that holders may believe in now; for checks.
-    pub fn believed(&self, target: &HostId) -> u32 {
+    /// Slots of `target` that holders may use now; for checks.
+    pub fn outstanding_slots(&self, target: &HostId) -> u32 {
         self.holders
             .values()
             .map(|state| state.outstanding(target, self.options.switch))
             .sum()
     }
 
-    // Per team: the slots due across all holders.
-    fn dues(&self) -> BTreeMap<TeamId, TeamDue> {
+    // Per team: total demand and fair share of slots across all holders.
+    fn team_shares(&self) -> BTreeMap<TeamId, TeamShare> {
         let mut totals: BTreeMap<&TeamId, f64> = BTreeMap::new();
         for state in self.holders.values() {
             for (team, load) in &state.loads {
@@ -269,28 +271,34 @@
             })
             .collect();
         let parts = fair_split(f64::from(self.capacity()), &claims);
-        let dues = totals.into_iter().zip(parts);
-        dues.map(|((team, demand), slots)| (team.clone(), TeamDue { demand, slots }))
+        let rows = totals.into_iter().zip(parts);
+        rows.map(|((team, demand), slots)| (team.clone(), TeamShare { demand, slots }))
             .collect()
     }
 
-    fn wanted_slots(&self, holder: &MemberId, dues: &BTreeMap<TeamId, TeamDue>) -> u32 {
-        let used: f64 = dues.values().map(|due| due.slots).sum();
-        let spare = (f64::from(self.capacity()) - used).max(0.0);
-        let spare_each = spare / self.holders.len().max(1) as f64;
+    fn entitled_slots(&self, holder: &MemberId, shares: &BTreeMap<TeamId, TeamShare>) -> u32 {
+        let used: f64 = shares.values().map(|due| due.slots).sum();
+        let unused = (f64::from(self.capacity()) - used).max(0.0);
+        let unused_each = unused / self.holders.len().max(1) as f64;
         let parts: Vec<f64> = self
             .holders
             .values()
-            .map(|state| state.due_slots(dues).map(|(_, slots)| slots).sum::<f64>() + spare_each)
+            .map(|state| {
+                state
+                    .team_slots(shares)
+                    .map(|(_, slots)| slots)
+                    .sum::<f64>()
+                    + unused_each
+            })
             .collect();
-        let whole = apportion(&parts, 0);
-        let place = self.holders.keys().position(|other| other == holder);
-        place.map_or(0, |place| whole[place])
+        let rounded = apportion(&parts, 0);
+        let index = self.holders.keys().position(|other| other == holder);
+        index.map_or(0, |index| rounded[index])
     }
 
-    // Per target: the most that the holder may be offered beside what others believe in.
+    // Per target: the most that the holder may be offered beside what the others may use.
     fn headroom(&self, now: BootTime, holder: &MemberId) -> SlotMap {
-        let cautious = self.is_cautious(now);
+        let cautious = self.is_recovering(now);
         let free = |target: &HostId, slots: u32| {
             let others: u32 = self
                 .holders
@@ -298,15 +306,15 @@
                 .filter(|(other, _)| *other != holder)
                 .map(|(_, state)| state.outstanding(target, self.options.switch))
                 .sum();
-            let room = slots.saturating_sub(others);
+            let free_slots = slots.saturating_sub(others);
             if !cautious {
-                return room;
+                return free_slots;
             }
             let own = self
                 .holders
                 .get(holder)
                 .map(|state| state.outstanding(target, self.options.switch));
-            room.min(own.unwrap_or_default())
+            free_slots.min(own.unwrap_or_default())
         };
         self.targets
             .iter()
@@ -314,20 +322,20 @@
             .collect()
     }
 
-    // A new broker does not know what holders were granted by the one before. Until every
-    // member reported what it holds, or all grants from before have lapsed, an offer could
-    // hand out a slot twice; so it only renews what holders report.
-    fn is_cautious(&self, now: BootTime) -> bool {
-        if self.options.switch == BrokerSwitch::SkipCaution || self.cautious_until <= now {
+    // A new broker does not know the grants of its predecessor. Until every member has reported its
+    // slots, or all earlier grants have expired, an offer could assign a slot twice. So it only
+    // renews what holders report.
+    fn is_recovering(&self, now: BootTime) -> bool {
+        if self.options.switch == BrokerSwitch::SkipCaution || self.recovering_until <= now {
             return false;
         }
         self.members.is_empty() || self.members.iter().any(|id| !self.holders.contains_key(id))
     }
 
-    fn team_uses(
+    fn team_allotments(
         &self,
         holder: &MemberId,
-        dues: &BTreeMap<TeamId, TeamDue>,
+        shares: &BTreeMap<TeamId, TeamShare>,
     ) -> Vec<(TeamId, u32, Duration)> {
         let Some(state) = self.holders.get(holder) else {
             return Vec::new();
@@ -344,11 +352,11 @@
                 Duration::from_secs_f64(time),
             )
         };
-        state.due_slots(dues).map(use_of).collect()
+        state.team_slots(shares).map(use_of).collect()
     }
 }
 
-/// Virtual time.
+/// Virtual time of teams.
 impl SlotBroker {
     fn charge(&mut self, team: &TeamId, used: Duration) {
         let weight = self.weight(team).max(f64::MIN_POSITIVE);
@@ -357,8 +365,8 @@
         *time += used.as_secs_f64() / weight;
     }
 
-    // A team that queues again after a pause starts level with the least served one:
-    // without this it could save up the time it did not use and then shut others out.
+    // A team that queues again after a pause starts at the level of the least served one. Otherwise
+    // it could save up its unused time and then lock out the others.
     fn update_backlog(&mut self) {
         let queued: BTreeSet<TeamId> = self
             .holders
--- a/crates/decide/src/share/holder_state.rs
+++ b/crates/decide/src/share/holder_state.rs
@@ -5,44 +5,44 @@
 
 use super::terms::{BrokerSwitch, SlotMap, TeamLoad};
 
-// Demand falls slowly in the broker's eyes, so that slots do not follow every gap between
+// Factor by which remembered demand decays per round, so that slots don't follow every gap between
 // two requests.
 const DEMAND_DECAY: f64 = 0.6;
-// Below this a decayed demand counts as none.
+// A decayed demand below this counts as zero.
 const DEMAND_FLOOR: f64 = 0.1;
 
 #[derive(Debug, Default)]
 pub(super) struct HolderState {
-    pub(super) heard: BootTime,
-    // The epoch that the last offer was made in.
-    pub(super) seen_epoch: u64,
-    // The holder's session goes on without this pool.
+    pub(super) last_report_at: BootTime,
+    // The epoch of the last offer.
+    pub(super) offered_epoch: u64,
+    // True if the holder's session no longer includes this pool.
     pub(super) closed: bool,
     // The newest round that was answered.
     pub(super) round: u64,
     pub(super) loads: BTreeMap<TeamId, LoadState>,
     pub(super) held: SlotMap,
-    // Offers from the newest confirmed one on, with the round each was made in.
+    // Offers since the newest confirmed one, which comes first, each with its round.
     pub(super) offers: VecDeque<(u64, SlotMap)>,
 }
 
 #[derive(Debug, Default)]
 pub(super) struct LoadState {
     pub(super) queued: u32,
-    // Running and queued, as last reported.
-    pub(super) fresh: f64,
+    // Running plus queued requests, as last reported.
+    pub(super) reported: f64,
     pub(super) demand: f64,
     pub(super) used: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(super) struct TeamDue {
+pub(super) struct TeamShare {
     pub(super) demand: f64,
     pub(super) slots: f64,
 }
 
 impl HolderState {
-    // The most slots of `target` that the holder may believe in.
+    // The most slots of `target` that the holder may use.
     pub(super) fn outstanding(&self, target: &HostId, switch: BrokerSwitch) -> u32 {
         let held = self.held.get(target).copied().unwrap_or_default();
         let offered = |offer: &(u64, SlotMap)| offer.1.get(target).copied().unwrap_or_default();
@@ -57,12 +57,12 @@
             .max(held)
     }
 
-    pub(super) fn due_slots<'a>(
+    pub(super) fn team_slots<'a>(
         &'a self,
-        dues: &'a BTreeMap<TeamId, TeamDue>,
+        team_shares: &'a BTreeMap<TeamId, TeamShare>,
     ) -> impl Iterator<Item = (&'a TeamId, f64)> {
         self.loads.iter().filter_map(|(team, load)| {
-            let due = dues.get(team)?;
+            let due = team_shares.get(team)?;
             let part = if 0.0 < due.demand {
                 load.demand / due.demand
             } else {
@@ -75,50 +75,50 @@
 
 impl HolderState {
     // True before the first offer of the session.
-    pub(super) fn is_fresh(&self) -> bool {
+    pub(super) fn has_made_no_offer(&self) -> bool {
         self.offers.iter().all(|(round, _)| *round == 0)
     }
 
-    // Lets the memory of past demand fade; true if any did.
-    pub(super) fn fade(&mut self) -> bool {
-        let mut faded = false;
+    // Decays the remembered demand; true if any of it changed.
+    pub(super) fn decay_demand(&mut self) -> bool {
+        let mut decayed = false;
         for load in self.loads.values_mut() {
-            let floor = load.fresh;
+            let floor = load.reported;
             if floor < load.demand {
-                load.demand = faded_demand(load.demand).max(floor);
-                faded = true;
+                load.demand = decayed_demand(load.demand).max(floor);
+                decayed = true;
             }
         }
-        faded
+        decayed
     }
 }
 
 impl LoadState {
     pub(super) fn next(load: &TeamLoad, last: &Self) -> Self {
-        let fresh = f64::from(load.running) + f64::from(load.queued);
+        let reported = f64::from(load.running) + f64::from(load.queued);
         Self {
             queued: load.queued,
-            fresh,
-            demand: fresh.max(faded_demand(last.demand)),
+            reported,
+            demand: reported.max(decayed_demand(last.demand)),
             used: load.used.max(last.used),
         }
     }
 }
 
-fn faded_demand(demand: f64) -> f64 {
-    let faded = demand * DEMAND_DECAY;
-    if faded < DEMAND_FLOOR { 0.0 } else { faded }
+fn decayed_demand(demand: f64) -> f64 {
+    let decayed = demand * DEMAND_DECAY;
+    if decayed < DEMAND_FLOOR { 0.0 } else { decayed }
 }
 
-// Moves `last` towards `wanted` slots in total within `headroom`, with few changes: takes
-// from where the holder has most, adds where most is free.
-pub(super) fn reshape(last: &SlotMap, wanted: u32, headroom: &SlotMap) -> SlotMap {
+// Moves `last` towards `wanted` slots in total within `headroom`, with few changes: removes slots
+// where the holder has most, adds slots where most are free.
+pub(super) fn adjust_offer(last: &SlotMap, wanted: u32, headroom: &SlotMap) -> SlotMap {
     let mut next: SlotMap = headroom
         .iter()
-        .map(|(target, &room)| {
+        .map(|(target, &limit)| {
             (
                 target.clone(),
-                last.get(target).copied().unwrap_or(0).min(room),
+                last.get(target).copied().unwrap_or(0).min(limit),
             )
         })
         .collect();
@@ -131,14 +131,14 @@
         total -= 1;
     }
     while total < wanted {
-        let room_left = |target: &HostId, slots: u32| headroom[target] - slots;
+        let remaining_capacity = |target: &HostId, slots: u32| headroom[target] - slots;
         let best = next
             .iter_mut()
-            .max_by_key(|(target, slots)| room_left(target, **slots));
+            .max_by_key(|(target, slots)| remaining_capacity(target, **slots));
         let Some((target, slots)) = best else {
             break;
         };
-        if room_left(target, *slots) == 0 {
+        if remaining_capacity(target, *slots) == 0 {
             break;
         }
         *slots += 1;
--- a/crates/decide/src/work/desk_index.rs
+++ b/crates/decide/src/work/desk_index.rs
@@ -5,122 +5,137 @@
 
 use model::{
     BootTime, HostId, PoolId, WorkspaceId,
-    work::{AttemptNumber, FleetTerms, HostRoom, TaskKey},
+    work::{AttemptNumber, FleetPolicy, ResourceVector, TaskKey},
 };
 
 use super::{
-    JobBoard, TargetState, WorkDesk, job_index::JobIndex, target_index::TargetIndex,
+    JobTable, TargetState, WorkScheduler, job_index::JobIndex, target_index::TargetIndex,
     tracked_map::TrackedMap,
 };
 
 /// A run and the target that it may be on, ordered by task.
-pub(super) type RunRow = (TaskKey, AttemptNumber, HostId);
+pub(super) type RunIndexKey = (TaskKey, AttemptNumber, HostId);
 
-/// Indexes of the desk's books. They follow the books with [`WorkDesk::sync`].
+/// Indexes over targets, jobs and runs, updated by [`WorkScheduler::sync_indexes`].
 #[derive(Clone, Debug, Default)]
-pub(super) struct DeskIndex {
+pub(super) struct SchedulerIndex {
     pub(super) targets: TargetIndex,
     pub(super) jobs: JobIndex,
-    /// Runs that claim room.
-    pub(super) runs: BTreeSet<RunRow>,
-    /// Limits of workspaces that have one.
-    pub(super) limits: BTreeMap<WorkspaceId, HostRoom>,
-    /// Pools in which something may be started.
-    pub(super) due: BTreeSet<PoolId>,
-    /// Pools with targets that had not been reached when starts were planned last.
-    pub(super) blocked: BTreeSet<PoolId>,
-    /// Pools in which tasks wait for their workspace to have less running.
+    /// Runs that reserve capacity.
+    pub(super) runs: BTreeSet<RunIndexKey>,
+    /// Limits of the workspaces that have one.
+    pub(super) limits: BTreeMap<WorkspaceId, ResourceVector>,
+    /// Pools in which tasks may be startable.
+    pub(super) startable_pools: BTreeSet<PoolId>,
+    /// Pools with targets that had not been polled yet when starts were last planned.
+    pub(super) unobserved_pools: BTreeSet<PoolId>,
+    /// Pools in which tasks wait because their workspace is at its limit.
     pub(super) capped: BTreeMap<WorkspaceId, BTreeSet<PoolId>>,
-    /// Targets that were added and have not been taken.
-    pub(super) added: Vec<HostId>,
+    /// Targets added since [`WorkScheduler::take_added_targets`] was last called.
+    pub(super) added_targets: Vec<HostId>,
 }
 
-/// How much a desk has looked at, since its beginning.
+/// Number of items that a scheduler has examined since it was created.
 ///
-/// It shows whether the cost of an event follows what the event changes.
+/// Shows whether the cost of an event is proportional to what the event changes.
 #[derive(Clone, Debug, Default)]
-pub struct DeskEffort {
-    /// Targets that were considered for a task.
+pub struct WorkCounters {
+    /// Targets considered for a task.
     pub candidates: Cell<u64>,
-    /// Steps that wait, and blocks of them, that were considered for a start.
+    /// Waiting steps, and blocks of them, considered for a start.
     pub steps: Cell<u64>,
-    /// Entries of the books that indexes were told of.
-    pub entries: Cell<u64>,
+    /// Changed jobs and targets with which indexes were updated.
+    pub index_updates: Cell<u64>,
 }
 
-impl DeskEffort {
+impl WorkCounters {
     pub(super) fn add(counter: &Cell<u64>, count: u64) {
         counter.set(counter.get().wrapping_add(count));
     }
 }
 
-impl DeskIndex {
-    fn follow_targets(&mut self, targets: &TrackedMap<TargetState>, ids: &[HostId], now: BootTime) {
+impl SchedulerIndex {
+    fn update_targets(&mut self, targets: &TrackedMap<TargetState>, ids: &[HostId], now: BootTime) {
         for id in ids {
-            let new = self.targets.update(id, targets.get(id), now, &mut self.due);
+            let new = self
+                .targets
+                .update(id, targets.get(id), now, &mut self.startable_pools);
             if new {
-                self.added.push(id.clone());
+                self.added_targets.push(id.clone());
             }
         }
     }
 
-    fn follow_jobs(&mut self, board: &mut JobBoard, terms: &FleetTerms, now: BootTime) -> usize {
-        for id in self.jobs.take_reranked(now) {
-            board.jobs.mark(&id);
+    fn update_jobs(
+        &mut self,
+        job_table: &mut JobTable,
+        policy: &FleetPolicy,
+        now: BootTime,
+    ) -> usize {
+        for id in self.jobs.take_due_reranks(now) {
+            job_table.jobs.mark_changed(&id);
         }
-        let changed = board.jobs.take_changed();
+        let changed = job_table.jobs.take_changed();
         for id in &changed {
-            self.jobs
-                .update(id, board.jobs.get(id), terms, now, &mut self.due);
+            self.jobs.update(
+                id,
+                job_table.jobs.get(id),
+                policy,
+                now,
+                &mut self.startable_pools,
+            );
         }
         changed.len()
     }
 }
 
-impl WorkDesk {
-    /// Brings the indexes up to the books.
-    pub(super) fn sync(&mut self, now: BootTime) {
-        self.sync_targets(now);
-        let jobs = self.index.follow_jobs(&mut self.board, &self.terms, now);
-        DeskEffort::add(&self.effort.entries, jobs as u64);
+impl WorkScheduler {
+    /// Updates all indexes with the changes since the last call.
+    pub(super) fn sync_indexes(&mut self, now: BootTime) {
+        self.sync_target_index(now);
+        let jobs = self
+            .index
+            .update_jobs(&mut self.job_table, &self.policy, now);
+        WorkCounters::add(&self.counters.index_updates, jobs as u64);
     }
 
-    /// Brings the index of targets up to the books.
-    pub(super) fn sync_targets(&mut self, now: BootTime) {
+    /// Updates the target index with the changes since the last call.
+    pub(super) fn sync_target_index(&mut self, now: BootTime) {
         let targets = self.targets.take_changed();
-        self.index.follow_targets(&self.targets, &targets, now);
-        DeskEffort::add(&self.effort.entries, targets.len() as u64);
+        self.index.update_targets(&self.targets, &targets, now);
+        WorkCounters::add(&self.counters.index_updates, targets.len() as u64);
     }
 
-    /// Targets that came to be known since the last time.
-    pub fn take_added(&mut self) -> Vec<HostId> {
-        std::mem::take(&mut self.index.added)
+    /// Takes the targets added since the last call.
+    pub fn take_added_targets(&mut self) -> Vec<HostId> {
+        std::mem::take(&mut self.index.added_targets)
     }
 
-    /// Indexes that don't say what the books say; for tests.
-    pub fn index_faults(&mut self, now: BootTime) -> Vec<&'static str> {
-        self.sync(now);
-        let mut anew = DeskIndex::default();
+    /// Names of the indexes that differ from freshly built ones. For tests.
+    pub fn index_mismatches(&mut self, now: BootTime) -> Vec<&'static str> {
+        self.sync_indexes(now);
+        let mut fresh = SchedulerIndex::default();
         let targets: Vec<HostId> = self.targets.keys().cloned().collect();
-        anew.follow_targets(&self.targets, &targets, now);
-        for (id, job) in &self.board.jobs {
-            anew.jobs
-                .update(id, Some(job), &self.terms, now, &mut anew.due);
+        fresh.update_targets(&self.targets, &targets, now);
+        for (id, job) in &self.job_table.jobs {
+            fresh
+                .jobs
+                .update(id, Some(job), &self.policy, now, &mut fresh.startable_pools);
         }
         for (id, target) in &self.targets {
-            let rows = target.claims.keys();
-            let rows = rows.map(|(key, attempt)| (key.clone(), *attempt, id.clone()));
-            anew.runs.extend(rows);
+            let keys = target.claims.keys();
+            let keys = keys.map(|(key, attempt)| (key.clone(), *attempt, id.clone()));
+            fresh.runs.extend(keys);
         }
         let checks = [
             (
                 "targets",
-                anew.targets.lasting() == self.index.targets.lasting(),
+                fresh.targets.without_pauses() == self.index.targets.without_pauses(),
             ),
-            ("jobs", anew.jobs == self.index.jobs),
-            ("runs", anew.runs == self.index.runs),
+            ("jobs", fresh.jobs == self.index.jobs),
+            ("runs", fresh.runs == self.index.runs),
         ];
-        let broken = checks.into_iter().filter(|(_, holds)| !holds);
-        broken.map(|(name, _)| name).collect()
+        let mismatched = checks.into_iter().filter(|(_, matches)| !matches);
+        mismatched.map(|(name, _)| name).collect()
     }
 }
--- a/crates/decide/src/work/desk_life.rs
+++ b/crates/decide/src/work/desk_life.rs
@@ -3,152 +3,166 @@
 use model::{BootTime, HostId};
 
 use super::{
-    DeskEvent, DeskOrder, DeskTime, PlacePhase, WorkDesk,
-    target_state::{ANSWER_FRESH, RunClaim, RunKey},
+    PlacementPhase, SchedulerAction, SchedulerEvent, SchedulerTime, WorkScheduler,
+    target_state::{RESPONSE_MAX_AGE, RunClaim, RunKey},
 };
 
-/// Lists of hosts in a row that have to lack a life before it counts as ended. A list comes in
-/// pages that are no snapshot, so that one may miss a host that changes just then.
-const LISTS_MISSED: u32 = 2;
+/// Consecutive host lists that have to lack an incarnation before it counts as ended. A list is
+/// read in pages without a snapshot, so that it may omit a host that changes at that moment.
+const MAX_ABSENT_LISTS: u32 = 2;
 
-impl WorkDesk {
-    /// A target begins another life: what ran there is over.
-    pub(super) fn end_life(
+impl WorkScheduler {
+    /// Starts a new incarnation of a target; the runs of the previous one have ended.
+    pub(super) fn end_incarnation(
         &mut self,
         id: &HostId,
-        born: Duration,
+        started_at: Duration,
         cause: &'static str,
-        now: DeskTime,
+        now: SchedulerTime,
     ) {
         let tuning = self.tuning;
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
-        let doubts = target.take_doubts(&tuning, now.boot);
-        let renewed = born > target.life.born;
-        let held = target.reborn(born, now.boot);
-        self.release_runs(id, held, renewed, cause, now);
-        for run in doubts {
-            // The start may still reach the new life: it is closed there by a stop.
+        let unconfirmed = target.take_unconfirmed(&tuning, now.boot);
+        let renewed = started_at > target.incarnation.started_at;
+        let claims = target.begin_incarnation(started_at, now.boot);
+        self.release_runs(id, claims, renewed, cause, now);
+        for run in unconfirmed {
+            // The start may still reach the new incarnation, so it is fenced there by a stop.
             if let Some(target) = self.targets.get_mut(id) {
-                target.add_doubt(run.clone(), now.boot);
+                target.add_unconfirmed(run.clone(), now.boot);
             }
             self.claim(id, run.clone());
-            self.close_start(id, &run, now);
+            self.fence_start(id, &run, now);
         }
     }
 
-    /// A target's life is over and no other begins under its id for now.
-    pub(super) fn lose_target(&mut self, id: &HostId, cause: &'static str, now: DeskTime) {
+    /// Ends a target's incarnation without a new one under the same id for now.
+    pub(super) fn mark_target_lost(
+        &mut self,
+        id: &HostId,
+        cause: &'static str,
+        now: SchedulerTime,
+    ) {
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
-        let held = target.reborn(Duration::ZERO, now.boot);
-        // What was granted ended with it.
-        target.granted = BootTime::ZERO;
+        let claims = target.begin_incarnation(Duration::ZERO, now.boot);
+        // The granted lease ended with the incarnation.
+        target.last_grant = BootTime::ZERO;
         target.listed = false;
-        self.release_runs(id, held, false, cause, now);
+        self.release_runs(id, claims, false, cause, now);
     }
 
-    /// Takes which lives the hosts of the fleet live, as the control of hosts listed them when it
-    /// was asked at `asked`.
+    /// Applies the list of incarnations of all hosts, which was requested from the host control at
+    /// `asked`.
     ///
-    /// A target is one life of a host. One whose own entry is gone from the store, and that no
-    /// host lives any more, has ended, and all that ran there with it; nothing need wait until its
-    /// granted time has lapsed. Without this a chain of owners that follow each other within that time
-    /// would never start the tasks of its pool again, as each waits anew.
-    pub fn take_lives(&mut self, lives: &BTreeSet<HostId>, asked: BootTime, now: DeskTime) {
-        if lives.is_empty() {
+    /// A target is one incarnation of a host. If its own entry is gone from the store and no host
+    /// has that incarnation any more, it has ended with all of its runs, and nothing has to wait
+    /// until its lease expires. Without this rule, a chain of owners that follow each other within
+    /// that time would never restart the tasks of its pool, because each of them waits anew.
+    pub fn update_incarnations(
+        &mut self,
+        listed_incarnations: &BTreeSet<HostId>,
+        asked: BootTime,
+        now: SchedulerTime,
+    ) {
+        if listed_incarnations.is_empty() {
             return;
         }
-        let mut gone = Vec::new();
-        let mut missed = Vec::new();
+        let mut ended = Vec::new();
+        let mut tracked = Vec::new();
         for (id, target) in &self.targets {
-            // A life that answered shortly before the list was asked for is at work, whatever that says.
-            let answers = !target.heard.is_zero() && target.heard + ANSWER_FRESH >= asked;
-            let lives = target.listed || answers || lives.contains(id);
-            if !lives || target.lists_missed > 0 {
-                missed.push((id.clone(), lives));
+            // An incarnation that answered shortly before the list was requested is alive, whatever
+            // the list contains.
+            let answers =
+                !target.last_response.is_zero() && target.last_response + RESPONSE_MAX_AGE >= asked;
+            let is_live = target.listed || answers || listed_incarnations.contains(id);
+            if !is_live || target.lists_absent > 0 {
+                tracked.push((id.clone(), is_live));
             }
         }
-        for (id, lives) in missed {
+        for (id, is_live) in tracked {
             let Some(target) = self.targets.get_mut(&id) else {
                 continue;
             };
-            target.lists_missed = if lives { 0 } else { target.lists_missed + 1 };
-            if target.lists_missed >= LISTS_MISSED {
-                gone.push(id);
+            target.lists_absent = if is_live { 0 } else { target.lists_absent + 1 };
+            if target.lists_absent >= MAX_ABSENT_LISTS {
+                ended.push(id);
             }
         }
-        for id in gone {
-            self.lose_target(&id, "no-host", now);
+        for id in ended {
+            self.mark_target_lost(&id, "no-host", now);
             if let Some(target) = self.targets.get_mut(&id) {
                 target.inherited = false;
             }
         }
     }
 
-    /// True while tasks may run on lives that no look has reached and the host list lacks.
-    pub fn has_unknown_lives(&self) -> bool {
+    /// Whether tasks may run on incarnations that have not been polled yet and are not in the host
+    /// list.
+    pub fn has_unknown_incarnations(&self) -> bool {
         let mut targets = self.targets.values();
-        targets.any(|target| !target.is_known() && !target.listed)
+        targets.any(|target| !target.is_state_known() && !target.listed)
     }
 
-    /// Gives up the runs of a life that is over, but for those that the next may have: `renewed`
-    /// tells that there is one under the same id.
+    /// Gives up the runs of an ended incarnation, except those that the next one may have.
+    /// `renewed` says whether there is a next one under the same id.
     fn release_runs(
         &mut self,
         id: &HostId,
-        held: Vec<(RunKey, RunClaim)>,
+        claims: Vec<(RunKey, RunClaim)>,
         renewed: bool,
         cause: &'static str,
-        now: DeskTime,
+        now: SchedulerTime,
     ) {
-        self.note(DeskEvent::TargetLost(id.clone(), cause, held.len()));
+        self.emit(SchedulerEvent::TargetLost(id.clone(), cause, claims.len()));
         let listed = self.targets.get(id).is_some_and(|target| target.listed);
-        for (run, claim) in held {
-            self.forget_run(id, &run, &claim);
-            match self.fate_of(id, &run) {
-                RunFate::Doubtful if renewed || listed => {
-                    // The start may still reach the new life: it is closed there by a stop.
+        for (run, claim) in claims {
+            self.remove_run_accounting(id, &run, &claim);
+            match self.run_disposition(id, &run) {
+                RunDisposition::Unconfirmed if renewed || listed => {
+                    // The start may still reach the new incarnation, so it is fenced there by a
+                    // stop.
                     self.claim(id, run.clone());
-                    if let Some(place) = self.place_mut(id, &run) {
-                        place.seen = false;
+                    if let Some(place) = self.placement_mut(id, &run) {
+                        place.confirmed = false;
                     }
-                    self.close_start(id, &run, now);
+                    self.fence_start(id, &run, now);
                 }
-                RunFate::Unseen if renewed => {
-                    // The next look tells which life it is in.
+                RunDisposition::NotReported if renewed => {
+                    // The next poll shows which incarnation it belongs to.
                     self.claim(id, run);
-                    self.orders.push(DeskOrder::Look(id.clone()));
+                    self.actions.push(SchedulerAction::Poll(id.clone()));
                 }
-                _ => self.vacate_place(id, &run),
+                _ => self.clear_placement(id, &run),
             }
         }
-        self.stale = true;
+        self.replan_needed = true;
     }
 
-    fn fate_of(&self, id: &HostId, run: &RunKey) -> RunFate {
-        let Some(place) = self.board.place_of(id, run) else {
-            return RunFate::Over;
+    fn run_disposition(&self, id: &HostId, run: &RunKey) -> RunDisposition {
+        let Some(place) = self.job_table.placement_of(id, run) else {
+            return RunDisposition::Ended;
         };
         match place.phase {
-            PlacePhase::Starting | PlacePhase::Unsure | PlacePhase::Stopping(false) => {
-                RunFate::Doubtful
-            }
-            PlacePhase::Running if !place.seen => RunFate::Unseen,
-            PlacePhase::Running | PlacePhase::Stopping(true) => RunFate::Over,
+            PlacementPhase::Starting
+            | PlacementPhase::Unconfirmed
+            | PlacementPhase::Stopping(false) => RunDisposition::Unconfirmed,
+            PlacementPhase::Running if !place.confirmed => RunDisposition::NotReported,
+            PlacementPhase::Running | PlacementPhase::Stopping(true) => RunDisposition::Ended,
         }
     }
 }
 
-/// What becomes of a run when the life ends that it was taken to be in.
-enum RunFate {
-    /// It is over.
-    Over,
-    /// Its start may still be carried out.
-    Doubtful,
-    /// Its start was answered and no look has shown it since, so that the answer may be the next
-    /// life's: idle targets are not looked at, and the host list tells late of a restart.
-    Unseen,
+/// What happens to a run when the incarnation ends in which it was assumed to be.
+enum RunDisposition {
+    /// It has ended.
+    Ended,
+    /// Its start may still be executed.
+    Unconfirmed,
+    /// Its start was answered and no report has shown it since, so that the answer may come from
+    /// the next incarnation: idle targets are not polled, and the host list reports a restart late.
+    NotReported,
 }
--- a/crates/decide/src/work/desk_sight.rs
+++ b/crates/decide/src/work/desk_sight.rs
@@ -2,216 +2,233 @@
 
 use model::{
     BootTime, HostId,
-    work::{LookAnswer, LookOrder, RunSight, TargetSight},
+    work::{PollAnswer, PollOrder, RunReport, TargetReport},
 };
 
 use crate::call_budget::CallClass;
 
 use super::{
-    DeskEvent, DeskOrder, DeskTime, PlacePhase, TargetState, TaskPlace, WorkDesk, WorkJob,
-    target_state::RunKey,
+    PlacementPhase, SchedulerAction, SchedulerEvent, SchedulerTime, TargetState, TaskPlacement,
+    WorkJob, WorkScheduler, target_state::RunKey,
 };
 
-/// Ends that a target lists at once; where it lists so many there may be more, and a run that
-/// is missing may be among them.
-const END_PAGE: usize = 500;
-/// A look goes ahead of others once this part of the granted time has passed.
-const RENEW_PART: u32 = 2;
+/// Maximum ends in one report. A full report may omit ends, among them that of a missing run.
+const MAX_ENDS_PER_REPORT: usize = 500;
+/// A poll gets priority once the granted lease has run for `grant` divided by this.
+const RENEW_FRACTION: u32 = 2;
 
-impl WorkDesk {
-    /// What a look at a target is for now; `None` if it needs none.
-    pub fn look_class(&self, id: &HostId, now: DeskTime) -> Option<CallClass> {
+impl WorkScheduler {
+    /// Call class of the poll that a target needs now; `None` if it needs none.
+    pub fn poll_class(&self, id: &HostId, now: SchedulerTime) -> Option<CallClass> {
         let target = self.targets.get(id)?;
         let busy = !target.claims.is_empty();
-        if self.alone && !target.life.raised {
+        if self.ownership_uncertain && !target.incarnation.token_seen {
             return None;
         }
-        if target.life.raised && !busy && target.observable() <= target.life.told {
+        if target.incarnation.token_seen
+            && !busy
+            && target.ackable_end() <= target.incarnation.last_acked_end
+        {
             return None;
         }
-        let granted = now.boot.saturating_sub(target.granted);
-        if busy && !target.silent && granted >= self.tuning.grant / RENEW_PART {
+        let granted = now.boot.saturating_sub(target.last_grant);
+        if busy && !target.unresponsive && granted >= self.tuning.grant / RENEW_FRACTION {
             return Some(CallClass::Renew);
         }
-        if target.failed > target.heard {
+        if target.last_failure > target.last_response {
             return Some(CallClass::Probe);
         }
-        // What it runs lapses, what has ended there is not known, and older jobs of its pool wait.
-        let unreached = target.inherited && !target.life.raised;
-        Some(if unreached {
+        // Until it is polled, the leases of its runs expire, ends on it are unknown, and older jobs
+        // of its pool wait.
+        let unpolled = target.inherited && !target.incarnation.token_seen;
+        Some(if unpolled {
             CallClass::Renew
         } else {
-            CallClass::Look
+            CallClass::Poll
         })
     }
 
-    /// The look that a target needs now; `None` if it needs none.
-    pub fn look_order(&mut self, id: &HostId, now: DeskTime) -> Option<LookOrder> {
-        self.look_class(id, now)?;
+    /// The poll that a target needs now; `None` if it needs none.
+    pub fn poll_order(&mut self, id: &HostId, now: SchedulerTime) -> Option<PollOrder> {
+        self.poll_class(id, now)?;
         let tuning = self.tuning;
-        let both = self.serves_and_fills(id);
-        let target = self.targets.get_unindexed(id)?;
+        let mixed = self.runs_service_and_fill_tasks(id);
+        let target = self.targets.get_mut_untracked(id)?;
         let busy = !target.claims.is_empty();
-        let observed = target.observed_at(now.boot);
-        // A target that doesn't answer gets no more time: what it runs has to lapse, so that it
+        let acked_end = target.acked_end_at(now.boot);
+        // The lease of an unresponsive target is not renewed: it has to expire so that its tasks
         // can start elsewhere.
-        let until = target
+        let lease_until = target
             .clock_at(now.boot)
-            .filter(|_| busy && !target.silent)
+            .filter(|_| busy && !target.unresponsive)
             .map(|clock| clock + tuning.grant);
-        if until.is_some() {
-            target.granted = now.boot;
+        if lease_until.is_some() {
+            target.last_grant = now.boot;
         }
-        let wait = match (target.life.raised && busy && !target.silent, both) {
+        let wait = match (
+            target.incarnation.token_seen && busy && !target.unresponsive,
+            mixed,
+        ) {
             (false, _) => Duration::ZERO,
             (true, false) => tuning.look_wait,
-            (true, true) => tuning.watch_wait,
+            (true, true) => tuning.mixed_poll_wait,
         };
-        Some(LookOrder {
+        Some(PollOrder {
             token: self.token,
-            observed,
-            until,
+            acked_end,
+            lease_until,
             wait,
         })
     }
 
-    /// Takes the answer to a look that was sent at `sent` with `observed`.
-    pub fn saw(
+    /// Handles the answer to a poll that was sent at `sent` and acknowledged ends up to `observed`.
+    pub fn apply_report(
         &mut self,
         id: &HostId,
         sent: BootTime,
         observed: u64,
-        answer: &LookAnswer,
-        now: DeskTime,
+        answer: &PollAnswer,
+        now: SchedulerTime,
     ) {
         match answer {
-            LookAnswer::Seen(sight) => self.take_sight(id, sent, observed, sight, now),
-            LookAnswer::Fenced => self.orders.push(DeskOrder::Resign(id.clone())),
-            LookAnswer::OtherLife if self.is_outlived(id, sent) => {}
-            LookAnswer::OtherLife => self.lose_target(id, "replaced", now),
-            LookAnswer::Refused(_) | LookAnswer::Unanswered(_) => self.note_silence(id, now),
+            PollAnswer::Seen(report) => self.apply_target_report(id, sent, observed, report, now),
+            PollAnswer::Fenced => self.actions.push(SchedulerAction::StepDown(id.clone())),
+            PollAnswer::OtherLife if self.predates_incarnation(id, sent) => {}
+            PollAnswer::OtherLife => self.mark_target_lost(id, "replaced", now),
+            PollAnswer::Refused(_) | PollAnswer::Unanswered(_) => self.mark_unresponsive(id, now),
         }
     }
 
-    fn take_sight(
+    fn apply_target_report(
         &mut self,
         id: &HostId,
         sent: BootTime,
         observed: u64,
-        sight: &TargetSight,
-        now: DeskTime,
+        report: &TargetReport,
+        now: SchedulerTime,
     ) {
         let Some(target) = self.targets.get(id) else {
             return;
         };
-        let known = target.life.born;
-        if !sight.born.is_zero() && !known.is_zero() && sight.born < known {
-            // An answer of the life before, which was under way for long.
+        let known = target.incarnation.started_at;
+        if !report.started_at.is_zero() && !known.is_zero() && report.started_at < known {
+            // A delayed answer of the previous incarnation.
             return;
         }
-        if known.is_zero() && self.is_outlived(id, sent) {
+        if known.is_zero() && self.predates_incarnation(id, sent) {
             return;
         }
-        if !sight.born.is_zero() && !known.is_zero() && sight.born > known {
-            self.end_life(id, sight.born, "reborn", now);
+        if !report.started_at.is_zero() && !known.is_zero() && report.started_at > known {
+            self.end_incarnation(id, report.started_at, "reborn", now);
         }
-        self.greet(id, sent, observed, sight, now);
+        self.record_target_answer(id, sent, observed, report, now);
         let ends: Vec<_> = {
-            let seen = self.targets.get(id).map_or(0, |target| target.life.seen);
-            sight.ended.iter().filter(|end| end.number > seen).collect()
+            let seen = self
+                .targets
+                .get(id)
+                .map_or(0, |target| target.incarnation.last_handled_end);
+            report
+                .ended
+                .iter()
+                .filter(|end| end.number > seen)
+                .collect()
         };
         for end in ends {
-            if let Some(target) = self.targets.get_unindexed(id) {
-                target.life.seen = target.life.seen.max(end.number);
+            if let Some(target) = self.targets.get_mut_untracked(id) {
+                target.incarnation.last_handled_end =
+                    target.incarnation.last_handled_end.max(end.number);
             }
-            self.apply_end(id, end, now);
+            self.handle_task_end(id, end, now);
         }
-        for run in &sight.running {
-            self.see_run(id, run, now);
-            self.note_still(id, run);
+        for run in &report.running {
+            self.observe_run(id, run, now);
+            self.track_stalled_run(id, run);
         }
-        if sight.ended.len() < END_PAGE {
-            self.miss_runs(id, sent, sight, now);
+        if report.ended.len() < MAX_ENDS_PER_REPORT {
+            self.handle_missing_runs(id, sent, report, now);
         }
-        self.set_paces(id);
+        self.set_throttles(id);
     }
 
-    /// Takes in that a target answered.
-    fn greet(
+    /// Records that a target answered a poll.
+    fn record_target_answer(
         &mut self,
         id: &HostId,
         sent: BootTime,
         observed: u64,
-        sight: &TargetSight,
-        now: DeskTime,
+        report: &TargetReport,
+        now: SchedulerTime,
     ) {
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
-        if target.life.born.is_zero() {
-            target.life.born = sight.born;
+        if target.incarnation.started_at.is_zero() {
+            target.incarnation.started_at = report.started_at;
         }
-        // Of two readings the one that promises the later time is the better lower bound.
+        // Of two clock readings, the one that predicts the later time is the better lower bound.
         let known = target.clock_at(now.boot).unwrap_or_default();
-        if sight.clock >= known {
-            target.life.clock = Some((sight.clock, now.boot));
+        if report.clock >= known {
+            target.incarnation.clock = Some((report.clock, now.boot));
         }
-        target.answered = target.answered.max(sent);
-        target.heard = now.boot;
-        target.looked = target.looked.max(sent);
-        target.life.told = target.life.told.max(observed);
-        if self.alone && !target.life.raised {
+        target.last_answered_call = target.last_answered_call.max(sent);
+        target.last_response = now.boot;
+        target.last_answered_poll = target.last_answered_poll.max(sent);
+        target.incarnation.last_acked_end = target.incarnation.last_acked_end.max(observed);
+        if self.ownership_uncertain && !target.incarnation.token_seen {
             return;
         }
-        let missed = target.missed;
-        let returned = std::mem::take(&mut target.silent);
-        let raised = !std::mem::replace(&mut target.life.raised, true);
-        if returned || raised {
-            self.note(DeskEvent::TargetRaised(id.clone()));
+        let was_unreachable = target.unreachable_recorded;
+        let recovered = std::mem::take(&mut target.unresponsive);
+        let newly_usable = !std::mem::replace(&mut target.incarnation.token_seen, true);
+        if recovered || newly_usable {
+            self.emit(SchedulerEvent::TargetUsable(id.clone()));
         }
-        if missed {
-            self.use_again(id);
+        if was_unreachable {
+            self.record_reachable(id);
         }
     }
 
-    fn see_run(&mut self, id: &HostId, run: &RunSight, now: DeskTime) {
+    fn observe_run(&mut self, id: &HostId, run: &RunReport, now: SchedulerTime) {
         let key: RunKey = (run.task.clone(), run.attempt);
         if !run.checkpoint.is_empty() {
             self.set_checkpoint(&run.task, &run.checkpoint);
         }
-        if !self.board.jobs.contains_key(&run.task.job) {
-            self.stop_unwanted(id, &key, now);
+        if !self.job_table.jobs.contains_key(&run.task.job) {
+            self.stop_unwanted_run(id, &key, now);
             return;
         }
-        self.board.begin_job(&run.task.job);
-        // A predecessor found the occurrence due, perhaps by a clock that is ahead of this one;
-        // taking its run for a stray one would stop work that is wanted.
-        self.board
-            .open_until(&run.task.job, run.task.occurrence, now.boot);
-        self.drop_older_miss(id, &key);
-        let job = self.board.jobs.get(&run.task.job);
+        self.job_table.mark_started(&run.task.job);
+        // A predecessor found the occurrence due, perhaps by a clock that is ahead of this one.
+        // Treating its run as unwanted would stop useful work.
+        self.job_table
+            .open_occurrences_until(&run.task.job, run.task.occurrence, now.boot);
+        self.drop_stale_unreachable(id, &key);
+        let job = self.job_table.jobs.get(&run.task.job);
         let open = job.is_some_and(WorkJob::is_open);
-        let task = self.board.task_unindexed(&run.task);
+        let task = self.job_table.task_mut_unindexed(&run.task);
         let Some(task) = task.filter(|task| open && !task.done) else {
-            self.stop_unwanted(id, &key, now);
+            self.stop_unwanted_run(id, &key, now);
             return;
         };
-        match &mut task.place {
+        match &mut task.placement {
             Some(place) if place.target == *id && place.attempt == run.attempt => {
                 if place.percent != run.percent {
-                    place.moved = now.boot;
+                    place.last_progress = now.boot;
                 }
                 place.percent = run.percent;
                 place.load = run.load;
-                place.seen = true;
-                place.presumed = false;
-                if matches!(place.phase, PlacePhase::Starting | PlacePhase::Unsure) {
-                    place.phase = PlacePhase::Running;
+                place.confirmed = true;
+                place.from_record = false;
+                if matches!(
+                    place.phase,
+                    PlacementPhase::Starting | PlacementPhase::Unconfirmed
+                ) {
+                    place.phase = PlacementPhase::Running;
                     place.since = now.boot;
                 }
-                self.spare_late_start(id, &key, now);
+                self.withdraw_stop_of_late_start(id, &key, now);
             }
-            Some(_) => self.stop_unwanted(id, &key, now),
+            Some(_) => self.stop_unwanted_run(id, &key, now),
             None => {
                 task.last_attempt = task.last_attempt.max(run.attempt);
                 self.adopt(id, &key, run, now);
@@ -219,70 +236,83 @@
         }
     }
 
-    /// Notes a run that may have stood still for too long, for the next tick.
-    fn note_still(&mut self, id: &HostId, run: &RunSight) {
+    /// Collects a run that may have made no progress for too long, for the next tick.
+    fn track_stalled_run(&mut self, id: &HostId, run: &RunReport) {
         let key: RunKey = (run.task.clone(), run.attempt);
         if self.is_stalled(id, &key) {
-            self.still.insert((id.clone(), key));
+            self.no_progress.insert((id.clone(), key));
         }
     }
 
-    /// Takes a run over that a predecessor started, or that was carried out late.
-    fn adopt(&mut self, id: &HostId, run: &RunKey, sight: &RunSight, now: DeskTime) {
+    /// Adopts a run that a predecessor started, or whose start was executed late.
+    fn adopt(&mut self, id: &HostId, run: &RunKey, report: &RunReport, now: SchedulerTime) {
         let (key, attempt) = run;
         self.claim(id, run.clone());
-        let stopped = self.stops.remove(&(id.clone(), run.clone()));
-        let Some(step) = self.board.step_mut(key) else {
+        let stopped = self.pending_stops.remove(&(id.clone(), run.clone()));
+        let Some(step) = self.job_table.step_mut(key) else {
             return;
         };
-        step.place(
+        step.set_placement(
             key.index,
-            TaskPlace {
-                phase: PlacePhase::Running,
-                seen: true,
-                percent: sight.percent,
-                load: sight.load,
+            TaskPlacement {
+                phase: PlacementPhase::Running,
+                confirmed: true,
+                percent: report.percent,
+                load: report.load,
                 stop_sent: stopped.unwrap_or_default(),
-                ..TaskPlace::new(id, *attempt, now.boot)
+                ..TaskPlacement::new(id, *attempt, now.boot)
             },
         );
-        self.note(DeskEvent::Adopted(key.clone(), *attempt, id.clone()));
+        self.emit(SchedulerEvent::Adopted(key.clone(), *attempt, id.clone()));
     }
 
-    /// Stops a run that no task is taken to be; its room stays taken until its end is listed.
-    fn stop_unwanted(&mut self, id: &HostId, run: &RunKey, now: DeskTime) {
+    /// Stops a run without a matching task. Its capacity stays reserved until its end is reported.
+    fn stop_unwanted_run(&mut self, id: &HostId, run: &RunKey, now: SchedulerTime) {
         self.claim(id, run.clone());
         let key = (id.clone(), run.clone());
-        if self.stops.contains_key(&key) || self.stopped.contains_key(&key) {
+        if self.pending_stops.contains_key(&key) || self.acknowledged_stops.contains_key(&key) {
             return;
         }
-        self.note(DeskEvent::Unwanted(run.0.clone(), run.1, id.clone()));
+        self.emit(SchedulerEvent::Unwanted(run.0.clone(), run.1, id.clone()));
         self.stop_run(id, run, now);
     }
 
-    /// Settles what a look sent at `sent` did not show though it was taken to be there.
-    fn miss_runs(&mut self, id: &HostId, sent: BootTime, sight: &TargetSight, now: DeskTime) {
-        let shown = sight.running.iter().map(|run| (&run.task, run.attempt));
-        let shown: BTreeSet<_> = shown.collect();
+    /// Handles runs that the report of a poll sent at `sent` lacks although they were expected
+    /// there.
+    fn handle_missing_runs(
+        &mut self,
+        id: &HostId,
+        sent: BootTime,
+        report: &TargetReport,
+        now: SchedulerTime,
+    ) {
+        let reported = report.running.iter().map(|run| (&run.task, run.attempt));
+        let reported: BTreeSet<_> = reported.collect();
         let Some(target) = self.targets.get(id) else {
             return;
         };
         let missing = target.claims.keys();
-        let missing = missing.filter(|(task, attempt)| !shown.contains(&(task, *attempt)));
+        let missing = missing.filter(|(task, attempt)| !reported.contains(&(task, *attempt)));
         let missing: Vec<RunKey> = missing.cloned().collect();
         for run in missing {
-            self.miss_run(id, &run, sent, now);
+            self.handle_missing_run(id, &run, sent, now);
         }
     }
 
-    fn miss_run(&mut self, id: &HostId, run: &RunKey, sent: BootTime, now: DeskTime) {
+    fn handle_missing_run(
+        &mut self,
+        id: &HostId,
+        run: &RunKey,
+        sent: BootTime,
+        now: SchedulerTime,
+    ) {
         let (key, attempt) = run;
-        let place = self.board.place_of(id, run);
+        let place = self.job_table.placement_of(id, run);
         let Some((phase, since)) = place.map(|place| (place.phase, place.since)) else {
-            // A run without a task: it is gone once its stop was answered before the look.
-            let stopped = self.stops.contains_key(&(id.clone(), run.clone()));
+            // A run without a task is gone if its stop was answered before the poll.
+            let stopped = self.pending_stops.contains_key(&(id.clone(), run.clone()));
             if !stopped {
-                self.unclaim(id, run);
+                self.release_claim(id, run);
             }
             return;
         };
@@ -290,56 +320,63 @@
             return;
         }
         match phase {
-            PlacePhase::Starting => {}
-            PlacePhase::Stopping(false) => self.close_again(id, run, now),
-            PlacePhase::Unsure => {
-                // It is not there and may come later. A stop of this start closes it: the
-                // target refuses a start that is not newer than one stopped there.
+            PlacementPhase::Starting => {}
+            PlacementPhase::Stopping(false) => self.fence_start_again(id, run, now),
+            PlacementPhase::Unconfirmed => {
+                // The run is not there but may still start. A stop fences this start: the target
+                // refuses a start that is not newer than one stopped there.
                 self.stop_run(id, run, now);
             }
-            PlacePhase::Running => {
-                self.note(DeskEvent::Vanished(key.clone(), *attempt, id.clone()));
-                self.unclaim(id, run);
-                self.vacate_place(id, run);
+            PlacementPhase::Running => {
+                self.emit(SchedulerEvent::Vanished(key.clone(), *attempt, id.clone()));
+                self.release_claim(id, run);
+                self.clear_placement(id, run);
             }
-            PlacePhase::Stopping(true) => {
-                self.unclaim(id, run);
-                self.vacate_place(id, run);
+            PlacementPhase::Stopping(true) => {
+                self.release_claim(id, run);
+                self.clear_placement(id, run);
             }
         }
     }
 
-    /// A look or an order was not answered.
-    pub(super) fn note_silence(&mut self, id: &HostId, now: DeskTime) {
-        let silence = self.tuning.silence;
+    /// Handles a poll or an order without an answer.
+    pub(super) fn mark_unresponsive(&mut self, id: &HostId, now: SchedulerTime) {
+        let unresponsive_after = self.tuning.unresponsive_after;
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
-        target.failed = now.boot;
-        if !target.silent && now.boot.saturating_sub(target.answered) >= silence {
-            target.silent = true;
-            self.note(DeskEvent::TargetSilent(id.clone()));
+        target.last_failure = now.boot;
+        if !target.unresponsive
+            && now.boot.saturating_sub(target.last_answered_call) >= unresponsive_after
+        {
+            target.unresponsive = true;
+            self.emit(SchedulerEvent::TargetUnresponsive(id.clone()));
         }
-        self.record_miss(id, now);
+        self.record_unreachable(id, now);
     }
 
-    fn serves_and_fills(&self, id: &HostId) -> bool {
+    fn runs_service_and_fill_tasks(&self, id: &HostId) -> bool {
         let Some(target) = self.targets.get(id) else {
             return false;
         };
-        let steps = || target.claims.keys().filter_map(|run| self.step_of(&run.0));
-        steps().any(model::work::StepPlan::serves) && steps().any(|step| step.fills)
+        let steps = || {
+            target
+                .claims
+                .keys()
+                .filter_map(|run| self.step_plan(&run.0))
+        };
+        steps().any(model::work::StepPlan::serves_requests) && steps().any(|step| step.best_effort)
     }
 
-    pub(super) fn step_of(&self, key: &model::work::TaskKey) -> Option<&model::work::StepPlan> {
-        let job = self.board.jobs.get(&key.job)?;
+    pub(super) fn step_plan(&self, key: &model::work::TaskKey) -> Option<&model::work::StepPlan> {
+        let job = self.job_table.jobs.get(&key.job)?;
         job.plan.steps.get(key.step as usize)
     }
 }
 
 impl TargetState {
-    /// True if the desk still has a reason to keep it.
+    /// Whether the scheduler still needs this target's state.
     pub(super) fn is_needed(&self) -> bool {
-        self.listed || !self.claims.is_empty() || (self.inherited && !self.life.raised)
+        self.listed || !self.claims.is_empty() || (self.inherited && !self.incarnation.token_seen)
     }
 }
