--- a/crates/decide/src/work/desk_stop.rs
+++ b/crates/decide/src/work/desk_stop.rs
@@ -6,126 +6,135 @@
 };
 
 use super::{
-    DeskOrder, DeskTime, HostVacancy, PlacePhase, TaskPlace, WorkDesk, desk_evacuate::AT_WORK,
-    target_state::RunKey,
+    HostDrainState, PlacementPhase, SchedulerAction, SchedulerTime, TaskPlacement, WorkScheduler,
+    scheduler_evacuate::READY_PERCENT, target_state::RunKey,
 };
 
-/// How old an answer of a target may be to say that a start has not been carried out: the time in
-/// which a stop that it leads to is on its way.
-const JUST_HEARD: Duration = Duration::from_millis(100);
+/// Maximum age of a report that shows that a start has not been executed: as long as the resulting
+/// stop is in flight.
+const MAX_REPORT_AGE_FOR_STOP: Duration = Duration::from_millis(100);
 
-impl WorkDesk {
-    /// True if a stop that was ordered is still to be sent.
+impl WorkScheduler {
+    /// Whether an ordered stop still has to be sent.
     ///
-    /// While it waited for a connection, others of a step that lasts may have fallen away, so that
-    /// the step would miss more tasks than it may. `docs/design/15-stops.md` says why this is
-    /// asked at each sending.
-    pub fn wants_stop(
+    /// While it waited for a connection, other tasks of a long-running step may have become
+    /// unavailable, so that the step would exceed its limit of unavailable tasks.
+    /// `docs/design/15-stops.md` explains why this is checked before each send.
+    pub fn should_send_stop(
         &mut self,
         id: &HostId,
         task: &TaskKey,
         attempt: AttemptNumber,
-        now: DeskTime,
+        now: SchedulerTime,
     ) -> bool {
         let run: RunKey = (task.clone(), attempt);
-        if !self.stops.contains_key(&(id.clone(), run.clone())) {
+        if !self.pending_stops.contains_key(&(id.clone(), run.clone())) {
             return false;
         }
-        if self.would_miss(id, &run, now) {
-            self.leave_at_work(id, &run, now);
+        if self.stop_would_exceed_limit(id, &run, now) {
+            self.keep_running(id, &run, now);
             return false;
         }
-        !self.may_have_started(id, &run, now)
+        !self.stop_may_hit_started_task(id, &run, now)
     }
 
-    /// Closes a start of which it is not known whether it was carried out.
-    pub(super) fn close_start(&mut self, id: &HostId, run: &RunKey, now: DeskTime) {
-        let placed = self.place_mut(id, run).is_some();
-        self.set_phase(id, run, PlacePhase::Stopping(false), now);
-        if !placed || !self.may_have_started(id, run, now) {
+    /// Fences a start whose outcome is unknown, by a stop.
+    pub(super) fn fence_start(&mut self, id: &HostId, run: &RunKey, now: SchedulerTime) {
+        let placed = self.placement_mut(id, run).is_some();
+        self.set_run_phase(id, run, PlacementPhase::Stopping(false), now);
+        if !placed || !self.stop_may_hit_started_task(id, run, now) {
             self.stop_run(id, run, now);
             return;
         }
-        self.look_before_stop(id, run, now);
-        let pause = self.tuning.stop_again;
-        if let Some(place) = self.place_mut(id, run) {
-            // The next look that lacks it brings the stop.
+        self.poll_before_stop(id, run, now);
+        let pause = self.tuning.stop_retry_interval;
+        if let Some(place) = self.placement_mut(id, run) {
+            // The next poll whose report lacks the run triggers the stop.
             place.since = now.boot.saturating_sub(pause);
         }
     }
 
-    /// Sends the stop that closes a start again, as a look sent after the last has just shown that
-    /// it is not carried out.
-    pub(super) fn close_again(&mut self, id: &HostId, run: &RunKey, now: DeskTime) {
-        let due = self
-            .stopping_place(id, run)
-            .is_some_and(|place| now.boot.saturating_sub(place.since) >= self.tuning.stop_again);
-        if due && self.lasts(run) {
+    /// Sends the stop that fences a start again, after a later poll has shown that the start is not
+    /// executed.
+    pub(super) fn fence_start_again(&mut self, id: &HostId, run: &RunKey, now: SchedulerTime) {
+        let due = self.stopping_placement(id, run).is_some_and(|place| {
+            now.boot.saturating_sub(place.since) >= self.tuning.stop_retry_interval
+        });
+        if due && self.is_long_running(run) {
             self.stop_run(id, run, now);
         }
     }
 
-    /// Sends a stop again that has not been answered, if it is still wanted.
-    pub(super) fn stop_again(&mut self, id: &HostId, run: &RunKey, now: DeskTime) {
-        if self.would_miss(id, run, now) {
-            self.take_back(id, run, now);
-        } else if self.may_have_started(id, run, now) {
-            self.look_before_stop(id, run, now);
+    /// Sends an unanswered stop again if it is still wanted.
+    pub(super) fn retry_stop(&mut self, id: &HostId, run: &RunKey, now: SchedulerTime) {
+        if self.stop_would_exceed_limit(id, run, now) {
+            self.withdraw_sent_stop(id, run, now);
+        } else if self.stop_may_hit_started_task(id, run, now) {
+            self.poll_before_stop(id, run, now);
         } else {
             self.stop_run(id, run, now);
         }
     }
 
-    /// Takes a stop back that was to close a start, since a look shows that start carried out.
-    pub(super) fn spare_late_start(&mut self, id: &HostId, run: &RunKey, now: DeskTime) {
-        let emptied = self.is_draining(id)
+    /// Withdraws the stop that was to fence a start, because a report shows the started run.
+    pub(super) fn withdraw_stop_of_late_start(
+        &mut self,
+        id: &HostId,
+        run: &RunKey,
+        now: SchedulerTime,
+    ) {
+        let draining = self.is_draining(id)
             || self
                 .targets
                 .get(id)
-                .is_some_and(|target| target.vacancy != HostVacancy::None);
-        if !emptied && self.stopping_place(id, run).is_some() && self.lasts(run) {
-            self.take_back(id, run, now);
+                .is_some_and(|target| target.drain != HostDrainState::None);
+        if !draining && self.stopping_placement(id, run).is_some() && self.is_long_running(run) {
+            self.withdraw_sent_stop(id, run, now);
         }
     }
 
-    /// Notes that a stop may be carried out late.
-    pub(super) fn doubt_stop(&mut self, id: &HostId, run: &RunKey, now: DeskTime) {
-        if let Some(place) = self.place_mut(id, run) {
+    /// Records that a stop may still be executed late.
+    pub(super) fn mark_stop_unconfirmed(&mut self, id: &HostId, run: &RunKey, now: SchedulerTime) {
+        if let Some(place) = self.placement_mut(id, run) {
             place.stop_sent = now.boot;
         }
     }
 
-    /// Takes a stop back that may have been sent, and may be carried out late.
-    fn take_back(&mut self, id: &HostId, run: &RunKey, now: DeskTime) {
-        self.leave_at_work(id, run, now);
-        self.doubt_stop(id, run, now);
+    /// Withdraws a stop that may have been sent and may still be executed late.
+    fn withdraw_sent_stop(&mut self, id: &HostId, run: &RunKey, now: SchedulerTime) {
+        self.keep_running(id, run, now);
+        self.mark_stop_unconfirmed(id, run, now);
     }
 
-    fn leave_at_work(&mut self, id: &HostId, run: &RunKey, now: DeskTime) {
-        self.stops.remove(&(id.clone(), run.clone()));
-        self.set_phase(id, run, PlacePhase::Running, now);
+    fn keep_running(&mut self, id: &HostId, run: &RunKey, now: SchedulerTime) {
+        self.pending_stops.remove(&(id.clone(), run.clone()));
+        self.set_run_phase(id, run, PlacementPhase::Running, now);
     }
 
-    /// True if a stop would end a task that a look has shown at work, while as many others of its
-    /// step are away as may be.
-    fn would_miss(&self, id: &HostId, run: &RunKey, now: DeskTime) -> bool {
-        let place = self.stopping_place(id, run);
-        let at_work = place.is_some_and(|place| place.seen && place.percent >= AT_WORK);
-        at_work && self.lasts(run) && !self.is_draining(id) && !self.may_stop(run, now)
+    /// Whether a stop would end a task that was reported as ready while its step already has as
+    /// many unavailable tasks as allowed.
+    fn stop_would_exceed_limit(&self, id: &HostId, run: &RunKey, now: SchedulerTime) -> bool {
+        let place = self.stopping_placement(id, run);
+        let ready = place.is_some_and(|place| place.confirmed && place.percent >= READY_PERCENT);
+        ready && self.is_long_running(run) && !self.is_draining(id) && !self.may_disrupt(run, now)
     }
 
-    /// True if a start that is to be closed may have been carried out since its target was heard
-    /// last, while as many others of its step are away as may be. Its stop would end a task at work.
-    fn may_have_started(&self, id: &HostId, run: &RunKey, now: DeskTime) -> bool {
+    /// Whether a start that is to be fenced may have been executed since the last report of its
+    /// target while its step already has as many unavailable tasks as allowed. The stop would end a
+    /// running task.
+    fn stop_may_hit_started_task(&self, id: &HostId, run: &RunKey, now: SchedulerTime) -> bool {
         let target = self.targets.get(id);
-        let fresh = target.is_some_and(|target| now.boot.saturating_sub(target.heard) < JUST_HEARD);
-        let closing = self.stopping_place(id, run).is_some() && self.lasts(run);
-        closing && !fresh && !self.is_draining(id) && !self.may_stop(run, now)
+        let recent = target.is_some_and(|target| {
+            now.boot.saturating_sub(target.last_response) < MAX_REPORT_AGE_FOR_STOP
+        });
+        let fencing = self.stopping_placement(id, run).is_some() && self.is_long_running(run);
+        fencing && !recent && !self.is_draining(id) && !self.may_disrupt(run, now)
     }
 
-    fn look_before_stop(&mut self, id: &HostId, run: &RunKey, now: DeskTime) {
-        self.stops.insert((id.clone(), run.clone()), now.boot);
-        self.orders.push(DeskOrder::Look(id.clone()));
+    fn poll_before_stop(&mut self, id: &HostId, run: &RunKey, now: SchedulerTime) {
+        self.pending_stops
+            .insert((id.clone(), run.clone()), now.boot);
+        self.actions.push(SchedulerAction::Poll(id.clone()));
     }
 
     fn is_draining(&self, id: &HostId) -> bool {
@@ -133,13 +142,13 @@
         target.is_some_and(|target| target.entry.mode == TargetMode::Draining)
     }
 
-    /// The place of a task whose stop has not been answered, and that is still wanted.
-    fn stopping_place(&self, id: &HostId, run: &RunKey) -> Option<&TaskPlace> {
-        self.board
+    /// Placement of a task with an unanswered stop whose job is still open.
+    fn stopping_placement(&self, id: &HostId, run: &RunKey) -> Option<&TaskPlacement> {
+        self.job_table
             .jobs
             .get(&run.0.job)
             .filter(|job| job.is_open())?;
-        let stopping = |place: &&TaskPlace| place.phase == PlacePhase::Stopping(false);
-        self.board.place_of(id, run).filter(stopping)
+        let stopping = |place: &&TaskPlacement| place.phase == PlacementPhase::Stopping(false);
+        self.job_table.placement_of(id, run).filter(stopping)
     }
 }
--- a/crates/decide/src/work/host_moves.rs
+++ b/crates/decide/src/work/host_moves.rs
@@ -5,62 +5,62 @@
 
 use model::{BootTime, HostId, PoolId, work::HostCondition};
 
-use super::{HostOrder, HostPlanner, WorkDesk, host_planner::HostView};
+use super::{HostOrder, HostPlanner, WorkScheduler, host_planner::HostView};
 
-/// Idle time after which a host that its pool does not need is switched off. A move costs as
-/// much as 1.1 s of a host at the prices measured, and it may be needed back.
-const IDLE_OFF: Duration = Duration::from_millis(1500);
-/// Idle time after which another pool that lacks hosts may have one.
-const IDLE_LEND: Duration = Duration::from_millis(100);
-/// Hosts that a pool keeps at least, however large the fleet.
-const KEPT_HOSTS: usize = 2;
-/// Part of an equal share of the fleet's hosts that an idle pool keeps: one third. A turn of a
-/// queue begins within a second, and a host that is off takes two to come. Keeping two hosts of a
-/// share of twelve was worth 0.002 to 0.015 less a day, in work that was late.
-const KEPT_PARTS: usize = 3;
+/// Idle time after which a host that its pool does not need is switched off. A move costs as much
+/// as 1.1 s of a host at the measured prices, and the host may be needed again.
+const SWITCH_OFF_AFTER: Duration = Duration::from_millis(1500);
+/// Idle time after which a host may be moved to another pool that lacks hosts.
+const LEND_AFTER: Duration = Duration::from_millis(100);
+/// Minimum number of hosts of a pool, however large the fleet.
+const MIN_IDLE_HOSTS: usize = 2;
+/// An idle pool keeps one third of an equal share of the fleet's hosts. A burst of a queue starts
+/// within a second, and a host that is switched off takes two seconds to start. With only two hosts
+/// of a share of twelve, a day's result was 0.002 to 0.015 lower because of late work.
+const IDLE_SHARE_DIVISOR: usize = 3;
 
-/// Hosts of one pool, in cores.
+/// Capacity of one pool.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct PoolRoom {
+pub(super) struct PoolCapacity {
     cores: f64,
     hosts: usize,
 }
 
 impl HostPlanner {
-    /// Gives hosts to pools that lack room, and switches off what no pool needs.
-    pub(super) fn plan_moves(&mut self, desk: &WorkDesk, now: BootTime) {
-        self.observe_pools(desk, now);
-        self.kept_hosts = self.kept_hosts(desk);
-        let standby = standby_pool(desk);
-        let mut rooms = self.rooms();
-        let pools: Vec<PoolId> = desk
-            .terms
+    /// Moves hosts to pools that lack capacity, and switches off hosts that no pool needs.
+    pub(super) fn plan_moves(&mut self, scheduler: &WorkScheduler, now: BootTime) {
+        self.observe_pools(scheduler, now);
+        self.min_idle_hosts = self.min_idle_hosts(scheduler);
+        let standby = standby_pool(scheduler);
+        let mut capacities = self.pool_capacities();
+        let pools: Vec<PoolId> = scheduler
+            .policy
             .pools
             .iter()
             .filter(|pool| !pool.standby)
             .map(|pool| pool.name.clone())
             .collect();
         for pool in &pools {
-            self.fill_pool(pool, standby.as_ref(), &mut rooms, now);
+            self.fill_pool(pool, standby.as_ref(), &mut capacities, now);
         }
-        self.bring_spares(desk, standby.as_ref(), &mut rooms, now);
+        self.provision_replacements(scheduler, standby.as_ref(), &mut capacities, now);
         if let Some(standby) = &standby {
-            self.switch_off(&pools, standby, &mut rooms, now);
+            self.switch_off(&pools, standby, &mut capacities, now);
         }
     }
 
-    /// True if a host that is switched off can be brought to a pool.
-    pub(super) fn has_reserve(&self, desk: &WorkDesk, now: BootTime) -> bool {
-        let standby = standby_pool(desk);
+    /// Returns true if a host that is switched off can be moved to a pool.
+    pub(super) fn has_standby_host(&self, scheduler: &WorkScheduler, now: BootTime) -> bool {
+        let standby = standby_pool(scheduler);
         let mut hosts = self.hosts.values();
         hosts.any(|view| standby.as_ref() == Some(&view.fleet.pool) && is_free(view, now))
     }
 
-    /// Pools that have less room than they need.
-    pub(super) fn short_pools(&self) -> BTreeSet<PoolId> {
-        let rooms = self.rooms();
+    /// Returns the pools that have less capacity than they need.
+    pub(super) fn pools_below_demand(&self) -> BTreeSet<PoolId> {
+        let capacities = self.pool_capacities();
         let pools = self.hosts.values().map(|view| &view.fleet.pool);
-        let short = pools.filter(|pool| self.surplus(pool, &rooms) < 0.0);
+        let short = pools.filter(|pool| self.surplus(pool, &capacities) < 0.0);
         short.cloned().collect()
     }
 
@@ -68,28 +68,29 @@
         &mut self,
         pool: &PoolId,
         standby: Option<&PoolId>,
-        rooms: &mut BTreeMap<PoolId, PoolRoom>,
+        pool_capacities: &mut BTreeMap<PoolId, PoolCapacity>,
         now: BootTime,
     ) {
         loop {
-            let room = rooms.get(pool).copied().unwrap_or_default();
-            if room.cores >= self.meter.wanted(pool) && room.hosts >= self.least_hosts(pool) {
+            let capacity = pool_capacities.get(pool).copied().unwrap_or_default();
+            if capacity.cores >= self.meter.desired(pool) && capacity.hosts >= self.min_hosts(pool)
+            {
                 return;
             }
-            let Some(host) = self.lender(pool, standby, rooms, now, |_| true) else {
+            let Some(host) = self.donor(pool, standby, pool_capacities, now, |_| true) else {
                 return;
             };
-            self.shift(&host, pool, rooms);
+            self.order_move(&host, pool, pool_capacities);
         }
     }
 
-    /// A host that another pool can lend and that suits: one that is switched off, otherwise an
-    /// idle one.
-    pub(super) fn lender(
+    /// Returns a host that another pool can donate and that `suits` accepts: preferably one that is
+    /// switched off, otherwise an idle one from the pool with the largest surplus.
+    pub(super) fn donor(
         &self,
         pool: &PoolId,
         standby: Option<&PoolId>,
-        rooms: &BTreeMap<PoolId, PoolRoom>,
+        pool_capacities: &BTreeMap<PoolId, PoolCapacity>,
         now: BootTime,
         suits: impl Fn(&HostView) -> bool,
     ) -> Option<HostId> {
@@ -103,18 +104,19 @@
         };
         let mut best: Option<(bool, f64, &HostView)> = None;
         for view in self.hosts.values().filter(free) {
-            let off = standby == Some(&view.fleet.pool);
+            let switched_off = standby == Some(&view.fleet.pool);
             let idle = view
                 .idle_since
                 .map_or(Duration::ZERO, |since| now.saturating_sub(since));
-            if !off && (idle < IDLE_LEND || !self.can_lend(view, rooms)) {
+            if !switched_off && (idle < LEND_AFTER || !self.can_lend(view, pool_capacities)) {
                 continue;
             }
-            let surplus = self.surplus(&view.fleet.pool, rooms);
-            let better =
-                best.is_none_or(|(off_before, most, _)| (off, surplus) > (off_before, most));
+            let surplus = self.surplus(&view.fleet.pool, pool_capacities);
+            let better = best.is_none_or(|(best_switched_off, best_surplus, _)| {
+                (switched_off, surplus) > (best_switched_off, best_surplus)
+            });
             if better {
-                best = Some((off, surplus, view));
+                best = Some((switched_off, surplus, view));
             }
         }
         best.map(|(_, _, view)| view.fleet.host.clone())
@@ -124,7 +126,7 @@
         &mut self,
         pools: &[PoolId],
         standby: &PoolId,
-        rooms: &mut BTreeMap<PoolId, PoolRoom>,
+        pool_capacities: &mut BTreeMap<PoolId, PoolCapacity>,
         now: BootTime,
     ) {
         let idle = |view: &HostView| {
@@ -132,7 +134,7 @@
                 && pools.contains(&view.fleet.pool)
                 && view
                     .idle_since
-                    .is_some_and(|since| now.saturating_sub(since) >= IDLE_OFF)
+                    .is_some_and(|since| now.saturating_sub(since) >= SWITCH_OFF_AFTER)
                 && !self
                     .refused_moves
                     .contains(&(view.fleet.host.clone(), standby.clone()))
@@ -147,129 +149,142 @@
             let Some(view) = self.hosts.get(&host) else {
                 continue;
             };
-            let room = rooms.get(&view.fleet.pool).copied().unwrap_or_default();
-            let left = room.cores - cores(view);
-            let least = self.least_hosts(&view.fleet.pool);
-            if left >= self.meter.kept(&view.fleet.pool) && room.hosts > least {
-                self.shift(&host, standby, rooms);
+            let capacity = pool_capacities
+                .get(&view.fleet.pool)
+                .copied()
+                .unwrap_or_default();
+            let left = capacity.cores - host_cores(view);
+            let min_hosts = self.min_hosts(&view.fleet.pool);
+            if left >= self.meter.floor(&view.fleet.pool) && capacity.hosts > min_hosts {
+                self.order_move(&host, standby, pool_capacities);
             }
         }
     }
 
-    pub(super) fn shift(
+    pub(super) fn order_move(
         &mut self,
         host: &HostId,
         to: &PoolId,
-        rooms: &mut BTreeMap<PoolId, PoolRoom>,
+        pool_capacities: &mut BTreeMap<PoolId, PoolCapacity>,
     ) {
         let Some(view) = self.hosts.get(host) else {
             return;
         };
-        let size = cores(view);
-        if let Some(room) = rooms.get_mut(&view.fleet.pool) {
-            room.cores -= size;
-            room.hosts = room.hosts.saturating_sub(1);
+        let size = host_cores(view);
+        if let Some(capacity) = pool_capacities.get_mut(&view.fleet.pool) {
+            capacity.cores -= size;
+            capacity.hosts = capacity.hosts.saturating_sub(1);
         }
-        let room = rooms.entry(to.clone()).or_default();
-        room.cores += size;
-        room.hosts += 1;
-        self.begin_errand(host, HostOrder::Move(host.clone(), to.clone()));
+        let capacity = pool_capacities.entry(to.clone()).or_default();
+        capacity.cores += size;
+        capacity.hosts += 1;
+        self.begin_operation(host, HostOrder::Move(host.clone(), to.clone()));
     }
 
-    fn can_lend(&self, view: &HostView, rooms: &BTreeMap<PoolId, PoolRoom>) -> bool {
-        let room = rooms.get(&view.fleet.pool).copied().unwrap_or_default();
-        let least = self.least_hosts(&view.fleet.pool);
-        room.hosts > least && self.surplus(&view.fleet.pool, rooms) >= cores(view)
+    fn can_lend(&self, view: &HostView, capacities: &BTreeMap<PoolId, PoolCapacity>) -> bool {
+        let capacity = capacities
+            .get(&view.fleet.pool)
+            .copied()
+            .unwrap_or_default();
+        let min_hosts = self.min_hosts(&view.fleet.pool);
+        capacity.hosts > min_hosts && self.surplus(&view.fleet.pool, capacities) >= host_cores(view)
     }
 
-    /// Hosts that an idle pool keeps for the first tasks of a turn.
-    fn kept_hosts(&self, desk: &WorkDesk) -> usize {
-        let serving = desk.terms.pools.iter().filter(|pool| !pool.standby);
+    /// Returns the number of hosts that an idle pool keeps for the first tasks of a burst.
+    fn min_idle_hosts(&self, scheduler: &WorkScheduler) -> usize {
+        let serving = scheduler.policy.pools.iter().filter(|pool| !pool.standby);
         let share = self.hosts.len() / serving.count().max(1);
-        (share / KEPT_PARTS).max(KEPT_HOSTS)
+        (share / IDLE_SHARE_DIVISOR).max(MIN_IDLE_HOSTS)
     }
 
-    /// Hosts below which a pool does not go.
-    fn least_hosts(&self, pool: &PoolId) -> usize {
-        let needed = self.apart.get(pool).copied().unwrap_or_default();
-        needed.max(self.kept_hosts)
+    /// Returns the minimum number of hosts of a pool.
+    fn min_hosts(&self, pool: &PoolId) -> usize {
+        let needed = self
+            .anti_affinity_hosts
+            .get(pool)
+            .copied()
+            .unwrap_or_default();
+        needed.max(self.min_idle_hosts)
     }
 
-    fn surplus(&self, pool: &PoolId, rooms: &BTreeMap<PoolId, PoolRoom>) -> f64 {
-        let room = rooms.get(pool).copied().unwrap_or_default();
-        room.cores - self.meter.wanted(pool)
+    fn surplus(&self, pool: &PoolId, capacities: &BTreeMap<PoolId, PoolCapacity>) -> f64 {
+        let capacity = capacities.get(pool).copied().unwrap_or_default();
+        capacity.cores - self.meter.desired(pool)
     }
 
-    /// What each pool has or will have, moves under way included.
-    fn rooms(&self) -> BTreeMap<PoolId, PoolRoom> {
-        let mut rooms: BTreeMap<PoolId, PoolRoom> = BTreeMap::new();
+    /// Returns the capacity of each pool, including hosts that are being moved to it.
+    fn pool_capacities(&self) -> BTreeMap<PoolId, PoolCapacity> {
+        let mut capacities: BTreeMap<PoolId, PoolCapacity> = BTreeMap::new();
         for view in self.hosts.values() {
-            let pool = match view.errand.as_ref().map(|errand| &errand.order) {
+            let pool = match view.operation.as_ref().map(|errand| &errand.order) {
                 Some(HostOrder::Move(_, pool)) => pool,
                 Some(HostOrder::Maintain(..)) | None => &view.fleet.pool,
             };
-            let gone = view.fleet.condition == HostCondition::Down && view.errand.is_none();
-            if gone {
+            let is_lost = view.fleet.condition == HostCondition::Down && view.operation.is_none();
+            if is_lost {
                 continue;
             }
-            let room = rooms.entry(pool.clone()).or_default();
-            room.cores += cores(view);
-            room.hosts += 1;
+            let capacity = capacities.entry(pool.clone()).or_default();
+            capacity.cores += host_cores(view);
+            capacity.hosts += 1;
         }
-        rooms
+        capacities
     }
 
-    fn observe_pools(&mut self, desk: &WorkDesk, now: BootTime) {
-        for pool in &desk.terms.pools {
-            let (present, lasting) = desk.pool_need(&pool.name);
-            self.meter.observe(&pool.name, present, lasting, now);
-            self.apart
-                .insert(pool.name.clone(), desk.hosts_apart(&pool.name));
+    fn observe_pools(&mut self, scheduler: &WorkScheduler, now: BootTime) {
+        for pool in &scheduler.policy.pools {
+            let (present, long_running) = scheduler.core_demand(&pool.name);
+            self.meter.observe(&pool.name, present, long_running, now);
+            self.anti_affinity_hosts
+                .insert(pool.name.clone(), scheduler.anti_affinity_hosts(&pool.name));
         }
     }
 }
 
-impl WorkDesk {
-    /// Cores that the open jobs of a pool need: for what runs or could start now, and, apart,
-    /// for tasks that last.
-    fn pool_need(&self, pool: &PoolId) -> (f64, f64) {
-        let need = self.index.jobs.need(pool);
-        (thousandths(need.present), thousandths(need.lasting))
+impl WorkScheduler {
+    /// Returns the cores that the open jobs of a pool need: first for tasks that run or could start
+    /// now, then for long-running tasks.
+    fn core_demand(&self, pool: &PoolId) -> (f64, f64) {
+        let need = self.index.jobs.demand(pool);
+        (
+            millicores_to_cores(need.present),
+            millicores_to_cores(need.long_running),
+        )
     }
 
-    /// Hosts that a pool needs for the tasks of one step that may not share a host, and one
-    /// more: a task that has to leave its host needs another to go to.
-    fn hosts_apart(&self, pool: &PoolId) -> usize {
-        let hosts = self.index.jobs.apart(pool);
+    /// Returns the number of hosts that a pool needs for the tasks of a step with anti-affinity,
+    /// plus one: a task that has to leave its host needs another host to move to.
+    fn anti_affinity_hosts(&self, pool: &PoolId) -> usize {
+        let hosts = self.index.jobs.anti_affinity_hosts(pool);
         let spare = usize::from(hosts > 0);
-        let starved = self.starved.keys().any(|step| {
-            let job = self.board.jobs.get(&step.job);
+        let starved = self.unplaced_since.keys().any(|step| {
+            let job = self.job_table.jobs.get(&step.job);
             job.is_some_and(|job| job.pool == *pool)
         });
         hosts + spare + usize::from(starved)
     }
 }
 
-fn standby_pool(desk: &WorkDesk) -> Option<PoolId> {
-    let standby = desk.terms.pools.iter().find(|pool| pool.standby);
+fn standby_pool(scheduler: &WorkScheduler) -> Option<PoolId> {
+    let standby = scheduler.policy.pools.iter().find(|pool| pool.standby);
     standby.map(|pool| pool.name.clone())
 }
 
 fn is_free(view: &HostView, now: BootTime) -> bool {
-    view.errand.is_none()
+    view.operation.is_none()
         && view.fleet.condition == HostCondition::Up
         && view.idle_since.is_some()
         && now >= view.not_before
 }
 
-fn cores(view: &HostView) -> f64 {
-    thousandths(view.fleet.capacity.cpu)
+fn host_cores(view: &HostView) -> f64 {
+    millicores_to_cores(view.fleet.capacity.cpu)
 }
 
 #[expect(
     clippy::cast_precision_loss,
     reason = "cores of a pool are far below 2^52"
 )]
-pub(super) fn thousandths(cpu: u64) -> f64 {
+pub(super) fn millicores_to_cores(cpu: u64) -> f64 {
     cpu as f64 / 1000.0
 }
--- /dev/null
+++ b/crates/decide/src/work/job_summary.rs
@@ -0,0 +1,206 @@
+use compact_str::CompactString;
+use model::{
+    BootTime, PoolId, WorkspaceId,
+    work::{FleetPolicy, ResourceVector},
+};
+
+use super::{
+    OccurrenceState, StepState, WorkJob, WorkPhase,
+    objective::{RankClass, rank},
+    ranked_steps::WaitingStep,
+    step_key::StepKey,
+};
+
+/// Key of a group of steps that are started or skipped together.
+#[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct WaitingGroup {
+    /// Workspace whose limit applies.
+    pub(super) workspace: WorkspaceId,
+    /// Whether a predecessor may have started tasks of these steps.
+    pub(super) inherited: bool,
+}
+
+/// Processor demand of the open jobs of a pool, in thousandths of a core.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) struct CoreDemand {
+    /// Demand of tasks that run or could start now.
+    pub(super) present: u64,
+    /// Demand of long-running tasks.
+    pub(super) long_running: u64,
+}
+
+/// Number of unstarted tasks of the open jobs of a pool, including tasks of steps that wait for
+/// other steps. Long-running tasks are not counted.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) struct PoolBacklog {
+    /// Tasks within the share of their workspace that can be on time, or that will be late but
+    /// still count.
+    pub(super) not_overdue: u64,
+    /// Tasks within the share that are too late to count.
+    pub(super) overdue: u64,
+    /// Tasks beyond the share.
+    pub(super) beyond_share: u64,
+}
+
+impl PoolBacklog {
+    pub(super) fn plus(self, other: Self) -> Self {
+        Self {
+            not_overdue: self.not_overdue + other.not_overdue,
+            overdue: self.overdue + other.overdue,
+            beyond_share: self.beyond_share + other.beyond_share,
+        }
+    }
+
+    pub(super) fn minus(self, other: Self) -> Self {
+        Self {
+            not_overdue: self.not_overdue - other.not_overdue,
+            overdue: self.overdue - other.overdue,
+            beyond_share: self.beyond_share - other.beyond_share,
+        }
+    }
+
+    /// Returns the number of tasks within the share of their workspace.
+    pub(super) fn within_share(&self) -> u64 {
+        self.not_overdue + self.overdue
+    }
+
+    /// Returns the total number of tasks.
+    pub(super) fn all(&self) -> u64 {
+        self.within_share() + self.beyond_share
+    }
+}
+
+/// Summary of a job for the index.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub(super) struct JobSummary {
+    pub(super) pool: PoolId,
+    pub(super) group: WaitingGroup,
+    pub(super) waiting_steps: Vec<WaitingStep>,
+    pub(super) rerank_at: Option<BootTime>,
+    /// Queue of the job, if the job is open and no task has started.
+    pub(super) pending_queue: Option<CompactString>,
+    pub(super) demand: CoreDemand,
+    pub(super) backlog: PoolBacklog,
+    pub(super) unconfirmed_usage: ResourceVector,
+    pub(super) anti_affinity_hosts: usize,
+    pub(super) has_future_occurrences: bool,
+    pub(super) has_gang: bool,
+    pub(super) ended_at: Option<BootTime>,
+}
+
+impl JobSummary {
+    pub(super) fn of_job(job: &WorkJob, terms: &FleetPolicy, now: BootTime) -> Self {
+        let mut summary = Self {
+            pool: job.pool.clone(),
+            ..Self::default()
+        };
+        summary.group = WaitingGroup {
+            workspace: job.workspace.clone(),
+            inherited: job.inherited,
+        };
+        // Tasks of a cancelled or failed job may run on until they are stopped on their targets.
+        if job.inherited && job.phase != WorkPhase::Completed {
+            summary.unconfirmed_usage = unconfirmed_usage(job);
+        }
+        if !job.is_open() {
+            summary.ended_at = (job.unstored_entries == 0).then_some(job.ended);
+            return summary;
+        }
+        summary.pending_queue = (!job.started).then(|| job.queue.clone());
+        summary.has_future_occurrences = job.opened < job.plan.occurrences();
+        summary.has_gang = job.plan.steps.iter().any(|step| step.gang);
+        let with_anti_affinity = job.plan.steps.iter().filter(|step| step.anti_affinity > 0);
+        let hosts = with_anti_affinity.map(|step| step.count.div_ceil(step.anti_affinity));
+        summary.anti_affinity_hosts = hosts.max().unwrap_or_default() as usize;
+        summary.add_steps(job, terms, now);
+        summary
+    }
+
+    fn add_steps(&mut self, job: &WorkJob, terms: &FleetPolicy, now: BootTime) {
+        let queue = terms.queue(&job.queue);
+        let advised = queue.is_some_and(|queue| queue.advice.is_some());
+        for (&number, occurrence) in &job.occurrences {
+            let mut ranked = None;
+            let unstarted = unstarted(job, occurrence);
+            if unstarted > 0 && job.phase != WorkPhase::CancelPending {
+                let (rank, until) =
+                    *ranked.get_or_insert_with(|| rank(job, occurrence, queue, now));
+                self.rerank_at = until.into_iter().chain(self.rerank_at).min();
+                match rank.class {
+                    _ if job.beyond_share => self.backlog.beyond_share += unstarted,
+                    RankClass::Overdue => self.backlog.overdue += unstarted,
+                    _ => self.backlog.not_overdue += unstarted,
+                }
+            }
+            for (step, state) in occurrence.steps.iter().enumerate() {
+                if state.is_done() || !occurrence.is_step_ready(&job.plan, step) {
+                    continue;
+                }
+                let plan = &job.plan.steps[step];
+                let remaining = u64::from(plan.count.saturating_sub(state.done));
+                let cpu = plan.footprint().cpu * remaining;
+                if plan.long_running {
+                    self.demand.long_running += cpu;
+                } else {
+                    self.demand.present += cpu;
+                }
+                let all_placed = (state.done + state.placed) as usize >= state.tasks.len();
+                if all_placed || job.phase == WorkPhase::CancelPending {
+                    continue;
+                }
+                let (rank, until) =
+                    *ranked.get_or_insert_with(|| rank(job, occurrence, queue, now));
+                self.rerank_at = until.into_iter().chain(self.rerank_at).min();
+                // Long-running tasks may be placed on a target that is draining or paused, and
+                // advice is requested early. So these steps are considered regardless of free
+                // resources.
+                let needs_resources = !plan.long_running && !advised;
+                let (resources, charged) = match needs_resources {
+                    true => (plan.footprint(), plan.resources),
+                    false => Default::default(),
+                };
+                self.waiting_steps.push(WaitingStep {
+                    rank,
+                    step: StepKey {
+                        job: job.id.clone(),
+                        occurrence: number,
+                        step: u32::try_from(step).unwrap_or(u32::MAX),
+                    },
+                    resources,
+                    charged,
+                });
+            }
+        }
+    }
+
+    /// Returns true if a task may be able to start because of the changes since `before`.
+    pub(super) fn has_new_work(&self, before: &Self) -> bool {
+        let is_new = |step: &WaitingStep| !before.waiting_steps.contains(step);
+        self.waiting_steps.iter().any(is_new)
+            || before.pool != self.pool
+            || before.group.inherited != self.group.inherited
+    }
+}
+
+/// Returns the number of unstarted tasks of an occurrence, without long-running ones.
+fn unstarted(job: &WorkJob, occurrence: &OccurrenceState) -> u64 {
+    let steps = occurrence.steps.iter().zip(&job.plan.steps);
+    let steps = steps.filter(|(_, plan)| !plan.long_running);
+    let remaining = |state: &StepState| {
+        let done_or_placed = u64::from(state.done) + u64::from(state.placed);
+        (state.tasks.len() as u64).saturating_sub(done_or_placed)
+    };
+    steps.map(|(state, _)| remaining(state)).sum()
+}
+
+/// Returns the resources of tasks of a job that are neither done nor known to run, but that a
+/// predecessor may have started.
+fn unconfirmed_usage(job: &WorkJob) -> ResourceVector {
+    let steps = job
+        .occurrences
+        .values()
+        .flat_map(|occurrence| occurrence.steps.iter().zip(&job.plan.steps));
+    let resources =
+        steps.map(|(state, plan)| plan.resources.times(u64::from(state.waiting_tasks())));
+    resources.fold(ResourceVector::default(), ResourceVector::plus)
+}
--- a/crates/decide/src/work/mod.rs
+++ b/crates/decide/src/work/mod.rs
@@ -1,63 +1,65 @@
-//! Decisions of the owner of a cell: which task starts where and when, what becomes of an
-//! end, and which orders are in doubt.
+//! Scheduling decisions of the owner of a cell: which task starts where and when, how ended runs
+//! are handled, and which orders are unconfirmed.
 //!
-//! Start with [`WorkDesk`]. It is told of accepted jobs, of targets and of what they say, and
-//! it returns orders; the crate `cell` carries them out. Ownership, fencing and the job log
-//! are argued in `docs/design/13-platform.md`.
+//! Start with [`WorkScheduler`]. It receives accepted jobs, the host list and the reports of targets,
+//! and returns the actions that the crate `cell` executes. Ownership, fencing and the job log are
+//! described in `docs/design/13-platform.md`.
 
+mod compacted_log;
 mod demand_meter;
 mod desk_admit;
-mod desk_advice;
-mod desk_answer;
-mod desk_claim;
-mod desk_end;
-mod desk_evacuate;
 mod desk_index;
 mod desk_life;
-mod desk_miss;
-mod desk_order;
-mod desk_plan;
 mod desk_sight;
-mod desk_start;
 mod desk_stop;
 mod desk_tick;
 mod desk_tuning;
 mod host_moves;
 mod host_planner;
-mod host_spares;
+mod host_replacements;
 mod host_waves;
-mod job_board;
 mod job_entries;
-mod job_facts;
 mod job_index;
 mod job_record;
+mod job_summary;
+mod job_table;
 mod objective;
-mod pace;
 mod pick;
 mod ranked_steps;
+mod scheduler_action;
+mod scheduler_advice;
+mod scheduler_answer;
+mod scheduler_claim;
+mod scheduler_end;
+mod scheduler_evacuate;
+mod scheduler_plan;
+mod scheduler_start;
+mod scheduler_unreachable;
 mod share_meter;
-mod short_log;
 mod start_forecast;
 mod step_key;
 mod target_index;
 mod target_state;
+mod throttle;
 mod tracked_map;
-mod work_desk;
 mod work_job;
+mod work_scheduler;
 
+pub use compacted_log::CompactedLog;
 pub use demand_meter::DemandMeter;
-pub use desk_index::DeskEffort;
-pub use desk_order::{DeskEvent, DeskOrder, EndOrigin, PlaceInputs, RecordOrder};
-pub use desk_tuning::DeskTuning;
+pub use desk_index::WorkCounters;
+pub use desk_tuning::SchedulerTuning;
 pub use host_planner::{HostOrder, HostPlanner};
-pub use job_board::JobBoard;
 pub use job_record::{plan_of_record, record_of_plan};
+pub use job_table::JobTable;
 pub use objective::RankClass;
-pub use short_log::ShortLog;
+pub use scheduler_action::{
+    EndOrigin, LogAppend, PlacementInputs, SchedulerAction, SchedulerEvent,
+};
 pub use start_forecast::StartForecast;
-pub use target_state::{HostVacancy, TargetLife, TargetState};
+pub use target_state::{HostDrainState, TargetIncarnation, TargetState};
 pub use tracked_map::TrackedMap;
-pub use work_desk::{DeskTime, WorkDesk};
 pub use work_job::{
-    OccurrenceState, PlacePhase, StepState, TaskPlace, TaskState, WorkJob, WorkPhase,
+    OccurrenceState, PlacementPhase, StepState, TaskPlacement, TaskState, WorkJob, WorkPhase,
 };
+pub use work_scheduler::{SchedulerTime, WorkScheduler};
--- a/crates/decide/src/work/ranked_steps.rs
+++ b/crates/decide/src/work/ranked_steps.rs
@@ -1,30 +1,30 @@
-use model::work::HostRoom;
+use model::work::ResourceVector;
 
 use super::{objective::StartRank, step_key::StepKey};
 
-/// Steps that are kept together; a larger block is split into two.
-const MOST_IN_BLOCK: usize = 64;
+/// Maximum number of steps in a block; a larger block is split in two.
+const MAX_BLOCK_STEPS: usize = 64;
 
-/// A step with tasks that wait.
+/// A step with waiting tasks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct WaitingStep {
-    /// When it gets room, compared with others.
+    /// Rank that decides the order in which steps get resources.
     pub(super) rank: StartRank,
     /// The step.
     pub(super) step: StepKey,
-    /// Room that a target must have for it to be looked at.
-    pub(super) room: HostRoom,
-    /// What its workspace must have left for it to be looked at.
-    pub(super) need: HostRoom,
+    /// Resources that a target must have free for the step to be considered.
+    pub(super) resources: ResourceVector,
+    /// Resources that its workspace must have left for the step to be considered.
+    pub(super) charged: ResourceVector,
 }
 
 impl WaitingStep {
-    /// What it is ordered by.
+    /// Returns the key that steps are ordered by.
     pub(super) fn key(&self) -> StepRank {
         (self.rank, self.step.clone())
     }
 
-    /// True if it gets room before another.
+    /// Returns true if this step gets resources before `other`.
     pub(super) fn is_before_step(&self, other: &Self) -> bool {
         (&self.rank, &self.step) < (&other.rank, &other.step)
     }
@@ -33,39 +33,42 @@
         (&self.rank, &self.step) < (&key.0, &key.1)
     }
 
-    fn is_at(&self, key: &StepRank) -> bool {
+    fn has_key(&self, key: &StepRank) -> bool {
         (&self.rank, &self.step) == (&key.0, &key.1)
     }
 }
 
-/// What steps are ordered by.
+/// Key that steps are ordered by.
 pub(super) type StepRank = (StartRank, StepKey);
 
-/// What may be looked at: what fits nowhere in the pool, or goes beyond its workspace's limit, is
-/// passed over.
+/// Filter for steps that may start: skips steps that fit on no target of the pool or that exceed
+/// their workspace's limit.
 #[derive(Clone, Debug)]
 pub(super) struct StepFilter<'a> {
-    /// The most that a target of the pool has, of each resource by itself.
-    pub(super) room: HostRoom,
-    /// What the workspace may still take.
-    pub(super) left: HostRoom,
-    /// Rooms that were looked for in vain.
-    pub(super) refused: &'a [HostRoom],
+    /// Maximum free resources of any target of the pool, component by component.
+    pub(super) max_free: ResourceVector,
+    /// Resources that the workspace may still use.
+    pub(super) workspace_left: ResourceVector,
+    /// Amounts of resources for which no target was found.
+    pub(super) unplaceable: &'a [ResourceVector],
 }
 
 impl StepFilter<'_> {
-    fn admits(&self, room: HostRoom, need: HostRoom) -> bool {
-        room.fits(self.room)
-            && need.fits(self.left)
-            && !self.refused.iter().any(|refused| refused.fits(room))
+    fn admits(&self, resources: ResourceVector, charged: ResourceVector) -> bool {
+        resources.fits_in(self.max_free)
+            && charged.fits_in(self.workspace_left)
+            && !self
+                .unplaceable
+                .iter()
+                .any(|amount| amount.fits_in(resources))
     }
 }
 
-/// Steps of one workspace that wait for one pool, the next to be started first.
+/// Waiting steps of one workspace in one pool, in starting order.
 ///
-/// The pattern it answers: in its turn a pool is full and thousands of steps wait. Blocks know the
-/// least that one of their steps needs, so that the first step that may fit is found without
-/// looking at all before it.
+/// In a burst a pool is full and thousands of steps wait. Each block stores the minimum that any of
+/// its steps needs, so that the first step that may fit is found without visiting all steps before
+/// it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RankedSteps {
     blocks: Vec<StepBlock>,
@@ -74,30 +77,32 @@
 #[derive(Clone, Debug)]
 struct StepBlock {
     steps: Vec<WaitingStep>,
-    least_room: HostRoom,
-    least_need: HostRoom,
+    min_resources: ResourceVector,
+    min_charged: ResourceVector,
 }
 
 impl RankedSteps {
     /// Adds a step.
     pub(super) fn insert(&mut self, step: WaitingStep) {
         let key = step.key();
-        let at = self.block_of(&key).min(self.blocks.len().saturating_sub(1));
+        let at = self
+            .block_index(&key)
+            .min(self.blocks.len().saturating_sub(1));
         let Some(block) = self.blocks.get_mut(at) else {
             self.blocks.push(StepBlock::new(vec![step]));
             return;
         };
         block.insert(step, &key);
-        if block.steps.len() > MOST_IN_BLOCK {
-            let rest = block.steps.split_off(MOST_IN_BLOCK / 2);
-            block.measure();
+        if block.steps.len() > MAX_BLOCK_STEPS {
+            let rest = block.steps.split_off(MAX_BLOCK_STEPS / 2);
+            block.recompute_minimums();
             self.blocks.insert(at + 1, StepBlock::new(rest));
         }
     }
 
     /// Removes a step.
     pub(super) fn remove(&mut self, key: &StepRank) {
-        let at = self.block_of(key);
+        let at = self.block_index(key);
         let Some(block) = self.blocks.get_mut(at) else {
             return;
         };
@@ -107,46 +112,46 @@
         }
     }
 
-    /// The first step after a place that a filter admits, and how many steps and blocks of steps
-    /// were looked at.
+    /// Returns the first step after `after` that the filter admits, and the number of steps and
+    /// blocks visited.
     pub(super) fn next(
         &self,
         after: Option<&StepRank>,
         filter: &StepFilter<'_>,
     ) -> (Option<&WaitingStep>, u64) {
-        let mut looked = 0;
-        let first = after.map_or(0, |key| self.block_of(key));
+        let mut visited = 0;
+        let first = after.map_or(0, |key| self.block_index(key));
         for block in self.blocks.iter().skip(first) {
-            looked += 1;
-            if !filter.admits(block.least_room, block.least_need) {
+            visited += 1;
+            if !filter.admits(block.min_resources, block.min_charged) {
                 continue;
             }
             for step in &block.steps {
-                let passed = after.is_some_and(|key| step.is_before(key) || step.is_at(key));
-                if passed {
+                let is_passed = after.is_some_and(|key| step.is_before(key) || step.has_key(key));
+                if is_passed {
                     continue;
                 }
-                looked += 1;
-                if filter.admits(step.room, step.need) {
-                    return (Some(step), looked);
+                visited += 1;
+                if filter.admits(step.resources, step.charged) {
+                    return (Some(step), visited);
                 }
             }
         }
-        (None, looked)
+        (None, visited)
     }
 
-    /// True if nothing waits.
+    /// Returns true if no step waits.
     pub(super) fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 
-    /// All steps, the first to be started first.
+    /// Returns all steps in starting order.
     fn steps(&self) -> impl Iterator<Item = &WaitingStep> {
         self.blocks.iter().flat_map(|block| &block.steps)
     }
 
-    /// The block that holds a key, or would.
-    fn block_of(&self, key: &StepRank) -> usize {
+    /// Returns the index of the block that holds a key, or that would hold it.
+    fn block_index(&self, key: &StepRank) -> usize {
         let ends_before = |block: &StepBlock| {
             let last = block.steps.last();
             last.is_some_and(|last| last.is_before(key))
@@ -165,34 +170,34 @@
     fn new(steps: Vec<WaitingStep>) -> Self {
         let mut block = Self {
             steps,
-            least_room: HostRoom::default(),
-            least_need: HostRoom::default(),
+            min_resources: ResourceVector::default(),
+            min_charged: ResourceVector::default(),
         };
-        block.measure();
+        block.recompute_minimums();
         block
     }
 
     fn insert(&mut self, step: WaitingStep, key: &StepRank) {
-        self.least_room = self.least_room.smaller(step.room);
-        self.least_need = self.least_need.smaller(step.need);
+        self.min_resources = self.min_resources.min_each(step.resources);
+        self.min_charged = self.min_charged.min_each(step.charged);
         let at = self.steps.partition_point(|other| other.is_before(key));
         self.steps.insert(at, step);
     }
 
     fn remove(&mut self, key: &StepRank) {
         let at = self.steps.partition_point(|other| other.is_before(key));
-        if self.steps.get(at).is_some_and(|step| step.is_at(key)) {
+        if self.steps.get(at).is_some_and(|step| step.has_key(key)) {
             self.steps.remove(at);
-            self.measure();
+            self.recompute_minimums();
         }
     }
 
-    fn measure(&mut self) {
-        let mut rooms = self.steps.iter().map(|step| step.room);
-        let first = rooms.next().unwrap_or_default();
-        self.least_room = rooms.fold(first, HostRoom::smaller);
-        let mut needs = self.steps.iter().map(|step| step.need);
-        let first = needs.next().unwrap_or_default();
-        self.least_need = needs.fold(first, HostRoom::smaller);
+    fn recompute_minimums(&mut self) {
+        let mut resources = self.steps.iter().map(|step| step.resources);
+        let first = resources.next().unwrap_or_default();
+        self.min_resources = resources.fold(first, ResourceVector::min_each);
+        let mut charged = self.steps.iter().map(|step| step.charged);
+        let first = charged.next().unwrap_or_default();
+        self.min_charged = charged.fold(first, ResourceVector::min_each);
     }
 }
--- a/crates/decide/src/work/desk_claim.rs
+++ b/crates/decide/src/work/scheduler_claim.rs
@@ -1,15 +1,15 @@
 use model::{HostId, work::TaskKey};
 
 use super::{
-    WorkDesk,
+    WorkScheduler,
     target_state::{RunClaim, RunKey},
 };
 
-/// The books of what runs take: of a target's room, and of their workspace's limit.
-impl WorkDesk {
-    /// Takes room and a part of the workspace's limit for a run.
+/// Accounting of what runs use: the capacity of a target and the limit of their workspace.
+impl WorkScheduler {
+    /// Reserves capacity and a part of the workspace's limit for a run.
     pub(super) fn claim(&mut self, id: &HostId, run: RunKey) {
-        let claim = self.claim_of(&run.0);
+        let claim = self.claim_for_task(&run.0);
         let Some(target) = self.targets.get_mut(id) else {
             return;
         };
@@ -17,25 +17,28 @@
             return;
         }
         self.index.runs.insert((run.0.clone(), run.1, id.clone()));
-        let usage = self.usage.entry(claim.workspace.clone()).or_default();
-        *usage = usage.plus(claim.need);
+        let usage = self
+            .workspace_usage
+            .entry(claim.workspace.clone())
+            .or_default();
+        *usage = usage.plus(claim.charged);
         target.claim(run, claim);
     }
 
-    /// Gives back what a run took; nothing of it can be on the target any more.
-    pub(super) fn unclaim(&mut self, id: &HostId, run: &RunKey) {
+    /// Releases what a run reserved. The run must not be on the target any more.
+    pub(super) fn release_claim(&mut self, id: &HostId, run: &RunKey) {
         let Some(claim) = self
             .targets
             .get_mut(id)
-            .and_then(|target| target.unclaim(run))
+            .and_then(|target| target.release_claim(run))
         else {
             return;
         };
-        self.forget_run(id, run, &claim);
+        self.remove_run_accounting(id, run, &claim);
     }
 
     /// Runs of a job, or of one of its tasks, each with the target that it may be on.
-    pub(super) fn runs_of(&self, job: &str, task: Option<&TaskKey>) -> Vec<(HostId, RunKey)> {
+    pub(super) fn runs_of_job(&self, job: &str, task: Option<&TaskKey>) -> Vec<(HostId, RunKey)> {
         let first = TaskKey {
             job: job.into(),
             occurrence: 0,
@@ -53,34 +56,33 @@
             .collect()
     }
 
-    /// Takes a run out of the books that count runs beyond its target.
-    pub(super) fn forget_run(&mut self, id: &HostId, run: &RunKey, claim: &RunClaim) {
+    /// Removes a run from the accounting beyond its target: the run index and the workspace usage.
+    pub(super) fn remove_run_accounting(&mut self, id: &HostId, run: &RunKey, claim: &RunClaim) {
         self.index.runs.remove(&(run.0.clone(), run.1, id.clone()));
-        if let Some(usage) = self.usage.get_mut(&claim.workspace) {
-            *usage = usage.minus(claim.need);
+        if let Some(usage) = self.workspace_usage.get_mut(&claim.workspace) {
+            *usage = usage.minus(claim.charged);
         }
         if let Some(pools) = self.index.capped.remove(&claim.workspace) {
-            self.index.due.extend(pools);
+            self.index.startable_pools.extend(pools);
         }
     }
 
-    fn claim_of(&self, key: &TaskKey) -> RunClaim {
-        let Some(job) = self.board.jobs.get(&key.job) else {
+    fn claim_for_task(&self, key: &TaskKey) -> RunClaim {
+        let Some(job) = self.job_table.jobs.get(&key.job) else {
             return RunClaim::default();
         };
         let Some(step) = job.plan.steps.get(key.step as usize) else {
             // A predecessor ended the job and was still stopping its runs, or one of its orders is
-            // carried out late. Counted as nothing, they would let the target be filled beyond
-            // its room.
+            // executed late. Counting such a run as nothing would overcommit the target.
             return RunClaim {
-                room: job.closed_need,
-                need: job.closed_need,
+                resources: job.closed_resources,
+                charged: job.closed_resources,
                 workspace: job.workspace.clone(),
             };
         };
         RunClaim {
-            room: step.footprint(),
-            need: step.need,
+            resources: step.footprint(),
+            charged: step.resources,
             workspace: job.workspace.clone(),
         }
     }
--- /dev/null
+++ b/crates/decide/src/work/scheduler_plan.rs
@@ -0,0 +1,213 @@
+use std::collections::{BTreeMap, BTreeSet};
+
+use model::{PoolId, WorkspaceId, work::ResourceVector};
+
+use super::{
+    SchedulerTime, WorkCounters, WorkScheduler,
+    job_summary::WaitingGroup,
+    ranked_steps::{RankedSteps, StepFilter, StepRank, WaitingStep},
+    step_key::StepKey,
+};
+
+/// Maximum starts per planning pass; the rest follow in the next pass. It bounds the time during
+/// which the event loop handles nothing else.
+const MAX_STARTS_PER_PLAN: usize = 256;
+
+/// Resource amounts remembered per pool during planning because no target has that much free.
+const MAX_UNPLACEABLE_SIZES: usize = 8;
+/// What a workspace without a limit may use.
+const NO_LIMIT: ResourceVector = ResourceVector {
+    cpu: u64::MAX,
+    memory_mb: u64::MAX,
+    gpu: u64::MAX,
+};
+
+/// State of one planning pass.
+#[derive(Debug, Default)]
+struct StartPlan {
+    pools: BTreeSet<PoolId>,
+    /// Pools whose inherited jobs have to wait because targets have not been polled yet.
+    unobserved_pools: BTreeSet<PoolId>,
+    /// What workspaces may have running on targets that have not been polled yet.
+    unconfirmed_usage: BTreeMap<WorkspaceId, ResourceVector>,
+    /// Largest free amount on any target of each pool, per resource.
+    max_free: BTreeMap<PoolId, ResourceVector>,
+    /// Resource amounts that no target of the pool has free.
+    unplaceable: BTreeMap<PoolId, Vec<ResourceVector>>,
+    /// The last step of each group that was tried.
+    tried: BTreeMap<PoolId, BTreeMap<WaitingGroup, StepRank>>,
+}
+
+/// The best step found so far.
+#[derive(Clone, Copy, Debug)]
+struct NextStep<'a> {
+    pool: &'a PoolId,
+    group: &'a WaitingGroup,
+    step: &'a WaitingStep,
+}
+
+impl WorkScheduler {
+    /// Starts tasks as far as possible. Cheap if nothing has changed since the last call.
+    ///
+    /// Nothing is started while another process may own the cell. That process does not account for
+    /// what this one would add, so that a workspace's limit could be exceeded. A target that has
+    /// not seen the successor's token yet could also run a task that the successor knows to be
+    /// done. The cost is small: a store outage of 4.2 s loses 0.03 of a day's value.
+    pub fn plan_starts(&mut self, now: SchedulerTime) {
+        self.sync_indexes(now.boot);
+        let is_due = self.replan_needed || !self.index.startable_pools.is_empty();
+        if self.ownership_uncertain || !is_due {
+            return;
+        }
+        let mut plan = self.begin_plan();
+        let mut remaining = MAX_STARTS_PER_PLAN;
+        while let Some((pool, group, rank)) = self.next_step(&mut plan, now) {
+            let outcome = self.start_step(&rank, &plan.unconfirmed_usage, now);
+            if outcome.started > 0 {
+                self.sync_indexes(now.boot);
+                plan.max_free.remove(&pool);
+            }
+            remaining = remaining.saturating_sub(outcome.started);
+            if remaining == 0 {
+                self.index.startable_pools.extend(plan.pools);
+                return;
+            }
+            if outcome.no_capacity {
+                self.remember_unplaceable_size(&mut plan, &pool, &rank.1);
+            }
+            let tried = plan.tried.entry(pool).or_default();
+            tried.insert(group, rank);
+        }
+    }
+
+    fn begin_plan(&mut self) -> StartPlan {
+        let mut pools = std::mem::take(&mut self.index.startable_pools);
+        if std::mem::take(&mut self.replan_needed) {
+            pools.extend(self.index.jobs.pools().cloned());
+        }
+        let unobserved_pools = self.index.targets.unknown_pools();
+        if self.index.unobserved_pools != unobserved_pools {
+            // What may run there counted against the limits in all pools.
+            pools.extend(self.index.jobs.pools().cloned());
+            self.index.unobserved_pools.clone_from(&unobserved_pools);
+        }
+        StartPlan {
+            pools,
+            unconfirmed_usage: self.index.jobs.unconfirmed_usage(&unobserved_pools),
+            unobserved_pools,
+            ..StartPlan::default()
+        }
+    }
+
+    /// The step to try next: the first by rank among all that may be started.
+    fn next_step(
+        &mut self,
+        plan: &mut StartPlan,
+        now: SchedulerTime,
+    ) -> Option<(PoolId, WaitingGroup, StepRank)> {
+        let mut best: Option<NextStep<'_>> = None;
+        let mut capped = Vec::new();
+        self.measure_free_capacity(plan, now);
+        for pool in &plan.pools {
+            let is_unobserved = plan.unobserved_pools.contains(pool);
+            for (group, ranked) in self.index.jobs.waiting_groups(pool) {
+                if group.inherited && is_unobserved {
+                    continue;
+                }
+                let found = self.next_startable_step(plan, pool, group, ranked);
+                if found.is_some_and(|(_, is_capped)| is_capped) {
+                    capped.push((group.workspace.clone(), pool.clone()));
+                }
+                let Some((Some(step), _)) = found else {
+                    continue;
+                };
+                if best.is_none_or(|best| step.is_before_step(best.step)) {
+                    best = Some(NextStep { pool, group, step });
+                }
+            }
+        }
+        let next = best.map(|best| (best.pool.clone(), best.group.clone(), best.step.key()));
+        for (workspace, pool) in capped {
+            self.mark_capped(&workspace, &pool);
+        }
+        next
+    }
+
+    /// The first step of a group that may be started, and whether steps before it are held back by
+    /// the limit of their workspace. `None` if no step fits on a target.
+    fn next_startable_step<'a>(
+        &self,
+        plan: &StartPlan,
+        pool: &PoolId,
+        group: &WaitingGroup,
+        ranked: &'a RankedSteps,
+    ) -> Option<(Option<&'a WaitingStep>, bool)> {
+        let unplaceable = plan.unplaceable.get(pool).map_or(&[][..], Vec::as_slice);
+        let tried = plan.tried.get(pool).and_then(|tried| tried.get(group));
+        let mut filter = StepFilter {
+            max_free: plan.max_free.get(pool).copied().unwrap_or_default(),
+            workspace_left: NO_LIMIT,
+            unplaceable,
+        };
+        let (found, examined) = ranked.next(tried, &filter);
+        WorkCounters::add(&self.counters.steps, examined);
+        let found = found?;
+        filter.workspace_left =
+            self.remaining_workspace_limit(&group.workspace, &plan.unconfirmed_usage);
+        if found.charged.fits_in(filter.workspace_left) {
+            return Some((Some(found), false));
+        }
+        let (found, examined) = ranked.next(tried, &filter);
+        WorkCounters::add(&self.counters.steps, examined);
+        Some((found, true))
+    }
+
+    /// Computes the free capacity of pools that are new to the plan or in which tasks were placed.
+    fn measure_free_capacity(&self, plan: &mut StartPlan, now: SchedulerTime) {
+        for pool in &plan.pools {
+            if !plan.max_free.contains_key(pool) {
+                let room = self.index.targets.most_free(pool, now.boot);
+                plan.max_free.insert(pool.clone(), room);
+            }
+        }
+    }
+
+    /// What remains of a workspace's limit.
+    pub(super) fn remaining_workspace_limit(
+        &self,
+        workspace: &WorkspaceId,
+        unconfirmed_usage: &BTreeMap<WorkspaceId, ResourceVector>,
+    ) -> ResourceVector {
+        let Some(limit) = self.index.limits.get(workspace) else {
+            return NO_LIMIT;
+        };
+        let used = self
+            .workspace_usage
+            .get(workspace)
+            .copied()
+            .unwrap_or_default();
+        let unconfirmed_usage = unconfirmed_usage
+            .get(workspace)
+            .copied()
+            .unwrap_or_default();
+        limit.remaining_of_limit(used.plus(unconfirmed_usage))
+    }
+
+    /// Marks a pool in which steps of a workspace wait because of its limit.
+    pub(super) fn mark_capped(&mut self, workspace: &WorkspaceId, pool: &PoolId) {
+        let pools = self.index.capped.entry(workspace.clone()).or_default();
+        pools.insert(pool.clone());
+    }
+
+    /// Skips further steps that need as much as one that did not fit.
+    fn remember_unplaceable_size(&self, plan: &mut StartPlan, pool: &PoolId, step: &StepKey) {
+        let job = self.job_table.jobs.get(&step.job);
+        let tried = job.and_then(|job| job.plan.steps.get(step.step as usize));
+        if let Some(tried) = tried {
+            let unplaceable = plan.unplaceable.entry(pool.clone()).or_default();
+            if unplaceable.len() < MAX_UNPLACEABLE_SIZES {
+                unplaceable.push(tried.footprint());
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/decide/src/work/work_scheduler.rs
@@ -0,0 +1,400 @@
+use std::{
+    collections::{BTreeMap, BTreeSet, VecDeque},
+    sync::Arc,
+    time::Duration,
+};
+
+use model::{
+    BootTime, HostId, JobId, PoolId, WorkspaceId,
+    work::{FencingToken, FleetPolicy, ResourceVector, TargetEntry},
+};
+use wire::work::{JobPhase, JobRecord, LogEntry, TargetUse, log_entry::Event};
+
+use super::{
+    EndOrigin, HostDrainState, JobTable, LogAppend, SchedulerAction, SchedulerEvent,
+    SchedulerTuning, StartForecast, TargetState, WorkCounters, WorkJob, WorkPhase,
+    desk_index::SchedulerIndex, scheduler_evacuate::StrandedTask, share_meter::ShareMeter,
+    step_key::StepKey, target_state::RunKey, tracked_map::TrackedMap,
+};
+
+/// Upper bound of events buffered until [`WorkScheduler::take_events`]; further ones are dropped
+/// and counted.
+const MAX_BUFFERED_EVENTS: usize = 4096;
+
+/// Current time on both clocks.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct SchedulerTime {
+    /// Time since boot. Leases and pauses are measured on this clock.
+    pub boot: BootTime,
+    /// Time since the Unix epoch. Due times of occurrences use this clock, which may jump.
+    pub unix: Duration,
+}
+
+/// Schedules the tasks of one cell during one term of ownership.
+///
+/// A term starts by replaying the job log ([`WorkScheduler::replay`]) and polling every target that
+/// may run tasks. The scheduler is dropped when the process loses ownership; a new term starts with
+/// a new one.
+#[derive(Clone, Debug, Default)]
+pub struct WorkScheduler {
+    pub(super) tuning: SchedulerTuning,
+    pub(super) token: FencingToken,
+    /// Settings of pools, queues and workspaces.
+    pub policy: Arc<FleetPolicy>,
+    /// Jobs and their tasks.
+    pub job_table: JobTable,
+    /// Targets by id.
+    pub targets: TrackedMap<TargetState>,
+    pub(super) index: SchedulerIndex,
+    /// How many items the scheduler has examined so far.
+    pub counters: WorkCounters,
+    pub(super) workspace_usage: BTreeMap<WorkspaceId, ResourceVector>,
+    pub(super) actions: Vec<SchedulerAction>,
+    pub(super) events: VecDeque<SchedulerEvent>,
+    /// Number of events dropped because the buffer was full.
+    pub events_dropped: u64,
+    /// Last time at which another process might have owned the cell.
+    pub(super) last_uncertain: Option<BootTime>,
+    /// Start of the period in which many listed targets have been unresponsive at once.
+    pub(super) mass_unresponsive_since: Option<BootTime>,
+    /// Last time at which many listed targets were unresponsive at once.
+    pub(super) mass_unresponsive_last: Option<BootTime>,
+    /// Whether another process may own the cell by now.
+    pub(super) ownership_uncertain: bool,
+    /// When the replay of the log finished; zero if there is no predecessor.
+    pub(super) replay_finished_at: BootTime,
+    pub(super) shares: ShareMeter,
+    pub(super) forecast: StartForecast,
+    /// Long-running steps for which no target was found, and since when.
+    pub(super) unplaced_since: BTreeMap<StepKey, BootTime>,
+    /// Drain state of targets, including targets that are not listed yet: the host list may report
+    /// a new incarnation first, and an order for its host may follow. Tasks started there in
+    /// between would be killed.
+    pub(super) drains: BTreeMap<HostId, HostDrainState>,
+    /// Per pool, a task that has to leave its host and fits on no other.
+    pub(super) stranded: BTreeMap<PoolId, StrandedTask>,
+    /// When failed tasks stop waiting for a different target; the earliest first.
+    pub(super) failure_wait_deadlines: VecDeque<BootTime>,
+    /// Whether occurrences or starts may be due, so that starts have to be planned.
+    pub(super) replan_needed: bool,
+    /// Stops without an answer, with the time of the last attempt.
+    pub(super) pending_stops: BTreeMap<(HostId, RunKey), BootTime>,
+    /// Answered stops, with the time of the answer; a target takes a moment to report the end.
+    pub(super) acknowledged_stops: BTreeMap<(HostId, RunKey), BootTime>,
+    /// Runs that made no progress up to the last report of their target.
+    pub(super) no_progress: BTreeSet<(HostId, RunKey)>,
+    /// CPU time share of best-effort tasks on each target, in percent; 100 if absent.
+    pub(super) throttles: BTreeMap<HostId, u8>,
+}
+
+impl WorkScheduler {
+    /// Creates the scheduler of a new term.
+    pub fn new(tuning: SchedulerTuning, token: FencingToken) -> Self {
+        Self {
+            tuning,
+            token,
+            ..Self::default()
+        }
+    }
+
+    /// Applies one entry of the log during the replay.
+    pub fn replay(&mut self, entry: &LogEntry, now: SchedulerTime) {
+        if let Some(Event::Cancelled(id) | Event::Failed(id)) = &entry.event
+            && let Some(job) = self.job_table.jobs.get_mut(id.as_str())
+        {
+            // Occurrences that were due may run on a target that has not been polled yet, and have
+            // to be counted.
+            job.open_due_occurrences(now.unix, now.boot, self.tuning.early_start);
+        }
+        self.job_table.apply(entry, now.unix, now.boot);
+    }
+
+    /// Ends the replay of the log. Targets that a predecessor used have to be polled, including
+    /// those that are no longer in the host list: their tasks may still run.
+    pub fn finish_replay(&mut self, now: SchedulerTime) {
+        self.replay_finished_at = now.boot;
+        for job in self.job_table.jobs.values_mut() {
+            job.inherited = true;
+            job.started |= !job.is_open();
+        }
+        for used in self.job_table.used_targets.values() {
+            let entry = TargetEntry {
+                target: used.target.as_str().into(),
+                address: used.address.as_str().into(),
+                pool: used.pool.as_str().into(),
+                ..TargetEntry::default()
+            };
+            let target = TargetState {
+                listed: false,
+                recorded: true,
+                inherited: true,
+                last_grant: now.boot,
+                ..TargetState::new(entry, now.boot)
+            };
+            self.targets.insert(used.target.as_str().into(), target);
+        }
+        self.sync_indexes(now.boot);
+        self.open_occurrences(now);
+        self.adopt_unreachable(now);
+        self.replan_needed = true;
+    }
+
+    /// Sets whether another process may own the cell by now because the lease may have expired.
+    ///
+    /// Running tasks continue meanwhile, but no task is started and no new incarnation of a target
+    /// is given this owner's token ([`WorkScheduler::plan_starts`]).
+    pub fn set_ownership_uncertain(&mut self, alone: bool) {
+        self.replan_needed |= self.ownership_uncertain && !alone;
+        self.ownership_uncertain = alone;
+    }
+
+    /// Fencing token of this term.
+    pub fn token(&self) -> FencingToken {
+        self.token
+    }
+
+    /// Replaces the settings of pools, queues and workspaces.
+    pub fn set_policy(&mut self, policy: Arc<FleetPolicy>) {
+        for job in self.job_table.jobs.values_mut() {
+            if let Some(queue) = policy.queue(&job.queue) {
+                job.pool = queue.pool.clone();
+            }
+        }
+        let limited = policy.workspaces.iter();
+        let limited = limited.filter(|space| space.limit != ResourceVector::default());
+        self.index.limits = limited
+            .map(|space| (space.name.clone(), space.limit))
+            .collect();
+        self.policy = policy;
+        self.replan_needed = true;
+    }
+
+    /// Adds or updates a target from its entry in the host list.
+    pub fn upsert_target(&mut self, entry: TargetEntry, now: SchedulerTime) {
+        self.sync_indexes(now.boot);
+        let id = entry.target.clone();
+        if self.is_superseded_entry(&entry) {
+            self.mark_target_unlisted(&id);
+            return;
+        }
+        self.end_other_incarnations_at_address(&entry, now);
+        let Some(target) = self.targets.get_mut(&id) else {
+            let recorded = self.job_table.used_targets.contains_key(id.as_str());
+            let target = TargetState {
+                recorded,
+                drain: self.drains.get(&id).copied().unwrap_or_default(),
+                ..TargetState::new(entry, now.boot)
+            };
+            self.targets.insert(id.clone(), target);
+            self.record_target_use(&id);
+            return;
+        };
+        let (started_at, known_start) = (entry.started_at, target.incarnation.started_at);
+        if !started_at.is_zero() && started_at < known_start {
+            // A delayed entry of the previous incarnation.
+            return;
+        }
+        let has_new_incarnation = !known_start.is_zero() && started_at > known_start;
+        if known_start.is_zero() {
+            target.incarnation.started_at = started_at;
+        }
+        let pool_changed = target.recorded && target.entry.pool != entry.pool;
+        target.entry = entry;
+        if !target.listed {
+            target.listed = true;
+            target.last_answered_call = now.boot;
+        }
+        if pool_changed {
+            target.recorded = false;
+        }
+        let (recorded, unreachable) = (target.recorded, target.unreachable_recorded);
+        if has_new_incarnation {
+            self.end_incarnation(&id, started_at, "reborn", now);
+        }
+        if !recorded && !unreachable {
+            self.record_target_use(&id);
+        }
+    }
+
+    /// Marks a target that is no longer in the host list.
+    pub fn mark_target_unlisted(&mut self, id: &HostId) {
+        if let Some(target) = self.targets.get_mut(id) {
+            target.listed = false;
+        }
+    }
+
+    /// Targets that are in the host list.
+    pub fn listed_targets(&self) -> Vec<HostId> {
+        let listed = self.targets.values().filter(|target| target.listed);
+        listed.map(|target| target.entry.target.clone()).collect()
+    }
+
+    /// Adds a job whose record has been stored.
+    pub fn accept_job(&mut self, record: &JobRecord, now: SchedulerTime) {
+        self.job_table.accept(record, now.unix, now.boot);
+        self.classify_job_share(record, now);
+        let early_start = self.tuning.early_start;
+        if let Some(job) = self.job_table.jobs.get_mut(record.job.as_str()) {
+            job.open_due_occurrences(now.unix, now.boot, early_start);
+        }
+    }
+
+    fn classify_job_share(&mut self, record: &JobRecord, now: SchedulerTime) {
+        let space = self.policy.workspace(&record.workspace);
+        let weight = space.map_or(0, |space| space.weight);
+        let beyond_share =
+            self.shares
+                .record_job(&record.workspace.as_str().into(), weight, now.boot);
+        if let Some(job) = self.job_table.jobs.get_mut(record.job.as_str()) {
+            job.beyond_share = beyond_share;
+        }
+    }
+
+    /// Ends everything on a target whose host has completed an order.
+    pub fn end_target_after_host_order(&mut self, id: &HostId, now: SchedulerTime) {
+        self.mark_target_lost(id, "ordered", now);
+    }
+
+    /// Phase of a job as reported to callers.
+    pub fn job_phase(&self, id: &str) -> Option<JobPhase> {
+        let job = self.job_table.jobs.get(id)?;
+        let running = if job.started {
+            JobPhase::Running
+        } else {
+            JobPhase::Queued
+        };
+        Some(match job.phase {
+            WorkPhase::Open | WorkPhase::CancelPending => running,
+            WorkPhase::Completed if job.unstored_entries == 0 => JobPhase::Completed,
+            WorkPhase::Failed if job.unstored_entries == 0 => JobPhase::Failed,
+            WorkPhase::Completed | WorkPhase::Failed => JobPhase::Running,
+            WorkPhase::Cancelled => JobPhase::Cancelled,
+            WorkPhase::Unsubmitted => return None,
+        })
+    }
+
+    /// Number of jobs of a queue that have not started.
+    pub fn pending_jobs(&mut self, queue: &str, now: SchedulerTime) -> u64 {
+        self.sync_indexes(now.boot);
+        self.index.jobs.pending(queue)
+    }
+
+    /// Takes the pending actions, oldest first.
+    pub fn take_actions(&mut self) -> Vec<SchedulerAction> {
+        std::mem::take(&mut self.actions)
+    }
+
+    /// Takes the buffered events, oldest first.
+    pub fn take_events(&mut self) -> VecDeque<SchedulerEvent> {
+        std::mem::take(&mut self.events)
+    }
+
+    /// Handles that an entry of the job log has been stored.
+    pub fn handle_stored_entry(&mut self, order: &LogAppend, now: SchedulerTime) {
+        if let Some(origin) = &order.origin {
+            self.mark_end_stored(origin);
+        }
+        if let Some(job) = &order.job {
+            self.job_table
+                .update_unstored_entries(job, |unstored| unstored.saturating_sub(1));
+        }
+        match &order.entry.event {
+            Some(Event::Missed(_)) => self.job_table.apply(&order.entry, now.unix, now.boot),
+            Some(Event::Used(used)) => {
+                self.job_table.apply(&order.entry, now.unix, now.boot);
+                if let Some(target) = self.targets.get_mut(used.target.as_str()) {
+                    target.recorded = true;
+                }
+            }
+            Some(Event::Released(_) | Event::Wave(_) | Event::Ordered(_)) => {
+                self.job_table.apply(&order.entry, now.unix, now.boot);
+            }
+            _ => {}
+        }
+    }
+
+    pub(super) fn emit(&mut self, event: SchedulerEvent) {
+        if self.events.len() >= MAX_BUFFERED_EVENTS {
+            self.events_dropped += 1;
+            return;
+        }
+        self.events.push_back(event);
+    }
+
+    pub(super) fn append_log_entry(
+        &mut self,
+        event: Event,
+        origin: Option<EndOrigin>,
+        job: Option<&JobId>,
+    ) {
+        let mut urgent = origin.is_none();
+        if let Some(job) = job {
+            self.job_table
+                .update_unstored_entries(job, |unstored| unstored + 1);
+            urgent |= !self.job_table.jobs.get(job).is_none_or(WorkJob::is_open);
+        }
+        self.actions.push(SchedulerAction::AppendLog(LogAppend {
+            entry: LogEntry { event: Some(event) },
+            origin,
+            job: job.cloned(),
+            urgent,
+        }));
+    }
+
+    /// Records that tasks may run on a target, before the first one is started there. After a
+    /// failure of this process, its successor would otherwise not know of a target that has left
+    /// the host list while its tasks keep running.
+    pub(super) fn record_target_use(&mut self, id: &HostId) {
+        let Some(target) = self.targets.get(id).filter(|target| !target.recorded) else {
+            return;
+        };
+        let used = TargetUse {
+            target: id.to_string(),
+            address: target.entry.address.to_string(),
+            pool: target.entry.pool.to_string(),
+        };
+        self.append_log_entry(Event::Used(used), None, None);
+    }
+
+    /// Whether a later incarnation is known at the address of an entry.
+    ///
+    /// The entry of an incarnation that ended during a network partition may show up again after
+    /// the next one has started. Accepting it would end the current incarnation, and its tasks
+    /// would be started a second time. While the store is unavailable, the entry of the current
+    /// incarnation may have expired. An entry without a start time comes from another writer.
+    fn is_superseded_entry(&self, entry: &TargetEntry) -> bool {
+        let others = self.other_targets_at_address(entry);
+        let mut others = others.iter().filter_map(|id| self.targets.get(id));
+        others.any(|other| {
+            let is_live = other.listed || !other.claims.is_empty();
+            is_live && other.incarnation.started_at > entry.started_at
+        })
+    }
+
+    /// Other targets at the address of an entry.
+    fn other_targets_at_address(&self, entry: &TargetEntry) -> Vec<HostId> {
+        let at_address = self.index.targets.at_address(&entry.address);
+        let others = at_address.filter(|id| **id != entry.target);
+        others.cloned().collect()
+    }
+
+    /// Ends the incarnations of other targets at the address of a new one, since an address has one
+    /// target at a time. An entry of an unknown pool comes from another writer and ends nothing.
+    ///
+    /// For a predecessor's target that has not been polled yet, it is unknown which of the two is
+    /// newer; a poll decides that.
+    fn end_other_incarnations_at_address(&mut self, entry: &TargetEntry, now: SchedulerTime) {
+        if !self.policy.pools.iter().any(|pool| pool.name == entry.pool) {
+            return;
+        }
+        for id in self.other_targets_at_address(entry) {
+            if self
+                .targets
+                .get(&id)
+                .is_some_and(TargetState::is_state_known)
+            {
+                self.mark_target_lost(&id, "replaced", now);
+            }
+        }
+    }
+}
--- a/crates/decide/tests/desk/fleet.rs
+++ b/crates/decide/tests/desk/fleet.rs
@@ -4,12 +4,13 @@
     time::Duration,
 };
 
-use decide::work::{DeskOrder, HostOrder, HostPlanner};
+use decide::work::{HostOrder, HostPlanner, SchedulerAction};
 use model::{
     BootTime, HostId,
     work::{
-        EndKind, EndSight, FleetHost, FleetTerms, HostCondition, HostOrderAnswer, HostRoom,
-        MaintenanceWave, PoolTerms, RunSight, StartAnswer, StartOrder, TargetEntry, TaskKey,
+        EndKind, EndReport, FleetHost, FleetPolicy, HostCondition, HostOrderAnswer,
+        MaintenanceWave, PoolPolicy, ResourceVector, RunReport, StartAnswer, StartOrder,
+        TargetEntry, TaskKey,
     },
 };
 
@@ -51,19 +52,19 @@
     lives: u32,
     back: BootTime,
     runs: Vec<(StartOrder, BootTime)>,
-    ends: Vec<EndSight>,
+    ends: Vec<EndReport>,
 }
 
 impl FleetScene {
     /// A fleet of so many hosts in service and so many that are switched off.
     pub fn new(serving: usize, off: usize, cpu: u64) -> Self {
         let mut scene = DeskScene::new(1);
-        let mut terms: FleetTerms = terms_with_limit(1_000_000);
-        terms.pools.push(PoolTerms {
+        let mut terms: FleetPolicy = terms_with_limit(1_000_000);
+        terms.pools.push(PoolPolicy {
             name: STANDBY.into(),
             standby: true,
         });
-        scene.desk.set_terms(Arc::new(terms));
+        scene.desk.set_policy(Arc::new(terms));
         let mut fleet = Self {
             scene,
             planner: HostPlanner::default(),
@@ -84,7 +85,7 @@
                     pool: pool.into(),
                     condition: HostCondition::Up,
                     labels: vec!["kind".into(), "rack".into()],
-                    capacity: HostRoom {
+                    capacity: ResourceVector {
                         cpu,
                         memory_mb: 10_000,
                         gpu: 0,
@@ -114,18 +115,18 @@
     }
 
     /// Asks for the maintenance of the hosts named.
-    pub fn ask(&mut self, hosts: std::ops::Range<usize>, cap: u32, deadline: Duration) {
+    pub fn ask(&mut self, hosts: std::ops::Range<usize>, max_down: u32, deadline: Duration) {
         let wave = MaintenanceWave {
             wave: 1,
             hosts: hosts
                 .map(|number| self.hosts[number].fleet.host.clone())
                 .collect(),
             deadline,
-            cap,
+            max_down,
         };
         let now = self.scene.now.boot;
-        self.planner.take_list(self.list(), now);
-        self.planner.take_waves(&[wave], &BTreeSet::new(), now);
+        self.planner.apply_host_list(self.list(), now);
+        self.planner.apply_waves(&[wave], &BTreeSet::new(), now);
     }
 
     /// Lets some time pass.
@@ -141,7 +142,7 @@
         let begin = self.scene.now.boot;
         while self.scene.now.boot < begin + limit {
             self.round();
-            if self.planner.wave_states() == [(1, true)] {
+            if self.planner.changed_waves() == [(1, true)] {
                 break;
             }
         }
@@ -163,11 +164,11 @@
         self.obey();
         self.note_missing();
         let now = self.scene.now.boot;
-        self.planner.take_list(self.list(), now);
+        self.planner.apply_host_list(self.list(), now);
         for order in self.planner.plan(&mut self.scene.desk, now) {
             self.order(&order);
         }
-        let down = |host: &&SceneHost| host.fleet.condition == HostCondition::Maintained;
+        let down = |host: &&SceneHost| host.fleet.condition == HostCondition::UnderMaintenance;
         self.most_down = self.most_down.max(self.hosts.iter().filter(down).count());
         self.obey();
     }
@@ -191,7 +192,7 @@
             labels: host.fleet.labels.clone(),
             ..target(&life, host.fleet.capacity.cpu)
         };
-        self.scene.desk.list_target(entry, self.scene.now);
+        self.scene.desk.upsert_target(entry, self.scene.now);
         self.scene.run();
         self.scene.raise(&life);
     }
@@ -210,10 +211,10 @@
             host.runs.push((start.clone(), now.boot));
             let answer = StartAnswer::Started { clock: now.boot };
             let desk = &mut self.scene.desk;
-            desk.started(&id, &start.task, start.attempt, &answer, now);
+            desk.handle_start_answer(&id, &start.task, start.attempt, &answer, now);
         }
         for order in std::mem::take(&mut self.scene.others) {
-            let DeskOrder::Stop(id, stop) = order else {
+            let SchedulerAction::Stop(id, stop) = order else {
                 continue;
             };
             self.stops += 1;
@@ -235,7 +236,7 @@
             if host.fleet.target.is_empty() {
                 continue;
             }
-            let sight = |(start, begun): &(StartOrder, BootTime)| RunSight {
+            let sight = |(start, begun): &(StartOrder, BootTime)| RunReport {
                 percent: if now >= *begun + STARTUP { 100 } else { 0 },
                 ..running(start)
             };
@@ -255,7 +256,7 @@
                 .entry((&start.task.job, start.task.step))
                 .or_default() += 1;
         }
-        for (job, record) in &self.scene.desk.board.jobs {
+        for (job, record) in &self.scene.desk.job_table.jobs {
             for (number, step) in (0..).zip(&record.plan.steps) {
                 let there = present.get(&(job, number)).copied().unwrap_or_default();
                 let missing = (step.count as usize).saturating_sub(there);
@@ -266,10 +267,10 @@
 
     fn order(&mut self, order: &HostOrder) {
         let now = self.scene.now;
-        let life = self.planner.target_of(order.host());
+        let life = self.planner.operation_target(order.host());
         assert!(
             self.planner
-                .answered(order, &HostOrderAnswer::Done, now.boot)
+                .apply_answer(order, &HostOrderAnswer::Done, now.boot)
         );
         let named = |host: &&mut SceneHost| host.fleet.host == *order.host();
         let Some(host) = self.hosts.iter_mut().find(named) else {
@@ -285,13 +286,13 @@
                 host.fleet.condition = HostCondition::Moving;
             }
             HostOrder::Maintain(..) => {
-                host.fleet.condition = HostCondition::Maintained;
+                host.fleet.condition = HostCondition::UnderMaintenance;
                 host.maintained += 1;
             }
         }
         if let Some(life) = life {
-            self.scene.desk.end_target(&life, now);
-            self.scene.desk.unlist_target(&life);
+            self.scene.desk.end_target_after_host_order(&life, now);
+            self.scene.desk.mark_target_unlisted(&life);
         }
         self.scene.run();
     }
--- a/crates/decide/tests/desk/scene.rs
+++ b/crates/decide/tests/desk/scene.rs
@@ -1,24 +1,26 @@
 use std::{sync::Arc, time::Duration};
 
-use decide::work::{DeskOrder, DeskTime, DeskTuning, HostVacancy, WorkDesk, record_of_plan};
+use decide::work::{
+    HostDrainState, SchedulerAction, SchedulerTime, SchedulerTuning, WorkScheduler, record_of_plan,
+};
 use model::{
     BootTime, HostId,
     work::{
-        EndKind, EndSight, FleetTerms, HostRoom, JobPlan, LookAnswer, OrderAnswer, PoolTerms,
-        QueueTerms, RunSight, StartAnswer, StartOrder, StepPlan, TargetEntry, TargetSight, TaskKey,
-        WorkspaceTerms,
+        EndKind, EndReport, FleetPolicy, JobPlan, OrderAnswer, PollAnswer, PoolPolicy, QueuePolicy,
+        ResourceVector, RunReport, StartAnswer, StartOrder, StepPlan, TargetEntry, TargetReport,
+        TaskKey, WorkspacePolicy,
     },
 };
 use wire::work::{JobRecord, LogEntry, log_entry::Event};
 
 /// A desk with one pool, one queue and one workspace, and a clock that the test moves.
 pub struct DeskScene {
-    pub desk: WorkDesk,
-    pub now: DeskTime,
+    pub desk: WorkScheduler,
+    pub now: SchedulerTime,
     /// Starts that the desk ordered and that have not been answered.
     pub starts: Vec<(HostId, StartOrder)>,
     /// Other orders.
-    pub others: Vec<DeskOrder>,
+    pub others: Vec<SchedulerAction>,
     /// Entries that were stored.
     pub stored: Vec<LogEntry>,
     /// While set, the store takes nothing.
@@ -32,8 +34,8 @@
 impl DeskScene {
     pub fn new(token: u64) -> Self {
         let mut scene = Self {
-            desk: WorkDesk::new(DeskTuning::default(), token),
-            now: DeskTime {
+            desk: WorkScheduler::new(SchedulerTuning::default(), token),
+            now: SchedulerTime {
                 boot: Duration::from_secs(1000),
                 unix: Duration::from_secs(1_000_000),
             },
@@ -42,7 +44,7 @@
             stored: Vec::new(),
             store_away: false,
         };
-        scene.desk.set_terms(Arc::new(terms()));
+        scene.desk.set_policy(Arc::new(terms()));
         scene
     }
 
@@ -69,7 +71,7 @@
         for entry in &self.stored {
             scene.desk.replay(entry, scene.now);
         }
-        scene.desk.begin(scene.now);
+        scene.desk.finish_replay(scene.now);
         scene
     }
 
@@ -83,10 +85,10 @@
     /// Plans and takes the orders; entries are stored at once.
     pub fn run(&mut self) {
         loop {
-            self.desk.plan(self.now);
-            let orders = self.desk.take_orders();
+            self.desk.plan_starts(self.now);
+            let orders = self.desk.take_actions();
             if orders.is_empty() {
-                let broken = self.desk.index_faults(self.now.boot);
+                let broken = self.desk.index_mismatches(self.now.boot);
                 assert!(
                     broken.is_empty(),
                     "indexes that differ from the books: {broken:?}"
@@ -95,14 +97,14 @@
             }
             for order in orders {
                 match order {
-                    DeskOrder::Record(record) if self.store_away => {
-                        self.others.push(DeskOrder::Record(record));
+                    SchedulerAction::AppendLog(record) if self.store_away => {
+                        self.others.push(SchedulerAction::AppendLog(record));
                     }
-                    DeskOrder::Record(record) => {
+                    SchedulerAction::AppendLog(record) => {
                         self.stored.push(record.entry.clone());
-                        self.desk.recorded(&record, self.now);
+                        self.desk.handle_stored_entry(&record, self.now);
                     }
-                    DeskOrder::Start(id, start) => self.starts.push((id, start)),
+                    SchedulerAction::Start(id, start) => self.starts.push((id, start)),
                     other => self.others.push(other),
                 }
             }
@@ -110,7 +112,7 @@
     }
 
     pub fn list(&mut self, id: &str, cpu: u64) {
-        self.desk.list_target(target(id, cpu), self.now);
+        self.desk.upsert_target(target(id, cpu), self.now);
         self.run();
     }
 
@@ -131,40 +133,41 @@
         self.see(id, Vec::new(), Vec::new());
     }
 
-    pub fn see(&mut self, id: &str, running: Vec<RunSight>, ended: Vec<EndSight>) {
+    pub fn see(&mut self, id: &str, running: Vec<RunReport>, ended: Vec<EndReport>) {
         self.now.boot += Duration::from_millis(1);
         let sent = self.now.boot;
         self.now.boot += Duration::from_millis(1);
-        let sight = TargetSight {
+        let sight = TargetReport {
             clock: self.now.boot,
-            born: Duration::from_secs(1),
+            started_at: Duration::from_secs(1),
             running,
             ended,
         };
         self.desk
-            .saw(&id.into(), sent, 0, &LookAnswer::Seen(sight), self.now);
+            .apply_report(&id.into(), sent, 0, &PollAnswer::Seen(sight), self.now);
         self.run();
     }
 
     /// A look at a target that is not answered.
     pub fn miss(&mut self, id: &str) {
-        let silent = LookAnswer::Unanswered("timed out".to_owned());
+        let silent = PollAnswer::Unanswered("timed out".to_owned());
         let sent = self.now.boot;
-        self.desk.saw(&id.into(), sent, 0, &silent, self.now);
+        self.desk
+            .apply_report(&id.into(), sent, 0, &silent, self.now);
     }
 
     /// A start that is not answered.
     pub fn leave_unanswered(&mut self, id: &HostId, start: &StartOrder) {
         let unanswered = StartAnswer::Unanswered("timed out".to_owned());
         self.desk
-            .started(id, &start.task, start.attempt, &unanswered, self.now);
+            .handle_start_answer(id, &start.task, start.attempt, &unanswered, self.now);
     }
 
     /// A target has done the stop that was sent at a time.
     pub fn answer_stop(&mut self, id: &HostId, start: &StartOrder, sent: BootTime) {
         let done = OrderAnswer::Done;
         self.desk
-            .stopped(id, &start.task, start.attempt, sent, &done, self.now);
+            .handle_stop_answer(id, &start.task, start.attempt, sent, &done, self.now);
     }
 
     pub fn submit(&mut self, job: &str, plan: &JobPlan) {
@@ -179,7 +182,7 @@
         self.stored.push(LogEntry {
             event: Some(Event::Accepted(record.clone())),
         });
-        self.desk.accept(&record, self.now);
+        self.desk.accept_job(&record, self.now);
         self.desk.tick(self.now);
         self.run();
     }
@@ -196,23 +199,23 @@
     /// Begins to empty a target's host.
     pub fn empty(&mut self, id: &str) {
         if let Some(target) = self.desk.targets.get_mut(id) {
-            target.vacancy = HostVacancy::Emptying;
+            target.drain = HostDrainState::Draining;
         }
     }
 
     /// Replaces the log by a shorter one that says the same.
     pub fn compact(&mut self) {
-        self.stored = self.desk.board.entries();
+        self.stored = self.desk.job_table.compacted_entries();
     }
 
     /// Gives the workspace a weight.
     pub fn weigh(&mut self, weight: u32) {
-        let mut terms = FleetTerms::clone(&self.desk.terms);
+        let mut terms = FleetPolicy::clone(&self.desk.policy);
         terms
             .workspaces
             .iter_mut()
             .for_each(|space| space.weight = weight);
-        self.desk.set_terms(Arc::new(terms));
+        self.desk.set_policy(Arc::new(terms));
     }
 
     /// Answers all starts with success; returns them.
@@ -223,14 +226,14 @@
                 clock: self.now.boot,
             };
             self.desk
-                .started(id, &start.task, start.attempt, &answer, self.now);
+                .handle_start_answer(id, &start.task, start.attempt, &answer, self.now);
         }
         self.run();
         starts
     }
 
     pub fn stops(&self) -> usize {
-        let stop = |order: &&DeskOrder| matches!(order, DeskOrder::Stop(..));
+        let stop = |order: &&SchedulerAction| matches!(order, SchedulerAction::Stop(..));
         self.others.iter().filter(stop).count()
     }
 }
@@ -242,12 +245,12 @@
         pool: POOL.into(),
         rack: "rack".into(),
         labels: vec!["kind".into(), "rack".into()],
-        capacity: HostRoom {
+        capacity: ResourceVector {
             cpu,
             memory_mb: 10_000,
             gpu: 0,
         },
-        born: Duration::from_secs(1),
+        started_at: Duration::from_secs(1),
         ..TargetEntry::default()
     }
 }
@@ -258,7 +261,7 @@
 /// The entry of a later life of `t1`, under the same id.
 pub fn reborn(cpu: u64) -> TargetEntry {
     TargetEntry {
-        born: LATER,
+        started_at: LATER,
         ..target("t1", cpu)
     }
 }
@@ -266,7 +269,7 @@
 pub fn step(count: u32, cpu: u64) -> StepPlan {
     StepPlan {
         count,
-        need: HostRoom {
+        resources: ResourceVector {
             cpu,
             memory_mb: 100,
             gpu: 0,
@@ -280,7 +283,7 @@
 pub fn lasting_pair() -> StepPlan {
     StepPlan {
         long_running: true,
-        may_miss: 1,
+        max_unavailable: 1,
         anti_affinity: 1,
         ..step(2, 1000)
     }
@@ -294,17 +297,17 @@
     }
 }
 
-pub fn running(start: &StartOrder) -> RunSight {
-    RunSight {
+pub fn running(start: &StartOrder) -> RunReport {
+    RunReport {
         task: start.task.clone(),
         attempt: start.attempt,
         percent: 10,
-        ..RunSight::default()
+        ..RunReport::default()
     }
 }
 
-pub fn ended(number: u64, task: &TaskKey, attempt: u64, kind: EndKind) -> EndSight {
-    EndSight {
+pub fn ended(number: u64, task: &TaskKey, attempt: u64, kind: EndKind) -> EndReport {
+    EndReport {
         number,
         task: task.clone(),
         attempt,
@@ -313,32 +316,32 @@
     }
 }
 
-fn terms() -> FleetTerms {
+fn terms() -> FleetPolicy {
     terms_with_limit(8000)
 }
 
 /// Terms of one pool, one queue and one workspace of which so much may run.
-pub fn terms_with_limit(cpu: u64) -> FleetTerms {
-    FleetTerms {
+pub fn terms_with_limit(cpu: u64) -> FleetPolicy {
+    FleetPolicy {
         revision: 1,
-        queues: vec![QueueTerms {
+        queues: vec![QueuePolicy {
             name: QUEUE.into(),
             pool: POOL.into(),
             max_attempts: 2,
             slack_factor: 2.0,
-            ..QueueTerms::default()
+            ..QueuePolicy::default()
         }],
-        pools: vec![PoolTerms {
+        pools: vec![PoolPolicy {
             name: POOL.into(),
-            ..PoolTerms::default()
+            ..PoolPolicy::default()
         }],
-        workspaces: vec![WorkspaceTerms {
+        workspaces: vec![WorkspacePolicy {
             name: SPACE.into(),
-            limit: HostRoom {
+            limit: ResourceVector {
                 cpu,
-                ..HostRoom::default()
+                ..ResourceVector::default()
             },
-            ..WorkspaceTerms::default()
+            ..WorkspacePolicy::default()
         }],
         max_body: 1 << 20,
     }
--- a/crates/decide/tests/desk/turn.rs
+++ b/crates/decide/tests/desk/turn.rs
@@ -2,12 +2,15 @@
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-use decide::work::{DeskOrder, DeskTime, DeskTuning, WorkDesk, record_of_plan};
+use decide::work::{
+    SchedulerAction, SchedulerTime, SchedulerTuning, WorkScheduler, record_of_plan,
+};
 use model::{
     BootTime, HostId,
     work::{
-        EndKind, EndSight, FleetTerms, HostRoom, JobPlan, LookAnswer, PoolTerms, QueueTerms,
-        RunSight, StartAnswer, StartOrder, StepPlan, TargetEntry, TargetSight, WorkspaceTerms,
+        EndKind, EndReport, FleetPolicy, JobPlan, PollAnswer, PoolPolicy, QueuePolicy,
+        ResourceVector, RunReport, StartAnswer, StartOrder, StepPlan, TargetEntry, TargetReport,
+        WorkspacePolicy,
     },
 };
 use wire::work::JobRecord;
@@ -21,7 +24,7 @@
 /// Ends between two ticks of the desk.
 const ENDS_A_TICK: u64 = 83;
 /// Room of a target: seven tasks, and a rest.
-const ROOM: HostRoom = HostRoom {
+const ROOM: ResourceVector = ResourceVector {
     cpu: 16_000,
     memory_mb: 32_768,
     gpu: 0,
@@ -39,8 +42,8 @@
 /// A desk whose pools are full while more tasks wait.
 #[derive(Clone)]
 pub struct TurnLoad {
-    pub desk: WorkDesk,
-    pub now: DeskTime,
+    pub desk: WorkScheduler,
+    pub now: SchedulerTime,
     size: TurnSize,
     /// What runs on each target.
     busy: BTreeMap<HostId, Vec<StartOrder>>,
@@ -63,8 +66,8 @@
     /// The same where the first workspace may have so many thousandths of a core running.
     pub fn with_limit(size: TurnSize, first_limit: u64) -> Self {
         let mut load = Self {
-            desk: WorkDesk::new(DeskTuning::default(), 1),
-            now: DeskTime {
+            desk: WorkScheduler::new(SchedulerTuning::default(), 1),
+            now: SchedulerTime {
                 boot: Duration::from_secs(1000),
                 unix: Duration::from_secs(1_000_000),
             },
@@ -76,7 +79,7 @@
             ended: 0,
             started: 0,
         };
-        load.desk.set_terms(Arc::new(terms(size, first_limit)));
+        load.desk.set_policy(Arc::new(terms(size, first_limit)));
         for number in 0..size.targets {
             load.add_target(number);
         }
@@ -102,17 +105,17 @@
         let runs = self.busy.entry(id.clone()).or_default();
         let ended = (!runs.is_empty()).then(|| runs.remove(0));
         let percent = u8::try_from(self.ended % 90).unwrap_or_default();
-        let running = runs.iter().map(|run| RunSight {
+        let running = runs.iter().map(|run| RunReport {
             task: run.task.clone(),
             attempt: run.attempt,
             percent,
-            ..RunSight::default()
+            ..RunReport::default()
         });
         let running = running.collect();
         let number = self.ends.entry(id.clone()).or_default();
         let ends = ended.into_iter().map(|run| {
             *number += 1;
-            EndSight {
+            EndReport {
                 number: *number,
                 task: run.task,
                 attempt: run.attempt,
@@ -142,7 +145,7 @@
             payload: "text".into(),
             steps: vec![StepPlan {
                 count: TASKS,
-                need: HostRoom {
+                resources: ResourceVector {
                     cpu: 2050 + (self.jobs as u64 * 7) % 200,
                     memory_mb: 2000,
                     gpu: 0,
@@ -161,14 +164,14 @@
             accepted_unix_ms: u64::try_from(self.now.unix.as_millis()).unwrap_or_default(),
             ..record_of_plan(&plan)
         };
-        self.desk.accept(&record, self.now);
+        self.desk.accept_job(&record, self.now);
     }
 
     /// Plans, and answers what the desk orders.
     pub fn run(&mut self) {
         loop {
-            self.desk.plan(self.now);
-            let orders = self.desk.take_orders();
+            self.desk.plan_starts(self.now);
+            let orders = self.desk.take_actions();
             self.desk.take_events();
             if orders.is_empty() {
                 return;
@@ -179,17 +182,18 @@
         }
     }
 
-    fn answer(&mut self, order: DeskOrder) {
+    fn answer(&mut self, order: SchedulerAction) {
         match order {
-            DeskOrder::Record(record) => self.desk.recorded(&record, self.now),
-            DeskOrder::Start(id, start) => {
+            SchedulerAction::AppendLog(record) => self.desk.handle_stored_entry(&record, self.now),
+            SchedulerAction::Start(id, start) => {
                 self.started += 1;
                 let answer = StartAnswer::Started {
                     clock: self.now.boot,
                 };
                 let (task, attempt) = (start.task.clone(), start.attempt);
                 self.busy.entry(id.clone()).or_default().push(start);
-                self.desk.started(&id, &task, attempt, &answer, self.now);
+                self.desk
+                    .handle_start_answer(&id, &task, attempt, &answer, self.now);
             }
             _ => {}
         }
@@ -203,49 +207,49 @@
             pool: format!("pool-{}", number % POOLS).into(),
             rack: format!("rack-{}", number / 12).into(),
             capacity: ROOM,
-            born: Duration::from_secs(1),
+            started_at: Duration::from_secs(1),
             ..TargetEntry::default()
         };
-        self.desk.list_target(entry, self.now);
+        self.desk.upsert_target(entry, self.now);
         self.see(&id, Vec::new(), Vec::new());
         self.names.push(id);
     }
 
-    fn see(&mut self, id: &HostId, running: Vec<RunSight>, ended: Vec<EndSight>) {
+    fn see(&mut self, id: &HostId, running: Vec<RunReport>, ended: Vec<EndReport>) {
         let sent: BootTime = self.now.boot;
-        let sight = TargetSight {
+        let sight = TargetReport {
             clock: self.now.boot,
-            born: Duration::from_secs(1),
+            started_at: Duration::from_secs(1),
             running,
             ended,
         };
-        let answer = LookAnswer::Seen(sight);
-        self.desk.saw(id, sent, 0, &answer, self.now);
+        let answer = PollAnswer::Seen(sight);
+        self.desk.apply_report(id, sent, 0, &answer, self.now);
     }
 }
 
-fn terms(size: TurnSize, first_limit: u64) -> FleetTerms {
-    let queue = |number: usize| QueueTerms {
+fn terms(size: TurnSize, first_limit: u64) -> FleetPolicy {
+    let queue = |number: usize| QueuePolicy {
         name: format!("queue-{number}").into(),
         pool: format!("pool-{number}").into(),
         max_attempts: 3,
         slack_factor: 1.6,
         slack_time: Duration::from_millis(600),
-        ..QueueTerms::default()
+        ..QueuePolicy::default()
     };
-    let pool = |number: usize| PoolTerms {
+    let pool = |number: usize| PoolPolicy {
         name: format!("pool-{number}").into(),
-        ..PoolTerms::default()
+        ..PoolPolicy::default()
     };
-    let space = |number: usize| WorkspaceTerms {
+    let space = |number: usize| WorkspacePolicy {
         name: format!("workspace-{number:03}").into(),
-        limit: HostRoom {
+        limit: ResourceVector {
             cpu: if number == 0 { first_limit } else { 0 },
-            ..HostRoom::default()
+            ..ResourceVector::default()
         },
-        ..WorkspaceTerms::default()
+        ..WorkspacePolicy::default()
     };
-    FleetTerms {
+    FleetPolicy {
         revision: 1,
         queues: (0..POOLS).map(queue).collect(),
         pools: (0..POOLS).map(pool).collect(),
--- a/crates/decide/tests/desk/world_call.rs
+++ b/crates/decide/tests/desk/world_call.rs
@@ -1,10 +1,10 @@
 use std::time::Duration;
 
-use decide::work::PlacePhase;
+use decide::work::PlacementPhase;
 use model::{
     BootTime, HostId,
     work::{
-        LookAnswer, LookOrder, OrderAnswer, StartAnswer, StartOrder, StartRefusal, StopOrder,
+        OrderAnswer, PollAnswer, PollOrder, StartAnswer, StartOrder, StartRefusal, StopOrder,
         TaskKey,
     },
 };
@@ -24,9 +24,9 @@
 pub(super) enum WorldOrder {
     Start(StartOrder),
     Stop(StopOrder),
-    Look(LookOrder),
+    Look(PollOrder),
     /// A look beside the one that waits.
-    LookNow(LookOrder),
+    LookNow(PollOrder),
 }
 
 pub(super) struct WorldCall {
@@ -47,7 +47,7 @@
 enum WorldAnswer {
     Start(StartAnswer),
     Stop(OrderAnswer),
-    Look(LookAnswer),
+    Look(PollAnswer),
 }
 
 impl DeskWorld {
@@ -78,7 +78,9 @@
                 {
                     let answer = StartAnswer::NotSent("not wanted any more".to_owned());
                     let (task, attempt) = (start.task.clone(), start.attempt);
-                    owner.desk.started(&name, &task, attempt, &answer, self.now);
+                    owner
+                        .desk
+                        .handle_start_answer(&name, &task, attempt, &answer, self.now);
                     continue;
                 }
                 if self.is_needless(owner, &name, &order) {
@@ -95,7 +97,7 @@
             return false;
         };
         let (task, attempt) = (&stop.task, stop.attempt);
-        !owner.desk.wants_stop(name, task, attempt, self.now)
+        !owner.desk.should_send_stop(name, task, attempt, self.now)
     }
 
     fn under_way(&self, owner: u64, name: &HostId) -> usize {
@@ -274,9 +276,13 @@
                         Some(WorldAnswer::Start(answer)) => answer,
                         _ => StartAnswer::Unanswered(lost()),
                     };
-                    owner
-                        .desk
-                        .started(&call.target, &order.task, order.attempt, &answer, now);
+                    owner.desk.handle_start_answer(
+                        &call.target,
+                        &order.task,
+                        order.attempt,
+                        &answer,
+                        now,
+                    );
                 }
                 (WorldOrder::Stop(order), answer) => {
                     let answer = match answer {
@@ -284,9 +290,14 @@
                         _ => OrderAnswer::Unanswered(lost()),
                     };
                     let (task, attempt) = (&order.task, order.attempt);
-                    owner
-                        .desk
-                        .stopped(&call.target, task, attempt, call.sent, &answer, now);
+                    owner.desk.handle_stop_answer(
+                        &call.target,
+                        task,
+                        attempt,
+                        call.sent,
+                        &answer,
+                        now,
+                    );
                 }
                 (WorldOrder::Look(order) | WorldOrder::LookNow(order), answer) => {
                     if let WorldOrder::Look(_) = &call.order {
@@ -298,11 +309,11 @@
                     }
                     let answer = match answer {
                         Some(WorldAnswer::Look(answer)) => answer,
-                        _ => LookAnswer::Unanswered(lost()),
+                        _ => PollAnswer::Unanswered(lost()),
                     };
                     owner
                         .desk
-                        .saw(&call.target, call.sent, order.observed, &answer, now);
+                        .apply_report(&call.target, call.sent, order.acked_end, &answer, now);
                 }
             }
             if answered {
@@ -323,7 +334,7 @@
         match self {
             Self::Start(_) => WorldAnswer::Start(StartAnswer::Refused(StartRefusal::OtherLife)),
             Self::Stop(_) => WorldAnswer::Stop(OrderAnswer::OtherLife),
-            Self::Look(_) | Self::LookNow(_) => WorldAnswer::Look(LookAnswer::OtherLife),
+            Self::Look(_) | Self::LookNow(_) => WorldAnswer::Look(PollAnswer::OtherLife),
         }
     }
 }
@@ -336,11 +347,11 @@
         step,
         index,
     } = &start.task;
-    let job = owner.desk.board.jobs.get(job);
+    let job = owner.desk.job_table.jobs.get(job);
     let task = job.and_then(|job| job.task(*occurrence, *step, *index));
-    let place = task.and_then(|task| task.place.as_ref());
+    let place = task.and_then(|task| task.placement.as_ref());
     place.is_some_and(|place| {
         let same = place.target == *name && place.attempt == start.attempt;
-        same && place.phase == PlacePhase::Starting
+        same && place.phase == PlacementPhase::Starting
     })
 }
--- a/crates/decide/tests/desk/world_target.rs
+++ b/crates/decide/tests/desk/world_target.rs
@@ -1,11 +1,11 @@
 use std::{collections::BTreeMap, time::Duration};
 
-use decide::work::DeskTime;
+use decide::work::SchedulerTime;
 use model::{
     BootTime, HostId,
     work::{
-        EndKind, EndSight, LookAnswer, LookOrder, OrderAnswer, RunSight, StartAnswer, StartOrder,
-        StartRefusal, StopOrder, TargetSight, TaskKey,
+        EndKind, EndReport, OrderAnswer, PollAnswer, PollOrder, RunReport, StartAnswer, StartOrder,
+        StartRefusal, StopOrder, TargetReport, TaskKey,
     },
 };
 
@@ -38,13 +38,13 @@
     pub until: BootTime,
     pub runs: BTreeMap<(TaskKey, u64), BootTime>,
     pub closed: BTreeMap<TaskKey, u64>,
-    pub ended: Vec<EndSight>,
+    pub ended: Vec<EndReport>,
     pub ends: u64,
 }
 
 impl WorldTarget {
     /// The next life of its host, under an id of its own.
-    pub fn successor(&self, name: &HostId, now: DeskTime) -> (HostId, Self) {
+    pub fn successor(&self, name: &HostId, now: SchedulerTime) -> (HostId, Self) {
         let state = Self {
             born: now.unix,
             shown: now.unix,
@@ -73,7 +73,7 @@
         if now > self.until {
             let lapsed: Vec<(TaskKey, u64)> = self.runs.keys().cloned().collect();
             for run in lapsed {
-                self.end(run, EndKind::Lapsed);
+                self.end(run, EndKind::LeaseExpired);
             }
         }
     }
@@ -83,7 +83,7 @@
         self.ends += 1;
         let (task, attempt) = run;
         self.close(&task, attempt);
-        self.ended.push(EndSight {
+        self.ended.push(EndReport {
             number: self.ends,
             task,
             attempt,
@@ -116,10 +116,10 @@
         if self.fenced(order.token) {
             return StartAnswer::Refused(StartRefusal::Fenced);
         }
-        if self.zero + order.until < now {
+        if self.zero + order.lease_until < now {
             return StartAnswer::Refused(StartRefusal::Late);
         }
-        self.extend(order.until, now);
+        self.extend(order.lease_until, now);
         let run = (order.task.clone(), order.attempt);
         if self.runs.contains_key(&run) {
             return StartAnswer::Started {
@@ -153,32 +153,35 @@
     }
 
     /// Answers a look; also tells which done tasks it lets the target forget.
-    pub fn look(&mut self, order: &LookOrder, now: BootTime) -> (LookAnswer, Vec<TaskKey>) {
+    pub fn look(&mut self, order: &PollOrder, now: BootTime) -> (PollAnswer, Vec<TaskKey>) {
         if self.fenced(order.token) {
-            return (LookAnswer::Fenced, Vec::new());
+            return (PollAnswer::Fenced, Vec::new());
         }
-        if let Some(until) = order.until {
+        if let Some(until) = order.lease_until {
             self.extend(until, now);
         }
-        let noted = self.ended.iter().filter(|end| end.number <= order.observed);
+        let noted = self
+            .ended
+            .iter()
+            .filter(|end| end.number <= order.acked_end);
         let noted = noted
             .filter(|end| end.kind == EndKind::Done)
             .map(|end| end.task.clone());
         let noted = noted.collect();
-        self.ended.retain(|end| end.number > order.observed);
-        let running = self.runs.iter().map(|((task, attempt), end)| RunSight {
+        self.ended.retain(|end| end.number > order.acked_end);
+        let running = self.runs.iter().map(|((task, attempt), end)| RunReport {
             task: task.clone(),
             attempt: *attempt,
             // A task that lasts says that it is at work.
             percent: if *end == BootTime::MAX { 100 } else { 50 },
-            ..RunSight::default()
+            ..RunReport::default()
         });
-        let sight = TargetSight {
+        let sight = TargetReport {
             clock: self.clock(now),
-            born: self.born,
+            started_at: self.born,
             running: running.collect(),
             ended: self.ended.clone(),
         };
-        (LookAnswer::Seen(sight), noted)
+        (PollAnswer::Seen(sight), noted)
     }
 }
--- a/crates/decide/tests/job.rs
+++ b/crates/decide/tests/job.rs
@@ -1,11 +1,11 @@
-//! Properties of jobs under lost messages, late messages, restarts of workers and holders,
-//! on seeded models. A failing case prints its seed.
+//! Randomized models of jobs with lost messages, late messages, and restarts of workers and
+//! holders. A failing case prints its seed.
 #![allow(clippy::expect_used)]
 
 use std::{collections::BTreeMap, time::Duration};
 
 use decide::job::{
-    JobPhase, JobPolicy, JobSpec, JobState, PhaseKind, SightFacts, StepAction, TaskSight,
+    AttemptAction, AttemptReport, JobPhase, JobPolicy, JobSpec, JobState, PhaseKind, ReportContext,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use rstest::rstest;
@@ -13,19 +13,19 @@
 const SEEDS: u64 = 3000;
 const STEPS: usize = 400;
 
-/// A guard that a test takes away, to see that the check notices.
+/// A guard that a test disables to show that the check notices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum GuardFault {
     None,
     /// A start is sent before it is recorded.
     SentUnrecorded,
-    /// A holder whose log was taken over goes on writing.
+    /// A holder whose log was taken over keeps writing.
     WriteUnfenced,
     /// A worker forgets which starts it refused.
     RefusalForgotten,
-    /// A worker runs starts that were meant for its life before.
+    /// A worker runs starts that were meant for its previous incarnation.
     BootIgnored,
-    /// A worker says of a start meant for its life before that it was not run.
+    /// A worker reports a start meant for its previous incarnation as not run.
     OtherLifeRefused,
     /// A worker runs a task id again.
     RepeatsRun,
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, Default)]
 struct WorkerModel {
     boot: u64,
-    tasks: BTreeMap<String, TaskSight>,
+    tasks: BTreeMap<String, AttemptReport>,
 }
 
 #[derive(Clone, Debug)]
@@ -44,7 +44,7 @@
     task: String,
 }
 
-/// An entry host with the job in memory, in the term in which it took the log over.
+/// An entry host with the job in memory, in the term in which it took over the log.
 #[derive(Clone, Debug)]
 struct HolderModel {
     term: u64,
@@ -95,12 +95,12 @@
                 4..8 => self.restart_worker(),
                 8..10 => self.kill_holder(),
                 10..35 => self.deliver(),
-                _ => self.act(),
+                _ => self.step_holder(),
             }
         }
     }
 
-    /// A new holder reads what is recorded; the one before may live on.
+    /// A new holder reads what is recorded; the previous one may still run.
     fn take_over(&mut self) {
         self.term += 1;
         let state = self.recorded.clone();
@@ -128,13 +128,13 @@
         self.workers[index].tasks.clear();
     }
 
-    /// One holder does one thing.
-    fn act(&mut self) {
+    /// One holder performs one step.
+    fn step_holder(&mut self) {
         let index = self.random.random_range(0..self.holders.len());
         let mut holder = self.holders[index].clone();
         match holder.state.kind() {
             PhaseKind::Waiting => self.place(&mut holder),
-            PhaseKind::Placed => self.push_on(&mut holder),
+            PhaseKind::Placed => self.advance(&mut holder),
             PhaseKind::Ended => {}
         }
         let alive = self.flush(&mut holder);
@@ -151,36 +151,36 @@
     fn place(&mut self, holder: &mut HolderModel) {
         let worker = self.random.random_range(0..self.workers.len());
         let boot = self.workers[worker].boot.to_string();
-        holder.state = holder.state.starting(&worker.to_string().into(), &boot);
+        holder.state = holder.state.next_attempt(&worker.to_string().into(), &boot);
         if self.fault == GuardFault::SentUnrecorded {
             holder.recorded_attempt = holder.state.attempt;
             self.send_once(holder);
         }
     }
 
-    fn push_on(&mut self, holder: &mut HolderModel) {
+    fn advance(&mut self, holder: &mut HolderModel) {
         self.send_once(holder);
         if holder.sent_attempt != holder.state.attempt {
             return;
         }
         let worker: usize = holder.state.worker.parse().expect("an index");
         let model = &self.workers[worker];
-        let sight = if self.random.random_bool(0.2) {
-            TaskSight::Silent
+        let report = if self.random.random_bool(0.2) {
+            AttemptReport::Unresponsive
         } else {
             let task = model.tasks.get(&holder.state.task_id());
-            task.cloned().unwrap_or(TaskSight::Unknown)
+            task.cloned().unwrap_or(AttemptReport::Unknown)
         };
-        let facts = SightFacts {
+        let facts = ReportContext {
             now: self.now,
             boot: model.boot.to_string(),
-            ..SightFacts::default()
+            ..ReportContext::default()
         };
         let (next, action) = holder
             .state
-            .after_sight(&sight, &facts, &JobPolicy::default());
+            .after_report(&report, &facts, &JobPolicy::default());
         holder.state = next;
-        if action == StepAction::Resend {
+        if action == AttemptAction::Resend {
             self.send(&holder.state.clone());
         }
     }
@@ -215,14 +215,14 @@
         true
     }
 
-    /// One start arrives, in any order; its answer is lost, and the holder asks later.
+    /// One start arrives, in any order. Its response is lost, and the holder polls later.
     fn deliver(&mut self) {
         if self.flying.is_empty() {
             return;
         }
         let index = self.random.random_range(0..self.flying.len());
         let message = self.flying.swap_remove(index);
-        // Some arrive twice, as a retry below the holder's sight.
+        // Some arrive twice, as with a retry at the transport level.
         if self.random.random_bool(0.2) {
             self.flying.push(message.clone());
         }
@@ -230,7 +230,7 @@
         let worker = &mut self.workers[message.worker];
         let known = worker.tasks.contains_key(&message.task);
         if known && self.fault != GuardFault::RepeatsRun {
-            let refused = matches!(worker.tasks[&message.task], TaskSight::NotRun(_));
+            let refused = matches!(worker.tasks[&message.task], AttemptReport::NotRun(_));
             if !(refused && self.fault == GuardFault::RefusalForgotten) {
                 return;
             }
@@ -238,20 +238,20 @@
         let other_life = message.boot != worker.boot.to_string();
         let kept = [GuardFault::BootIgnored, GuardFault::OtherLifeRefused];
         if other_life && !kept.contains(&self.fault) {
-            // Nothing is remembered: the task may have run in the life before.
+            // Nothing is remembered: the task may have run in the previous incarnation.
             return;
         }
         if (other_life && self.fault != GuardFault::BootIgnored) || refuses {
-            let refused = TaskSight::NotRun("refused".to_owned());
+            let refused = AttemptReport::NotRun("refused".to_owned());
             worker.tasks.insert(message.task, refused);
             return;
         }
         self.runs += 1;
-        worker.tasks.insert(message.task, TaskSight::Done);
+        worker.tasks.insert(message.task, AttemptReport::Done);
     }
 }
 
-fn first_double(fault: GuardFault) -> Option<(u64, u32)> {
+fn first_double_run(fault: GuardFault) -> Option<(u64, u32)> {
     (0..SEEDS).find_map(|seed| {
         let mut world = JobWorld::new(fault, seed);
         world.run();
@@ -261,9 +261,9 @@
 
 #[test]
 fn job_not_idempotent_runs_at_most_once() {
-    // Holders die or are taken over while alive, workers restart, starts come late, twice
-    // or are refused. A second run would bill a customer twice.
-    assert_eq!(first_double(GuardFault::None), None);
+    // Guards against a second run, which would bill a customer twice. Holders die or are taken over
+    // while alive, workers restart, and starts arrive late, twice or are refused.
+    assert_eq!(first_double_run(GuardFault::None), None);
 }
 
 #[rstest]
@@ -274,12 +274,12 @@
 #[case::other_life_refused(GuardFault::OtherLifeRefused)]
 #[case::repeats_run(GuardFault::RepeatsRun)]
 fn check_catches_missing_guard(#[case] fault: GuardFault) {
-    let caught = first_double(fault);
+    let caught = first_double_run(fault);
     assert!(caught.is_some(), "no seed of {SEEDS} shows {fault:?}");
 }
 
 #[test]
-fn job_told_done_has_run() {
+fn job_reported_done_has_run() {
     let mut ended = BTreeMap::new();
     for seed in 0..SEEDS {
         let mut world = JobWorld::new(GuardFault::None, seed);
--- a/crates/decide/tests/lease_schedule.rs
+++ b/crates/decide/tests/lease_schedule.rs
@@ -1,9 +1,9 @@
-//! Seeded schedules of serving lease, member list and acceptance of configuration changes.
+//! Randomized schedules of serving lease, member list and acceptance of configuration changes.
 //!
-//! What a user would see if this failed: an operator is told that a key is withdrawn, and
-//! longer than a lease after that some entry host still takes work with the key. The
-//! schedules pause, kill and cut off hosts, take the store away, lose and delay messages and
-//! store answers, and let hosts join, leave and replace each other all the while.
+//! Guards against an entry host that accepts work with a key for longer than a lease after an
+//! operator was told that the key is withdrawn. The schedules pause, kill and disconnect hosts,
+//! take the store down, lose and delay messages and store responses, and let hosts join, leave and
+//! replace each other.
 
 #![allow(clippy::unwrap_used)]
 
@@ -29,16 +29,16 @@
 const LEASE: Duration = Duration::from_millis(200);
 const BEAT: Duration = Duration::from_millis(40);
 
-/// A guard taken away, in the machine or in how its callers use it.
+/// A disabled guard, in the machine or in how its callers use it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutation {
     None,
     Lease(LeaseMutation),
-    /// Acceptance asks a majority of the newest list and not of the settled one.
+    /// Acceptance requires a majority of the newest list but not of the settled one.
     AcceptMembersOnly,
     /// A change is accepted as soon as it is recorded.
     AcceptAtOnce,
-    /// A store read renews the lease from when its answer came.
+    /// A store read renews the lease from when its response arrived.
     ReadFromReceipt,
 }
 
@@ -60,7 +60,7 @@
 
 struct SimHost {
     name: MemberId,
-    life: u64,
+    incarnation: u64,
     lease: LeaseMachine,
     acks: ListAcks,
     config: u64,
@@ -82,7 +82,7 @@
     store_config: u64,
     store_list: (u64, MemberList),
     store_down_until: Duration,
-    /// Hosts on different sides hear nothing of each other until the time is over.
+    /// Hosts on different sides of the split can't reach each other until this time.
     split: (BTreeSet<MemberId>, Duration),
     accepted: Vec<(Duration, u64)>,
     served: u32,
@@ -109,13 +109,13 @@
         simulation
     }
 
-    /// A new host, or a new life of one; it takes its incarnation from the store.
+    /// A new host, or a new incarnation of one; it claims its incarnation from the store.
     fn start_host(&mut self, name: Option<MemberId>) {
         let name = name.unwrap_or_else(|| {
             self.next_name += 1;
             MemberId::from(format!("e{}", self.next_name))
         });
-        let (list, life) = self.store_list.1.with_next_incarnation(&[]);
+        let (list, incarnation) = self.store_list.1.with_next_incarnation(&[]);
         self.store_list = (self.store_list.0 + 1, list);
         let mutation = match self.mutation {
             Mutation::Lease(mutation) => mutation,
@@ -123,15 +123,15 @@
         };
         let options = LeaseOptions {
             length: LEASE,
-            silent_after: Duration::from_millis(400),
+            unresponsive_after: Duration::from_millis(400),
             mutation,
         };
         self.hosts
-            .retain(|host| host.name != name || host.is_dead && host.life != life);
+            .retain(|host| host.name != name || host.is_dead && host.incarnation != incarnation);
         self.hosts.push(SimHost {
-            lease: LeaseMachine::new(options, name.clone(), life),
+            lease: LeaseMachine::new(options, name.clone(), incarnation),
             name,
-            life,
+            incarnation,
             acks: ListAcks::default(),
             config: 0,
             is_dead: false,
@@ -147,7 +147,7 @@
     fn run(mut self) -> Result<(u32, usize), String> {
         for _ in 0..STEPS {
             self.now += STEP;
-            self.trouble();
+            self.inject_faults();
             for index in 0..self.hosts.len() {
                 if !self.hosts[index].is_dead && self.now >= self.hosts[index].paused_until {
                     self.step_host(index)?;
@@ -157,7 +157,7 @@
         Ok((self.served, self.accepted.len()))
     }
 
-    fn trouble(&mut self) {
+    fn inject_faults(&mut self) {
         let now = self.now;
         let up_to = |rng: &mut StdRng, ms| now + Duration::from_millis(rng.random_range(10..ms));
         if self.rng.random_bool(0.002) {
@@ -172,7 +172,7 @@
         let living: Vec<usize> = (0..self.hosts.len())
             .filter(|index| !self.hosts[*index].is_dead)
             .collect();
-        if living.len() < 6 && self.store_up() && self.rng.random_bool(0.004) {
+        if living.len() < 6 && self.is_store_up() && self.rng.random_bool(0.004) {
             self.start_host(None);
         }
         if living.is_empty() {
@@ -188,18 +188,18 @@
         if living.len() > 1 && self.rng.random_bool(0.004) {
             let name = self.hosts[index].name.clone();
             self.hosts[index].is_dead = true;
-            if self.store_up() && self.rng.random_bool(0.5) {
+            if self.is_store_up() && self.rng.random_bool(0.5) {
                 self.start_host(Some(name));
             }
         }
     }
 
-    fn store_up(&self) -> bool {
+    fn is_store_up(&self) -> bool {
         self.now >= self.store_down_until
     }
 
     fn reaches_store(&self, index: usize) -> bool {
-        self.store_up() && self.now >= self.hosts[index].cut_until
+        self.is_store_up() && self.now >= self.hosts[index].cut_until
     }
 
     fn reaches(&self, from: &MemberId, to: &MemberId) -> bool {
@@ -208,17 +208,18 @@
 
     fn step_host(&mut self, index: usize) -> Result<(), String> {
         self.serve(index)?;
-        self.hear(index);
+        self.deliver_messages(index);
         self.probe(index);
         self.step_store(index);
-        self.step_submit(index);
+        self.step_submission(index);
         if self.now >= self.hosts[index].beat_at {
             self.send_beats(index);
         }
         self.serve(index)
     }
 
-    /// The promise: longer than a lease after a change was accepted, nobody serves without it.
+    /// The checked rule: longer than a lease after a change was accepted, no host serves without
+    /// it.
     fn serve(&mut self, index: usize) -> Result<(), String> {
         let host = &self.hosts[index];
         if host.lease.check(self.now).is_err() {
@@ -237,11 +238,11 @@
         }
         Err(format!(
             "{}#{} serves at {:?} with revision {}, {due} was accepted",
-            host.name, host.life, self.now, host.config
+            host.name, host.incarnation, self.now, host.config
         ))
     }
 
-    fn hear(&mut self, index: usize) {
+    fn deliver_messages(&mut self, index: usize) {
         let now = self.now;
         let due: Vec<_> = {
             let inbox = &mut self.hosts[index].inbox;
@@ -250,28 +251,29 @@
             *inbox = rest;
             due.into_iter().collect()
         };
-        for (_, from, life, beat) in due {
+        for (_, from, incarnation, beat) in due {
             let host = &mut self.hosts[index];
-            host.lease.hear(&from, life, &beat, now);
-            host.acks.note_held(&from, life, beat.member_revision);
-            // A peer that is ahead sends what is lacking, sometimes.
+            host.lease.handle_beat(&from, incarnation, &beat, now);
+            host.acks
+                .record_held(&from, incarnation, beat.member_revision);
+            // A peer that is ahead sometimes sends the missing changes.
             if beat.config_revision > host.config && self.rng.random_bool(0.2) {
                 host.follow_config(beat.config_revision);
             }
         }
     }
 
-    /// Dead lives are found out some time after their end, by a refused connection.
+    /// Dead incarnations are detected some time after their end, by a refused connection.
     fn probe(&mut self, index: usize) {
         let dead: Vec<_> = self
             .hosts
             .iter()
             .filter(|host| host.is_dead)
-            .map(|host| (host.name.clone(), host.life))
+            .map(|host| (host.name.clone(), host.incarnation))
             .collect();
-        for (name, life) in dead {
+        for (name, incarnation) in dead {
             if self.rng.random_bool(0.01) {
-                self.hosts[index].acks.note_gone(&name, life);
+                self.hosts[index].acks.record_ended(&name, incarnation);
             }
         }
     }
@@ -284,7 +286,7 @@
         if !host.lease.is_listed() {
             return;
         }
-        let (from, life) = (host.name.clone(), host.life);
+        let (from, incarnation) = (host.name.clone(), host.incarnation);
         let members = host.lease.list().members().iter();
         let peers: Vec<MemberId> = members
             .map(|member| MemberId::from(member.id.as_str()))
@@ -301,13 +303,15 @@
             let target = self.hosts.iter_mut();
             let mut target = target.filter(|host| host.name == peer && !host.is_dead);
             if let Some(target) = target.next() {
-                target.inbox.push_back((at, from.clone(), life, beat));
+                target
+                    .inbox
+                    .push_back((at, from.clone(), incarnation, beat));
             }
         }
     }
 
-    /// Reads of list and configuration, then at most one write of the list. Each step takes
-    /// its time, and the store may go away in between.
+    /// Reads the list and the configuration, then writes the list at most once. Each step takes
+    /// time, and the store may become unreachable in between.
     fn step_store(&mut self, index: usize) {
         let now = self.now;
         let Some(mut op) = self.hosts[index].op.take() else {
@@ -344,8 +348,8 @@
             }
             return;
         } else {
-            let answered = self.mutation == Mutation::ReadFromReceipt;
-            let sent = if answered { now } else { op.sent };
+            let counts_from_receipt = self.mutation == Mutation::ReadFromReceipt;
+            let sent = if counts_from_receipt { now } else { op.sent };
             let Some(write) = self.end_read(index, &op, sent) else {
                 return;
             };
@@ -372,12 +376,12 @@
         host.follow_config(floor);
         host.follow_list(&list);
         if host.lease.list().revision() >= list.revision() {
-            host.lease.read_store(sent);
+            host.lease.record_store_read(sent);
         }
         let floor = host.config;
-        let next = if !list.contains(&host.name, host.life) {
+        let next = if !list.contains(&host.name, host.incarnation) {
             if host.lease.was_listed() {
-                // Its life is over; another begins.
+                // Its incarnation has ended; a new one begins.
                 let (name, config) = (host.name.clone(), host.config);
                 host.is_dead = true;
                 self.start_host(Some(name));
@@ -393,8 +397,8 @@
         next.ok().map(|next| (version, next))
     }
 
-    /// An operator's change: recorded, then the list is read, then a quorum must hold it.
-    fn step_submit(&mut self, index: usize) {
+    /// An operator's change: it is recorded, then the list is read, then a quorum must hold it.
+    fn step_submission(&mut self, index: usize) {
         let Some(mut submit) = self.hosts[index].submit.take() else {
             if self.reaches_store(index) && self.rng.random_bool(0.02) {
                 self.store_config += 1;
@@ -416,13 +420,13 @@
         }
         let host = &mut self.hosts[index];
         let is_accepted = submit.list.as_ref().is_some_and(|list| {
-            let mut living = list.without_gone(&host.acks);
+            let mut living = list.without_ended(&host.acks);
             if self.mutation == Mutation::AcceptMembersOnly {
                 let mut record = living.record().clone();
                 record.settled.clear();
                 living = MemberList::new(record);
             }
-            host.lease.quorum_holds(&living, submit.revision)
+            host.lease.quorum_holds_config(&living, submit.revision)
         });
         if is_accepted {
             self.accepted.push((self.now, submit.revision));
@@ -436,7 +440,7 @@
     fn member(&self) -> Member {
         Member {
             id: self.name.to_string(),
-            incarnation: self.life,
+            incarnation: self.incarnation,
             peer_address: self.name.to_string(),
             ..Member::default()
         }
@@ -452,15 +456,16 @@
     fn follow_list(&mut self, list: &MemberList) {
         if list.config_floor() <= self.config && list.revision() > self.lease.list().revision() {
             self.lease.set_list(list.clone());
-            self.acks.forget_unlisted(list);
-            self.acks.note_held(&self.name, self.life, list.revision());
+            self.acks.prune_unlisted(list);
+            self.acks
+                .record_held(&self.name, self.incarnation, list.revision());
         }
     }
 
     fn wants_store(&self, now: Duration) -> bool {
         let renewed = self
             .lease
-            .quorum_at()
+            .quorum_acked_at()
             .is_some_and(|at| now < at + LEASE / 2);
         !self.lease.is_listed() || self.lease.is_behind() || !renewed
     }
@@ -468,7 +473,7 @@
     fn lost(&self, list: &MemberList, now: Duration) -> Option<Member> {
         let lost = self.lease.lost_members(now);
         let members = list.members().iter();
-        let mut lost = members.filter(|m| lost.contains(&m.id) || self.acks.is_gone(m));
+        let mut lost = members.filter(|m| lost.contains(&m.id) || self.acks.has_ended(m));
         lost.next().cloned()
     }
 }
@@ -481,16 +486,16 @@
     })]
 
     #[test]
-    fn lease_ends_before_accepted_change_is_missed(seed in any::<u64>()) {
+    fn lease_expires_before_accepted_change_is_missed(seed in any::<u64>()) {
         let outcome = Simulation::new(seed, Mutation::None).run();
         prop_assert!(outcome.is_ok(), "seed {seed}: {}", outcome.unwrap_err());
         let (served, _) = outcome.unwrap();
-        prop_assert!(served > 0, "seed {seed}: nobody served");
+        prop_assert!(served > 0, "seed {seed}: no host served");
     }
 }
 
-/// Each guard is needed: without it, some schedule breaks the promise. The search begins
-/// near the first seed that shows it, to keep the test short.
+/// Each guard is needed: without it, some schedule violates the rule. The search begins near the
+/// first such seed, to keep the test short.
 #[rstest::rstest]
 #[case::count_from_receipt(Mutation::Lease(LeaseMutation::CountFromReceipt), 0)]
 #[case::skip_revision(Mutation::Lease(LeaseMutation::SkipRevision), 0)]
@@ -503,11 +508,11 @@
     assert!(caught.is_some(), "{mutation:?} was not caught");
 }
 
-/// Schedules that once broke the promise.
+/// Schedules that once violated the rule.
 #[rstest::rstest]
 #[case::vote_lapsed_with_old_life(10_283_846_278_672_498_115)]
 #[case::vote_lapsed_later(7_578_252_375_247_209_915)]
-fn lease_found_schedule_holds(#[case] seed: u64) {
+fn lease_regression_schedule_holds(#[case] seed: u64) {
     let outcome = Simulation::new(seed, Mutation::None).run();
     assert!(outcome.is_ok(), "{outcome:?}");
 }
--- a/crates/decide/tests/quota_ends.rs
+++ b/crates/decide/tests/quota_ends.rs
@@ -1,8 +1,6 @@
-//! Units of dead holders while hosts are killed in turn, each before it could itself wait
-//! until a dead life's units are free.
-//!
-//! What a user would see if this failed: after a few kills a team is refused everywhere with
-//! `team-limit` though nothing of it runs, for as long as hosts go on being replaced.
+//! Guards against lost units when hosts are killed one after the other, each before it has seen a
+//! dead incarnation's units become free. The team would be refused everywhere with `team-limit`
+//! although none of its work runs.
 
 #![allow(clippy::unwrap_used)]
 
@@ -21,19 +19,19 @@
     since: 1,
 };
 const STEP: Duration = Duration::from_millis(25);
-/// Each of three hosts is killed every 60 s, before a life's units are free after 62.5 s.
-const KILL_DISTANCE: Duration = Duration::from_secs(20);
+/// Each of three hosts is killed every 60 s, before an incarnation's units are free after 62.5 s.
+const KILL_INTERVAL: Duration = Duration::from_secs(20);
 const KILLS: usize = 20;
-/// Time for a write after units are free.
-const TAKE_WITHIN: Duration = Duration::from_secs(2);
+/// Allowed time for the write after units become free.
+const RECLAIM_WITHIN: Duration = Duration::from_secs(2);
 
 struct Host {
     name: MemberId,
-    life: u64,
+    incarnation: u64,
     machine: QuotaMachine,
 }
 
-/// Three hosts that always want more of one team's limit, and a store that answers at once.
+/// Three hosts that always want more of one team's limit, and a store that responds immediately.
 struct Fleet {
     now: Duration,
     list: MemberRecord,
@@ -57,25 +55,25 @@
         fleet
     }
 
-    /// Starts a host, in place of its former life.
+    /// Starts a host, replacing its previous incarnation.
     fn start(&mut self, name: &str) {
         self.list.revision += 1;
-        let life = self.list.revision;
+        let incarnation = self.list.revision;
         for host in self.hosts.extract_if(.., |host| host.name == *name) {
-            self.ended.insert(host.life, self.now);
+            self.ended.insert(host.incarnation, self.now);
         }
         self.list.members.retain(|member| member.id != name);
         self.list.members.push(Member {
             id: name.to_owned(),
-            incarnation: life,
+            incarnation,
             peer_address: name.to_owned(),
             ..Member::default()
         });
-        let mut machine = QuotaMachine::new(QuotaOptions::default(), name.into(), life);
+        let mut machine = QuotaMachine::new(QuotaOptions::default(), name.into(), incarnation);
         machine.set_limits(1, &BTreeMap::from([(TeamId::from(TEAM), LIMIT)]));
         self.hosts.push(Host {
             name: name.into(),
-            life,
+            incarnation,
             machine,
         });
         let list = MemberList::new(self.list.clone());
@@ -90,7 +88,7 @@
             self.now += STEP;
             for index in 0..self.hosts.len() {
                 let machine = &mut self.hosts[index].machine;
-                machine.note_waiting(&TEAM.into(), 20);
+                machine.set_waiting(&TEAM.into(), 20);
                 let actions = machine.tick(self.now);
                 self.perform(index, actions);
             }
@@ -108,34 +106,42 @@
     }
 
     fn perform_one(&mut self, index: usize, action: QuotaAction) -> Vec<(usize, Vec<QuotaAction>)> {
-        let (from, life) = (self.hosts[index].name.clone(), self.hosts[index].life);
+        let (from, incarnation) = (
+            self.hosts[index].name.clone(),
+            self.hosts[index].incarnation,
+        );
         let now = self.now;
         match action {
             QuotaAction::Read(team) => {
                 let (version, record) = self.store.clone();
                 let machine = &mut self.hosts[index].machine;
-                machine.take_read(&team, version, record, now);
+                machine.apply_read(&team, version, record, now);
                 Vec::new()
             }
             QuotaAction::Write(write) => {
                 let outcome = self.swap(&write);
                 let machine = &mut self.hosts[index].machine;
-                vec![(index, machine.end_write(&write.team, outcome, now))]
+                vec![(
+                    index,
+                    machine.handle_write_outcome(&write.team, outcome, now),
+                )]
             }
             QuotaAction::Ask(to, ask) => {
                 let (index, machine) = self.find(&to);
-                vec![(index, machine.hear_ask(&from, &ask, now))]
+                vec![(index, machine.handle_ask(&from, &ask, now))]
             }
             QuotaAction::Release(to, release) => {
-                self.find(&to).1.hear_release(&from, life, &release);
+                self.find(&to)
+                    .1
+                    .handle_release(&from, incarnation, &release);
                 Vec::new()
             }
-            QuotaAction::Note(to, note) => {
-                self.find(&to).1.hear_note(&note, now);
+            QuotaAction::SendRecord(to, note) => {
+                self.find(&to).1.handle_record(&note, now);
                 Vec::new()
             }
-            QuotaAction::Ends(to, ends) => {
-                self.find(&to).1.hear_ends(&ends, now);
+            QuotaAction::SendEnds(to, ends) => {
+                self.find(&to).1.handle_ends(&ends, now);
                 Vec::new()
             }
         }
@@ -147,7 +153,7 @@
         (index, &mut self.hosts[index].machine)
     }
 
-    /// Writes the record; nothing of a dead life may be taken too early.
+    /// Writes the record; units of a dead incarnation must not be taken too early.
     fn swap(&mut self, write: &QuotaWrite) -> WriteOutcome {
         if self.store.0 != write.expect {
             return WriteOutcome::Conflict;
@@ -164,27 +170,30 @@
         WriteOutcome::Done(self.store.0)
     }
 
-    /// Nothing of a dead life may stay taken for longer than its work can run.
+    /// Units of a dead incarnation must not stay reserved for longer than its work can run.
     fn expect_units_in_time(&self) {
-        let latest = QuotaOptions::default().reclaim_after() + TAKE_WITHIN;
+        let latest = QuotaOptions::default().reclaim_after() + RECLAIM_WITHIN;
         for grant in &self.store.1.grants {
             if let Some(at) = self.ended.get(&grant.incarnation) {
                 let age = self.now - *at;
-                assert!(age < latest, "still taken {age:?} after its end: {grant:?}");
+                assert!(
+                    age < latest,
+                    "still reserved {age:?} after its end: {grant:?}"
+                );
             }
         }
     }
 }
 
-// A host that starts anew does not know when the lives ended that are long gone. If it
-// counted from its own start, hosts replaced in turn would never see a dead life's units
-// free, and kill by kill the whole limit would be lost.
+// A restarted host does not know when incarnations ended before its own start. If it counted from
+// its start, units would never become free while hosts are replaced one after the other, and with
+// each kill more of the limit would be lost.
 #[test]
-fn units_free_while_hosts_are_killed_in_turn() {
+fn handle_ends_frees_units_while_hosts_are_killed_in_turn() {
     let mut fleet = Fleet::new();
     for kill in 0..KILLS {
-        fleet.run(KILL_DISTANCE);
+        fleet.run(KILL_INTERVAL);
         fleet.start(["e1", "e2", "e3"][kill % 3]);
     }
-    fleet.run(KILL_DISTANCE);
+    fleet.run(KILL_INTERVAL);
 }
--- a/crates/decide/tests/work_admit.rs
+++ b/crates/decide/tests/work_admit.rs
@@ -12,7 +12,7 @@
 use desk::{DeskScene, POOL, QUEUE, SPACE, ended, plan, running, step, terms_with_limit};
 use model::{
     BootTime, HostId, PoolId,
-    work::{EndKind, FleetTerms, HostRoom, JobPlan, StartOrder, WorkspaceTerms},
+    work::{EndKind, FleetPolicy, JobPlan, ResourceVector, StartOrder, WorkspacePolicy},
 };
 use wire::work::JobRecord;
 
@@ -35,13 +35,13 @@
 impl BusyPool {
     fn new() -> Self {
         let mut scene = DeskScene::new(1);
-        let mut terms: FleetTerms = terms_with_limit(0);
-        terms.workspaces.push(WorkspaceTerms {
+        let mut terms: FleetPolicy = terms_with_limit(0);
+        terms.workspaces.push(WorkspacePolicy {
             name: OTHER.into(),
-            limit: HostRoom::default(),
+            limit: ResourceVector::default(),
             ..terms.workspaces[0].clone()
         });
-        scene.desk.set_terms(Arc::new(terms));
+        scene.desk.set_policy(Arc::new(terms));
         scene.weigh(1);
         scene.add("t1", 2000);
         Self {
@@ -57,7 +57,10 @@
     fn hand_in(&mut self, workspace: &str) -> Option<Duration> {
         let plan = job();
         let now = self.scene.now;
-        let excess = self.scene.desk.foresees_late(&plan, QUEUE, workspace, now);
+        let excess = self
+            .scene
+            .desk
+            .predict_lateness(&plan, QUEUE, workspace, now);
         if excess.is_none() {
             self.submitted += 1;
             let record = JobRecord {
@@ -68,7 +71,7 @@
                 accepted_unix_ms: u64::try_from(now.unix.as_millis()).unwrap_or_default(),
                 ..record_of_plan(&plan)
             };
-            self.scene.desk.accept(&record, now);
+            self.scene.desk.accept_job(&record, now);
             self.scene.run();
         }
         excess
@@ -156,7 +159,7 @@
 #[test]
 fn admit_bounds_first_second() {
     let mut pool = BusyPool::new();
-    pool.scene.desk.set_link(20.0);
+    pool.scene.desk.set_max_start_rate(20.0);
     let accepted = (0..500).filter(|_| pool.hand_in(SPACE).is_none()).count();
     // Five seconds are in time for the first, eight for all.
     assert!((100..=180).contains(&accepted), "{accepted} accepted");
@@ -167,10 +170,10 @@
 fn admit_jobs_without_hurry() {
     for (slack_factor, slack_time) in [(0.0, Duration::ZERO), (2.0, Duration::from_secs(3600))] {
         let mut pool = BusyPool::new();
-        let mut terms = FleetTerms::clone(&pool.scene.desk.terms);
+        let mut terms = FleetPolicy::clone(&pool.scene.desk.policy);
         terms.queues[0].slack_factor = slack_factor;
         terms.queues[0].slack_time = slack_time;
-        pool.scene.desk.set_terms(Arc::new(terms));
+        pool.scene.desk.set_policy(Arc::new(terms));
         for _ in 0..200 {
             assert_eq!(pool.hand_in(SPACE), None);
             pool.pass();
@@ -184,10 +187,13 @@
     let mut forecast = StartForecast::default();
     let pool = PoolId::from(POOL);
     let at = |ms: u64| Duration::from_millis(100_000 + ms);
-    forecast.started(&pool, at(0));
-    forecast.observe(&BTreeSet::from([pool.clone()]), at(100));
-    assert_eq!(forecast.wait(&pool, 1000, at(600)), Duration::ZERO);
+    forecast.record_start(&pool, at(0));
+    forecast.observe_waiting(&BTreeSet::from([pool.clone()]), at(100));
+    assert_eq!(forecast.expected_wait(&pool, 1000, at(600)), Duration::ZERO);
     // Hosts that are on their way begin to start after two seconds.
-    assert_eq!(forecast.wait(&pool, 1000, at(2900)), Duration::ZERO);
-    assert!(forecast.wait(&pool, 1000, at(3200)) > Duration::from_secs(10));
+    assert_eq!(
+        forecast.expected_wait(&pool, 1000, at(2900)),
+        Duration::ZERO
+    );
+    assert!(forecast.expected_wait(&pool, 1000, at(3200)) > Duration::from_secs(10));
 }
--- a/crates/decide/tests/work_board.rs
+++ b/crates/decide/tests/work_board.rs
@@ -4,14 +4,14 @@
 
 use std::time::Duration;
 
-use decide::work::{JobBoard, WorkPhase};
+use decide::work::{JobTable, WorkPhase};
 use desk::{DeskScene, ended, plan, step};
 use model::work::{EndKind, RepeatPlan, StepPlan};
 use rstest::rstest;
 use wire::work::LogEntry;
 
-fn board_of(entries: &[LogEntry]) -> JobBoard {
-    let mut board = JobBoard::default();
+fn board_of(entries: &[LogEntry]) -> JobTable {
+    let mut board = JobTable::default();
     for entry in entries {
         board.apply(
             entry,
@@ -23,7 +23,7 @@
 }
 
 /// What matters of a board, in a form that can be compared.
-fn summary(board: &JobBoard) -> String {
+fn summary(board: &JobTable) -> String {
     let jobs: Vec<String> = board
         .jobs
         .values()
@@ -50,7 +50,11 @@
         .collect();
     let mut jobs: Vec<String> = jobs;
     jobs.sort();
-    format!("{jobs:#?} {:?} {:?}", board.used.keys(), board.maintained)
+    format!(
+        "{jobs:#?} {:?} {:?}",
+        board.used_targets.keys(),
+        board.maintained_hosts
+    )
 }
 
 fn busy_log() -> Vec<LogEntry> {
@@ -96,7 +100,7 @@
     let log = busy_log();
     let board = board_of(&log);
     assert_eq!(board.jobs.len(), 4);
-    let short = board.entries();
+    let short = board.compacted_entries();
     assert_eq!(summary(&board_of(&short)), summary(&board));
 }
 
@@ -110,7 +114,7 @@
     let log = busy_log();
     let board = board_of(&log);
     let mut rest = log[removed.min(log.len())..].to_vec();
-    rest.extend(board.entries());
+    rest.extend(board.compacted_entries());
     assert_eq!(summary(&board_of(&rest)), summary(&board));
 }
 
@@ -122,7 +126,7 @@
     scene.cancel("a");
     scene.submit("a", &plan(vec![step(2, 500)]));
     assert!(scene.starts.is_empty());
-    assert_eq!(scene.desk.pending(desk::QUEUE, scene.now), 0);
+    assert_eq!(scene.desk.pending_jobs(desk::QUEUE, scene.now), 0);
     scene.compact();
     let mut successor = scene.successor(9);
     successor.add("t1", 4000);
@@ -142,8 +146,8 @@
     let left: Vec<LogEntry> = cancelled.into_iter().chain(scene.stored.clone()).collect();
     let board = board_of(&left);
     assert_eq!(board.jobs["a"].phase, WorkPhase::Completed);
-    assert_eq!(board.jobs["a"].closed_need.cpu, 500);
-    assert_eq!(board.entries(), scene.stored, "it was handed in");
+    assert_eq!(board.jobs["a"].closed_resources.cpu, 500);
+    assert_eq!(board.compacted_entries(), scene.stored, "it was handed in");
 }
 
 /// Guards against telling a caller of a cancelled job where an owner that read the whole log said
@@ -155,8 +159,8 @@
     scene.cancel("a");
     scene.submit("a", &plan(vec![step(1, 500)]));
     let accepted = scene.stored.last().cloned();
-    assert_eq!(scene.desk.progress("a"), None);
+    assert_eq!(scene.desk.job_phase("a"), None);
     scene.compact();
     let left: Vec<LogEntry> = accepted.into_iter().chain(scene.stored.clone()).collect();
-    assert_eq!(summary(&board_of(&left)), summary(&scene.desk.board));
+    assert_eq!(summary(&board_of(&left)), summary(&scene.desk.job_table));
 }
--- a/crates/decide/tests/work_services.rs
+++ b/crates/decide/tests/work_services.rs
@@ -10,14 +10,15 @@
 };
 
 use decide::work::{
-    DeskOrder, DeskTime, DeskTuning, HostOrder, HostPlanner, WorkDesk, record_of_plan,
+    HostOrder, HostPlanner, SchedulerAction, SchedulerTime, SchedulerTuning, WorkScheduler,
+    record_of_plan,
 };
 use desk::{POOL, QUEUE, SPACE, WorldTarget, plan, step, target, terms_with_limit};
 use model::{
     BootTime, HostId,
     work::{
-        FleetHost, HostCondition, HostOrderAnswer, LookAnswer, LookOrder, MaintenanceWave,
-        OrderAnswer, StartAnswer, StartOrder, StepPlan, StopOrder, TaskKey,
+        FleetHost, HostCondition, HostOrderAnswer, MaintenanceWave, OrderAnswer, PollAnswer,
+        PollOrder, StartAnswer, StartOrder, StepPlan, StopOrder, TaskKey,
     },
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -50,13 +51,13 @@
 enum Order {
     Start(StartOrder),
     Stop(StopOrder),
-    Look(LookOrder),
+    Look(PollOrder),
 }
 
 enum Answer {
     Start(StartAnswer),
     Stop(OrderAnswer),
-    Look(LookAnswer),
+    Look(PollAnswer),
 }
 
 struct Call {
@@ -81,8 +82,8 @@
 struct ServiceWorld {
     dice: StdRng,
     faults: Faults,
-    now: DeskTime,
-    desk: WorkDesk,
+    now: SchedulerTime,
+    desk: WorkScheduler,
     planner: HostPlanner,
     targets: BTreeMap<HostId, WorldTarget>,
     calls: Vec<Call>,
@@ -94,13 +95,13 @@
 }
 
 impl ServiceWorld {
-    fn new(seed: u64, may_miss: u32, faults: Faults) -> Self {
-        let now = DeskTime {
+    fn new(seed: u64, max_unavailable: u32, faults: Faults) -> Self {
+        let now = SchedulerTime {
             boot: Duration::from_secs(1000),
             unix: Duration::from_secs(1_000_000),
         };
-        let mut desk = WorkDesk::new(DeskTuning::default(), 7);
-        desk.set_terms(Arc::new(terms_with_limit(100_000)));
+        let mut desk = WorkScheduler::new(SchedulerTuning::default(), 7);
+        desk.set_policy(Arc::new(terms_with_limit(100_000)));
         let names = (0..TARGETS).map(|number| HostId::from(format!("t{number}")));
         let fresh = |name: HostId| {
             let state = WorldTarget {
@@ -125,7 +126,7 @@
         };
         let service = StepPlan {
             long_running: true,
-            may_miss,
+            max_unavailable,
             anti_affinity: 1,
             ..step(TASKS, 1000)
         };
@@ -136,7 +137,7 @@
             workspace: SPACE.to_owned(),
             ..record_of_plan(&plan(vec![service]))
         };
-        world.desk.accept(&record, now);
+        world.desk.accept_job(&record, now);
         world
     }
 
@@ -167,7 +168,7 @@
     }
 
     fn waves_are_done(&mut self) -> bool {
-        let states = self.planner.wave_states();
+        let states = self.planner.changed_waves();
         states.iter().all(|(_, completed)| *completed)
     }
 
@@ -186,10 +187,10 @@
             wave,
             hosts: hosts.collect(),
             deadline: Duration::from_secs(20),
-            cap: 2,
+            max_down: 2,
         };
         let now = self.now.boot;
-        self.planner.take_waves(&[wave], &BTreeSet::new(), now);
+        self.planner.apply_waves(&[wave], &BTreeSet::new(), now);
     }
 
     fn draw_faults(&mut self) {
@@ -278,28 +279,28 @@
             let known = self.desk.targets.get(name);
             let born = known
                 .filter(|known| known.listed)
-                .map(|known| known.life.born);
+                .map(|known| known.incarnation.started_at);
             if state.up && born != Some(state.born) {
                 let mut entry = target(name, CAPACITY);
-                entry.born = state.born;
-                self.desk.list_target(entry, now);
+                entry.started_at = state.born;
+                self.desk.upsert_target(entry, now);
             } else if !state.up && now.boot >= state.down_since + NOTICE {
-                self.desk.unlist_target(name);
+                self.desk.mark_target_unlisted(name);
             }
         }
         self.desk.tick(now);
         if now.boot.subsec_millis().is_multiple_of(100) {
             self.tend_hosts();
         }
-        self.desk.plan(now);
+        self.desk.plan_starts(now);
         self.look();
-        for order in self.desk.take_orders() {
+        for order in self.desk.take_actions() {
             match order {
-                DeskOrder::Record(record) => self.desk.recorded(&record, now),
-                DeskOrder::Start(name, order) => self.send(name, Order::Start(order)),
-                DeskOrder::Stop(name, order) => {
+                SchedulerAction::AppendLog(record) => self.desk.handle_stored_entry(&record, now),
+                SchedulerAction::Start(name, order) => self.send(name, Order::Start(order)),
+                SchedulerAction::Stop(name, order) => {
                     let (task, attempt) = (&order.task, order.attempt);
-                    if self.desk.wants_stop(&name, task, attempt, now) {
+                    if self.desk.should_send_stop(&name, task, attempt, now) {
                         self.send(name, Order::Stop(order));
                     }
                 }
@@ -323,7 +324,7 @@
             ..FleetHost::default()
         };
         let hosts = self.targets.iter().map(host).collect();
-        self.planner.take_list(hosts, now);
+        self.planner.apply_host_list(hosts, now);
         for order in self.planner.plan(&mut self.desk, now) {
             let HostOrder::Maintain(host, _) = &order else {
                 continue;
@@ -338,8 +339,8 @@
             if up {
                 self.take_down(&name, Duration::from_millis(1500), true);
             }
-            if self.planner.answered(&order, &answer, now) {
-                self.desk.end_target(&name, self.now);
+            if self.planner.apply_answer(&order, &answer, now) {
+                self.desk.end_target_after_host_order(&name, self.now);
             }
         }
     }
@@ -353,7 +354,7 @@
             if self.calls.iter().any(waits) {
                 continue;
             }
-            if let Some(order) = self.desk.look_order(&name, self.now) {
+            if let Some(order) = self.desk.poll_order(&name, self.now) {
                 self.send(name, Order::Look(order));
             }
         }
@@ -464,21 +465,28 @@
                         Some(Answer::Start(answer)) => answer,
                         _ => StartAnswer::Unanswered(lost()),
                     };
-                    desk.started(id, &order.task, order.attempt, &answer, now);
+                    desk.handle_start_answer(id, &order.task, order.attempt, &answer, now);
                 }
                 (Order::Stop(order), done) => {
                     let answer = match done {
                         Some(Answer::Stop(answer)) => answer,
                         _ => OrderAnswer::Unanswered(lost()),
                     };
-                    desk.stopped(id, &order.task, order.attempt, call.sent, &answer, now);
+                    desk.handle_stop_answer(
+                        id,
+                        &order.task,
+                        order.attempt,
+                        call.sent,
+                        &answer,
+                        now,
+                    );
                 }
                 (Order::Look(order), done) => {
                     let answer = match done {
                         Some(Answer::Look(answer)) => answer,
-                        _ => LookAnswer::Unanswered(lost()),
+                        _ => PollAnswer::Unanswered(lost()),
                     };
-                    desk.saw(id, call.sent, order.observed, &answer, now);
+                    desk.apply_report(id, call.sent, order.acked_end, &answer, now);
                 }
             }
         }
@@ -493,14 +501,14 @@
             return;
         }
         let now = self.now.boot;
-        let may_miss = self.desk.board.jobs["a"].plan.steps[0].may_miss as usize;
+        let max_unavailable = self.desk.job_table.jobs["a"].plan.steps[0].max_unavailable as usize;
         let missing = |index: &u32| {
             let gone = self.gone.get(&key(*index));
             gone.is_some_and(|gone| gone.ordered || now >= gone.since + NOTICE)
         };
         let others = (0..TASKS).filter(|index| *index != task.index);
         let away: Vec<u32> = others.filter(missing).collect();
-        if away.len() >= may_miss {
+        if away.len() >= max_unavailable {
             let told = self.history.get(task);
             let fault = format!("{now:?}: {task} ends on {on} while {away:?} are away: {told:#?}");
             self.found.push(fault);
@@ -540,10 +548,10 @@
 #[case::late_starts(1, Faults { lost: 0.05, late: 0.4, crash: 0.1, cut: 0.1 })]
 #[case::unsure(1, Faults { lost: 0.3, late: 0.35, crash: 0.3, cut: 0.0 })]
 #[case::two_may_miss(2, Faults { lost: 0.1, late: 0.2, crash: 0.1, cut: 0.1 })]
-fn services_miss_no_more(#[case] may_miss: u32, #[case] faults: Faults) {
+fn services_miss_no_more(#[case] max_unavailable: u32, #[case] faults: Faults) {
     let mut stops = 0;
     for seed in 0..SEEDS {
-        let mut world = ServiceWorld::new(seed, may_miss, faults);
+        let mut world = ServiceWorld::new(seed, max_unavailable, faults);
         world.run();
         stops += world.stops;
         assert!(world.found.is_empty(), "seed {seed}: {:#?}", world.found);
--- a/crates/decide/tests/work_targets.rs
+++ b/crates/decide/tests/work_targets.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use desk::{DeskScene, LATER, ended, plan, reborn, running, step, target};
-use model::work::{EndKind, LookAnswer, StepPlan, TargetEntry, TargetMode, TargetSight};
+use model::work::{EndKind, PollAnswer, StepPlan, TargetEntry, TargetMode, TargetReport};
 use rstest::rstest;
 
 fn lasting(count: u32) -> StepPlan {
@@ -27,7 +27,7 @@
         mode: TargetMode::Draining,
         ..target("t1", 2000)
     };
-    scene.desk.list_target(leaving, scene.now);
+    scene.desk.upsert_target(leaving, scene.now);
     scene.pass(Duration::from_millis(50));
     assert_eq!(scene.stops(), 1);
     scene.end("t1", start, EndKind::Stopped);
@@ -45,7 +45,7 @@
         labels: vec!["another".into(), "rack".into()],
         ..target("t2", 2000)
     };
-    scene.desk.list_target(other, scene.now);
+    scene.desk.upsert_target(other, scene.now);
     scene.raise("t2");
     let labelled = StepPlan {
         required_label: "kind".into(),
@@ -92,28 +92,30 @@
     let older = target("t1", 2000);
     let newer = TargetEntry {
         address: older.address.clone(),
-        born: Duration::from_secs(500),
+        started_at: Duration::from_secs(500),
         ..target("t2", 2000)
     };
-    scene.desk.list_target(older.clone(), scene.now);
-    let sight = model::work::TargetSight {
+    scene.desk.upsert_target(older.clone(), scene.now);
+    let sight = model::work::TargetReport {
         clock: scene.now.boot,
-        born: newer.born,
-        ..model::work::TargetSight::default()
+        started_at: newer.started_at,
+        ..model::work::TargetReport::default()
     };
-    scene.desk.list_target(newer, scene.now);
+    scene.desk.upsert_target(newer, scene.now);
     scene.run();
-    let seen = LookAnswer::Seen(sight);
+    let seen = PollAnswer::Seen(sight);
     let sent = scene.now.boot;
-    scene.desk.saw(&"t2".into(), sent, 0, &seen, scene.now);
+    scene
+        .desk
+        .apply_report(&"t2".into(), sent, 0, &seen, scene.now);
     scene.submit("a", &plan(vec![step(1, 2000)]));
     let starts = scene.start_all();
     assert_eq!(starts[0].0, "t2");
     scene.add("t3", 2000);
-    scene.desk.list_target(older, scene.now);
+    scene.desk.upsert_target(older, scene.now);
     scene.pass(Duration::from_millis(50));
     assert!(scene.starts.is_empty(), "it still runs on t2");
-    let listed = scene.desk.listed();
+    let listed = scene.desk.listed_targets();
     assert!(!listed.contains(&"t1".into()) && listed.contains(&"t2".into()));
 }
 
@@ -124,9 +126,9 @@
     let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 1000)]);
     scene.see("t1", vec![running(&starts[0].1)], Vec::new());
     scene.add("t2", 2000);
-    let order = scene.desk.look_order(&"t1".into(), scene.now);
-    assert!(order.is_some_and(|order| order.until.is_some()));
-    scene.desk.unlist_target(&"t1".into());
+    let order = scene.desk.poll_order(&"t1".into(), scene.now);
+    assert!(order.is_some_and(|order| order.lease_until.is_some()));
+    scene.desk.mark_target_unlisted(&"t1".into());
     for _ in 0..30 {
         scene.pass(Duration::from_millis(200));
         scene.miss("t1");
@@ -142,22 +144,22 @@
 fn reborn_target_frees_tasks() {
     let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 1000)]);
     scene.see("t1", vec![running(&starts[0].1)], Vec::new());
-    scene.desk.list_target(reborn(2000), scene.now);
+    scene.desk.upsert_target(reborn(2000), scene.now);
     scene.run();
     assert!(
         scene.starts.is_empty(),
         "the new life has not seen the token"
     );
-    let order = scene.desk.look_order(&"t1".into(), scene.now);
+    let order = scene.desk.poll_order(&"t1".into(), scene.now);
     assert!(order.is_some());
-    let sight = TargetSight {
-        born: LATER,
-        ..TargetSight::default()
+    let sight = TargetReport {
+        started_at: LATER,
+        ..TargetReport::default()
     };
-    let seen = LookAnswer::Seen(sight);
+    let seen = PollAnswer::Seen(sight);
     scene
         .desk
-        .saw(&"t1".into(), scene.now.boot, 0, &seen, scene.now);
+        .apply_report(&"t1".into(), scene.now.boot, 0, &seen, scene.now);
     scene.run();
     assert_eq!(scene.starts.len(), 1);
 }
@@ -174,7 +176,7 @@
     scene.answer_stop(&id, &start, scene.now.boot);
     scene.see("t1", Vec::new(), Vec::new());
     assert_eq!(scene.stops(), 1);
-    scene.desk.list_target(reborn(2000), scene.now);
+    scene.desk.upsert_target(reborn(2000), scene.now);
     scene.run();
     assert_eq!(scene.stops(), 2);
 }
@@ -265,8 +267,8 @@
     scene.miss("t1");
     scene.pass(Duration::from_secs(7));
     scene.see("t1", Vec::new(), vec![end]);
-    let order = scene.desk.look_order(&"t1".into(), scene.now);
-    assert_eq!(order.map_or(0, |order| order.observed), 0);
+    let order = scene.desk.poll_order(&"t1".into(), scene.now);
+    assert_eq!(order.map_or(0, |order| order.acked_end), 0);
 }
 
 /// A target gets more than it holds: of a gang one member's end stood for all, while the start of
@@ -306,19 +308,19 @@
 fn lone_owner_leaves_new_life() {
     let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 1000)]);
     scene.see("t1", vec![running(&starts[0].1)], Vec::new());
-    scene.desk.set_alone(true);
-    let sight = TargetSight {
-        born: LATER,
-        ..TargetSight::default()
+    scene.desk.set_ownership_uncertain(true);
+    let sight = TargetReport {
+        started_at: LATER,
+        ..TargetReport::default()
     };
     scene.now.boot += Duration::from_millis(100);
-    let seen = LookAnswer::Seen(sight);
+    let seen = PollAnswer::Seen(sight);
     scene
         .desk
-        .saw(&"t1".into(), scene.now.boot, 0, &seen, scene.now);
+        .apply_report(&"t1".into(), scene.now.boot, 0, &seen, scene.now);
     scene.pass(Duration::from_millis(100));
     assert!(scene.starts.is_empty());
-    assert!(scene.desk.look_order(&"t1".into(), scene.now).is_none());
+    assert!(scene.desk.poll_order(&"t1".into(), scene.now).is_none());
 }
 
 /// A batch is late by seconds: its target answers looks, and nothing that it runs gets on. The
@@ -329,7 +331,7 @@
     scene.add("t2", 2000);
     let (stuck, slow) = (&starts[0].1, &starts[1].1);
     for percent in 0..4 {
-        let slow = model::work::RunSight {
+        let slow = model::work::RunReport {
             percent: 10 + percent,
             ..running(slow)
         };
@@ -355,7 +357,7 @@
     }
     let order: Vec<bool> = scene
         .desk
-        .board
+        .job_table
         .jobs
         .values()
         .map(|job| job.beyond_share)
@@ -389,12 +391,12 @@
     let refused = model::work::StartAnswer::Refused(model::work::StartRefusal::NoRoom);
     scene
         .desk
-        .started(&id, &start.task, start.attempt, &refused, scene.now);
+        .handle_start_answer(&id, &start.task, start.attempt, &refused, scene.now);
     scene.run();
-    assert_eq!(scene.desk.pending(desk::QUEUE, scene.now), 1);
+    assert_eq!(scene.desk.pending_jobs(desk::QUEUE, scene.now), 1);
     scene.pass(Duration::from_millis(600));
     scene.start_all();
-    assert_eq!(scene.desk.pending(desk::QUEUE, scene.now), 0);
+    assert_eq!(scene.desk.pending_jobs(desk::QUEUE, scene.now), 0);
 }
 
 /// Guards against closing a target for a start that this process did not send, as it was not sure of
@@ -403,11 +405,13 @@
 fn withdrawn_start_leaves_target_open() {
     let mut scene = DeskScene::submitted(2000, vec![step(1, 1000)]);
     let (id, start) = scene.starts.remove(0);
-    scene.desk.start_withdrawn(&id, &start.task, start.attempt);
+    scene
+        .desk
+        .withdraw_unsent_start(&id, &start.task, start.attempt);
     scene.run();
     assert_eq!(scene.start_all().len(), 1);
     let target = &scene.desk.targets[&id];
-    assert!(target.takes_tasks(scene.now.boot) && !target.missed);
+    assert!(target.accepts_tasks(scene.now.boot) && !target.unreachable_recorded);
 }
 
 /// Guards against a start that waited for its turn behind a narrow link and is refused as too late,
@@ -418,11 +422,11 @@
     scene.add("t1", 2000);
     scene.submit("a", &plan(vec![step(1, 1000)]));
     let (id, mut start) = scene.starts.remove(0);
-    let before = start.until;
+    let before = start.lease_until;
     let waited = Duration::from_secs(6);
     scene.now.boot += waited;
-    scene.desk.renew_start(&id, &mut start, scene.now);
+    scene.desk.renew_start_deadline(&id, &mut start, scene.now);
     // The target's clock may be 2 % slow.
-    assert!(start.until >= before + waited * 97 / 100);
-    assert_eq!(scene.desk.targets[&id].granted, scene.now.boot);
+    assert!(start.lease_until >= before + waited * 97 / 100);
+    assert_eq!(scene.desk.targets[&id].last_grant, scene.now.boot);
 }
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -1,16 +1,17 @@
-//! Queues of admitted requests, and the choice of what starts next and where.
+//! Queues of admitted requests and the choice of which request starts next, and on which
+//! target.
 //!
-//! Start with [`AdmissionLoop`]: one thread owns every queue, the use of every target and
-//! the retries, so that none of it needs a lock. [`PoolQueue`] orders the requests of one
-//! pool, [`TargetTable`] knows what runs where.
+//! Start with [`AdmissionLoop`]: a single thread owns all queues, the usage of each target
+//! and the retries, so this state needs no locks. [`PoolQueue`] orders the requests of one
+//! pool, [`TargetTable`] tracks the requests in flight on each target.
 
 mod admission_loop;
 mod demand_meter;
-mod held_work;
-mod pool_desk;
+mod finish_attempt;
 mod pool_queue;
-mod settle_work;
-mod start_work;
+mod pool_state;
+mod resource_hold;
+mod start_requests;
 mod target_table;
 
 pub(crate) use admission_loop::{AdmissionConfig, AdmissionInbox, AdmissionLoop, LoopCommand};
--- a/crates/entry/src/admission/pool_queue.rs
+++ b/crates/entry/src/admission/pool_queue.rs
@@ -5,9 +5,9 @@
 
 use model::{BootTime, TeamId};
 
-use crate::work::CallerRequest;
+use crate::caller_request::CallerRequest;
 
-/// The requests that wait for a slot of one pool, in a queue for each team.
+/// The requests that wait for a slot of one pool, with one queue per team.
 #[derive(Default)]
 pub(crate) struct PoolQueue {
     teams: BTreeMap<TeamId, TeamQueue>,
@@ -23,21 +23,21 @@
 
 struct DelayedRequest {
     due: BootTime,
-    work: Box<CallerRequest>,
+    request: Box<CallerRequest>,
 }
 
 impl PoolQueue {
-    /// Requests queued, those that wait for a retry included.
+    /// Number of queued requests, including those waiting for a retry.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether nothing is queued.
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Requests of `team` queued, and how many of them are urgent.
+    /// Number of queued requests of `team`, and how many of them are urgent.
     pub fn team_len(&self, team: &TeamId) -> (usize, usize) {
         self.teams
             .get(team)
@@ -45,7 +45,7 @@
             .unwrap_or_default()
     }
 
-    /// Teams that have something queued.
+    /// Teams with queued requests.
     pub fn waiting_teams(&self) -> impl Iterator<Item = &TeamId> {
         self.teams
             .iter()
@@ -53,71 +53,82 @@
             .map(|(team, _)| team)
     }
 
-    /// Queues a request. If that makes more than `most`, gives back the newest one of the
-    /// team that queues most, so that a team that floods the pool delays only itself.
-    pub fn push(&mut self, work: Box<CallerRequest>, most: usize) -> Option<Box<CallerRequest>> {
-        let queue = self.teams.entry(work.team.clone()).or_default();
-        if work.urgent {
-            queue.urgent.push_back(work);
+    /// Queues a request. If the queue then exceeds `max_len`, removes and returns the
+    /// newest request of the team with the longest queue, so that a team that floods the
+    /// pool delays only itself.
+    pub fn push(
+        &mut self,
+        request: Box<CallerRequest>,
+        max_len: usize,
+    ) -> Option<Box<CallerRequest>> {
+        let queue = self.teams.entry(request.team.clone()).or_default();
+        if request.urgent {
+            queue.urgent.push_back(request);
         } else {
-            queue.normal.push_back(work);
+            queue.normal.push_back(request);
         }
         self.length += 1;
-        if self.length <= most {
+        if self.length <= max_len {
             return None;
         }
         let longest = self.teams.values_mut().max_by_key(|queue| queue.len())?;
-        let surplus = longest
+        let evicted = longest
             .normal
             .pop_back()
             .or_else(|| longest.urgent.pop_back())?;
         self.length -= 1;
-        Some(surplus)
+        Some(evicted)
     }
 
-    /// Queues a request that goes first in its team once `due` has come.
-    pub fn push_retry(&mut self, work: Box<CallerRequest>, due: BootTime) {
+    /// Queues a request for a retry at `due`, at the front of its team's queue.
+    pub fn push_retry(&mut self, request: Box<CallerRequest>, due: BootTime) {
         self.length += 1;
-        self.delayed.push(DelayedRequest { due, work });
+        self.delayed.push(DelayedRequest { due, request });
     }
 
-    /// Moves retries whose time has come to the front of their teams.
-    pub fn wake_retries(&mut self, now: BootTime) {
+    /// Moves retries that are due to the front of their teams' queues.
+    pub fn queue_due_retries(&mut self, now: BootTime) {
         let mut index = 0;
         while index < self.delayed.len() {
             if self.delayed[index].due > now {
                 index += 1;
                 continue;
             }
-            let work = self.delayed.swap_remove(index).work;
-            let queue = self.teams.entry(work.team.clone()).or_default();
-            if work.urgent {
-                queue.urgent.push_front(work);
+            let request = self.delayed.swap_remove(index).request;
+            let queue = self.teams.entry(request.team.clone()).or_default();
+            if request.urgent {
+                queue.urgent.push_front(request);
             } else {
-                queue.normal.push_front(work);
+                queue.normal.push_front(request);
             }
         }
     }
 
-    /// Takes out every request that `gone` says is of no more use.
-    pub fn take_out(&mut self, mut gone: impl FnMut(&CallerRequest) -> bool) -> Vec<CallerRequest> {
+    /// Removes and returns all requests for which `should_remove` is true.
+    pub fn remove_where(
+        &mut self,
+        mut should_remove: impl FnMut(&CallerRequest) -> bool,
+    ) -> Vec<CallerRequest> {
         let mut taken = Vec::new();
         for queue in self.teams.values_mut() {
-            take_from(&mut queue.urgent, &mut gone, &mut taken);
-            take_from(&mut queue.normal, &mut gone, &mut taken);
+            remove_from(&mut queue.urgent, &mut should_remove, &mut taken);
+            remove_from(&mut queue.normal, &mut should_remove, &mut taken);
         }
         let (out, kept) = self
             .delayed
             .drain(..)
-            .partition(|delayed| gone(&delayed.work));
+            .partition(|delayed| should_remove(&delayed.request));
         self.delayed = kept;
-        taken.extend(out.into_iter().map(|delayed: DelayedRequest| *delayed.work));
+        taken.extend(
+            out.into_iter()
+                .map(|delayed: DelayedRequest| *delayed.request),
+        );
         self.length -= taken.len();
         self.teams.retain(|_, queue| queue.len() > 0);
         taken
     }
 
-    /// How long the oldest urgent request of `team` has waited; `None` without one.
+    /// How long the oldest urgent request of `team` has waited; `None` if there is none.
     pub fn urgent_wait(&self, team: &TeamId, now: BootTime) -> Option<Duration> {
         let queue = self.teams.get(team)?;
         let first = queue.urgent.front()?;
@@ -131,24 +142,24 @@
         next.map(Box::as_ref)
     }
 
-    /// Takes the next request of `team`, urgent ones first.
+    /// Removes and returns the next request of `team`, urgent ones first.
     pub fn pop(&mut self, team: &TeamId) -> Option<Box<CallerRequest>> {
         let queue = self.teams.get_mut(team)?;
-        let work = queue
+        let request = queue
             .urgent
             .pop_front()
             .or_else(|| queue.normal.pop_front())?;
         self.length -= 1;
-        Some(work)
+        Some(request)
     }
 
-    /// Puts a request that could not start back where it was taken from.
-    pub fn unpop(&mut self, work: Box<CallerRequest>) {
-        let queue = self.teams.entry(work.team.clone()).or_default();
-        if work.urgent {
-            queue.urgent.push_front(work);
+    /// Puts a request that could not be started back at the front of its queue.
+    pub fn restore_front(&mut self, request: Box<CallerRequest>) {
+        let queue = self.teams.entry(request.team.clone()).or_default();
+        if request.urgent {
+            queue.urgent.push_front(request);
         } else {
-            queue.normal.push_front(work);
+            queue.normal.push_front(request);
         }
         self.length += 1;
     }
@@ -160,15 +171,16 @@
     }
 }
 
-fn take_from(
+fn remove_from(
     queue: &mut VecDeque<Box<CallerRequest>>,
-    gone: &mut impl FnMut(&CallerRequest) -> bool,
+    should_remove: &mut impl FnMut(&CallerRequest) -> bool,
     taken: &mut Vec<CallerRequest>,
 ) {
-    if !queue.iter().any(|work| gone(work)) {
+    if !queue.iter().any(|request| should_remove(request)) {
         return;
     }
-    let (out, kept): (VecDeque<_>, VecDeque<_>) = queue.drain(..).partition(|work| gone(work));
+    let (out, kept): (VecDeque<_>, VecDeque<_>) =
+        queue.drain(..).partition(|request| should_remove(request));
     *queue = kept;
-    taken.extend(out.into_iter().map(|work| *work));
+    taken.extend(out.into_iter().map(|request| *request));
 }
--- a/crates/entry/src/dispatch/run_attempt.rs
+++ b/crates/entry/src/dispatch/run_attempt.rs
@@ -9,110 +9,112 @@
 use super::{
     dispatch_pool::DispatchJob,
     send_guard::{SendCheck, SendProgress, SendVeto},
-    target_lane::{LaneRequest, TargetLane},
+    target_connection::{TargetConnection, TargetRequest},
 };
 use crate::{
-    CallerProblem, ClaimDesk,
-    caller::{BodyBudget, BodyShare, key_stands},
+    CallerProblem, ClaimService,
+    caller::{BodyBudget, BodyReservation, recheck_key},
+    caller_request::{CallerRequest, TargetAnswer},
     event,
-    work::{CallerRequest, TargetAnswer},
 };
 
-/// How old the headers of a request may be when its first byte goes out.
-const STALE_AFTER: Duration = Duration::from_millis(250);
-/// How often memory for an answer is asked for.
-const MEMORY_TICK: Duration = Duration::from_millis(2);
+/// Maximum age of the headers of a request when its first byte is sent.
+const MAX_HEADER_AGE: Duration = Duration::from_millis(250);
+/// Interval for retrying a reservation of memory for a response.
+const MEMORY_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum AttemptEnd {
-    /// The caller has its whole answer.
+    /// The caller has the complete response.
     Answered {
-        /// True if the target said that it failed.
+        /// True if the target responded with a server error.
         failed: bool,
     },
-    /// The target did not run the request; another one may.
+    /// The target did not run the request; another target may run it.
     NotRun {
-        /// What happened.
+        /// Details for the caller.
         detail: String,
-        /// What it says of the target.
-        blame: TargetBlame,
+        /// Why the request did not run.
+        cause: NotRunCause,
     },
-    /// The target may have run the request, and may be running it still.
+    /// The target may have run the request or may still be running it.
     Unknown {
-        /// What happened.
+        /// Details for the caller.
         detail: String,
-        /// True if the target was silent until the deadline, rather than gone or wrong.
-        silent: bool,
+        /// True if the target did not respond before the deadline; false if it closed the
+        /// connection or sent an invalid response.
+        timed_out: bool,
     },
-    /// The request must not run here at all.
+    /// The request must not run at all.
     Refused(CallerProblem),
 }
 
-/// What an attempt that did not run says of its target.
+/// Why an attempt did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum TargetBlame {
-    /// Nothing: the fault is on this side.
-    None,
-    /// It takes no new work now.
+pub(crate) enum NotRunCause {
+    /// A problem on this host, not of the target.
+    Local,
+    /// The target accepts no new requests at the moment.
     Refused,
-    /// It can't be reached.
+    /// The target can't be reached.
     Unreachable,
 }
 
-/// What the admission thread hears of an attempt.
+/// The report of an attempt to the admission thread.
 pub(crate) struct AttemptReport {
-    /// The request, unless the caller has its outcome.
+    /// The request. Its reply slot is empty if the caller already has the outcome.
     pub request: Box<CallerRequest>,
     /// The target.
     pub host: HostId,
-    /// The lane, for the next request.
-    pub lane: Option<TargetLane>,
+    /// The connection, if it can be reused for the next request.
+    pub connection: Option<TargetConnection>,
     /// The unit of the team's limit, still held.
     pub permit: QuotaPermit,
-    /// How the attempt ended.
+    /// Outcome of the attempt.
     pub end: AttemptEnd,
-    /// How long it took.
+    /// Duration of the attempt.
     pub elapsed: Duration,
 }
 
 /// Runs attempts; shared by all dispatch threads.
 pub(crate) struct AttemptRunner {
-    /// Claims ids.
-    pub claims: Arc<ClaimDesk>,
-    /// Keys in force.
+    /// Claims request ids.
+    pub claims: Arc<ClaimService>,
+    /// The active configuration, for the keys.
     pub config: Arc<dyn ConfigSource>,
-    /// Whether this host may start work.
+    /// Whether this host may start requests.
     pub gate: Arc<dyn ServingGate>,
     /// Clocks.
     pub clock: Arc<dyn Clock>,
-    /// Longest wait for the home of an id.
-    pub claim_patience: Duration,
-    /// Largest answer, in bytes.
+    /// Maximum wait for the home of a request id to answer a claim.
+    pub claim_timeout: Duration,
+    /// Maximum size of a response body, in bytes.
     pub max_answer: usize,
-    /// Memory of answers.
+    /// Memory budget of response bodies.
     pub budget: Arc<BodyBudget>,
 }
 
 impl AttemptRunner {
-    /// Runs one attempt and hands the caller its answer if there is one.
+    /// Runs one attempt and, on success, passes the response to the caller.
     pub fn run(&self, job: DispatchJob) -> AttemptReport {
         let DispatchJob {
             mut request,
-            lane,
+            connection,
             permit,
         } = job;
-        let begun = self.clock.boot_now();
+        let started = self.clock.boot_now();
         let end = self
             .claim(&mut request)
-            .unwrap_or_else(|| self.send(&mut request, &lane));
-        let elapsed = self.clock.boot_now().saturating_sub(begun);
-        // After a failure the connection may still carry an answer that nobody waits for.
+            .unwrap_or_else(|| self.send(&mut request, &connection));
+        let elapsed = self.clock.boot_now().saturating_sub(started);
+        // After a failure the connection may still receive the response to the failed
+        // request.
         let clean = matches!(end, AttemptEnd::Answered { .. });
         AttemptReport {
             request,
-            host: lane.host.clone(),
-            lane: clean.then_some(lane),
+            host: connection.host.clone(),
+            connection: clean.then_some(connection),
             permit,
             end,
             elapsed,
@@ -120,15 +122,15 @@
     }
 
     fn claim(&self, request: &mut CallerRequest) -> Option<AttemptEnd> {
-        if !request.claim {
+        if !request.needs_claim {
             return None;
         }
         let left = request.deadline.saturating_sub(self.clock.boot_now());
-        let patience = self.claim_patience.min(left);
-        let verdict = self.claims.claim(&request.request, &request.team, patience);
+        let timeout = self.claim_timeout.min(left);
+        let verdict = self.claims.claim(&request.id, &request.team, timeout);
         let problem = match verdict {
             ClaimVerdict::First => {
-                request.claim = false;
+                request.needs_claim = false;
                 return None;
             }
             ClaimVerdict::Taken => "the Request-Id was used before, or is too old",
@@ -142,58 +144,59 @@
         )))
     }
 
-    fn send(&self, request: &mut CallerRequest, lane: &TargetLane) -> AttemptEnd {
-        let composed = self.clock.boot_now();
-        let left = request.deadline.saturating_sub(composed);
+    fn send(&self, request: &mut CallerRequest, connection: &TargetConnection) -> AttemptEnd {
+        let composed_at = self.clock.boot_now();
+        let left = request.deadline.saturating_sub(composed_at);
         if left.is_zero() {
             return AttemptEnd::Refused(deadline_passed());
         }
         let target_id = request.target_id();
-        let sending = LaneRequest {
+        let sending = TargetRequest {
             request: &target_id,
             team: &request.team,
             idempotent: request.idempotent,
             content_type: request.content_type.as_deref(),
             body: &request.body,
-            patience: left,
+            timeout: left,
         };
-        let response = match lane.send(&sending, self.check(request, composed)) {
+        let response = match connection.send(&sending, self.send_check(request, composed_at)) {
             Ok(response) => response,
-            Err(cause) => return explain(lane, &cause),
+            Err(cause) => return classify_failure(connection, &cause),
         };
-        self.receive(request, &target_id, lane, response)
+        self.read_response(request, &target_id, connection, response)
     }
 
-    /// What must hold at the moment the first byte goes out.
+    /// Builds the check that runs immediately before the first byte is sent.
     ///
-    /// The target is told the time left as of `composed`. If a slow connect or a pause of
-    /// this process came after that, the target would take the request for fresher than it
-    /// is and might run it after its deadline, when its unit is given to another one.
-    fn check(&self, request: &CallerRequest, composed: BootTime) -> SendCheck {
+    /// The headers tell the target the time left as of `composed_at`. If the connect was
+    /// slow or this process was paused after that, the target would assume more time than
+    /// is left. It might then run the request after its deadline, when its quota unit
+    /// already belongs to another request.
+    fn send_check(&self, request: &CallerRequest, composed_at: BootTime) -> SendCheck {
         let gate = Arc::clone(&self.gate);
         let config = Arc::clone(&self.config);
         let clock = Arc::clone(&self.clock);
         let team = request.team.clone();
-        let stamp = request.stamp.clone();
+        let fingerprint = request.fingerprint.clone();
         let deadline = request.deadline;
         Box::new(move || {
-            key_stands(&config.current(), &team, &stamp, clock.unix_now())?;
+            recheck_key(&config.current(), &team, &fingerprint, clock.unix_now())?;
             if clock.boot_now() >= deadline {
                 return Err(deadline_passed().into());
             }
             gate.check()?;
-            if clock.boot_now().saturating_sub(composed) > STALE_AFTER {
+            if clock.boot_now().saturating_sub(composed_at) > MAX_HEADER_AGE {
                 return Err(SendVeto::Stale);
             }
             Ok(())
         })
     }
 
-    fn receive(
+    fn read_response(
         &self,
         request: &mut CallerRequest,
         target_id: &str,
-        lane: &TargetLane,
+        connection: &TargetConnection,
         response: Response<Body>,
     ) -> AttemptEnd {
         let status = response.status().as_u16();
@@ -204,33 +207,33 @@
             let echo = echo.unwrap_or_default();
             warn(
                 &event::ANSWER_MISMATCHED,
-                format_args!("request={target_id} host={} echo={echo}", lane.host),
+                format_args!("request={target_id} host={} echo={echo}", connection.host),
             );
             return AttemptEnd::Unknown {
                 detail: "the target sent the answer of another request".to_owned(),
-                silent: false,
+                timed_out: false,
             };
         }
         if status == 503 && header(&response, "not-run").is_some_and(|text| text == "true") {
             return AttemptEnd::NotRun {
                 detail: "the target takes no new work".to_owned(),
-                blame: TargetBlame::Refused,
+                cause: NotRunCause::Refused,
             };
         }
-        self.read_answer(request, lane, response)
+        self.read_answer(request, connection, response)
     }
 
     fn read_answer(
         &self,
         request: &mut CallerRequest,
-        lane: &TargetLane,
+        connection: &TargetConnection,
         mut response: Response<Body>,
     ) -> AttemptEnd {
         let status = response.status().as_u16();
         let content_type = header(&response, "content-type");
-        let announced: Option<usize> =
+        let content_length: Option<usize> =
             header(&response, "content-length").and_then(|text| text.parse().ok());
-        let Some(mut share) = self.reserve(request, announced) else {
+        let Some(mut reservation) = self.reserve(request, content_length) else {
             return AttemptEnd::Refused(CallerProblem::ran(
                 ProblemKind::TargetFailed,
                 "no memory became free for the answer",
@@ -245,64 +248,75 @@
                 let problem = CallerProblem::ran(ProblemKind::TargetFailed, detail);
                 return AttemptEnd::Refused(problem);
             }
-            // Fewer bytes than announced, or an unfinished chunk, is an error here too.
-            Err(cause) => return cut_answer(lane, &cause.to_string()),
+            // A body shorter than its content length or an unfinished chunk is an error
+            // here too.
+            Err(cause) => return truncated_answer(connection, &cause.to_string()),
         };
-        share.shrink_to(body.len());
+        reservation.shrink_to(body.len());
         request.reply.send(Ok(TargetAnswer {
             status,
             content_type,
-            body: share.attach(Bytes::from(body)),
+            body: reservation.attach(Bytes::from(body)),
         }));
         AttemptEnd::Answered {
             failed: status >= 500,
         }
     }
 
-    /// Takes memory for a whole answer before reading any of it, so that two answers can't
-    /// each hold half of what they need. While callers take theirs, this one waits.
-    fn reserve(&self, request: &CallerRequest, announced: Option<usize>) -> Option<BodyShare> {
-        let size = announced.unwrap_or(self.max_answer).min(self.max_answer);
-        let mut share = self.budget.share(&request.team);
-        while !share.grow(size) {
+    /// Reserves memory for the complete response before reading any of it, so that two
+    /// responses can't deadlock by holding half of what they need each. Waits while callers
+    /// are still reading their responses.
+    fn reserve(
+        &self,
+        request: &CallerRequest,
+        content_length: Option<usize>,
+    ) -> Option<BodyReservation> {
+        let size = content_length
+            .unwrap_or(self.max_answer)
+            .min(self.max_answer);
+        let mut reservation = self.budget.reservation(&request.team);
+        while !reservation.grow(size) {
             if self.clock.boot_now() >= request.deadline {
                 return None;
             }
-            thread::sleep(MEMORY_TICK);
+            thread::sleep(MEMORY_POLL_INTERVAL);
         }
-        Some(share)
+        Some(reservation)
     }
 }
 
-/// What a failed exchange says about the fate of its request.
-fn explain(lane: &TargetLane, cause: &ureq::Error) -> AttemptEnd {
-    match lane.progress() {
+/// Derives the outcome of an attempt from a failed exchange.
+fn classify_failure(connection: &TargetConnection, cause: &ureq::Error) -> AttemptEnd {
+    match connection.progress() {
         SendProgress::Vetoed(SendVeto::Final(problem)) => AttemptEnd::Refused(problem),
         SendProgress::Vetoed(SendVeto::Stale) => AttemptEnd::NotRun {
             detail: "the request was held up on this entry host".to_owned(),
-            blame: TargetBlame::None,
+            cause: NotRunCause::Local,
         },
         SendProgress::Unsent => AttemptEnd::NotRun {
-            detail: format!("no connection to {}: {cause}", lane.host),
-            blame: TargetBlame::Unreachable,
+            detail: format!("no connection to {}: {cause}", connection.host),
+            cause: NotRunCause::Unreachable,
         },
         SendProgress::Sent => AttemptEnd::Unknown {
-            detail: format!("{} had the request and did not answer: {cause}", lane.host),
-            silent: matches!(cause, ureq::Error::Timeout(_)),
+            detail: format!(
+                "{} had the request and did not answer: {cause}",
+                connection.host
+            ),
+            timed_out: matches!(cause, ureq::Error::Timeout(_)),
         },
     }
 }
 
-/// An answer that ended early must not pass for a whole one.
-fn cut_answer(lane: &TargetLane, cause: &str) -> AttemptEnd {
+/// A truncated response must not be passed on as a complete one.
+fn truncated_answer(connection: &TargetConnection, cause: &str) -> AttemptEnd {
     metrics::counter!("lws_answers_truncated").increment(1);
     warn(
         &event::ANSWER_TRUNCATED,
-        format_args!("host={} cause=\"{cause}\"", lane.host),
+        format_args!("host={} cause=\"{cause}\"", connection.host),
     );
     AttemptEnd::Unknown {
-        detail: format!("the answer of {} broke off: {cause}", lane.host),
-        silent: false,
+        detail: format!("the answer of {} broke off: {cause}", connection.host),
+        timed_out: false,
     }
 }
 
