--- a/crates/link/src/call_client.rs
+++ b/crates/link/src/call_client.rs
@@ -18,91 +18,92 @@
 use model::StepError;
 use tokio::{net::TcpStream, time::timeout_at};
 
-use crate::{CallFault, HttpCall, HttpReply};
+use crate::{CallError, HttpCall, HttpReply};
 
-/// Longest wait for a connection. Hosts are at most a few milliseconds apart; a lost opening
-/// packet is sent again after a second, and another connection is faster than that.
+/// Timeout for opening a connection. Round trips between hosts take at most a few milliseconds.
+/// A lost SYN packet is retransmitted only after a second; opening a new connection is faster.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Kept connections that carried nothing for so long are not used again: callers close theirs
-/// after 15 s, and a request that meets the closing has to be repeated.
-const IDLE_LIMIT: Duration = Duration::from_secs(10);
-/// Largest answer that is read, in bytes; the store answers at most a megabyte a page, which
-/// its text encoding makes larger by a third.
-const MAX_ANSWER: usize = 4 << 20;
-/// Longest time for the body of an answer, however steadily its bytes arrive.
-const LONGEST_BODY: Duration = Duration::from_secs(10);
-
-type LinkSender = SendRequest<Full<Bytes>>;
-
-/// Calls peers over kept connections.
+/// Connections that were idle for this long are not reused. Peers close idle connections after
+/// 15 s, and a request sent while the peer closes must be repeated.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Largest response body, in bytes. The store sends at most a megabyte per page, and base64
+/// makes that larger by a third.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
+/// Upper limit on the time for a response body, even if its bytes keep arriving.
+const MAX_BODY_TIME: Duration = Duration::from_secs(10);
+
+type RequestSender = SendRequest<Full<Bytes>>;
+
+/// HTTP client that keeps connections to its peers alive.
 ///
-/// A connection may go silent for good while new ones work. So whenever a call times out, its
-/// connection and all idle ones to that peer are dropped, and the next call opens a new one.
+/// An open connection may stop delivering for good while new connections work. Therefore a call
+/// that times out drops its connection and all idle ones to that peer, and the next call opens a
+/// new connection.
 #[derive(Clone, Default)]
 pub struct CallClient {
-    idle: Rc<RefCell<HashMap<CompactString, Vec<IdleLink>>>>,
+    idle: Rc<RefCell<HashMap<CompactString, Vec<IdleConnection>>>>,
 }
 
-struct IdleLink {
-    sender: LinkSender,
-    since: Instant,
+struct IdleConnection {
+    sender: RequestSender,
+    idle_since: Instant,
 }
 
 impl CallClient {
-    /// Sends a call and waits for its whole answer.
+    /// Sends a call and waits for the complete response.
     ///
     /// # Errors
-    /// [`CallFault::NotSent`] if the peer can't have seen the call, otherwise
-    /// [`CallFault::Unanswered`].
-    pub async fn call(&self, call: HttpCall) -> Result<HttpReply, CallFault> {
+    /// [`CallError::NotSent`] if the peer can't have received the call, otherwise
+    /// [`CallError::Unanswered`].
+    pub async fn call(&self, call: HttpCall) -> Result<HttpReply, CallError> {
         let deadline = tokio::time::Instant::now() + call.timeout;
-        let mut request = request_of(&call)?;
+        let mut request = build_request(&call)?;
         while let Some(mut sender) = self.take_idle(&call.address) {
-            check_time(&call, deadline)?;
+            check_deadline(&call, deadline)?;
             match timeout_at(deadline, sender.try_send_request(request)).await {
-                Err(_) => return Err(self.silent(&call)),
-                Ok(Ok(response)) => return self.finish(&call, sender, response).await,
-                Ok(Err(mut fault)) => match fault.take_message() {
-                    // The kept connection was closed before the request left.
+                Err(_) => return Err(self.timeout_error(&call)),
+                Ok(Ok(response)) => return self.read_response(&call, sender, response).await,
+                Ok(Err(mut error)) => match error.take_message() {
+                    // The idle connection was closed before the request was sent.
                     Some(unsent) => request = unsent,
-                    None => return Err(unanswered(&call, fault.into_error())),
+                    None => return Err(unanswered_error(&call, error.into_error())),
                 },
             }
         }
         let mut sender = connect(&call, deadline).await?;
-        check_time(&call, deadline)?;
+        check_deadline(&call, deadline)?;
         match timeout_at(deadline, sender.try_send_request(request)).await {
-            Err(_) => Err(self.silent(&call)),
-            Ok(Ok(response)) => self.finish(&call, sender, response).await,
-            Ok(Err(mut fault)) => match fault.take_message() {
-                Some(_) => Err(not_sent(&call, fault.into_error())),
-                None => Err(unanswered(&call, fault.into_error())),
+            Err(_) => Err(self.timeout_error(&call)),
+            Ok(Ok(response)) => self.read_response(&call, sender, response).await,
+            Ok(Err(mut error)) => match error.take_message() {
+                Some(_) => Err(not_sent_error(&call, error.into_error())),
+                None => Err(unanswered_error(&call, error.into_error())),
             },
         }
     }
 
-    /// Drops the idle connections to a peer that has gone.
-    pub fn forget(&self, address: &str) {
+    /// Drops the idle connections to a peer, for example one that is gone.
+    pub fn drop_idle(&self, address: &str) {
         self.idle.borrow_mut().remove(address);
     }
 
-    fn take_idle(&self, address: &str) -> Option<LinkSender> {
+    fn take_idle(&self, address: &str) -> Option<RequestSender> {
         let mut idle = self.idle.borrow_mut();
-        let links = idle.get_mut(address)?;
-        while let Some(link) = links.pop() {
-            if link.since.elapsed() < IDLE_LIMIT && !link.sender.is_closed() {
-                return Some(link.sender);
+        let connections = idle.get_mut(address)?;
+        while let Some(connection) = connections.pop() {
+            if connection.idle_since.elapsed() < IDLE_TIMEOUT && !connection.sender.is_closed() {
+                return Some(connection.sender);
             }
         }
         None
     }
 
-    async fn finish(
+    async fn read_response(
         &self,
         call: &HttpCall,
-        sender: LinkSender,
+        sender: RequestSender,
         response: hyper::Response<Incoming>,
-    ) -> Result<HttpReply, CallFault> {
+    ) -> Result<HttpReply, CallError> {
         let status = response.status().as_u16();
         let retry_after = response
             .headers()
@@ -110,7 +111,7 @@
             .and_then(|value| value.to_str().ok()?.parse().ok())
             .map(Duration::from_secs);
         let body = self.read_body(call, response.into_body()).await?;
-        self.keep(&call.address, sender);
+        self.return_idle(&call.address, sender);
         Ok(HttpReply {
             status,
             body,
@@ -118,21 +119,21 @@
         })
     }
 
-    /// Reads the body of an answer for as long as its bytes arrive.
+    /// Reads the body of a response for as long as its bytes keep arriving.
     ///
-    /// A large answer on a narrow link takes longer than any fixed timeout that is useful for a
-    /// connection that went silent. Cut off at the same point each time, a list of keys would
-    /// never be read; so the timeout counts from the last bytes that came.
-    async fn read_body(&self, call: &HttpCall, body: Incoming) -> Result<Bytes, CallFault> {
-        let limit = tokio::time::Instant::now() + LONGEST_BODY;
-        let mut body = Limited::new(body, MAX_ANSWER);
+    /// A large response on a slow link takes longer than any fixed timeout that detects a dead
+    /// connection early enough. With a fixed timeout a large list of keys would be cut off on every
+    /// retry and never be read. So the timeout restarts with each received frame.
+    async fn read_body(&self, call: &HttpCall, body: Incoming) -> Result<Bytes, CallError> {
+        let limit = tokio::time::Instant::now() + MAX_BODY_TIME;
+        let mut body = Limited::new(body, MAX_RESPONSE_BYTES);
         let mut bytes = BytesMut::new();
         loop {
-            let stalled = limit.min(tokio::time::Instant::now() + call.timeout);
-            let frame = match timeout_at(stalled, body.frame()).await {
-                Err(_) => return Err(self.silent(call)),
+            let frame_deadline = limit.min(tokio::time::Instant::now() + call.timeout);
+            let frame = match timeout_at(frame_deadline, body.frame()).await {
+                Err(_) => return Err(self.timeout_error(call)),
                 Ok(None) => return Ok(bytes.freeze()),
-                Ok(Some(Err(error))) => return Err(unanswered(call, error)),
+                Ok(Some(Err(error))) => return Err(unanswered_error(call, error)),
                 Ok(Some(Ok(frame))) => frame,
             };
             if let Some(part) = frame.data_ref() {
@@ -141,38 +142,43 @@
         }
     }
 
-    fn keep(&self, address: &CompactString, sender: LinkSender) {
+    fn return_idle(&self, address: &CompactString, sender: RequestSender) {
         if sender.is_closed() {
             return;
         }
-        let link = IdleLink {
+        let connection = IdleConnection {
             sender,
-            since: Instant::now(),
+            idle_since: Instant::now(),
         };
         let mut idle = self.idle.borrow_mut();
-        idle.entry(address.clone()).or_default().push(link);
+        idle.entry(address.clone()).or_default().push(connection);
     }
 
-    fn silent(&self, call: &HttpCall) -> CallFault {
-        self.forget(&call.address);
-        unanswered(call, "timed out")
+    fn timeout_error(&self, call: &HttpCall) -> CallError {
+        self.drop_idle(&call.address);
+        unanswered_error(call, "timed out")
     }
 }
 
-async fn connect(call: &HttpCall, deadline: tokio::time::Instant) -> Result<LinkSender, CallFault> {
+async fn connect(
+    call: &HttpCall,
+    deadline: tokio::time::Instant,
+) -> Result<RequestSender, CallError> {
     let limit = deadline.min(tokio::time::Instant::now() + CONNECT_TIMEOUT);
     let stream = match timeout_at(limit, TcpStream::connect(call.address.as_str())).await {
-        Err(_) => return Err(not_sent(call, "timed out while connecting")),
-        Ok(Err(error)) => return Err(not_sent(call, error)),
+        Err(_) => return Err(not_sent_error(call, "timed out while connecting")),
+        Ok(Err(error)) => return Err(not_sent_error(call, error)),
         Ok(Ok(stream)) => stream,
     };
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("nodelay to {}: {error}", call.address);
     }
     let handshake = http1::handshake::<_, Full<Bytes>>(TokioIo::new(stream));
-    let (sender, connection) = handshake.await.map_err(|error| not_sent(call, error))?;
+    let (sender, connection) = handshake
+        .await
+        .map_err(|error| not_sent_error(call, error))?;
     tokio::task::spawn_local(async move {
-        // The call that uses the connection reports the error.
+        // The call that uses the connection reports the error to its caller.
         if let Err(error) = connection.await {
             log::trace!("connection ended: {error}");
         }
@@ -180,25 +186,25 @@
     Ok(sender)
 }
 
-/// Fails if the time of a call was over before it could be sent.
+/// Fails if the deadline of a call passed before it was sent.
 ///
-/// A process that stood still finds its connection open when it goes on. What it was about to order
-/// has been overtaken by then, and nobody waits for the answer.
-fn check_time(call: &HttpCall, deadline: tokio::time::Instant) -> Result<(), CallFault> {
+/// A process that was suspended finds its connections still open when it resumes. The order it was
+/// about to send is outdated by then, and the caller no longer waits for the response.
+fn check_deadline(call: &HttpCall, deadline: tokio::time::Instant) -> Result<(), CallError> {
     if tokio::time::Instant::now() >= deadline {
-        return Err(not_sent(call, "held up until its time was over"));
+        return Err(not_sent_error(call, "held up until its time was over"));
     }
     Ok(())
 }
 
-fn request_of(call: &HttpCall) -> Result<Request<Full<Bytes>>, CallFault> {
+fn build_request(call: &HttpCall) -> Result<Request<Full<Bytes>>, CallError> {
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call
         .path
         .parse()
-        .map_err(|error: hyper::http::uri::InvalidUri| not_sent(call, error))?;
-    let host = HeaderValue::from_str(&call.address).map_err(|error| not_sent(call, error))?;
+        .map_err(|error: hyper::http::uri::InvalidUri| not_sent_error(call, error))?;
+    let host = HeaderValue::from_str(&call.address).map_err(|error| not_sent_error(call, error))?;
     let headers = request.headers_mut();
     headers.extend(call.headers.clone());
     headers.entry(HOST).or_insert(host);
@@ -210,16 +216,16 @@
     Ok(request)
 }
 
-fn not_sent(
+fn not_sent_error(
     call: &HttpCall,
     cause: impl Into<Box<dyn std::error::Error + Send + Sync>>,
-) -> CallFault {
-    CallFault::NotSent(StepError::new(call.step, call.address.as_str(), cause))
+) -> CallError {
+    CallError::NotSent(StepError::new(call.step, call.address.as_str(), cause))
 }
 
-fn unanswered(
+fn unanswered_error(
     call: &HttpCall,
     cause: impl Into<Box<dyn std::error::Error + Send + Sync>>,
-) -> CallFault {
-    CallFault::Unanswered(StepError::new(call.step, call.address.as_str(), cause))
+) -> CallError {
+    CallError::Unanswered(StepError::new(call.step, call.address.as_str(), cause))
 }
--- a/crates/member/src/config_holder.rs
+++ b/crates/member/src/config_holder.rs
@@ -2,12 +2,12 @@
 
 use arc_swap::ArcSwap;
 use decide::{
-    config::{CatchUp, ConfigFault, ConfigState},
+    config::{CatchUp, ConfigError, ConfigState},
     quota::TeamLimit,
 };
 use model::{Manifest, Revision, TeamId, event as log_event};
 use parking_lot::Mutex;
-use ports::ForceConfig;
+use ports::ActiveConfig;
 use prost::Message as _;
 use store::{KeyStore, StoreError};
 use wire::{
@@ -27,7 +27,7 @@
 /// Holds the configuration in force and only ever moves it forward.
 pub(crate) struct ConfigHolder {
     held: Mutex<HeldConfig>,
-    force: ArcSwap<ForceConfig>,
+    force: ArcSwap<ActiveConfig>,
 }
 
 #[derive(Default)]
@@ -45,7 +45,7 @@
     }
 
     /// The configuration in force.
-    pub(crate) fn force(&self) -> Arc<ForceConfig> {
+    pub(crate) fn force(&self) -> Arc<ActiveConfig> {
         self.force.load_full()
     }
 
@@ -61,7 +61,7 @@
         let teams = force.manifest.teams.iter().map(|(team, spec)| {
             let limit = TeamLimit {
                 limit: spec.limit,
-                since: held.state.touched_at(&format!("team.{team}")),
+                since: held.state.section_revision(&format!("team.{team}")),
             };
             (team.clone(), limit)
         });
@@ -75,10 +75,10 @@
         record: &ConfigRecord,
     ) -> Result<bool, StoreError> {
         let held = self.state();
-        let outcome = match held.follow(record, None) {
-            Err(ConfigFault::BaseNeeded(key)) => {
+        let outcome = match held.follow_record(record, None) {
+            Err(ConfigError::BaseNeeded(key)) => {
                 let (_, base) = read_record::<ConfigBase>(store, &key)?;
-                held.follow(record, Some(&base))
+                held.follow_record(record, Some(&base))
             }
             outcome => outcome,
         };
@@ -94,7 +94,7 @@
                 Ok(false)
             }
             // The base went away between the two reads: a newer record names another.
-            Err(ConfigFault::BaseNeeded(key)) => {
+            Err(ConfigError::BaseNeeded(key)) => {
                 Err(StoreError::Unavailable(format!("the base {key} is gone")))
             }
             Err(fault) => Err(self.reject(&fault)),
@@ -166,7 +166,7 @@
     }
 
     /// Sections that this version can't read leave its manifest as it was; keys still follow.
-    fn in_force(&self, state: &ConfigState) -> ForceConfig {
+    fn in_force(&self, state: &ConfigState) -> ActiveConfig {
         let read = match state.sections.is_empty() {
             true => Ok(Manifest::default()),
             false => Manifest::from_sections(&state.sections),
@@ -178,7 +178,7 @@
             );
             self.force.load().manifest.clone()
         });
-        ForceConfig {
+        ActiveConfig {
             revision: state.revision,
             hash: state.hash,
             manifest,
@@ -187,7 +187,7 @@
         }
     }
 
-    fn reject(&self, fault: &ConfigFault) -> StoreError {
+    fn reject(&self, fault: &ConfigError) -> StoreError {
         metrics::counter!("lws_config_faults").increment(1);
         log_event::error(&event::CONFIG_FAULT, format_args!("cause={fault}"));
         StoreError::Rejected(fault.to_string())
--- a/crates/member/src/quota_book.rs
+++ b/crates/member/src/quota_book.rs
@@ -7,7 +7,7 @@
 };
 use model::{BootTime, Incarnation, MemberId, Revision, ServeSettings, TeamId};
 use parking_lot::Mutex;
-use ports::{ForceConfig, QuotaPermit, TeamStatus};
+use ports::{ActiveConfig, QuotaPermit, TeamStatus};
 
 /// Hands out units of the grants that this host holds.
 pub(crate) struct QuotaBook {
@@ -33,8 +33,8 @@
         &self.machine
     }
 
-    pub(crate) fn begin_life(&self, incarnation: Incarnation) {
-        self.machine.lock().begin_life(incarnation);
+    pub(crate) fn begin_incarnation(&self, incarnation: Incarnation) {
+        self.machine.lock().begin_incarnation(incarnation);
     }
 
     pub(crate) fn set_members(&self, list: &MemberList, now: BootTime) {
@@ -53,7 +53,7 @@
             self.wake();
             return None;
         }
-        let is_long = locked.is_long(length);
+        let is_long = locked.is_long_work(length);
         let (machine, team) = (self.machine.clone(), team.clone());
         Some(QuotaPermit::new(move || match is_long {
             true => machine.lock().give_back_long(&team),
@@ -62,14 +62,14 @@
     }
 
     pub(crate) fn note_waiting(&self, team: &TeamId, waiting: u32) {
-        self.machine.lock().note_waiting(team, waiting);
+        self.machine.lock().set_waiting(team, waiting);
         if waiting > 0 {
             self.wake();
         }
     }
 
     /// What operators see of the teams of `force`.
-    pub(crate) fn status(&self, force: &ForceConfig) -> Vec<TeamStatus> {
+    pub(crate) fn status(&self, force: &ActiveConfig) -> Vec<TeamStatus> {
         let machine = self.machine.lock();
         let teams = force.manifest.teams.iter().map(|(team, spec)| {
             let (running, granted) = machine.usage(team);
--- a/crates/member/src/quota_store_duty.rs
+++ b/crates/member/src/quota_store_duty.rs
@@ -3,7 +3,7 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError};
 use decide::quota::{QuotaAction, QuotaWrite, WriteOutcome};
 use model::{TeamId, event as log_event};
-use ports::AuditNote;
+use ports::AuditRecord;
 use prost::Message as _;
 use store::StoreError;
 use wire::state::QuotaRecord;
@@ -74,7 +74,7 @@
         Ok((version, record)) => {
             let now = shared.now();
             let mut machine = shared.quota.machine().lock();
-            machine.take_read(team, version, record, now);
+            machine.apply_read(team, version, record, now);
         }
         Err(error) => log_event::debug(
             &event::QUOTA_CALL_FAILED,
@@ -107,7 +107,7 @@
     let now = shared.now();
     let actions = {
         let mut machine = shared.quota.machine().lock();
-        machine.end_write(&write.team, outcome, now)
+        machine.handle_write_outcome(&write.team, outcome, now)
     };
     let mut talks = BTreeMap::new();
     for action in actions {
@@ -121,7 +121,7 @@
     let parts: Vec<String> = grants
         .map(|g| format!("{}#{}={}", g.member, g.incarnation, g.units))
         .collect();
-    shared.audit(AuditNote {
+    shared.audit(AuditRecord {
         author: shared.own.to_string(),
         change_id: format!("quota-{}-{version}", write.team),
         subject: format!("grant {}", write.team),
--- a/crates/member/src/shared_state.rs
+++ b/crates/member/src/shared_state.rs
@@ -14,7 +14,7 @@
 };
 use model::{BootTime, Incarnation, MemberId, event as log_event};
 use parking_lot::Mutex;
-use ports::{AuditNote, InboundMessage, MemberInfo, NotServing};
+use ports::{AuditRecord, InboundMessage, MemberInfo, NotServing};
 use store::{KeyStore, StoreError};
 use wire::state::{ConfigRecord, Member};
 
@@ -169,7 +169,7 @@
                 list.members().len()
             ),
         );
-        self.acks.lock().forget_unlisted(list);
+        self.acks.lock().prune_unlisted(list);
         self.link_peers(list);
         self.quota.set_members(list, self.now());
         self.publish_members();
@@ -184,14 +184,14 @@
         let infos = lease.list().members().iter().map(|member| {
             let view = lease.peers().get(member.id.as_str());
             let view = view.filter(|view| view.incarnation == member.incarnation);
-            let heard_at = view.and_then(|view| view.heard_at);
+            let heard_at = view.and_then(|view| view.last_beat_at);
             let is_own = member.id == self.own.as_str();
             MemberInfo {
                 member: MemberId::from(member.id.as_str()),
                 incarnation: member.incarnation,
                 caller_address: member.caller_address.clone(),
                 data_centre: member.data_centre.as_str().into(),
-                heard: is_own || heard_at.is_some_and(|at| now.saturating_sub(at) < length),
+                reachable: is_own || heard_at.is_some_and(|at| now.saturating_sub(at) < length),
                 leaving: if is_own {
                     self.is_leaving()
                 } else {
@@ -217,16 +217,16 @@
         let silent = lives.filter(|member| {
             let view = lease.peers().get(member.id.as_str());
             let view = view.filter(|view| view.incarnation == member.incarnation);
-            let heard_at = view.and_then(|view| view.heard_at).unwrap_or_default();
+            let heard_at = view.and_then(|view| view.last_beat_at).unwrap_or_default();
             member.id != self.own.as_str()
                 && now.saturating_sub(heard_at) > length
-                && !acks.is_gone(member)
+                && !acks.has_ended(member)
         });
         silent.cloned().collect()
     }
 
     /// Notes something for the audit trail.
-    pub(crate) fn audit(&self, note: AuditNote) {
+    pub(crate) fn audit(&self, note: AuditRecord) {
         if let Some(sink) = &self.options.audit {
             sink.record(note);
         }
--- a/crates/model/src/work/host_room.rs
+++ b/crates/model/src/work/resource_vector.rs
@@ -1,6 +1,6 @@
-/// Processors, memory and accelerators, of a host or of what runs on it.
+/// Amounts of processor time, memory and accelerators, of a host or of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct HostRoom {
+pub struct ResourceVector {
     /// Thousandths of a processor core.
     pub cpu: u64,
     /// Memory, in MB.
@@ -9,8 +9,8 @@
     pub gpu: u64,
 }
 
-impl HostRoom {
-    /// Both together.
+impl ResourceVector {
+    /// Returns the sum, component by component.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -20,9 +20,9 @@
         }
     }
 
-    /// The larger of both, of each resource by itself.
+    /// Returns the maximum of each component.
     #[must_use]
-    pub fn larger(self, other: Self) -> Self {
+    pub fn max_each(self, other: Self) -> Self {
         Self {
             cpu: self.cpu.max(other.cpu),
             memory_mb: self.memory_mb.max(other.memory_mb),
@@ -30,9 +30,9 @@
         }
     }
 
-    /// The smaller of both, of each resource by itself.
+    /// Returns the minimum of each component.
     #[must_use]
-    pub fn smaller(self, other: Self) -> Self {
+    pub fn min_each(self, other: Self) -> Self {
         Self {
             cpu: self.cpu.min(other.cpu),
             memory_mb: self.memory_mb.min(other.memory_mb),
@@ -40,9 +40,10 @@
         }
     }
 
-    /// What may still be taken where `used` of this limit is; zero parts of the limit mean none.
+    /// Returns what is left of this limit when `used` is in use. A component of zero in the limit
+    /// means no limit.
     #[must_use]
-    pub fn left_of_limit(self, used: Self) -> Self {
+    pub fn remaining_of_limit(self, used: Self) -> Self {
         let left = |limit: u64, used: u64| match limit {
             0 => u64::MAX,
             limit => limit.saturating_sub(used),
@@ -54,7 +55,7 @@
         }
     }
 
-    /// What is left of this without `other`; never below zero.
+    /// Returns the difference, component by component; never below zero.
     #[must_use]
     pub fn minus(self, other: Self) -> Self {
         Self {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// This, `count` times.
+    /// Returns each component times `count`.
     #[must_use]
     pub fn times(self, count: u64) -> Self {
         Self {
@@ -74,8 +75,10 @@
         }
     }
 
-    /// True if it goes into `room`.
-    pub fn fits(self, room: Self) -> bool {
-        self.cpu <= room.cpu && self.memory_mb <= room.memory_mb && self.gpu <= room.gpu
+    /// Returns true if no component exceeds that of `available`.
+    pub fn fits_in(self, available: Self) -> bool {
+        self.cpu <= available.cpu
+            && self.memory_mb <= available.memory_mb
+            && self.gpu <= available.gpu
     }
 }
--- a/crates/ports/src/lib.rs
+++ b/crates/ports/src/lib.rs
@@ -1,12 +1,12 @@
-//! The narrow interfaces at which the areas of the system meet.
+//! The interfaces between the areas of the system.
 //!
-//! Each trait here is offered by one crate and used by others as a trait object, so that
+//! Each trait here is implemented by one crate and used by others as a trait object, so that
 //! the crates depend on this one and not on each other. `ARCHITECTURE.md` shows which
-//! crate offers which.
+//! crate implements which trait.
 
 mod advice_port;
 mod audit;
-mod caller_desk;
+mod caller_service;
 mod change;
 mod claim;
 mod config;
@@ -24,17 +24,17 @@
 mod target_port;
 
 pub use advice_port::{AdvicePort, AdviceTicket};
-pub use audit::{AuditNote, AuditSink};
-pub use caller_desk::{CallerAnswer, CallerCall, CallerDesk, CallerWish, JobProgress};
+pub use audit::{AuditRecord, AuditSink};
+pub use caller_service::{CallerAnswer, CallerCall, CallerRequest, CallerService, JobProgress};
 pub use change::{ChangeError, ChangeOutcome, ChangeRequest, ChangeSink};
 pub use claim::{ClaimSource, ClaimVerdict};
-pub use config::{ConfigSource, ForceConfig};
+pub use config::{ActiveConfig, ConfigSource};
 pub use fleet_codec::FleetCodec;
 pub use gate::{NotServing, ServingGate};
 pub use host_control::HostControl;
 pub use job::{JobError, JobRequest, JobSink, JobView};
 pub use lease_store::{
-    LeaseId, LeaseStore, PortFuture, StoreChange, StoreChanges, StoreEvent, StoreFault, StoreItem,
+    LeaseId, LeaseStore, PortFuture, StoreChange, StoreChanges, StoreError, StoreEvent, StoreItem,
     StoreOutcome, StorePage, StoreRevision, StoreWrite,
 };
 pub use link::{InboundMessage, LinkError, PeerLink};
--- a/crates/ports/src/target_port.rs
+++ b/crates/ports/src/target_port.rs
@@ -1,18 +1,18 @@
 use model::work::{
-    LookAnswer, LookOrder, OrderAnswer, PaceOrder, StartAnswer, StartOrder, StopOrder,
-    TargetAddress,
+    OrderAnswer, PollAnswer, PollOrder, StartAnswer, StartOrder, StopOrder, TargetAddress,
+    ThrottleOrder,
 };
 
 use crate::PortFuture;
 
-/// Gives orders to targets.
+/// Sends orders to targets.
 pub trait TargetPort {
     /// Starts a task.
     fn start(&self, target: &TargetAddress, order: StartOrder) -> PortFuture<StartAnswer>;
-    /// Stops a run.
+    /// Stops a running task.
     fn stop(&self, target: &TargetAddress, order: StopOrder) -> PortFuture<OrderAnswer>;
-    /// Sets a run's share of time.
-    fn pace(&self, target: &TargetAddress, order: PaceOrder) -> PortFuture<OrderAnswer>;
-    /// Renews and asks.
-    fn look(&self, target: &TargetAddress, order: LookOrder) -> PortFuture<LookAnswer>;
+    /// Limits a running task to a percentage of its processor time.
+    fn throttle(&self, target: &TargetAddress, order: ThrottleOrder) -> PortFuture<OrderAnswer>;
+    /// Polls a target: renews its time grant, acknowledges ended runs and reads its report.
+    fn poll(&self, target: &TargetAddress, order: PollOrder) -> PortFuture<PollAnswer>;
 }
