--- a/crates/decide/tests/work_admit.rs
+++ b/crates/decide/tests/work_admit.rs
@@ -54,7 +54,7 @@
     }
 
     /// Hands a job in, unless it is foreseen to be late; tells by how much it would be.
-    fn hand_in(&mut self, workspace: &str) -> Option<Duration> {
+    fn submit(&mut self, workspace: &str) -> Option<Duration> {
         let plan = job();
         let now = self.scene.now;
         let excess = self
@@ -111,7 +111,7 @@
     let mut pool = BusyPool::new();
     let mut refused = 0;
     for _ in 0..200 {
-        refused += usize::from(pool.hand_in(SPACE).is_some());
+        refused += usize::from(pool.submit(SPACE).is_some());
         pool.pass();
         // Ten seconds of what the pool starts, and what came before that had shown.
         assert!(pool.waiting() <= 30, "{} wait", pool.waiting());
@@ -129,7 +129,7 @@
     let mut pool = BusyPool::new();
     let mut excess = None;
     for _ in 0..100 {
-        excess = pool.hand_in(SPACE).or(excess);
+        excess = pool.submit(SPACE).or(excess);
         pool.pass();
     }
     let wait = excess.unwrap_or_default();
@@ -138,7 +138,7 @@
     for _ in 0..steps {
         pool.pass();
     }
-    assert_eq!(pool.hand_in(SPACE), None, "after {wait:?}");
+    assert_eq!(pool.submit(SPACE), None, "after {wait:?}");
 }
 
 /// Guards against a workspace that has others refused by sending many times its share.
@@ -146,9 +146,9 @@
 fn admit_keeps_share_of_others() {
     let mut pool = BusyPool::new();
     for number in 0..200 {
-        pool.hand_in(SPACE);
+        pool.submit(SPACE);
         if number % 20 == 0 {
-            assert_eq!(pool.hand_in(OTHER), None, "at step {number}");
+            assert_eq!(pool.submit(OTHER), None, "at step {number}");
         }
         pool.pass();
     }
@@ -160,14 +160,14 @@
 fn admit_bounds_first_second() {
     let mut pool = BusyPool::new();
     pool.scene.desk.set_max_start_rate(20.0);
-    let accepted = (0..500).filter(|_| pool.hand_in(SPACE).is_none()).count();
+    let accepted = (0..500).filter(|_| pool.submit(SPACE).is_none()).count();
     // Five seconds are in time for the first, eight for all.
     assert!((100..=180).contains(&accepted), "{accepted} accepted");
 }
 
 /// Guards against refusals of jobs that may wait for long, or whose queue has no objective.
 #[test]
-fn admit_jobs_without_hurry() {
+fn admit_jobs_with_long_or_no_objective() {
     for (slack_factor, slack_time) in [(0.0, Duration::ZERO), (2.0, Duration::from_secs(3600))] {
         let mut pool = BusyPool::new();
         let mut terms = FleetPolicy::clone(&pool.scene.desk.policy);
@@ -175,7 +175,7 @@
         terms.queues[0].slack_time = slack_time;
         pool.scene.desk.set_policy(Arc::new(terms));
         for _ in 0..200 {
-            assert_eq!(pool.hand_in(SPACE), None);
+            assert_eq!(pool.submit(SPACE), None);
             pool.pass();
         }
     }
@@ -183,7 +183,7 @@
 
 /// Guards against refusals where nothing is known yet of what the pool can start.
 #[test]
-fn wait_of_unknown_pace_is_zero() {
+fn expected_wait_unknown_rate_is_zero() {
     let mut forecast = StartForecast::default();
     let pool = PoolId::from(POOL);
     let at = |ms: u64| Duration::from_millis(100_000 + ms);
--- a/crates/decide/tests/work_board.rs
+++ b/crates/decide/tests/work_board.rs
@@ -10,21 +10,21 @@
 use rstest::rstest;
 use wire::work::LogEntry;
 
-fn board_of(entries: &[LogEntry]) -> JobTable {
-    let mut board = JobTable::default();
+fn replay(entries: &[LogEntry]) -> JobTable {
+    let mut table = JobTable::default();
     for entry in entries {
-        board.apply(
+        table.apply(
             entry,
             Duration::from_secs(1_000_000),
             Duration::from_secs(1000),
         );
     }
-    board
+    table
 }
 
 /// What matters of a board, in a form that can be compared.
-fn summary(board: &JobTable) -> String {
-    let jobs: Vec<String> = board
+fn summary(table: &JobTable) -> String {
+    let jobs: Vec<String> = table
         .jobs
         .values()
         .map(|job| {
@@ -52,12 +52,12 @@
     jobs.sort();
     format!(
         "{jobs:#?} {:?} {:?}",
-        board.used_targets.keys(),
-        board.maintained_hosts
+        table.used_targets.keys(),
+        table.maintained_hosts
     )
 }
 
-fn busy_log() -> Vec<LogEntry> {
+fn mixed_log() -> Vec<LogEntry> {
     let mut scene = DeskScene::new(1);
     scene.add("t1", 4000);
     scene.submit("done", &plan(vec![step(1, 500)]));
@@ -96,12 +96,12 @@
 
 /// A successor must read from the shorter log what it would have read from the long one.
 #[test]
-fn entries_say_the_same() {
-    let log = busy_log();
-    let board = board_of(&log);
-    assert_eq!(board.jobs.len(), 4);
-    let short = board.compacted_entries();
-    assert_eq!(summary(&board_of(&short)), summary(&board));
+fn compacted_entries_replay_to_same_table() {
+    let log = mixed_log();
+    let table = replay(&log);
+    assert_eq!(table.jobs.len(), 4);
+    let short = table.compacted_entries();
+    assert_eq!(summary(&replay(&short)), summary(&table));
 }
 
 /// The owner dies while it removes the pages that the shorter log replaces. Whatever part of
@@ -110,17 +110,17 @@
 #[case::all_left(0)]
 #[case::some_left(3)]
 #[case::last_left(7)]
-fn entries_after_rest(#[case] removed: usize) {
-    let log = busy_log();
-    let board = board_of(&log);
+fn compacted_entries_after_old_pages(#[case] removed: usize) {
+    let log = mixed_log();
+    let table = replay(&log);
     let mut rest = log[removed.min(log.len())..].to_vec();
-    rest.extend(board.compacted_entries());
-    assert_eq!(summary(&board_of(&rest)), summary(&board));
+    rest.extend(table.compacted_entries());
+    assert_eq!(summary(&replay(&rest)), summary(&table));
 }
 
 /// Guards against running a job whose submission was stored after its cancellation.
 #[test]
-fn cancel_stands_before_accept() {
+fn cancel_before_accept_prevents_start() {
     let mut scene = DeskScene::new(1);
     scene.add("t1", 4000);
     scene.cancel("a");
@@ -137,24 +137,24 @@
 /// Guards against showing a completed job as cancelled, or its runs as taking nothing, after the
 /// pages that told of its acceptance were removed and the one of its cancellation was not yet.
 #[test]
-fn cancel_without_acceptance_yields_to_closing() {
+fn apply_job_end_after_cancel_without_acceptance() {
     let (mut scene, starts) = DeskScene::started(4000, vec![step(1, 500)]);
     scene.end("t1", &starts[0].1, EndKind::Done);
     scene.cancel("a");
     let cancelled = scene.stored.last().cloned();
     scene.compact();
     let left: Vec<LogEntry> = cancelled.into_iter().chain(scene.stored.clone()).collect();
-    let board = board_of(&left);
-    assert_eq!(board.jobs["a"].phase, WorkPhase::Completed);
-    assert_eq!(board.jobs["a"].closed_resources.cpu, 500);
-    assert_eq!(board.compacted_entries(), scene.stored, "it was handed in");
+    let table = replay(&left);
+    assert_eq!(table.jobs["a"].phase, WorkPhase::Completed);
+    assert_eq!(table.jobs["a"].closed_resources.cpu, 500);
+    assert_eq!(table.compacted_entries(), scene.stored, "it was handed in");
 }
 
 /// Guards against telling a caller of a cancelled job where an owner that read the whole log said
 /// that there is none: the page of the cancellation was removed, and that of a submission which
 /// came after it was not yet.
 #[test]
-fn cancel_before_acceptance_yields_to_closing() {
+fn apply_job_end_after_cancel_before_acceptance() {
     let mut scene = DeskScene::new(1);
     scene.cancel("a");
     scene.submit("a", &plan(vec![step(1, 500)]));
@@ -162,5 +162,5 @@
     assert_eq!(scene.desk.job_phase("a"), None);
     scene.compact();
     let left: Vec<LogEntry> = accepted.into_iter().chain(scene.stored.clone()).collect();
-    assert_eq!(summary(&board_of(&left)), summary(&scene.desk.job_table));
+    assert_eq!(summary(&replay(&left)), summary(&scene.desk.job_table));
 }
--- a/crates/decide/tests/work_hosts.rs
+++ b/crates/decide/tests/work_hosts.rs
@@ -31,7 +31,7 @@
     }
 }
 
-fn with_standby(scene: &mut DeskScene) {
+fn add_standby_pool(scene: &mut DeskScene) {
     let terms = FleetPolicy::clone(&scene.desk.policy);
     let standby = PoolPolicy {
         name: STANDBY.into(),
@@ -65,7 +65,7 @@
 /// second before, and was still taken to be at work when the other's host was emptied for its
 /// maintenance.
 #[test]
-fn emptying_waits_for_silent_sibling() {
+fn drain_waits_for_unresponsive_sibling() {
     let mut scene = DeskScene::new(1);
     for target in ["t1", "t2", "t3"] {
         scene.add(target, 2000);
@@ -102,7 +102,7 @@
 /// on hosts that are looked at once a second. A look that has waited a second tells what is true
 /// now; counted from its sending, one of the siblings always seemed to be away.
 #[test]
-fn emptying_trusts_long_looks() {
+fn drain_trusts_long_polls() {
     let mut scene = DeskScene::new(1);
     for target in ["t1", "t2", "t3"] {
         scene.add(target, 2000);
@@ -133,7 +133,7 @@
 /// Maintenance must not end work. A host that runs a task is kept free of further ones and
 /// ordered only when the task has ended.
 #[test]
-fn maintenance_waits_for_work() {
+fn maintenance_waits_for_running_task() {
     let mut scene = DeskScene::new(1);
     scene.add("t1", 2000);
     scene.submit("a", &plan(vec![step(1, 1000)]));
@@ -153,7 +153,7 @@
 /// At most `cap` hosts of a wave are down at once, those counted whose order was not answered:
 /// it may be carried out.
 #[test]
-fn wave_keeps_cap() {
+fn wave_respects_max_down() {
     let mut scene = DeskScene::new(1);
     let mut planner = HostPlanner::default();
     let names = ["h1", "h2", "h3"];
@@ -194,9 +194,9 @@
 /// A queue's turn begins: arrivals rise within a second from nothing to more than its hosts
 /// hold. Switched-off hosts are ordered while there is still room, ahead of the need.
 #[test]
-fn rising_arrivals_bring_hosts() {
+fn plan_rising_arrivals_adds_hosts() {
     let mut scene = DeskScene::new(1);
-    with_standby(&mut scene);
+    add_standby_pool(&mut scene);
     let mut planner = HostPlanner::default();
     let mut list = vec![host("h1", POOL, "t1"), host("h2", POOL, "t2")];
     list.extend((3..9).map(|number| host(&format!("h{number}"), STANDBY, "")));
@@ -220,7 +220,7 @@
 /// A queue's turn begins while the cell is handed over. The successor brings hosts as soon as its
 /// predecessor would, and does not first measure for a second how fast arrivals rise.
 #[test]
-fn successor_knows_rising_arrivals() {
+fn replay_arrivals_successor_adds_hosts() {
     let mut first = DeskScene::new(1);
     first.add("t1", 4000);
     for number in 1..=10 {
@@ -236,7 +236,7 @@
         first.see("t1", Vec::new(), vec![end]);
     }
     let mut second = first.successor(9);
-    with_standby(&mut second);
+    add_standby_pool(&mut second);
     let mut planner = HostPlanner::default();
     planner.replay_arrivals(&second.desk.job_table, second.now.boot);
     let mut list = vec![host("h1", POOL, "t1"), host("h2", POOL, "t2")];
@@ -252,9 +252,9 @@
 /// An idle pool is paid for. Its hosts are switched off after a while, but for the few that a
 /// first task should find.
 #[test]
-fn idle_hosts_are_switched_off() {
+fn plan_switches_idle_hosts_off() {
     let mut scene = DeskScene::new(1);
-    with_standby(&mut scene);
+    add_standby_pool(&mut scene);
     let mut planner = HostPlanner::default();
     let list: Vec<FleetHost> = (0..6)
         .map(|number| host(&format!("h{number}"), POOL, &format!("t{number}")))
@@ -277,9 +277,9 @@
 /// A queue's turn begins within a second, and hosts that are off come too late for its first jobs.
 /// An idle pool of a fleet of 18 hosts keeps a third of its share of nine.
 #[test]
-fn idle_pool_keeps_part_of_share() {
+fn plan_idle_pool_keeps_third_of_share() {
     let mut scene = DeskScene::new(1);
-    with_standby(&mut scene);
+    add_standby_pool(&mut scene);
     let terms = FleetPolicy::clone(&scene.desk.policy);
     let other = PoolPolicy {
         name: "other".into(),
@@ -304,9 +304,9 @@
 /// Two owners must not order one host in turns. The predecessor's last order to a host is two
 /// seconds old: the host is left alone for one more, and others are ordered at once.
 #[test]
-fn predecessor_order_delays_host() {
+fn earlier_order_delays_host() {
     let mut scene = DeskScene::new(1);
-    with_standby(&mut scene);
+    add_standby_pool(&mut scene);
     let mut planner = HostPlanner::default();
     let list = (0..4).map(|number| host(&format!("h{number}"), POOL, &format!("t{number}")));
     planner.apply_host_list(list.collect(), scene.now.boot);
@@ -323,9 +323,9 @@
 /// The clock of day of a predecessor that was killed was four seconds behind. Its last orders look
 /// older than they are; these hosts are left alone all the same, and others ordered at once.
 #[test]
-fn predecessor_clock_behind_delays_host() {
+fn earlier_order_with_slow_clock_delays_host() {
     let mut scene = DeskScene::new(1);
-    with_standby(&mut scene);
+    add_standby_pool(&mut scene);
     let mut planner = HostPlanner::default();
     let list = (0..4).map(|number| host(&format!("h{number}"), POOL, &format!("t{number}")));
     planner.apply_host_list(list.collect(), scene.now.boot);
@@ -342,7 +342,7 @@
 /// A wave may have one host down. The owner was killed right after it had ordered one, which the
 /// list does not show yet; its successor must not order another beside it.
 #[test]
-fn wave_counts_predecessor_order() {
+fn wave_counts_earlier_order() {
     let mut scene = DeskScene::new(1);
     let mut planner = HostPlanner::default();
     let list = (0..2).map(|number| host(&format!("h{number}"), POOL, &format!("t{number}")));
@@ -360,9 +360,9 @@
 /// hosts of the pool had one of its siblings, which may not share a host, and the pool looked
 /// as if it had room enough. A pool has one host more than its tasks have to be apart.
 #[test]
-fn apart_tasks_bring_hosts() {
+fn anti_affinity_adds_replacement_host() {
     let mut scene = DeskScene::new(1);
-    with_standby(&mut scene);
+    add_standby_pool(&mut scene);
     let mut list = Vec::new();
     for number in 0..3 {
         let target = format!("t{number}");
@@ -387,7 +387,7 @@
 /// listed the hosts before the first look at a target was answered, took the host for empty and
 /// ordered its maintenance, which ended the task that ran there.
 #[test]
-fn successor_orders_no_host_before_look() {
+fn plan_successor_orders_no_host_before_poll() {
     let mut first = DeskScene::new(1);
     first.add("t1", 2000);
     let lasting = StepPlan {
@@ -414,7 +414,7 @@
 
 /// The silent answer of a look is part of the scene of the first test.
 #[test]
-fn silent_target_is_noticed() {
+fn unanswered_poll_marks_target_unresponsive() {
     let mut scene = DeskScene::new(1);
     scene.add("t1", 2000);
     scene.now.boot += BootTime::from_secs(2);
@@ -430,7 +430,7 @@
 /// was ordered whose target was listed, and given tasks, before the answer came. That target was
 /// taken for ended then, though the order had been carried out before and ended nothing.
 #[test]
-fn ordered_target_takes_no_tasks_once_listed() {
+fn ordered_target_gets_no_tasks_once_listed() {
     let mut scene = DeskScene::new(1);
     let mut planner = HostPlanner::default();
     planner.apply_host_list(vec![host("h1", POOL, "t1")], scene.now.boot);
--- a/crates/decide/tests/work_load.rs
+++ b/crates/decide/tests/work_load.rs
@@ -17,7 +17,7 @@
 /// A queue's turn: its pool is full, 300 jobs wait, and each end frees the room of one task. The
 /// task that is to go first takes it, and nothing else does.
 #[test]
-fn plan_full_pool_starts_one_an_end() {
+fn plan_full_pool_starts_one_task_per_end() {
     let mut scene = scene();
     scene.add("t1", 2000);
     for job in 0..300 {
--- a/crates/decide/tests/work_schedule.rs
+++ b/crates/decide/tests/work_schedule.rs
@@ -11,7 +11,7 @@
 const CALM: Duration = Duration::from_secs(300);
 const SEEDS: u64 = 60;
 
-fn run(seeds: std::ops::Range<u64>, faults: WorldFaults) {
+fn run_seeds(seeds: std::ops::Range<u64>, faults: WorldFaults) {
     let mut jobs = 0;
     for seed in seeds {
         let mut world = DeskWorld::new(seed, 5, faults);
@@ -40,8 +40,8 @@
 #[case::lanes(WorldFaults { lanes: true, lost_calls: 0.15, late_calls: 0.1, ..WorldFaults::CANCELS })]
 #[case::lists(WorldFaults { target_crash: 0.1, target_cut: 0.1, lists: true, ..WorldFaults::default() })]
 #[case::everything(WorldFaults { short_log: true, lanes: true, lists: true, ..WorldFaults::LOG })]
-fn promises_hold(#[case] faults: WorldFaults) {
-    run(0..SEEDS, faults);
+fn scheduler_invariants_hold(#[case] faults: WorldFaults) {
+    run_seeds(0..SEEDS, faults);
 }
 
 /// Seeds beyond the first that broke a promise once.
@@ -56,6 +56,6 @@
 #[case::later_run_than_missed(128, WorldFaults { short_log: true, ..WorldFaults::LOG })]
 #[case::later_run_than_missed_and_heard(148, WorldFaults { owner_kill: 0.15, owner_cut: 0.15, ..WorldFaults::CANCELS })]
 #[case::limit_beside_cancelled_before(471, WorldFaults { owner_kill: 0.15, owner_cut: 0.15, short_log: true, ..WorldFaults::LOG })]
-fn promises_hold_again(#[case] seed: u64, #[case] faults: WorldFaults) {
-    run(seed..seed + 1, faults);
+fn scheduler_invariants_hold_for_seed(#[case] seed: u64, #[case] faults: WorldFaults) {
+    run_seeds(seed..seed + 1, faults);
 }
--- a/crates/decide/tests/work_services.rs
+++ b/crates/decide/tests/work_services.rs
@@ -28,10 +28,10 @@
 const TICK: Duration = Duration::from_millis(20);
 const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a task may be gone before its step counts it as missing.
-const NOTICE: Duration = Duration::from_millis(4500);
+const MISSING_AFTER: Duration = Duration::from_millis(4500);
 /// A start that is carried out while the look that lacks it, or the stop that follows, is under way
 /// can't be known of; its task ends with its begin.
-const UNDER_WAY: Duration = Duration::from_millis(120);
+const IN_FLIGHT: Duration = Duration::from_millis(120);
 const TARGETS: u32 = 7;
 const TASKS: u32 = 4;
 const CAPACITY: u64 = 2000;
@@ -51,13 +51,13 @@
 enum Order {
     Start(StartOrder),
     Stop(StopOrder),
-    Look(PollOrder),
+    Poll(PollOrder),
 }
 
 enum Answer {
     Start(StartAnswer),
     Stop(OrderAnswer),
-    Look(PollAnswer),
+    Poll(PollAnswer),
 }
 
 struct Call {
@@ -65,30 +65,30 @@
     order: Order,
     born: Duration,
     sent: BootTime,
-    arrives: BootTime,
-    gives_up: BootTime,
+    arrives_at: BootTime,
+    times_out_at: BootTime,
     answers: bool,
     done: Option<Answer>,
-    settled: bool,
+    finished: bool,
 }
 
 /// Since when a task is gone, and whether an order of ours ended it.
 #[derive(Clone, Copy)]
-struct Gone {
+struct Unavailable {
     since: BootTime,
     ordered: bool,
 }
 
 struct ServiceWorld {
-    dice: StdRng,
+    rng: StdRng,
     faults: Faults,
     now: SchedulerTime,
-    desk: WorkScheduler,
+    scheduler: WorkScheduler,
     planner: HostPlanner,
     targets: BTreeMap<HostId, WorldTarget>,
     calls: Vec<Call>,
-    gone: BTreeMap<TaskKey, Gone>,
-    found: Vec<String>,
+    gone: BTreeMap<TaskKey, Unavailable>,
+    violations: Vec<String>,
     /// What happened to each task, for the trace of a fault.
     history: BTreeMap<TaskKey, Vec<String>>,
     stops: u32,
@@ -100,8 +100,8 @@
             boot: Duration::from_secs(1000),
             unix: Duration::from_secs(1_000_000),
         };
-        let mut desk = WorkScheduler::new(SchedulerTuning::default(), 7);
-        desk.set_policy(Arc::new(terms_with_limit(100_000)));
+        let mut scheduler = WorkScheduler::new(SchedulerTuning::default(), 7);
+        scheduler.set_policy(Arc::new(terms_with_limit(100_000)));
         let names = (0..TARGETS).map(|number| HostId::from(format!("t{number}")));
         let fresh = |name: HostId| {
             let state = WorldTarget {
@@ -112,15 +112,15 @@
             (name, state)
         };
         let mut world = Self {
-            dice: StdRng::seed_from_u64(seed),
+            rng: StdRng::seed_from_u64(seed),
             faults,
             now,
-            desk,
+            scheduler,
             planner: HostPlanner::default(),
             targets: names.map(fresh).collect(),
             calls: Vec::new(),
             gone: BTreeMap::new(),
-            found: Vec::new(),
+            violations: Vec::new(),
             history: BTreeMap::new(),
             stops: 0,
         };
@@ -137,7 +137,7 @@
             workspace: SPACE.to_owned(),
             ..record_of_plan(&plan(vec![service]))
         };
-        world.desk.accept_job(&record, now);
+        world.scheduler.accept_job(&record, now);
         world
     }
 
@@ -149,7 +149,7 @@
                 wave += 1;
                 self.begin_wave(wave);
             }
-            self.draw_faults();
+            self.inject_faults();
             self.advance();
         }
         self.faults = Faults {
@@ -159,11 +159,11 @@
             cut: 0.0,
         };
         let end = self.now.boot + CALM;
-        while self.now.boot < end && (!self.waves_are_done() || !self.is_whole()) {
+        while self.now.boot < end && (!self.waves_are_done() || !self.all_at_work()) {
             self.advance();
         }
-        if !self.is_whole() {
-            self.found.push("tasks are gone in the end".to_owned());
+        if !self.all_at_work() {
+            self.violations.push("tasks are gone in the end".to_owned());
         }
     }
 
@@ -172,16 +172,16 @@
         states.iter().all(|(_, completed)| *completed)
     }
 
-    fn is_whole(&self) -> bool {
+    fn all_at_work(&self) -> bool {
         (0..TASKS).all(|index| self.is_at_work(&key(index)))
     }
 
     fn chance(&mut self, a_second: f64) -> bool {
-        self.dice.random::<f64>() < a_second * TICK.as_secs_f64()
+        self.rng.random::<f64>() < a_second * TICK.as_secs_f64()
     }
 
     fn begin_wave(&mut self, wave: u64) {
-        let first = self.dice.random_range(0..TARGETS);
+        let first = self.rng.random_range(0..TARGETS);
         let hosts = (0..3).map(|next| format!("h{}", (first + next) % TARGETS).into());
         let wave = MaintenanceWave {
             wave,
@@ -193,16 +193,16 @@
         self.planner.apply_waves(&[wave], &BTreeSet::new(), now);
     }
 
-    fn draw_faults(&mut self) {
+    fn inject_faults(&mut self) {
         let now = self.now.boot;
         if self.chance(self.faults.crash) {
-            let length = Duration::from_millis(self.dice.random_range(500..6000));
-            let name = self.any_target();
-            self.take_down(&name, length, false);
+            let length = Duration::from_millis(self.rng.random_range(500..6000));
+            let name = self.random_target();
+            self.take_target_down(&name, length, false);
         }
         if self.chance(self.faults.cut) {
-            let length = Duration::from_millis(self.dice.random_range(300..5000));
-            let name = self.any_target();
+            let length = Duration::from_millis(self.rng.random_range(300..5000));
+            let name = self.random_target();
             if let Some(state) = self.targets.get_mut(&name)
                 && state.up
             {
@@ -212,12 +212,12 @@
         }
     }
 
-    fn any_target(&mut self) -> HostId {
-        let number = self.dice.random_range(0..TARGETS);
+    fn random_target(&mut self) -> HostId {
+        let number = self.rng.random_range(0..TARGETS);
         HostId::from(format!("t{number}"))
     }
 
-    fn take_down(&mut self, name: &HostId, length: Duration, ordered: bool) {
+    fn take_target_down(&mut self, name: &HostId, length: Duration, ordered: bool) {
         let now = self.now.boot;
         let Some(state) = self.targets.get_mut(name) else {
             return;
@@ -232,22 +232,22 @@
         state.back_at = now + length;
         for task in ended {
             if ordered {
-                self.judge(&task, name);
+                self.check_unavailable(&task, name);
             }
-            self.note_gone(&task, ordered);
+            self.mark_unavailable(&task, ordered);
         }
     }
 
     fn advance(&mut self) {
         self.now.boot += TICK;
         self.now.unix += TICK;
-        self.move_targets();
+        self.update_targets();
         self.deliver();
         self.answer();
         self.decide();
     }
 
-    fn move_targets(&mut self) {
+    fn update_targets(&mut self) {
         let now = self.now;
         let mut lapsed = Vec::new();
         for state in self.targets.values_mut() {
@@ -269,48 +269,50 @@
             }
         }
         for task in lapsed {
-            self.note_gone(&task, false);
+            self.mark_unavailable(&task, false);
         }
     }
 
     fn decide(&mut self) {
         let now = self.now;
         for (name, state) in &self.targets {
-            let known = self.desk.targets.get(name);
+            let known = self.scheduler.targets.get(name);
             let born = known
                 .filter(|known| known.listed)
                 .map(|known| known.incarnation.started_at);
             if state.up && born != Some(state.born) {
                 let mut entry = target(name, CAPACITY);
                 entry.started_at = state.born;
-                self.desk.upsert_target(entry, now);
-            } else if !state.up && now.boot >= state.down_since + NOTICE {
-                self.desk.mark_target_unlisted(name);
+                self.scheduler.upsert_target(entry, now);
+            } else if !state.up && now.boot >= state.down_since + MISSING_AFTER {
+                self.scheduler.mark_target_unlisted(name);
             }
         }
-        self.desk.tick(now);
+        self.scheduler.tick(now);
         if now.boot.subsec_millis().is_multiple_of(100) {
-            self.tend_hosts();
+            self.manage_hosts();
         }
-        self.desk.plan_starts(now);
-        self.look();
-        for order in self.desk.take_actions() {
+        self.scheduler.plan_starts(now);
+        self.poll_targets();
+        for order in self.scheduler.take_actions() {
             match order {
-                SchedulerAction::AppendLog(record) => self.desk.handle_stored_entry(&record, now),
+                SchedulerAction::AppendLog(record) => {
+                    self.scheduler.handle_stored_entry(&record, now)
+                }
                 SchedulerAction::Start(name, order) => self.send(name, Order::Start(order)),
                 SchedulerAction::Stop(name, order) => {
                     let (task, attempt) = (&order.task, order.attempt);
-                    if self.desk.should_send_stop(&name, task, attempt, now) {
+                    if self.scheduler.should_send_stop(&name, task, attempt, now) {
                         self.send(name, Order::Stop(order));
                     }
                 }
                 _ => {}
             }
         }
-        self.desk.take_events();
+        self.scheduler.take_events();
     }
 
-    fn tend_hosts(&mut self) {
+    fn manage_hosts(&mut self) {
         let now = self.now.boot;
         let host = |(name, state): (&HostId, &WorldTarget)| FleetHost {
             host: name.replace('t', "h").into(),
@@ -325,7 +327,7 @@
         };
         let hosts = self.targets.iter().map(host).collect();
         self.planner.apply_host_list(hosts, now);
-        for order in self.planner.plan(&mut self.desk, now) {
+        for order in self.planner.plan(&mut self.scheduler, now) {
             let HostOrder::Maintain(host, _) = &order else {
                 continue;
             };
@@ -337,46 +339,46 @@
                 HostOrderAnswer::Busy
             };
             if up {
-                self.take_down(&name, Duration::from_millis(1500), true);
+                self.take_target_down(&name, Duration::from_millis(1500), true);
             }
             if self.planner.apply_answer(&order, &answer, now) {
-                self.desk.end_target_after_host_order(&name, self.now);
+                self.scheduler.end_target_after_host_order(&name, self.now);
             }
         }
     }
 
-    fn look(&mut self) {
-        let names: Vec<HostId> = self.desk.targets.keys().cloned().collect();
+    fn poll_targets(&mut self) {
+        let names: Vec<HostId> = self.scheduler.targets.keys().cloned().collect();
         for name in names {
-            let waits = |call: &Call| {
-                call.target == name && !call.settled && matches!(call.order, Order::Look(_))
+            let is_pending = |call: &Call| {
+                call.target == name && !call.finished && matches!(call.order, Order::Poll(_))
             };
-            if self.calls.iter().any(waits) {
+            if self.calls.iter().any(is_pending) {
                 continue;
             }
-            if let Some(order) = self.desk.poll_order(&name, self.now) {
-                self.send(name, Order::Look(order));
+            if let Some(order) = self.scheduler.poll_order(&name, self.now) {
+                self.send(name, Order::Poll(order));
             }
         }
     }
 
     fn send(&mut self, target: HostId, order: Order) {
         let now = self.now.boot;
-        let draw: f64 = self.dice.random();
+        let draw: f64 = self.rng.random();
         let Faults { lost, late, .. } = self.faults;
-        let soon = now + Duration::from_millis(self.dice.random_range(1..60));
-        let (arrives, answers) = if draw < lost / 2.0 {
+        let soon = now + Duration::from_millis(self.rng.random_range(1..60));
+        let (arrives_at, answers) = if draw < lost / 2.0 {
             (BootTime::MAX, false)
         } else if draw < lost {
             (soon, false)
         } else if draw < lost + late {
-            let delay = Duration::from_millis(self.dice.random_range(600..12_000));
+            let delay = Duration::from_millis(self.rng.random_range(600..12_000));
             (now + delay, false)
         } else {
             (soon, true)
         };
         let wait = match &order {
-            Order::Look(look) => look.wait.min(Duration::from_millis(100)),
+            Order::Poll(look) => look.wait.min(Duration::from_millis(100)),
             _ => Duration::ZERO,
         };
         let state = self.targets.get(&target);
@@ -385,11 +387,11 @@
             target,
             order,
             sent: now,
-            arrives: arrives.saturating_add(wait),
-            gives_up: now + wait + ORDER_TIMEOUT,
+            arrives_at: arrives_at.saturating_add(wait),
+            times_out_at: now + wait + ORDER_TIMEOUT,
             answers,
             done: None,
-            settled: false,
+            finished: false,
         });
     }
 
@@ -397,28 +399,28 @@
         let now = self.now.boot;
         let mut calls = std::mem::take(&mut self.calls);
         for call in &mut calls {
-            if call.done.is_some() || call.arrives > now {
+            if call.done.is_some() || call.arrives_at > now {
                 continue;
             }
-            call.arrives = BootTime::MAX;
-            let held = now > call.gives_up;
+            call.arrives_at = BootTime::MAX;
+            let is_held_up = now > call.times_out_at;
             let Some(state) = self.targets.get_mut(&call.target) else {
                 continue;
             };
-            if !state.up || state.cut || (held && call.born != state.born) {
+            if !state.up || state.cut || (is_held_up && call.born != state.born) {
                 call.answers = false;
                 continue;
             }
-            let mut tell = |task: &TaskKey, what: &str| {
-                let told = self.history.entry(task.clone()).or_default();
-                told.push(format!(
+            let mut record_event = |task: &TaskKey, what: &str| {
+                let history = self.history.entry(task.clone()).or_default();
+                history.push(format!(
                     "{now:?}: {what} on {}, sent {:?}",
                     call.target, call.sent
                 ));
             };
             call.done = Some(match &call.order {
                 Order::Start(order) => {
-                    tell(&order.task, &format!("start {}", order.attempt));
+                    record_event(&order.task, &format!("start {}", order.attempt));
                     let answer = state.start(order, now, BootTime::MAX);
                     if matches!(answer, StartAnswer::Started { .. }) {
                         self.gone.remove(&order.task);
@@ -427,21 +429,21 @@
                     Answer::Start(answer)
                 }
                 Order::Stop(order) => {
-                    tell(&order.task, &format!("stop {}", order.attempt));
+                    record_event(&order.task, &format!("stop {}", order.attempt));
                     let run = (order.task.clone(), order.attempt);
                     let ends = state.runs.contains_key(&run);
                     let answer = state.stop(order, now);
-                    let begun = state.started_at.remove(&run.0).unwrap_or_default();
+                    let began = state.started_at.remove(&run.0).unwrap_or_default();
                     if ends {
                         self.stops += 1;
-                        if !held && now >= begun + UNDER_WAY {
-                            self.judge(&run.0, &call.target);
+                        if !is_held_up && now >= began + IN_FLIGHT {
+                            self.check_unavailable(&run.0, &call.target);
                         }
-                        self.note_gone(&run.0, true);
+                        self.mark_unavailable(&run.0, true);
                     }
                     Answer::Stop(answer)
                 }
-                Order::Look(order) => Answer::Look(state.look(order, now).0),
+                Order::Poll(order) => Answer::Poll(state.look(order, now).0),
             });
         }
         self.calls = calls;
@@ -450,29 +452,29 @@
     fn answer(&mut self) {
         let now = self.now;
         let mut calls = std::mem::take(&mut self.calls);
-        for call in calls.iter_mut().filter(|call| !call.settled) {
+        for call in calls.iter_mut().filter(|call| !call.finished) {
             let answered = call.answers && call.done.is_some();
-            if !answered && now.boot < call.gives_up {
+            if !answered && now.boot < call.times_out_at {
                 continue;
             }
-            call.settled = true;
+            call.finished = true;
             let lost = || "timed out".to_owned();
             let done = call.done.take().filter(|_| answered);
-            let (id, desk) = (&call.target, &mut self.desk);
+            let (id, scheduler) = (&call.target, &mut self.scheduler);
             match (&call.order, done) {
                 (Order::Start(order), done) => {
                     let answer = match done {
                         Some(Answer::Start(answer)) => answer,
                         _ => StartAnswer::Unanswered(lost()),
                     };
-                    desk.handle_start_answer(id, &order.task, order.attempt, &answer, now);
+                    scheduler.handle_start_answer(id, &order.task, order.attempt, &answer, now);
                 }
                 (Order::Stop(order), done) => {
                     let answer = match done {
                         Some(Answer::Stop(answer)) => answer,
                         _ => OrderAnswer::Unanswered(lost()),
                     };
-                    desk.handle_stop_answer(
+                    scheduler.handle_stop_answer(
                         id,
                         &order.task,
                         order.attempt,
@@ -481,46 +483,49 @@
                         now,
                     );
                 }
-                (Order::Look(order), done) => {
+                (Order::Poll(order), done) => {
                     let answer = match done {
-                        Some(Answer::Look(answer)) => answer,
+                        Some(Answer::Poll(answer)) => answer,
                         _ => PollAnswer::Unanswered(lost()),
                     };
-                    desk.apply_report(id, call.sent, order.acked_end, &answer, now);
+                    scheduler.apply_report(id, call.sent, order.acked_end, &answer, now);
                 }
             }
         }
-        calls.retain(|call| !call.settled || call.arrives != BootTime::MAX);
+        calls.retain(|call| !call.finished || call.arrives_at != BootTime::MAX);
         self.calls = calls;
     }
 
     /// Holds an order that ends a task at work against what its step may miss.
-    fn judge(&mut self, task: &TaskKey, on: &HostId) {
+    fn check_unavailable(&mut self, task: &TaskKey, on: &HostId) {
         if self.is_at_work(task) {
             // It runs elsewhere as well.
             return;
         }
         let now = self.now.boot;
-        let max_unavailable = self.desk.job_table.jobs["a"].plan.steps[0].max_unavailable as usize;
+        let max_unavailable =
+            self.scheduler.job_table.jobs["a"].plan.steps[0].max_unavailable as usize;
         let missing = |index: &u32| {
             let gone = self.gone.get(&key(*index));
-            gone.is_some_and(|gone| gone.ordered || now >= gone.since + NOTICE)
+            gone.is_some_and(|gone| gone.ordered || now >= gone.since + MISSING_AFTER)
         };
         let others = (0..TASKS).filter(|index| *index != task.index);
         let away: Vec<u32> = others.filter(missing).collect();
         if away.len() >= max_unavailable {
-            let told = self.history.get(task);
-            let fault = format!("{now:?}: {task} ends on {on} while {away:?} are away: {told:#?}");
-            self.found.push(fault);
+            let history = self.history.get(task);
+            let fault =
+                format!("{now:?}: {task} ends on {on} while {away:?} are away: {history:#?}");
+            self.violations.push(fault);
         }
     }
 
-    fn note_gone(&mut self, task: &TaskKey, ordered: bool) {
+    fn mark_unavailable(&mut self, task: &TaskKey, ordered: bool) {
         if self.is_at_work(task) {
             return;
         }
         let since = self.now.boot;
-        self.gone.insert(task.clone(), Gone { since, ordered });
+        self.gone
+            .insert(task.clone(), Unavailable { since, ordered });
     }
 
     fn is_at_work(&self, task: &TaskKey) -> bool {
@@ -548,13 +553,17 @@
 #[case::late_starts(1, Faults { lost: 0.05, late: 0.4, crash: 0.1, cut: 0.1 })]
 #[case::unsure(1, Faults { lost: 0.3, late: 0.35, crash: 0.3, cut: 0.0 })]
 #[case::two_may_miss(2, Faults { lost: 0.1, late: 0.2, crash: 0.1, cut: 0.1 })]
-fn services_miss_no_more(#[case] max_unavailable: u32, #[case] faults: Faults) {
+fn services_respect_max_unavailable(#[case] max_unavailable: u32, #[case] faults: Faults) {
     let mut stops = 0;
     for seed in 0..SEEDS {
         let mut world = ServiceWorld::new(seed, max_unavailable, faults);
         world.run();
         stops += world.stops;
-        assert!(world.found.is_empty(), "seed {seed}: {:#?}", world.found);
+        assert!(
+            world.violations.is_empty(),
+            "seed {seed}: {:#?}",
+            world.violations
+        );
     }
     assert!(stops > 0, "hosts were emptied");
 }
--- a/crates/decide/tests/work_waves.rs
+++ b/crates/decide/tests/work_waves.rs
@@ -10,7 +10,7 @@
 
 const DEADLINE: Duration = Duration::from_secs(25);
 
-fn lasting(count: u32, cpu: u64) -> StepPlan {
+fn long_running_step(count: u32, cpu: u64) -> StepPlan {
     StepPlan {
         long_running: true,
         max_unavailable: 1,
@@ -19,7 +19,7 @@
 }
 
 /// Submits jobs of one step each, and lets their tasks come to work.
-fn settle(fleet: &mut FleetScene, steps: Vec<StepPlan>) {
+fn submit_and_start(fleet: &mut FleetScene, steps: Vec<StepPlan>) {
     fleet.open();
     for (number, step) in (0..).zip(steps) {
         fleet
@@ -35,9 +35,12 @@
 /// once, the tasks had nowhere to go, and each that was stopped came back to the host that it had
 /// left, second after second.
 #[test]
-fn wave_over_whole_pool_brings_hosts() {
+fn wave_over_whole_pool_adds_hosts() {
     let mut fleet = FleetScene::new(3, 4, 32_000);
-    settle(&mut fleet, vec![lasting(6, 3600), lasting(5, 3850)]);
+    submit_and_start(
+        &mut fleet,
+        vec![long_running_step(6, 3600), long_running_step(5, 3850)],
+    );
     fleet.ask(0..3, 9, DEADLINE);
     let took = fleet.until_done(DEADLINE);
     assert!(took < DEADLINE, "the wave is late");
@@ -50,7 +53,10 @@
 #[test]
 fn wave_over_whole_pool_keeps_one_open() {
     let mut fleet = FleetScene::new(3, 0, 32_000);
-    settle(&mut fleet, vec![lasting(6, 3600), lasting(5, 3850)]);
+    submit_and_start(
+        &mut fleet,
+        vec![long_running_step(6, 3600), long_running_step(5, 3850)],
+    );
     fleet.ask(0..3, 9, DEADLINE);
     let took = fleet.until_done(DEADLINE);
     assert!(took < DEADLINE, "the wave is late");
@@ -62,13 +68,13 @@
 /// The same where two tasks at most may share a host. They are spread over a host more than they
 /// need, so that none is empty: one task has to move twice.
 #[test]
-fn wave_over_apart_tasks_moves_each_once() {
+fn wave_over_anti_affinity_moves_few() {
     let mut fleet = FleetScene::new(5, 0, 32_000);
-    let apart = StepPlan {
+    let with_anti_affinity = StepPlan {
         anti_affinity: 2,
-        ..lasting(8, 3600)
+        ..long_running_step(8, 3600)
     };
-    settle(&mut fleet, vec![apart]);
+    submit_and_start(&mut fleet, vec![with_anti_affinity]);
     fleet.ask(0..5, 5, DEADLINE);
     let took = fleet.until_done(DEADLINE);
     assert!(took < DEADLINE, "the wave is late");
@@ -79,13 +85,13 @@
 
 /// The same where no task may share a host: each is taken away only once another host has room.
 #[test]
-fn wave_over_single_tasks_keeps_them_at_work() {
+fn wave_over_exclusive_tasks_keeps_them_running() {
     let mut fleet = FleetScene::new(5, 4, 32_000);
-    let apart = StepPlan {
+    let with_anti_affinity = StepPlan {
         anti_affinity: 1,
-        ..lasting(4, 3600)
+        ..long_running_step(4, 3600)
     };
-    settle(&mut fleet, vec![apart]);
+    submit_and_start(&mut fleet, vec![with_anti_affinity]);
     fleet.ask(0..5, 5, DEADLINE);
     let took = fleet.until_done(DEADLINE);
     assert!(took < DEADLINE, "the wave is late");
@@ -97,16 +103,16 @@
 /// The same where other hosts of the pool go on, but have not the label that the tasks require:
 /// of the hosts that are off, one with the label has to come.
 #[test]
-fn wave_over_labelled_hosts_brings_label() {
+fn wave_over_labelled_hosts_adds_labelled_host() {
     let mut fleet = FleetScene::new(5, 4, 32_000);
     for number in [0, 1, 7] {
         fleet.label(number, "large");
     }
     let labelled = StepPlan {
         required_label: "large".into(),
-        ..lasting(6, 3600)
+        ..long_running_step(6, 3600)
     };
-    settle(&mut fleet, vec![labelled]);
+    submit_and_start(&mut fleet, vec![labelled]);
     fleet.ask(0..2, 2, DEADLINE);
     let took = fleet.until_done(DEADLINE);
     assert!(took < DEADLINE, "the wave is late");
@@ -116,9 +122,9 @@
 /// The same where the pool's other hosts go on and are full: each task needs half a host, which
 /// no host has left.
 #[test]
-fn wave_over_full_hosts_brings_room() {
+fn wave_over_full_hosts_adds_host() {
     let mut fleet = FleetScene::new(4, 4, 32_000);
-    settle(&mut fleet, vec![lasting(8, 15_000)]);
+    submit_and_start(&mut fleet, vec![long_running_step(8, 15_000)]);
     fleet.ask(0..2, 2, DEADLINE);
     let took = fleet.until_done(DEADLINE);
     assert!(took < DEADLINE, "the wave is late");
@@ -129,13 +135,13 @@
 /// Where no host can be had, a task that may be missing is away while its host is maintained: the
 /// wave must not wait for a spare host that never comes.
 #[test]
-fn wave_without_spare_host_is_done() {
+fn wave_without_replacement_completes() {
     let mut fleet = FleetScene::new(3, 0, 32_000);
-    let apart = StepPlan {
+    let with_anti_affinity = StepPlan {
         anti_affinity: 1,
-        ..lasting(3, 3600)
+        ..long_running_step(3, 3600)
     };
-    settle(&mut fleet, vec![apart]);
+    submit_and_start(&mut fleet, vec![with_anti_affinity]);
     fleet.ask(0..3, 3, DEADLINE);
     let took = fleet.until_done(DEADLINE);
     assert!(took < DEADLINE, "the wave is late");
@@ -145,9 +151,9 @@
 /// Where no host can be had and a host has more tasks of a step than may be missing, they stay at
 /// work: to stop one of them would not empty the host.
 #[test]
-fn wave_without_room_stops_nothing() {
+fn wave_without_capacity_stops_no_task() {
     let mut fleet = FleetScene::new(3, 0, 32_000);
-    settle(&mut fleet, vec![lasting(6, 15_000)]);
+    submit_and_start(&mut fleet, vec![long_running_step(6, 15_000)]);
     fleet.ask(0..3, 3, DEADLINE);
     fleet.until_done(DEADLINE);
     assert_eq!((fleet.stops, fleet.killed, fleet.most_missing), (0, 0, 0));
@@ -155,9 +161,12 @@
 
 /// A wave of two hosts at once over a pool that is being emptied keeps to its two.
 #[test]
-fn wave_with_moves_keeps_cap() {
+fn wave_with_moves_respects_max_down() {
     let mut fleet = FleetScene::new(4, 4, 32_000);
-    settle(&mut fleet, vec![lasting(8, 3600), lasting(8, 3600)]);
+    submit_and_start(
+        &mut fleet,
+        vec![long_running_step(8, 3600), long_running_step(8, 3600)],
+    );
     fleet.ask(0..4, 2, DEADLINE);
     let took = fleet.until_done(DEADLINE);
     assert!(took < DEADLINE, "the wave is late");
