--- a/crates/decide/tests/work_services.rs
+++ b/crates/decide/tests/work_services.rs
@@ -296,9 +296,7 @@
         self.poll_targets();
         for order in self.scheduler.take_actions() {
             match order {
-                SchedulerAction::AppendLog(record) => {
-                    self.scheduler.handle_stored_entry(&record, now)
-                }
+                SchedulerAction::AppendLog(log) => self.scheduler.handle_stored_entry(&log, now),
                 SchedulerAction::Start(name, order) => self.send(name, Order::Start(order)),
                 SchedulerAction::Stop(name, order) => {
                     let (task, attempt) = (&order.task, order.attempt);
