--- a/crates/decide/benches/desk_turn.rs
+++ b/crates/decide/benches/desk_turn.rs
@@ -1,5 +1,5 @@
-//! What a task costs the owner's desk from its submission to its end, by the size of the fleet, of
-//! the backlog and of the workspaces. `docs/CAPACITY.md` has the figures.
+//! Cost of a task in the owner's scheduler from its submission to its end, by the number of
+//! targets, waiting tasks and workspaces. `docs/CAPACITY.md` has the figures.
 
 #[path = "../tests/desk/turn.rs"]
 #[allow(dead_code, reason = "the tests use more of it")]
--- a/crates/decide/tests/work_admit.rs
+++ b/crates/decide/tests/work_admit.rs
@@ -1,4 +1,4 @@
-//! Which jobs are refused while a pool is asked for more than it can start.
+//! Rejection of jobs while a pool has more demand than it can start.
 
 mod desk;
 
@@ -16,14 +16,14 @@
 };
 use wire::work::JobRecord;
 
-/// A workspace beside the one that sends too much.
+/// A second workspace, beside the one that submits too much.
 const OTHER: &str = "other";
-/// Time between two steps of a scene.
+/// Time between two steps of a test.
 const STEP: Duration = Duration::from_millis(100);
-/// How long each task runs.
+/// Run time of each task.
 const RUN: Duration = Duration::from_secs(1);
 
-/// A pool that starts two tasks a second.
+/// A pool that starts two tasks a second: it runs two at once, for one second each.
 struct BusyPool {
     scene: DeskScene,
     running: VecDeque<(BootTime, HostId, StartOrder)>,
@@ -35,13 +35,13 @@
 impl BusyPool {
     fn new() -> Self {
         let mut scene = DeskScene::new(1);
-        let mut terms: FleetPolicy = terms_with_limit(0);
-        terms.workspaces.push(WorkspacePolicy {
+        let mut policy: FleetPolicy = terms_with_limit(0);
+        policy.workspaces.push(WorkspacePolicy {
             name: OTHER.into(),
             limit: ResourceVector::default(),
-            ..terms.workspaces[0].clone()
+            ..policy.workspaces[0].clone()
         });
-        scene.desk.set_policy(Arc::new(terms));
+        scene.desk.set_policy(Arc::new(policy));
         scene.weigh(1);
         scene.add("t1", 2000);
         Self {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Hands a job in, unless it is foreseen to be late; tells by how much it would be.
+    /// Submits a job, unless it is forecast to be late; returns by how much it would be late.
     fn submit(&mut self, workspace: &str) -> Option<Duration> {
         let plan = job();
         let now = self.scene.now;
@@ -85,9 +85,9 @@
                 return;
             };
             self.ends += 1;
-            let left = self.running.iter().map(|(_, _, start)| running(start));
+            let remaining = self.running.iter().map(|(_, _, start)| running(start));
             let end = ended(self.ends, &start.task, start.attempt, EndKind::Done);
-            self.scene.see(&id, left.collect(), vec![end]);
+            self.scene.see(&id, remaining.collect(), vec![end]);
         }
         for (id, start) in self.scene.start_all() {
             self.begun += 1;
@@ -104,26 +104,27 @@
     plan(vec![step(1, 1000)])
 }
 
-/// Guards against a backlog that is accepted and can't be begun: five times as much is asked for as
-/// the pool starts.
+/// Guards against accepting a backlog that can't be started: the pool receives five times as many
+/// jobs as it can start.
 #[test]
 fn admit_bounds_backlog() {
     let mut pool = BusyPool::new();
-    let mut refused = 0;
+    let mut rejected = 0;
     for _ in 0..200 {
-        refused += usize::from(pool.submit(SPACE).is_some());
+        rejected += usize::from(pool.submit(SPACE).is_some());
         pool.pass();
-        // Ten seconds of what the pool starts, and what came before that had shown.
-        assert!(pool.waiting() <= 30, "{} wait", pool.waiting());
+        // The starts of ten seconds, plus the jobs that were accepted before the start rate was
+        // known.
+        assert!(pool.waiting() <= 30, "{} waiting", pool.waiting());
     }
-    assert!(refused >= 100, "{refused} refused");
+    assert!(rejected >= 100, "{rejected} rejected");
     for _ in 0..150 {
         pool.pass();
     }
     assert_eq!(pool.waiting(), 0);
 }
 
-/// Guards against refusals that outlast the backlog which they were for.
+/// Guards against rejections that last longer than the backlog that caused them.
 #[test]
 fn admit_again_after_backlog() {
     let mut pool = BusyPool::new();
@@ -141,7 +142,8 @@
     assert_eq!(pool.submit(SPACE), None, "after {wait:?}");
 }
 
-/// Guards against a workspace that has others refused by sending many times its share.
+/// Guards against rejecting the jobs of other workspaces because one workspace submits many times
+/// its share.
 #[test]
 fn admit_keeps_share_of_others() {
     let mut pool = BusyPool::new();
@@ -154,26 +156,26 @@
     }
 }
 
-/// Guards against all that comes in the first second of a new owner behind a narrow link, when nothing
-/// is known yet of what a pool can start.
+/// Guards against accepting all jobs of the first second of a new owner with a narrow network link,
+/// when the start rate of the pool is not known yet.
 #[test]
 fn admit_bounds_first_second() {
     let mut pool = BusyPool::new();
     pool.scene.desk.set_max_start_rate(20.0);
     let accepted = (0..500).filter(|_| pool.submit(SPACE).is_none()).count();
-    // Five seconds are in time for the first, eight for all.
+    // The objective allows a wait of five seconds to be on time and of eight seconds to count.
     assert!((100..=180).contains(&accepted), "{accepted} accepted");
 }
 
-/// Guards against refusals of jobs that may wait for long, or whose queue has no objective.
+/// Guards against rejecting jobs that may wait for a long time, or whose queue has no objective.
 #[test]
 fn admit_jobs_with_long_or_no_objective() {
     for (slack_factor, slack_time) in [(0.0, Duration::ZERO), (2.0, Duration::from_secs(3600))] {
         let mut pool = BusyPool::new();
-        let mut terms = FleetPolicy::clone(&pool.scene.desk.policy);
-        terms.queues[0].slack_factor = slack_factor;
-        terms.queues[0].slack_time = slack_time;
-        pool.scene.desk.set_policy(Arc::new(terms));
+        let mut policy = FleetPolicy::clone(&pool.scene.desk.policy);
+        policy.queues[0].slack_factor = slack_factor;
+        policy.queues[0].slack_time = slack_time;
+        pool.scene.desk.set_policy(Arc::new(policy));
         for _ in 0..200 {
             assert_eq!(pool.submit(SPACE), None);
             pool.pass();
@@ -181,7 +183,7 @@
     }
 }
 
-/// Guards against refusals where nothing is known yet of what the pool can start.
+/// Guards against rejections while the start rate of the pool is unknown.
 #[test]
 fn expected_wait_unknown_rate_is_zero() {
     let mut forecast = StartForecast::default();
@@ -190,7 +192,7 @@
     forecast.record_start(&pool, at(0));
     forecast.observe_waiting(&BTreeSet::from([pool.clone()]), at(100));
     assert_eq!(forecast.expected_wait(&pool, 1000, at(600)), Duration::ZERO);
-    // Hosts that are on their way begin to start after two seconds.
+    // Hosts that are being moved to the pool start their first tasks after two seconds.
     assert_eq!(
         forecast.expected_wait(&pool, 1000, at(2900)),
         Duration::ZERO
--- a/crates/decide/tests/work_board.rs
+++ b/crates/decide/tests/work_board.rs
@@ -1,4 +1,4 @@
-//! The board of jobs, and the shorter log that says the same.
+//! The job table, and the compacted log that replays to the same table.
 
 mod desk;
 
@@ -22,7 +22,7 @@
     table
 }
 
-/// What matters of a board, in a form that can be compared.
+/// Returns the relevant state of a job table in a form that can be compared.
 fn summary(table: &JobTable) -> String {
     let jobs: Vec<String> = table
         .jobs
@@ -94,18 +94,18 @@
     scene.stored
 }
 
-/// A successor must read from the shorter log what it would have read from the long one.
+/// A successor must read the same state from the compacted log as from the full log.
 #[test]
 fn compacted_entries_replay_to_same_table() {
     let log = mixed_log();
     let table = replay(&log);
     assert_eq!(table.jobs.len(), 4);
-    let short = table.compacted_entries();
-    assert_eq!(summary(&replay(&short)), summary(&table));
+    let compacted = table.compacted_entries();
+    assert_eq!(summary(&replay(&compacted)), summary(&table));
 }
 
-/// The owner dies while it removes the pages that the shorter log replaces. Whatever part of
-/// them is left, the successor reads the same.
+/// The owner crashes while it removes the pages that the compacted log replaces. Whichever of these
+/// pages are left, the successor reads the same state.
 #[rstest]
 #[case::all_left(0)]
 #[case::some_left(3)]
@@ -113,9 +113,9 @@
 fn compacted_entries_after_old_pages(#[case] removed: usize) {
     let log = mixed_log();
     let table = replay(&log);
-    let mut rest = log[removed.min(log.len())..].to_vec();
-    rest.extend(table.compacted_entries());
-    assert_eq!(summary(&replay(&rest)), summary(&table));
+    let mut remaining = log[removed.min(log.len())..].to_vec();
+    remaining.extend(table.compacted_entries());
+    assert_eq!(summary(&replay(&remaining)), summary(&table));
 }
 
 /// Guards against running a job whose submission was stored after its cancellation.
@@ -134,8 +134,9 @@
     assert!(successor.starts.is_empty());
 }
 
-/// Guards against showing a completed job as cancelled, or its runs as taking nothing, after the
-/// pages that told of its acceptance were removed and the one of its cancellation was not yet.
+/// Guards against showing a completed job as cancelled, or its runs as using no resources. It
+/// happened when the pages with its acceptance were removed and the page with its cancellation
+/// still existed.
 #[test]
 fn apply_job_end_after_cancel_without_acceptance() {
     let (mut scene, starts) = DeskScene::started(4000, vec![step(1, 500)]);
@@ -143,16 +144,20 @@
     scene.cancel("a");
     let cancelled = scene.stored.last().cloned();
     scene.compact();
-    let left: Vec<LogEntry> = cancelled.into_iter().chain(scene.stored.clone()).collect();
-    let table = replay(&left);
+    let remaining: Vec<LogEntry> = cancelled.into_iter().chain(scene.stored.clone()).collect();
+    let table = replay(&remaining);
     assert_eq!(table.jobs["a"].phase, WorkPhase::Completed);
     assert_eq!(table.jobs["a"].closed_resources.cpu, 500);
-    assert_eq!(table.compacted_entries(), scene.stored, "it was handed in");
+    assert_eq!(
+        table.compacted_entries(),
+        scene.stored,
+        "the job was submitted"
+    );
 }
 
-/// Guards against telling a caller of a cancelled job where an owner that read the whole log said
-/// that there is none: the page of the cancellation was removed, and that of a submission which
-/// came after it was not yet.
+/// Guards against reporting a job as cancelled where an owner with the full log reports that there
+/// is no such job. It happened when the page with the cancellation was removed and the page with
+/// the later submission still existed.
 #[test]
 fn apply_job_end_after_cancel_before_acceptance() {
     let mut scene = DeskScene::new(1);
@@ -161,6 +166,6 @@
     let accepted = scene.stored.last().cloned();
     assert_eq!(scene.desk.job_phase("a"), None);
     scene.compact();
-    let left: Vec<LogEntry> = accepted.into_iter().chain(scene.stored.clone()).collect();
-    assert_eq!(summary(&replay(&left)), summary(&scene.desk.job_table));
+    let remaining: Vec<LogEntry> = accepted.into_iter().chain(scene.stored.clone()).collect();
+    assert_eq!(summary(&replay(&remaining)), summary(&scene.desk.job_table));
 }
--- a/crates/decide/tests/work_hosts.rs
+++ b/crates/decide/tests/work_hosts.rs
@@ -1,4 +1,5 @@
-//! Maintenance and moves of hosts: what is ordered when, and what has to be elsewhere first.
+//! Maintenance and moves of hosts: which orders are sent when, and what must have left the host
+//! first.
 
 mod desk;
 
@@ -32,16 +33,16 @@
 }
 
 fn add_standby_pool(scene: &mut DeskScene) {
-    let terms = FleetPolicy::clone(&scene.desk.policy);
+    let policy = FleetPolicy::clone(&scene.desk.policy);
     let standby = PoolPolicy {
         name: STANDBY.into(),
         standby: true,
     };
-    let pools = terms.pools.iter().cloned().chain([standby]).collect();
+    let pools = policy.pools.iter().cloned().chain([standby]).collect();
     scene.desk.set_policy(std::sync::Arc::new(FleetPolicy {
-        revision: terms.revision + 1,
+        revision: policy.revision + 1,
         pools,
-        ..terms
+        ..policy
     }));
 }
 
@@ -61,8 +62,8 @@
     }
 }
 
-/// A service loses two of its tasks at once though one may be missing: one target had crashed a
-/// second before, and was still taken to be at work when the other's host was emptied for its
+/// A service with `max_unavailable` of one loses two tasks at once: one target crashed, and a
+/// second later it was still assumed to be running when the host of the other task was drained for
 /// maintenance.
 #[test]
 fn drain_waits_for_unresponsive_sibling() {
@@ -76,19 +77,19 @@
     for (target, start) in &starts {
         scene.see(target, vec![at_work(start)], Vec::new());
     }
-    let (emptied, start) = &starts[0];
+    let (drained, start) = &starts[0];
     let mut planner = HostPlanner::default();
-    planner.apply_host_list(vec![host("h1", POOL, emptied)], scene.now.boot);
+    planner.apply_host_list(vec![host("h1", POOL, drained)], scene.now.boot);
     planner.apply_waves(&[wave(&["h1"], 1)], &BTreeSet::new(), scene.now.boot);
 
     scene.pass(Duration::from_millis(1400));
-    scene.see(emptied, vec![at_work(start)], Vec::new());
+    scene.see(drained, vec![at_work(start)], Vec::new());
     planner.plan(&mut scene.desk, scene.now.boot);
     scene.pass(Duration::from_millis(50));
     assert_eq!(
         scene.stops(),
         0,
-        "the other task's target has not answered for 1.4 s"
+        "the sibling's target has not answered for 1.4 s"
     );
 
     let (other, sibling) = &starts[1];
@@ -99,8 +100,9 @@
 }
 
 /// Two hosts of a wave are not maintained in time: each has a task of a service whose siblings run
-/// on hosts that are looked at once a second. A look that has waited a second tells what is true
-/// now; counted from its sending, one of the siblings always seemed to be away.
+/// on hosts that are polled once a second. The report of a poll that waited for a second is
+/// current. If its age were counted from the sending, one of the siblings would always seem
+/// unavailable.
 #[test]
 fn drain_trusts_long_polls() {
     let mut scene = DeskScene::new(1);
@@ -114,7 +116,7 @@
     planner.apply_waves(&[wave(&["h1"], 1)], &BTreeSet::new(), scene.now.boot);
     for (target, start) in &starts {
         let sent = scene.now.boot - Duration::from_secs(1);
-        let sight = model::work::TargetReport {
+        let report = model::work::TargetReport {
             clock: scene.now.boot,
             started_at: Duration::from_secs(1),
             running: vec![at_work(start)],
@@ -122,7 +124,7 @@
         };
         scene
             .desk
-            .apply_report(target, sent, 0, &PollAnswer::Seen(sight), scene.now);
+            .apply_report(target, sent, 0, &PollAnswer::Seen(report), scene.now);
     }
     scene.now.boot += Duration::from_millis(600);
     planner.plan(&mut scene.desk, scene.now.boot);
@@ -130,8 +132,8 @@
     assert_eq!(scene.stops(), 1);
 }
 
-/// Maintenance must not end work. A host that runs a task is kept free of further ones and
-/// ordered only when the task has ended.
+/// Maintenance must not interrupt tasks. A host with a running task is drained and only ordered
+/// once the task has ended.
 #[test]
 fn maintenance_waits_for_running_task() {
     let mut scene = DeskScene::new(1);
@@ -144,14 +146,14 @@
     planner.apply_waves(&[wave(&["h1"], 1)], &BTreeSet::new(), scene.now.boot);
     assert!(planner.plan(&mut scene.desk, scene.now.boot).is_empty());
     scene.submit("b", &plan(vec![step(1, 1000)]));
-    assert!(scene.starts.is_empty(), "the host is kept free");
+    assert!(scene.starts.is_empty(), "the host is draining");
     scene.end("t1", start, EndKind::Done);
     let orders = planner.plan(&mut scene.desk, scene.now.boot);
     assert_eq!(orders, [HostOrder::Maintain("h1".into(), 1)]);
 }
 
-/// At most `cap` hosts of a wave are down at once, those counted whose order was not answered:
-/// it may be carried out.
+/// At most `max_down` hosts of a wave are down at once, including those whose order was not
+/// answered, since it may be carried out.
 #[test]
 fn wave_respects_max_down() {
     let mut scene = DeskScene::new(1);
@@ -167,9 +169,9 @@
     planner.apply_waves(&[wave(&names, 2)], &BTreeSet::new(), scene.now.boot);
     let orders = planner.plan(&mut scene.desk, scene.now.boot);
     assert_eq!(orders.len(), 2);
-    let lost = HostOrderAnswer::Unanswered("timed out".to_owned());
+    let unanswered = HostOrderAnswer::Unanswered("timed out".to_owned());
     for order in &orders {
-        assert!(!planner.apply_answer(order, &lost, scene.now.boot));
+        assert!(!planner.apply_answer(order, &unanswered, scene.now.boot));
     }
     scene.pass(Duration::from_millis(500));
     let again = planner.plan(&mut scene.desk, scene.now.boot);
@@ -191,8 +193,8 @@
     assert_eq!(planner.changed_waves(), [(1, true)]);
 }
 
-/// A queue's turn begins: arrivals rise within a second from nothing to more than its hosts
-/// hold. Switched-off hosts are ordered while there is still room, ahead of the need.
+/// A burst begins: arrivals rise within a second from nothing to more than the pool can run. Hosts
+/// that are switched off are ordered ahead of the need, while there is still capacity.
 #[test]
 fn plan_rising_arrivals_adds_hosts() {
     let mut scene = DeskScene::new(1);
@@ -213,12 +215,12 @@
     }
     assert!(
         ordered >= 4,
-        "ten core-seconds a second need twelve cores, four are there: {ordered}"
+        "ten core-seconds a second need twelve cores, the pool has four: {ordered}"
     );
 }
 
-/// A queue's turn begins while the cell is handed over. The successor brings hosts as soon as its
-/// predecessor would, and does not first measure for a second how fast arrivals rise.
+/// A burst begins while the cell is handed over. The successor orders hosts as early as its
+/// predecessor would have, without first measuring the rise of the arrival rate for a second.
 #[test]
 fn replay_arrivals_successor_adds_hosts() {
     let mut first = DeskScene::new(1);
@@ -245,12 +247,12 @@
     let orders = planner.plan(&mut second.desk, second.now.boot);
     assert!(
         orders.len() >= 4,
-        "ten core-seconds a second need twelve cores, four are there: {orders:?}"
+        "ten core-seconds a second need twelve cores, the pool has four: {orders:?}"
     );
 }
 
-/// An idle pool is paid for. Its hosts are switched off after a while, but for the few that a
-/// first task should find.
+/// An idle pool costs money. Its hosts are switched off after a while, except for the few that the
+/// first tasks of a burst need.
 #[test]
 fn plan_switches_idle_hosts_off() {
     let mut scene = DeskScene::new(1);
@@ -262,7 +264,7 @@
     planner.apply_host_list(list, scene.now.boot);
     assert!(
         planner.plan(&mut scene.desk, scene.now.boot).is_empty(),
-        "not at once"
+        "no host is switched off at once"
     );
     scene.pass(Duration::from_secs(3));
     let orders = planner.plan(&mut scene.desk, scene.now.boot);
@@ -274,20 +276,20 @@
     );
 }
 
-/// A queue's turn begins within a second, and hosts that are off come too late for its first jobs.
-/// An idle pool of a fleet of 18 hosts keeps a third of its share of nine.
+/// A burst begins within a second, and hosts that are switched off start too late for its first
+/// jobs. An idle pool of a fleet of 18 hosts keeps a third of its share of nine.
 #[test]
 fn plan_idle_pool_keeps_third_of_share() {
     let mut scene = DeskScene::new(1);
     add_standby_pool(&mut scene);
-    let terms = FleetPolicy::clone(&scene.desk.policy);
+    let policy = FleetPolicy::clone(&scene.desk.policy);
     let other = PoolPolicy {
         name: "other".into(),
         standby: false,
     };
-    let pools = terms.pools.iter().cloned().chain([other]).collect();
-    let terms = FleetPolicy { pools, ..terms };
-    scene.desk.set_policy(std::sync::Arc::new(terms));
+    let pools = policy.pools.iter().cloned().chain([other]).collect();
+    let policy = FleetPolicy { pools, ..policy };
+    scene.desk.set_policy(std::sync::Arc::new(policy));
     let mut planner = HostPlanner::default();
     let list = (0..18).map(|number| host(&format!("h{number:02}"), POOL, &format!("t{number}")));
     planner.apply_host_list(list.collect(), scene.now.boot);
@@ -301,8 +303,8 @@
     assert_eq!((to("other"), to(STANDBY)), (3, 12));
 }
 
-/// Two owners must not order one host in turns. The predecessor's last order to a host is two
-/// seconds old: the host is left alone for one more, and others are ordered at once.
+/// Two owners must not order the same host in turn. The predecessor's last order to a host is two
+/// seconds old: the host gets no order for one more second, and other hosts are ordered at once.
 #[test]
 fn earlier_order_delays_host() {
     let mut scene = DeskScene::new(1);
@@ -320,8 +322,8 @@
     assert!(orders.iter().all(|order| order.host() != "h0"));
 }
 
-/// The clock of day of a predecessor that was killed was four seconds behind. Its last orders look
-/// older than they are; these hosts are left alone all the same, and others ordered at once.
+/// The wall clock of a killed predecessor was four seconds slow, so its last orders look older than
+/// they are. These hosts must not be ordered yet; other hosts are ordered at once.
 #[test]
 fn earlier_order_with_slow_clock_delays_host() {
     let mut scene = DeskScene::new(1);
@@ -332,15 +334,15 @@
     let ordered = [("h0".to_owned(), scene.now.unix - Duration::from_secs(4))].into();
     planner.plan(&mut scene.desk, scene.now.boot);
     scene.pass(Duration::from_secs(2));
-    let (pause, least) = (Duration::from_secs(3), Duration::from_millis(1700));
-    planner.apply_earlier_orders(&ordered, pause, least, scene.now);
+    let (pause, min_pause) = (Duration::from_secs(3), Duration::from_millis(1700));
+    planner.apply_earlier_orders(&ordered, pause, min_pause, scene.now);
     let orders = planner.plan(&mut scene.desk, scene.now.boot);
     assert_eq!(orders.len(), 2);
     assert!(orders.iter().all(|order| order.host() != "h0"));
 }
 
 /// A wave may have one host down. The owner was killed right after it had ordered one, which the
-/// list does not show yet; its successor must not order another beside it.
+/// list does not show yet; its successor must not order another one.
 #[test]
 fn wave_counts_earlier_order() {
     let mut scene = DeskScene::new(1);
@@ -356,9 +358,9 @@
     assert_eq!(planner.plan(&mut scene.desk, scene.now.boot).len(), 1);
 }
 
-/// A service loses a task for twenty seconds: the host that it ran on was maintained, all other
-/// hosts of the pool had one of its siblings, which may not share a host, and the pool looked
-/// as if it had room enough. A pool has one host more than its tasks have to be apart.
+/// A service loses a task for twenty seconds: its host was maintained, each other host of the pool
+/// had a sibling with anti-affinity, and the capacity of the pool looked sufficient. A pool must
+/// have one host more than its tasks with anti-affinity need.
 #[test]
 fn anti_affinity_adds_replacement_host() {
     let mut scene = DeskScene::new(1);
@@ -370,12 +372,12 @@
         list.push(host(&format!("h{number}"), POOL, &target));
     }
     list.push(host("h9", STANDBY, ""));
-    let apart = StepPlan {
+    let with_anti_affinity = StepPlan {
         long_running: true,
         anti_affinity: 1,
         ..step(3, 100)
     };
-    scene.submit("a", &plan(vec![apart]));
+    scene.submit("a", &plan(vec![with_anti_affinity]));
     assert_eq!(scene.start_all().len(), 3);
     let mut planner = HostPlanner::default();
     planner.apply_host_list(list, scene.now.boot);
@@ -383,18 +385,18 @@
     assert_eq!(orders, [HostOrder::Move("h9".into(), POOL.into())]);
 }
 
-/// A service loses a second task though one may be missing: the owner handed over, its successor
-/// listed the hosts before the first look at a target was answered, took the host for empty and
-/// ordered its maintenance, which ended the task that ran there.
+/// A service loses a second task although only one may be unavailable: the owner handed over, and
+/// its successor listed the hosts before the first poll was answered. It considered the host empty
+/// and ordered its maintenance, which ended the task that ran there.
 #[test]
 fn plan_successor_orders_no_host_before_poll() {
     let mut first = DeskScene::new(1);
     first.add("t1", 2000);
-    let lasting = StepPlan {
+    let long_running = StepPlan {
         long_running: true,
         ..step(1, 1000)
     };
-    first.submit("a", &plan(vec![lasting]));
+    first.submit("a", &plan(vec![long_running]));
     let starts = first.start_all();
 
     let mut second = first.successor(9);
@@ -412,23 +414,26 @@
     assert_eq!(orders, [HostOrder::Maintain("h1".into(), 1)]);
 }
 
-/// The silent answer of a look is part of the scene of the first test.
+/// An unanswered poll marks the target as unresponsive; the first test depends on it.
 #[test]
 fn unanswered_poll_marks_target_unresponsive() {
     let mut scene = DeskScene::new(1);
     scene.add("t1", 2000);
     scene.now.boot += BootTime::from_secs(2);
-    let silent = PollAnswer::Unanswered("timed out".to_owned());
+    let unanswered = PollAnswer::Unanswered("timed out".to_owned());
     scene
         .desk
-        .apply_report(&"t1".into(), scene.now.boot, 0, &silent, scene.now);
+        .apply_report(&"t1".into(), scene.now.boot, 0, &unanswered, scene.now);
     scene.submit("a", &plan(vec![step(1, 1000)]));
-    assert!(scene.starts.is_empty(), "a silent target gets no task");
+    assert!(
+        scene.starts.is_empty(),
+        "an unresponsive target gets no task"
+    );
 }
 
-/// A batch runs twice: a new owner's first list of hosts came before its list of targets, and a host
-/// was ordered whose target was listed, and given tasks, before the answer came. That target was
-/// taken for ended then, though the order had been carried out before and ended nothing.
+/// A batch task runs twice: a new owner received its host list before its target list, and ordered
+/// a host whose target was then listed and given tasks before the answer. The target was considered
+/// ended then, although the order had been carried out earlier and had ended nothing.
 #[test]
 fn ordered_target_gets_no_tasks_once_listed() {
     let mut scene = DeskScene::new(1);
@@ -439,9 +444,12 @@
     assert_eq!(orders.len(), 1, "nothing can be running there");
     scene.add("t1", 2000);
     scene.submit("a", &plan(vec![step(1, 1000)]));
-    assert!(scene.starts.is_empty(), "its host may be maintained by now");
+    assert!(
+        scene.starts.is_empty(),
+        "the maintenance of its host may have begun"
+    );
     planner.apply_answer(&orders[0], &HostOrderAnswer::Busy, scene.now.boot);
     planner.plan(&mut scene.desk, scene.now.boot);
     scene.run();
-    assert_eq!(scene.starts.len(), 1, "it is not maintained");
+    assert_eq!(scene.starts.len(), 1, "the host is not maintained");
 }
--- a/crates/decide/tests/work_load.rs
+++ b/crates/decide/tests/work_load.rs
@@ -7,15 +7,15 @@
 use desk::{DeskScene, ended, plan, running, step, terms_with_limit};
 use model::work::EndKind;
 
-/// A scene without a limit on its workspace.
+/// Creates a scene whose workspace has no limit.
 fn scene() -> DeskScene {
     let mut scene = DeskScene::new(1);
     scene.desk.set_policy(Arc::new(terms_with_limit(0)));
     scene
 }
 
-/// A queue's turn: its pool is full, 300 jobs wait, and each end frees the room of one task. The
-/// task that is to go first takes it, and nothing else does.
+/// In a burst the pool is full, 300 jobs wait, and each end frees the resources of one task. Only
+/// the first task in starting order must get them.
 #[test]
 fn plan_full_pool_starts_one_task_per_end() {
     let mut scene = scene();
@@ -23,21 +23,24 @@
     for job in 0..300 {
         scene.submit(&format!("job{job:03}"), &plan(vec![step(1, 1000)]));
     }
-    let mut at_work = scene.start_all();
-    assert_eq!(at_work.len(), 2);
+    let mut running_tasks = scene.start_all();
+    assert_eq!(running_tasks.len(), 2);
     for number in 1..=20 {
-        let (_, first) = at_work.remove(0);
-        let others = at_work.iter().map(|(_, start)| running(start)).collect();
+        let (_, first) = running_tasks.remove(0);
+        let remaining = running_tasks
+            .iter()
+            .map(|(_, start)| running(start))
+            .collect();
         let end = ended(number, &first.task, first.attempt, EndKind::Done);
-        scene.see("t1", others, vec![end]);
+        scene.see("t1", remaining, vec![end]);
         let started = scene.start_all();
         assert_eq!(started.len(), 1);
-        at_work.extend(started);
+        running_tasks.extend(started);
     }
 }
 
-/// The first that waits needs more room than any target has left. A smaller task behind it takes
-/// what there is, in place of waiting for nothing.
+/// The first waiting task needs more resources than any target has free. A smaller task behind it
+/// must start instead of waiting.
 #[test]
 fn plan_full_pool_fits_smaller() {
     let mut scene = scene();
@@ -54,8 +57,8 @@
     assert_eq!(jobs, ["small"]);
 }
 
-/// Of two resources one target lacks the first and another the second. Each by itself there is
-/// enough in the pool; nothing is started where it does not fit.
+/// The free resources of the pool suffice in total but not on any single target. The task must not
+/// start.
 #[test]
 fn plan_full_pool_checks_each_target() {
     let mut scene = scene();
--- a/crates/decide/tests/work_log.rs
+++ b/crates/decide/tests/work_log.rs
@@ -1,4 +1,4 @@
-//! Packing the pages of a shorter log.
+//! Packing the pages of a compacted log.
 
 use std::cell::Cell;
 
@@ -8,7 +8,7 @@
 
 const PAGE_BYTES: usize = 1000;
 
-/// Entries that take 10,000 bytes and some.
+/// Returns entries of slightly more than 10,000 bytes.
 fn entries() -> Vec<LogEntry> {
     let entry = |number: usize| LogEntry {
         event: Some(Event::Released(format!("{number:0>100}"))),
@@ -24,7 +24,7 @@
     page.encode_to_vec()
 }
 
-/// Guards against an entry that is lost between two pages, or a page above the limit.
+/// Guards against losing an entry between two pages, and against a page above the limit.
 #[test]
 fn pack_keeps_entries() {
     let CompactedLog::Pages(pages) = CompactedLog::pack(entries(), PAGE_BYTES, usize::MAX, encode)
@@ -34,11 +34,11 @@
     let decoded = pages.iter().map(|page| LogPage::decode(page.as_slice()));
     let found: Vec<LogEntry> = decoded.flatten().flat_map(|page| page.entries).collect();
     assert_eq!(found, entries());
-    let plain = |page: &Vec<u8>| page.len() <= PAGE_BYTES + PAGE_BYTES / 10;
-    assert!(pages.iter().all(plain));
+    let fits = |page: &Vec<u8>| page.len() <= PAGE_BYTES + PAGE_BYTES / 10;
+    assert!(pages.iter().all(fits));
 }
 
-/// Guards against an owner that serves nobody while it packs a log that it won't write.
+/// Guards against an owner that serves no requests while it packs a log that it will not write.
 #[test]
 fn pack_stops_above_limit() {
     let packed = Cell::new(0);
@@ -65,7 +65,8 @@
     assert_eq!(pages.len(), entries().len());
 }
 
-/// Guards against a log without entries that takes no page, so that the old pages never go.
+/// Guards against a log without entries that produces no page, so that the old pages are never
+/// removed.
 #[test]
 fn pack_of_nothing_is_a_page() {
     let log = CompactedLog::pack(Vec::new(), PAGE_BYTES, 0, encode);
--- a/crates/decide/tests/work_schedule.rs
+++ b/crates/decide/tests/work_schedule.rs
@@ -26,8 +26,8 @@
     assert!(jobs > 0);
 }
 
-/// Callers see each job completed, no task runs twice or before its turn, no target and no
-/// workspace holds more than it may, whatever owners, targets and orders do.
+/// Each job completes, no task runs twice or before the steps that it depends on, and no target or
+/// workspace exceeds its limit, whatever faults hit owners, targets and orders.
 #[rstest]
 #[case::calm(WorldFaults::CALM)]
 #[case::all(WorldFaults::default())]
@@ -44,7 +44,7 @@
     run_seeds(0..SEEDS, faults);
 }
 
-/// Seeds beyond the first that broke a promise once.
+/// Seeds outside the range above that once violated an invariant.
 #[rstest]
 #[case::lone_owner_and_new_life(265, WorldFaults { target_crash: 0.1, target_cut: 0.1, ..WorldFaults::default() })]
 #[case::limit_of_two_owners(88, WorldFaults { owner_kill: 0.15, owner_cut: 0.15, ..WorldFaults::default() })]
--- a/crates/decide/tests/work_services.rs
+++ b/crates/decide/tests/work_services.rs
@@ -1,5 +1,5 @@
-//! Services under seeded faults: hosts are emptied in turns, targets crash and fall silent, and
-//! starts and stops are lost or carried out late. A failing case prints its seed.
+//! Long-running tasks under seeded faults: hosts are drained in waves, targets crash or become
+//! unreachable, and starts and stops are lost or carried out late. A failing case prints its seed.
 
 mod desk;
 
@@ -27,10 +27,11 @@
 
 const TICK: Duration = Duration::from_millis(20);
 const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a task may be gone before its step counts it as missing.
+/// How long a task may be gone before it counts as missing in its step.
 const MISSING_AFTER: Duration = Duration::from_millis(4500);
-/// A start that is carried out while the look that lacks it, or the stop that follows, is under way
-/// can't be known of; its task ends with its begin.
+/// Time in which a start may be carried out while a poll that does not show it, or the stop that
+/// follows, is in flight. The scheduler can't know of such a start; its task ends right after its
+/// start.
 const IN_FLIGHT: Duration = Duration::from_millis(120);
 const TARGETS: u32 = 7;
 const TASKS: u32 = 4;
@@ -39,7 +40,7 @@
 const CALM: Duration = Duration::from_secs(200);
 const SEEDS: u64 = 25;
 
-/// What goes wrong: parts of the calls, and chances a second.
+/// Fault rates: fractions of the calls, and chances per second.
 #[derive(Clone, Copy)]
 struct Faults {
     lost: f64,
@@ -72,7 +73,7 @@
     finished: bool,
 }
 
-/// Since when a task is gone, and whether an order of ours ended it.
+/// When a task became unavailable, and whether an order of the scheduler caused it.
 #[derive(Clone, Copy)]
 struct Unavailable {
     since: BootTime,
@@ -89,7 +90,7 @@
     calls: Vec<Call>,
     gone: BTreeMap<TaskKey, Unavailable>,
     violations: Vec<String>,
-    /// What happened to each task, for the trace of a fault.
+    /// Events of each task, for the message of a violation.
     history: BTreeMap<TaskKey, Vec<String>>,
     stops: u32,
 }
@@ -103,7 +104,7 @@
         let mut scheduler = WorkScheduler::new(SchedulerTuning::default(), 7);
         scheduler.set_policy(Arc::new(terms_with_limit(100_000)));
         let names = (0..TARGETS).map(|number| HostId::from(format!("t{number}")));
-        let fresh = |name: HostId| {
+        let new_target = |name: HostId| {
             let state = WorldTarget {
                 born: Duration::from_secs(1),
                 up: true,
@@ -117,7 +118,7 @@
             now,
             scheduler,
             planner: HostPlanner::default(),
-            targets: names.map(fresh).collect(),
+            targets: names.map(new_target).collect(),
             calls: Vec::new(),
             gone: BTreeMap::new(),
             violations: Vec::new(),
@@ -163,7 +164,8 @@
             self.advance();
         }
         if !self.all_at_work() {
-            self.violations.push("tasks are gone in the end".to_owned());
+            self.violations
+                .push("not all tasks run in the end".to_owned());
         }
     }
 
@@ -249,7 +251,7 @@
 
     fn update_targets(&mut self) {
         let now = self.now;
-        let mut lapsed = Vec::new();
+        let mut expired = Vec::new();
         for state in self.targets.values_mut() {
             if now.boot >= state.back_at {
                 state.cut = false;
@@ -265,10 +267,10 @@
             let before: Vec<TaskKey> = state.runs.keys().map(|run| run.0.clone()).collect();
             state.finish(now.boot);
             if state.runs.is_empty() {
-                lapsed.extend(before);
+                expired.extend(before);
             }
         }
-        for task in lapsed {
+        for task in expired {
             self.mark_unavailable(&task, false);
         }
     }
@@ -362,18 +364,18 @@
 
     fn send(&mut self, target: HostId, order: Order) {
         let now = self.now.boot;
-        let draw: f64 = self.rng.random();
+        let sample: f64 = self.rng.random();
         let Faults { lost, late, .. } = self.faults;
-        let soon = now + Duration::from_millis(self.rng.random_range(1..60));
-        let (arrives_at, answers) = if draw < lost / 2.0 {
+        let prompt = now + Duration::from_millis(self.rng.random_range(1..60));
+        let (arrives_at, answers) = if sample < lost / 2.0 {
             (BootTime::MAX, false)
-        } else if draw < lost {
-            (soon, false)
-        } else if draw < lost + late {
+        } else if sample < lost {
+            (prompt, false)
+        } else if sample < lost + late {
             let delay = Duration::from_millis(self.rng.random_range(600..12_000));
             (now + delay, false)
         } else {
-            (soon, true)
+            (prompt, true)
         };
         let wait = match &order {
             Order::Poll(look) => look.wait.min(Duration::from_millis(100)),
@@ -494,10 +496,10 @@
         self.calls = calls;
     }
 
-    /// Holds an order that ends a task at work against what its step may miss.
+    /// Checks an order that ends a running task against `max_unavailable` of its step.
     fn check_unavailable(&mut self, task: &TaskKey, on: &HostId) {
         if self.is_at_work(task) {
-            // It runs elsewhere as well.
+            // Another run of the task continues elsewhere.
             return;
         }
         let now = self.now.boot;
@@ -542,8 +544,8 @@
     }
 }
 
-/// No order ends a task of a service while as many others are away as may be, whatever becomes of
-/// orders, and in the end all of them are at work.
+/// No order ends a task while `max_unavailable` other tasks of its step are unavailable, whatever
+/// happens to orders, and in the end all tasks run.
 #[rstest]
 #[case::calm(1, Faults { lost: 0.0, late: 0.0, crash: 0.0, cut: 0.0 })]
 #[case::orders(1, Faults { lost: 0.15, late: 0.15, crash: 0.0, cut: 0.0 })]
@@ -563,5 +565,5 @@
             world.violations
         );
     }
-    assert!(stops > 0, "hosts were emptied");
+    assert!(stops > 0, "no host was drained");
 }
--- a/crates/decide/tests/work_turn.rs
+++ b/crates/decide/tests/work_turn.rs
@@ -1,5 +1,5 @@
-//! What the load of a queue's turn makes the desk look at. The cost of an event must follow what
-//! the event changes, and not how much there is.
+//! Number of items that the scheduler visits under the load of a burst. The cost of an event must
+//! depend on what the event changes, and not on the size of the state.
 
 mod desk;
 
@@ -9,13 +9,13 @@
 use rstest::rstest;
 
 const ENDS: u64 = 200;
-/// Entries of the books that one end may change: its target and its job, those of the start that
-/// takes its room, and a job that is handed in.
+/// Entries of the tables that one end may change: its target and its job, those of the start that
+/// takes its resources, and a submitted job.
 const MAX_ENTRIES: u64 = 8;
-/// Targets that may be considered for a start whose pool is packed.
+/// Targets that may be considered for one start if tasks are packed.
 const MAX_CANDIDATES: u64 = 4;
 
-/// What one end makes the desk look at, on average.
+/// Items that the scheduler visits for one end, on average.
 #[derive(Debug)]
 struct EffortPerEnd {
     candidates: u64,
@@ -44,7 +44,8 @@
 }
 
 fn check_effort(effort: &EffortPerEnd, size: TurnSize) {
-    // Two searches an end: for the step that takes the room, and for one that takes the rest.
+    // Two searches for each end: one for the step that takes the freed resources, and one for a
+    // step that takes the remainder.
     let blocks = (size.waiting / 8 / 16) as u64;
     let max_steps = 2 * (size.workspaces as u64 + blocks) + 16;
     assert!(effort.entries <= MAX_ENTRIES, "{size:?}: {effort:?}");
@@ -52,7 +53,7 @@
     assert!(effort.steps <= max_steps, "{size:?}: {effort:?}");
 }
 
-/// Guards against an owner that looks at each target, job or waiting step at each end.
+/// Guards against visiting each target, job or waiting step at each end.
 #[rstest]
 #[case::small(TurnSize { targets: 120, waiting: 100, workspaces: 20 })]
 #[case::backlog(TurnSize { targets: 120, waiting: 10_000, workspaces: 20 })]
@@ -66,8 +67,8 @@
     assert_eq!(load.started, started + ENDS);
 }
 
-/// Guards against an owner that looks at all steps of a workspace that is at its limit, when work
-/// of another ends.
+/// Guards against visiting all steps of a workspace at its limit when a task of another workspace
+/// ends.
 #[test]
 fn end_workspace_at_limit_visits_few() {
     let size = TurnSize {
@@ -90,7 +91,7 @@
     );
 }
 
-/// Guards against a turn's first jobs being compared with each other again and again.
+/// Guards against comparing the first jobs of a burst with each other again and again.
 #[test]
 fn submission_backlog_visits_few() {
     let size = TurnSize {
@@ -106,7 +107,7 @@
     check_effort(&effort, size);
 }
 
-/// Guards against a tick that walks over the books when nothing is due.
+/// Guards against a tick that iterates over the tables when nothing is due.
 #[test]
 fn tick_nothing_due_visits_nothing() {
     let size = TurnSize {
--- a/crates/decide/tests/work_waves.rs
+++ b/crates/decide/tests/work_waves.rs
@@ -1,5 +1,5 @@
-//! Waves over the hosts of tasks that last: they are done in time, and no task is taken from a
-//! host without another to go to.
+//! Maintenance waves over hosts with long-running tasks: they complete in time, and no task is
+//! stopped without another host to move to.
 
 mod desk;
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// Submits jobs of one step each, and lets their tasks come to work.
+/// Submits jobs of one step each, and waits until their tasks run.
 fn submit_and_start(fleet: &mut FleetScene, steps: Vec<StepPlan>) {
     fleet.open();
     for (number, step) in (0..).zip(steps) {
@@ -31,9 +31,9 @@
     fleet.most_missing = 0;
 }
 
-/// Three hosts of a wave were not emptied for 20 s: all hosts of their pool were being emptied at
-/// once, the tasks had nowhere to go, and each that was stopped came back to the host that it had
-/// left, second after second.
+/// Three hosts of a wave were not drained for 20 s: all hosts of their pool were draining at once,
+/// so the tasks could not move, and each stopped task returned to the same host, second after
+/// second.
 #[test]
 fn wave_over_whole_pool_adds_hosts() {
     let mut fleet = FleetScene::new(3, 4, 32_000);
@@ -48,8 +48,8 @@
     assert_eq!((fleet.stops, fleet.most_missing), (11, 1));
 }
 
-/// The same where no host can be brought: the tasks have room on the pool's own hosts, if not all
-/// of them are emptied at once.
+/// As above, but no host can be added: the tasks fit on the pool's own hosts as long as not all of
+/// them drain at once.
 #[test]
 fn wave_over_whole_pool_keeps_one_open() {
     let mut fleet = FleetScene::new(3, 0, 32_000);
@@ -65,8 +65,8 @@
     assert!(fleet.longest_away < Duration::from_millis(1500));
 }
 
-/// The same where two tasks at most may share a host. They are spread over a host more than they
-/// need, so that none is empty: one task has to move twice.
+/// As above, but at most two tasks may share a host. They are spread over one host more than they
+/// need, so no host is empty and one task has to move twice.
 #[test]
 fn wave_over_anti_affinity_moves_few() {
     let mut fleet = FleetScene::new(5, 0, 32_000);
@@ -83,7 +83,7 @@
     assert!(fleet.longest_away < Duration::from_millis(1500));
 }
 
-/// The same where no task may share a host: each is taken away only once another host has room.
+/// As above, but no two tasks may share a host: each is stopped only once another host can run it.
 #[test]
 fn wave_over_exclusive_tasks_keeps_them_running() {
     let mut fleet = FleetScene::new(5, 4, 32_000);
@@ -100,8 +100,8 @@
     assert!(fleet.longest_away < Duration::from_millis(1500));
 }
 
-/// The same where other hosts of the pool go on, but have not the label that the tasks require:
-/// of the hosts that are off, one with the label has to come.
+/// As above, but the pool has other hosts, without the label that the tasks require: a switched-off
+/// host with the label must be added.
 #[test]
 fn wave_over_labelled_hosts_adds_labelled_host() {
     let mut fleet = FleetScene::new(5, 4, 32_000);
@@ -119,8 +119,8 @@
     assert_eq!((fleet.returns, fleet.killed), (0, 0));
 }
 
-/// The same where the pool's other hosts go on and are full: each task needs half a host, which
-/// no host has left.
+/// As above, but the other hosts of the pool are full: each task needs half a host, which no host
+/// has free.
 #[test]
 fn wave_over_full_hosts_adds_host() {
     let mut fleet = FleetScene::new(4, 4, 32_000);
@@ -132,8 +132,8 @@
     assert_eq!(fleet.most_missing, 1);
 }
 
-/// Where no host can be had, a task that may be missing is away while its host is maintained: the
-/// wave must not wait for a spare host that never comes.
+/// If no host can be added, a task that may be unavailable stays away while its host is maintained.
+/// The wave must not wait for a replacement that never comes.
 #[test]
 fn wave_without_replacement_completes() {
     let mut fleet = FleetScene::new(3, 0, 32_000);
@@ -148,8 +148,8 @@
     assert_eq!((fleet.killed, fleet.most_missing), (0, 1));
 }
 
-/// Where no host can be had and a host has more tasks of a step than may be missing, they stay at
-/// work: to stop one of them would not empty the host.
+/// If no host can be added and a host has more tasks of a step than may be unavailable, the tasks
+/// keep running: stopping one of them would not empty the host.
 #[test]
 fn wave_without_capacity_stops_no_task() {
     let mut fleet = FleetScene::new(3, 0, 32_000);
@@ -159,7 +159,7 @@
     assert_eq!((fleet.stops, fleet.killed, fleet.most_missing), (0, 0, 0));
 }
 
-/// A wave of two hosts at once over a pool that is being emptied keeps to its two.
+/// A wave with `max_down` of two over a pool that is being drained keeps to two hosts at once.
 #[test]
 fn wave_with_moves_respects_max_down() {
     let mut fleet = FleetScene::new(4, 4, 32_000);
