--- a/crates/member/examples/shared_state.rs
+++ b/crates/member/examples/shared_state.rs
@@ -13,7 +13,7 @@
     time::{Duration, Instant},
 };
 
-use common::{MemoryStore, StoreFaults, TestHost, await_that};
+use common::{MemoryStore, StoreFaults, TestHost, wait_until};
 use model::{Manifest, TeamId};
 use ports::{ChangeRequest, ChangeSink, ConfigSource, QuotaPermit, QuotaSource};
 use wire::state::{KeyEdit, KeyRecord, SectionEdit};
@@ -79,7 +79,7 @@
             .unwrap();
         accepted.push(begin.elapsed());
         for host in hosts {
-            await_that("the change is in force", || {
+            wait_until("the change is in force", || {
                 host.service.current().revision >= outcome.revision
             });
         }
--- a/crates/member/src/change_submit.rs
+++ b/crates/member/src/change_submission.rs
@@ -17,7 +17,7 @@
 };
 
 /// How long a change is tried before the operator is told that it is pending.
-const PATIENCE: Duration = Duration::from_secs(6);
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Pause before a store that did not answer is asked again.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
@@ -26,22 +26,22 @@
 const ACK_POLL: Duration = Duration::from_millis(3);
 
 /// Takes one change from an operator through the store until it is accepted.
-pub(crate) struct ChangeSubmit<'a> {
+pub(crate) struct ChangeSubmission<'a> {
     shared: &'a SharedState,
     request: &'a ChangeRequest,
-    until: BootTime,
+    deadline: BootTime,
     /// True once a write was sent whose outcome is not known: from then on the operator
     /// must not be told that nothing was recorded.
-    unsettled: bool,
+    outcome_unknown: bool,
 }
 
-impl<'a> ChangeSubmit<'a> {
+impl<'a> ChangeSubmission<'a> {
     pub(crate) fn new(shared: &'a SharedState, request: &'a ChangeRequest) -> Self {
         Self {
             shared,
             request,
-            until: shared.now() + PATIENCE,
-            unsettled: false,
+            deadline: shared.now() + SUBMIT_TIMEOUT,
+            outcome_unknown: false,
         }
     }
 
@@ -55,8 +55,10 @@
                 self.await_acceptance(outcome.revision)?;
                 return Ok(outcome);
             }
-            if self.shared.now() >= self.until {
-                return Err(self.unrecorded("too many changes at once, or no answer of the store"));
+            if self.shared.now() >= self.deadline {
+                return Err(
+                    self.submit_error("too many changes at once, or no answer of the store")
+                );
             }
         }
     }
@@ -65,18 +67,20 @@
     fn attempt(&mut self) -> Result<Option<ChangeOutcome>, ChangeError> {
         let (version, record, state) = match self.read_newest() {
             Ok(newest) => newest,
-            Err(error @ StoreError::Rejected(_)) => return Err(self.unrecorded(&error.to_string())),
-            Err(error) if self.unsettled => {
+            Err(error @ StoreError::Rejected(_)) => {
+                return Err(self.submit_error(&error.to_string()));
+            }
+            Err(error) if self.outcome_unknown => {
                 log_event::debug(&event::CHANGE_OUTCOME_UNREAD, format_args!("cause={error}"));
                 thread::sleep(RETRY_PAUSE);
                 return Ok(None);
             }
-            Err(error) => return Err(self.unrecorded(&error.to_string())),
+            Err(error) => return Err(self.submit_error(&error.to_string())),
         };
         match plan_change(&state, &record, &self.input(), &ConfigLimits::default()) {
             ChangePlan::Repeated(revision) => Ok(Some(ChangeOutcome {
                 revision,
-                repeated: !self.unsettled,
+                repeated: !self.outcome_unknown,
             })),
             ChangePlan::Conflict {
                 base,
@@ -100,12 +104,12 @@
     fn read_newest(&self) -> Result<(StoreVersion, ConfigRecord, ConfigState), StoreError> {
         loop {
             let (version, record) = read_record::<ConfigRecord>(self.shared.store(), CONFIG)?;
-            self.shared.follow_config(&record)?;
+            self.shared.apply_config(&record)?;
             let state = self.shared.holder.state();
             if state.revision == record.revision {
                 return Ok((version, record, state));
             }
-            if state.revision < record.revision || self.shared.now() >= self.until {
+            if state.revision < record.revision || self.shared.now() >= self.deadline {
                 return Err(StoreError::Unavailable(format!(
                     "the store shows revision {}, revision {} is in force",
                     record.revision, state.revision
@@ -126,14 +130,14 @@
             let outcome = self.shared.store().swap(&key, 0, &base.encode_to_vec());
             // An unanswered base is abandoned: no record names it.
             if let Err(error) = outcome {
-                return Err(self.unrecorded(&error.to_string()));
+                return Err(self.submit_error(&error.to_string()));
             }
             write.record.base_key = key;
         }
         let bytes = write.record.encode_to_vec();
         match self.shared.store().swap(CONFIG, version, &bytes) {
             Ok(_) => {
-                let followed = self.shared.follow_config(&write.record);
+                let followed = self.shared.apply_config(&write.record);
                 if let Err(error) = followed {
                     return Err(ChangeError::Pending(error.to_string()));
                 }
@@ -153,11 +157,11 @@
                     &event::CHANGE_OUTCOME_UNKNOWN,
                     format_args!("change={} cause={error}", self.request.change_id),
                 );
-                self.unsettled = true;
+                self.outcome_unknown = true;
                 thread::sleep(RETRY_PAUSE);
                 Ok(None)
             }
-            Err(error) => Err(self.unrecorded(&error.to_string())),
+            Err(error) => Err(self.submit_error(&error.to_string())),
         }
     }
 
@@ -170,7 +174,7 @@
         let list = loop {
             match read_record::<MemberRecord>(self.shared.store(), MEMBERS) {
                 Ok((_, record)) => break MemberList::new(record),
-                Err(_) if self.shared.now() < self.until => thread::sleep(RETRY_PAUSE),
+                Err(_) if self.shared.now() < self.deadline => thread::sleep(RETRY_PAUSE),
                 Err(error) => return Err(pending(&error.to_string())),
             }
         };
@@ -178,7 +182,7 @@
             if self.is_accepted(&list, revision) {
                 return Ok(());
             }
-            if self.shared.now() >= self.until {
+            if self.shared.now() >= self.deadline {
                 return Err(pending("a majority of entry hosts has not confirmed it"));
             }
             thread::sleep(ACK_POLL);
@@ -223,8 +227,8 @@
         }
     }
 
-    fn unrecorded(&self, cause: &str) -> ChangeError {
-        if self.unsettled {
+    fn submit_error(&self, cause: &str) -> ChangeError {
+        if self.outcome_unknown {
             return ChangeError::Pending(cause.to_owned());
         }
         ChangeError::Unavailable(cause.to_owned())
--- a/crates/member/src/config_holder.rs
+++ b/crates/member/src/config_holder.rs
@@ -27,7 +27,7 @@
 /// Holds the configuration in force and only ever moves it forward.
 pub(crate) struct ConfigHolder {
     held: Mutex<HeldConfig>,
-    force: ArcSwap<ActiveConfig>,
+    active_config: ArcSwap<ActiveConfig>,
 }
 
 #[derive(Default)]
@@ -40,13 +40,13 @@
     pub(crate) fn new() -> Self {
         Self {
             held: Mutex::default(),
-            force: ArcSwap::default(),
+            active_config: ArcSwap::default(),
         }
     }
 
     /// The configuration in force.
-    pub(crate) fn force(&self) -> Arc<ActiveConfig> {
-        self.force.load_full()
+    pub(crate) fn active_config(&self) -> Arc<ActiveConfig> {
+        self.active_config.load_full()
     }
 
     /// The whole configuration, to plan a change on.
@@ -57,7 +57,7 @@
     /// The limits of the teams, and the revision of the configuration that holds them.
     pub(crate) fn limits(&self) -> (Revision, BTreeMap<TeamId, TeamLimit>) {
         let held = self.held.lock();
-        let force = self.force();
+        let force = self.active_config();
         let teams = force.manifest.teams.iter().map(|(team, spec)| {
             let limit = TeamLimit {
                 limit: spec.limit,
@@ -69,7 +69,7 @@
     }
 
     /// Follows a record that the store delivered; true if it was newer.
-    pub(crate) fn follow(
+    pub(crate) fn apply_record(
         &self,
         store: &dyn KeyStore,
         record: &ConfigRecord,
@@ -83,7 +83,7 @@
             outcome => outcome,
         };
         match outcome {
-            Ok(CatchUp::Newer(next)) => Ok(self.adopt(next, &record.tail)),
+            Ok(CatchUp::Newer(next)) => Ok(self.activate(next, &record.tail)),
             Ok(CatchUp::Same) => Ok(false),
             Ok(CatchUp::Stale) => {
                 metrics::counter!("lws_config_stale_records").increment(1);
@@ -97,12 +97,12 @@
             Err(ConfigError::BaseNeeded(key)) => {
                 Err(StoreError::Unavailable(format!("the base {key} is gone")))
             }
-            Err(fault) => Err(self.reject(&fault)),
+            Err(fault) => Err(self.report_fault(&fault)),
         }
     }
 
     /// Follows what a peer sent; true if it was newer.
-    pub(crate) fn follow_tail(&self, tail: &ChangeTail) -> Result<bool, StoreError> {
+    pub(crate) fn apply_peer_tail(&self, tail: &ChangeTail) -> Result<bool, StoreError> {
         let mut changes = Vec::new();
         for bytes in &tail.changes {
             changes.push(decode_record::<Change>("peer tail", bytes)?);
@@ -118,9 +118,9 @@
         match next.apply_tail(&changes) {
             Ok(CatchUp::Newer(newer)) => next = newer,
             Ok(_) => {}
-            Err(fault) => return Err(self.reject(&fault)),
+            Err(fault) => return Err(self.report_fault(&fault)),
         }
-        Ok(next.revision > held && self.adopt(next, &changes))
+        Ok(next.revision > held && self.activate(next, &changes))
     }
 
     /// What a peer that holds `revision` lacks.
@@ -145,7 +145,7 @@
     }
 
     /// Puts a newer configuration in force; false if another thread was ahead.
-    fn adopt(&self, next: ConfigState, tail: &[Change]) -> bool {
+    fn activate(&self, next: ConfigState, tail: &[Change]) -> bool {
         let mut held = self.held.lock();
         if next.revision <= held.state.revision {
             return false;
@@ -155,7 +155,7 @@
             .extend(tail.iter().filter(|c| c.revision > known).cloned());
         let first = held.tail.len().saturating_sub(TAIL_LENGTH);
         held.tail.drain(..first);
-        self.force.store(Arc::new(self.in_force(&next)));
+        self.active_config.store(Arc::new(self.to_active(&next)));
         log_event::info(
             &event::CONFIG_IN_FORCE,
             format_args!("revision={} hash={:016x}", next.revision, next.hash),
@@ -166,7 +166,7 @@
     }
 
     /// Sections that this version can't read leave its manifest as it was; keys still follow.
-    fn in_force(&self, state: &ConfigState) -> ActiveConfig {
+    fn to_active(&self, state: &ConfigState) -> ActiveConfig {
         let read = match state.sections.is_empty() {
             true => Ok(Manifest::default()),
             false => Manifest::from_sections(&state.sections),
@@ -176,7 +176,7 @@
                 &event::CONFIG_MANIFEST_UNREADABLE,
                 format_args!("revision={} cause={error}", state.revision),
             );
-            self.force.load().manifest.clone()
+            self.active_config.load().manifest.clone()
         });
         ActiveConfig {
             revision: state.revision,
@@ -187,7 +187,7 @@
         }
     }
 
-    fn reject(&self, fault: &ConfigError) -> StoreError {
+    fn report_fault(&self, fault: &ConfigError) -> StoreError {
         metrics::counter!("lws_config_faults").increment(1);
         log_event::error(&event::CONFIG_FAULT, format_args!("cause={fault}"));
         StoreError::Rejected(fault.to_string())
--- a/crates/member/src/beat_duty.rs
+++ b/crates/member/src/heartbeat_loop.rs
@@ -14,25 +14,25 @@
 
 /// Beats that are sent out of turn keep this distance, so that a burst of changes does not
 /// multiply them.
-const WAKE_DISTANCE: Duration = Duration::from_millis(20);
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How long the store gets to deliver what a peer already has, before the peer is asked.
 const STORE_GRACE: Duration = Duration::from_millis(150);
 
 /// Distance of questions to peers for what this host lacks.
-const ASK_DISTANCE: Duration = Duration::from_millis(300);
+const TAIL_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Sends and hears heartbeats, and helps peers that are behind.
-pub(crate) struct BeatDuty {
+pub(crate) struct HeartbeatLoop {
     shared: Arc<SharedState>,
     beats: Receiver<InboundMessage>,
     tails: Receiver<InboundMessage>,
     behind_since: Option<BootTime>,
-    asked_at: Option<BootTime>,
-    sent_at: Option<Instant>,
+    last_tail_request: Option<BootTime>,
+    last_sent: Option<Instant>,
 }
 
-impl BeatDuty {
+impl HeartbeatLoop {
     pub(crate) fn new(
         shared: Arc<SharedState>,
         beats: Receiver<InboundMessage>,
@@ -43,8 +43,8 @@
             beats,
             tails,
             behind_since: None,
-            asked_at: None,
-            sent_at: None,
+            last_tail_request: None,
+            last_sent: None,
         }
     }
 
@@ -55,30 +55,30 @@
         while !self.shared.is_stopping() {
             select! {
                 recv(interval) -> _ => self.send_beats(),
-                recv(wakes) -> _ => self.send_early(),
+                recv(wakes) -> _ => self.send_beats_early(),
                 recv(self.beats) -> message => if let Ok(message) = message {
-                    self.hear_beat(&message);
+                    self.handle_heartbeat(&message);
                 },
                 recv(self.tails) -> message => if let Ok(message) = message {
-                    self.hear_tail(&message);
+                    self.handle_tail(&message);
                 },
             }
         }
     }
 
-    fn send_early(&mut self) {
-        if let Some(sent) = self.sent_at {
-            std::thread::sleep(WAKE_DISTANCE.saturating_sub(sent.elapsed()));
+    fn send_beats_early(&mut self) {
+        if let Some(sent) = self.last_sent {
+            std::thread::sleep(MIN_ROUND_INTERVAL.saturating_sub(sent.elapsed()));
         }
         self.send_beats();
     }
 
     fn send_beats(&mut self) {
-        self.sent_at = Some(Instant::now());
+        self.last_sent = Some(Instant::now());
         let now = self.shared.now();
         let mut lease = self.shared.lease.lock();
         lease.tick(now);
-        let peers = self.listed_peers(&lease);
+        let peers = self.heartbeat_peers(&lease);
         let beats: Vec<(MemberId, Beat)> = peers
             .into_iter()
             .map(|peer| {
@@ -95,7 +95,7 @@
     }
 
     /// The peers to beat to: none before this life is listed, since it can't vouch yet.
-    fn listed_peers(&self, lease: &decide::lease::LeaseMachine) -> Vec<MemberId> {
+    fn heartbeat_peers(&self, lease: &decide::lease::LeaseMachine) -> Vec<MemberId> {
         if !lease.is_listed() {
             return Vec::new();
         }
@@ -106,7 +106,7 @@
             .collect()
     }
 
-    fn hear_beat(&mut self, message: &InboundMessage) {
+    fn handle_heartbeat(&mut self, message: &InboundMessage) {
         let Body::Beat(beat) = &message.body else {
             return;
         };
@@ -121,18 +121,18 @@
             message.incarnation,
             beat.member_revision,
         );
-        self.compare_hash(message, beat);
+        self.check_config_hash(message, beat);
         if !behind {
             self.behind_since = None;
             return;
         }
-        self.catch_up(&message.from, beat, list_revision, now);
+        self.request_missing_changes(&message.from, beat, list_revision, now);
     }
 
     /// Two configurations of one revision can't both come from the store's single key. The
     /// hash of the newest change rides on each beat, so that a corrupt host or store shows.
-    fn compare_hash(&self, message: &InboundMessage, beat: &Beat) {
-        let force = self.shared.holder.force();
+    fn check_config_hash(&self, message: &InboundMessage, beat: &Beat) {
+        let force = self.shared.holder.active_config();
         if beat.config_revision == force.revision && beat.config_hash != force.hash {
             metrics::counter!("lws_config_faults").increment(1);
             log_event::error(
@@ -145,20 +145,26 @@
         }
     }
 
-    fn catch_up(&mut self, from: &MemberId, beat: &Beat, list_revision: u64, now: BootTime) {
+    fn request_missing_changes(
+        &mut self,
+        from: &MemberId,
+        beat: &Beat,
+        list_revision: u64,
+        now: BootTime,
+    ) {
         let since = *self.behind_since.get_or_insert(now);
         self.shared.wake_store();
-        let config_revision = self.shared.holder.force().revision;
+        let config_revision = self.shared.holder.active_config().revision;
         let peer_is_ahead =
             beat.config_revision > config_revision || beat.member_revision > list_revision;
         let store_had_time = now.saturating_sub(since) >= STORE_GRACE;
         let asked_lately = self
-            .asked_at
-            .is_some_and(|at| now.saturating_sub(at) < ASK_DISTANCE);
+            .last_tail_request
+            .is_some_and(|at| now.saturating_sub(at) < TAIL_REQUEST_INTERVAL);
         if !peer_is_ahead || !store_had_time || asked_lately {
             return;
         }
-        self.asked_at = Some(now);
+        self.last_tail_request = Some(now);
         let question = ChangeTail {
             base_revision: config_revision,
             member_revision: list_revision,
@@ -172,7 +178,7 @@
             .send(from, Body::ChangeTail(question));
     }
 
-    fn hear_tail(&mut self, message: &InboundMessage) {
+    fn handle_tail(&mut self, message: &InboundMessage) {
         let Body::ChangeTail(tail) = &message.body else {
             return;
         };
@@ -180,10 +186,10 @@
             return;
         }
         if tail.request {
-            self.answer_tail(&message.from, tail);
+            self.send_tail(&message.from, tail);
             return;
         }
-        match self.shared.holder.follow_tail(tail) {
+        match self.shared.holder.apply_peer_tail(tail) {
             Ok(true) => self.shared.publish_config(),
             Ok(false) => {}
             Err(error) => {
@@ -194,13 +200,13 @@
             }
         }
         if let Ok(record) = decode_record("peer members", &tail.members) {
-            self.shared.follow_list(&MemberList::new(record));
+            self.shared.apply_list(&MemberList::new(record));
         }
     }
 
-    fn answer_tail(&self, to: &MemberId, question: &ChangeTail) {
+    fn send_tail(&self, to: &MemberId, question: &ChangeTail) {
         let mut answer = ChangeTail::default();
-        if question.base_revision < self.shared.holder.force().revision {
+        if question.base_revision < self.shared.holder.active_config().revision {
             answer = self.shared.holder.tail_since(question.base_revision);
         }
         let lease = self.shared.lease.lock();
--- a/crates/member/src/incarnation.rs
+++ b/crates/member/src/incarnation.rs
@@ -4,13 +4,13 @@
 use store::{KeyStore, StoreError};
 use wire::state::MemberRecord;
 
-use crate::store_key::{MEMBERS, read_record, store_fault};
+use crate::store_key::{MEMBERS, read_record, store_step_error};
 
 /// Attempts against other hosts that start at the same moment.
-const ATTEMPTS: usize = 50;
+const MAX_ATTEMPTS: usize = 50;
 
 /// Bytes of the mark that tells two claims apart.
-const MARK_LENGTH: usize = 16;
+const NONCE_LENGTH: usize = 16;
 
 /// Takes the next incarnation number from the store.
 ///
@@ -24,21 +24,21 @@
 /// # Errors
 /// If the store can't be reached; a host can't start without it.
 pub fn claim_incarnation(store: &dyn KeyStore) -> Result<Incarnation, StepError> {
-    let mut mark = [0; MARK_LENGTH];
+    let mut mark = [0; NONCE_LENGTH];
     getrandom::fill(&mut mark)
         .map_err(|error| StepError::new("claim incarnation", "", error.to_string()))?;
     let mut last = StoreError::Unavailable("not tried".to_owned());
-    for _ in 0..ATTEMPTS {
+    for _ in 0..MAX_ATTEMPTS {
         let (version, record) = read_record::<MemberRecord>(store, MEMBERS)
-            .map_err(|error| store_fault("read member list", error))?;
+            .map_err(|error| store_step_error("read member list", error))?;
         let (next, incarnation) = MemberList::new(record).with_next_incarnation(&mark);
         match store.swap(MEMBERS, version, &next.record().encode_to_vec()) {
             Ok(_) => return Ok(incarnation),
             Err(error @ StoreError::Rejected(_)) => {
-                return Err(store_fault("claim incarnation", error));
+                return Err(store_step_error("claim incarnation", error));
             }
             Err(error) => last = error,
         }
     }
-    Err(store_fault("claim incarnation", last))
+    Err(store_step_error("claim incarnation", last))
 }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -7,21 +7,21 @@
 
 pub mod event;
 
-mod beat_duty;
-mod change_submit;
+mod change_submission;
 mod config_holder;
+mod heartbeat_loop;
 mod incarnation;
+mod local_quota;
 mod member_options;
 mod member_service;
-mod probe_duty;
-mod quota_book;
+mod probe_loop;
 mod quota_call;
-mod quota_duty;
-mod quota_store_duty;
+mod quota_loop;
+mod quota_store_loop;
 mod shared_state;
-mod store_duty;
 mod store_key;
-mod watch_duty;
+mod store_loop;
+mod watch_loop;
 
 pub use incarnation::claim_incarnation;
 pub use member_options::MemberOptions;
--- a/crates/member/src/quota_book.rs
+++ b/crates/member/src/local_quota.rs
@@ -10,12 +10,12 @@
 use ports::{ActiveConfig, QuotaPermit, TeamStatus};
 
 /// Hands out units of the grants that this host holds.
-pub(crate) struct QuotaBook {
+pub(crate) struct LocalQuota {
     machine: Arc<Mutex<QuotaMachine>>,
     wake: (Sender<()>, Receiver<()>),
 }
 
-impl QuotaBook {
+impl LocalQuota {
     pub(crate) fn new(settings: &ServeSettings, own: MemberId, incarnation: Incarnation) -> Self {
         let options = QuotaOptions {
             lease_length: settings.lease_length,
@@ -61,7 +61,7 @@
         }))
     }
 
-    pub(crate) fn note_waiting(&self, team: &TeamId, waiting: u32) {
+    pub(crate) fn set_waiting(&self, team: &TeamId, waiting: u32) {
         self.machine.lock().set_waiting(team, waiting);
         if waiting > 0 {
             self.wake();
@@ -84,7 +84,7 @@
         teams.collect()
     }
 
-    /// Wakes whoever waits at [`QuotaBook::wakes`].
+    /// Wakes whoever waits at [`LocalQuota::wakes`].
     pub(crate) fn wake(&self) {
         let _ = self.wake.0.try_send(());
     }
--- a/crates/member/src/member_service.rs
+++ b/crates/member/src/member_service.rs
@@ -17,19 +17,19 @@
 
 use crate::{
     MemberOptions,
-    beat_duty::BeatDuty,
-    change_submit::ChangeSubmit,
+    change_submission::ChangeSubmission,
     event,
-    probe_duty::ProbeDuty,
-    quota_duty::QuotaDuty,
-    quota_store_duty::{QuotaStoreDuty, hand_back},
+    heartbeat_loop::HeartbeatLoop,
+    probe_loop::ProbeLoop,
+    quota_loop::QuotaLoop,
+    quota_store_loop::{QuotaStoreLoop, release_grants},
     shared_state::SharedState,
-    store_duty::StoreDuty,
-    watch_duty::WatchDuty,
+    store_loop::StoreLoop,
+    watch_loop::WatchLoop,
 };
 
 /// Calls of the store that may wait for the quotas' turn.
-const CALL_QUEUE: usize = 256;
+const STORE_CALL_QUEUE: usize = 256;
 
 const THREAD_STACK: usize = 512 * 1024;
 
@@ -51,24 +51,24 @@
     pub fn start(options: MemberOptions) -> Result<Arc<Self>, StepError> {
         let node = options.node.clone();
         let shared = Arc::new(SharedState::new(options));
-        let beat_duty = BeatDuty::new(
+        let heartbeat_loop = HeartbeatLoop::new(
             shared.clone(),
             node.inbound(BodyKind::Beat),
             node.inbound(BodyKind::ChangeTail),
         );
-        let watch_duty = WatchDuty::new(shared.clone());
-        let store_duty = StoreDuty::new(shared.clone());
-        let probe_duty = ProbeDuty::new(shared.clone());
-        let (calls, call_queue) = bounded(CALL_QUEUE);
-        let quota_duty = QuotaDuty::new(shared.clone(), node.inbound(BodyKind::QuotaTalk), calls);
-        let quota_store_duty = QuotaStoreDuty::new(shared.clone(), call_queue);
+        let watch_loop = WatchLoop::new(shared.clone());
+        let store_loop = StoreLoop::new(shared.clone());
+        let probe_loop = ProbeLoop::new(shared.clone());
+        let (calls, call_queue) = bounded(STORE_CALL_QUEUE);
+        let quota_loop = QuotaLoop::new(shared.clone(), node.inbound(BodyKind::QuotaTalk), calls);
+        let quota_store_loop = QuotaStoreLoop::new(shared.clone(), call_queue);
         let threads = vec![
-            spawn("member-beat", move || beat_duty.run())?,
-            spawn("member-watch", move || watch_duty.run())?,
-            spawn("member-store", move || store_duty.run())?,
-            spawn("member-probe", move || probe_duty.run())?,
-            spawn("member-quota", move || quota_duty.run())?,
-            spawn("member-quota-store", move || quota_store_duty.run())?,
+            spawn("member-beat", move || heartbeat_loop.run())?,
+            spawn("member-watch", move || watch_loop.run())?,
+            spawn("member-store", move || store_loop.run())?,
+            spawn("member-probe", move || probe_loop.run())?,
+            spawn("member-quota", move || quota_loop.run())?,
+            spawn("member-quota-store", move || quota_store_loop.run())?,
         ];
         Ok(Arc::new(Self {
             shared,
@@ -81,7 +81,7 @@
     pub fn stop(&self) {
         self.shared.set_leaving();
         if !self.threads.lock().is_empty() {
-            hand_back(&self.shared);
+            release_grants(&self.shared);
         }
         self.shared.set_stopping();
         for thread in std::mem::take(&mut *self.threads.lock()) {
@@ -122,7 +122,7 @@
 
 impl ConfigSource for MemberService {
     fn current(&self) -> Arc<ActiveConfig> {
-        self.shared.holder.force()
+        self.shared.holder.active_config()
     }
 }
 
@@ -132,13 +132,13 @@
     }
 
     fn report_waiting(&self, team: &TeamId, waiting: u32) {
-        self.shared.quota.note_waiting(team, waiting);
+        self.shared.quota.set_waiting(team, waiting);
     }
 }
 
 impl ChangeSink for MemberService {
     fn submit(&self, request: &ChangeRequest) -> Result<ChangeOutcome, ChangeError> {
-        ChangeSubmit::new(&self.shared, request).run()
+        ChangeSubmission::new(&self.shared, request).run()
     }
 }
 
@@ -146,7 +146,7 @@
     fn members(&self) -> Vec<MemberStatus> {
         let infos = self.shared.members.load_full();
         let lease = self.shared.lease.lock();
-        let own_revision = self.shared.holder.force().revision;
+        let own_revision = self.shared.holder.active_config().revision;
         let status = infos.iter().map(|info| MemberStatus {
             member: info.member.clone(),
             incarnation: info.incarnation,
@@ -163,7 +163,9 @@
     }
 
     fn teams(&self) -> Vec<TeamStatus> {
-        self.shared.quota.status(&self.shared.holder.force())
+        self.shared
+            .quota
+            .status(&self.shared.holder.active_config())
     }
 }
 
--- a/crates/member/src/probe_duty.rs
+++ b/crates/member/src/probe_loop.rs
@@ -13,13 +13,13 @@
 use crate::{event, shared_state::SharedState};
 
 /// Distance of the rounds.
-const ROUND: Duration = Duration::from_millis(500);
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long a connection may take.
-const PATIENCE: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Refusals in a row that prove a member gone; together they span most of a lease.
-const PROOF: u32 = 3;
+const REQUIRED_REFUSALS: u32 = 3;
 
 /// Finds out whether members that are silent have ended.
 ///
@@ -28,12 +28,12 @@
 /// is accepted for ever. A host that is up refuses connections to a port that nobody holds;
 /// a process that serves always holds its port. So a refusal from the address in the member
 /// list proves that the process ended. Silence alone proves nothing and is not used here.
-pub(crate) struct ProbeDuty {
+pub(crate) struct ProbeLoop {
     shared: Arc<SharedState>,
     refusals: BTreeMap<(MemberId, Incarnation), u32>,
 }
 
-impl ProbeDuty {
+impl ProbeLoop {
     pub(crate) fn new(shared: Arc<SharedState>) -> Self {
         Self {
             shared,
@@ -44,8 +44,8 @@
     /// Runs until the service stops.
     pub(crate) fn run(mut self) {
         while !self.shared.is_stopping() {
-            thread::sleep(ROUND);
-            let silent = self.shared.silent_lives();
+            thread::sleep(PROBE_INTERVAL);
+            let silent = self.shared.unresponsive_members();
             self.refusals.retain(|(id, life), _| {
                 silent
                     .iter()
@@ -65,7 +65,7 @@
             return;
         }
         *count += 1;
-        if *count == PROOF {
+        if *count == REQUIRED_REFUSALS {
             log_event::warn(
                 &event::MEMBER_GONE,
                 format_args!("member={} incarnation={}", member.id, member.incarnation),
@@ -85,5 +85,5 @@
         return false;
     }
     let refused = |error: std::io::Error| error.kind() == ErrorKind::ConnectionRefused;
-    TcpStream::connect_timeout(&address, PATIENCE).is_err_and(refused)
+    TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).is_err_and(refused)
 }
--- a/crates/member/src/quota_call.rs
+++ b/crates/member/src/quota_call.rs
@@ -17,7 +17,7 @@
 }
 
 /// Sorts messages by their receiver; a call of the store is returned.
-pub(crate) fn sort_action(
+pub(crate) fn route_action(
     action: QuotaAction,
     talks: &mut BTreeMap<MemberId, QuotaTalk>,
 ) -> Option<QuotaCall> {
--- a/crates/member/src/quota_duty.rs
+++ b/crates/member/src/quota_loop.rs
@@ -10,25 +10,25 @@
 use wire::peer::envelope::Body;
 
 use crate::{
-    quota_call::{QuotaCall, send_talks, sort_action},
+    quota_call::{QuotaCall, route_action, send_talks},
     shared_state::SharedState,
 };
 
 /// Distance of the rounds in which units are moved.
-const ROUND: Duration = Duration::from_millis(25);
+const ROUND_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Rounds out of turn keep this distance, so that each refused start does not cost one.
-const WAKE_DISTANCE: Duration = Duration::from_millis(10);
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Moves units of team limits: talks with the other hosts and has the records written.
-pub(crate) struct QuotaDuty {
+pub(crate) struct QuotaLoop {
     shared: Arc<SharedState>,
     talks: Receiver<InboundMessage>,
     calls: Sender<QuotaCall>,
     ticked_at: Instant,
 }
 
-impl QuotaDuty {
+impl QuotaLoop {
     pub(crate) fn new(
         shared: Arc<SharedState>,
         talks: Receiver<InboundMessage>,
@@ -44,17 +44,17 @@
 
     /// Runs until the service stops.
     pub(crate) fn run(mut self) {
-        let rounds = tick(ROUND);
+        let rounds = tick(ROUND_INTERVAL);
         let wakes = self.shared.quota.wakes();
         while !self.shared.is_stopping() {
             select! {
                 recv(rounds) -> _ => self.tick(),
                 recv(wakes) -> _ => {
-                    std::thread::sleep(WAKE_DISTANCE.saturating_sub(self.ticked_at.elapsed()));
+                    std::thread::sleep(MIN_ROUND_INTERVAL.saturating_sub(self.ticked_at.elapsed()));
                     self.tick();
                 },
                 recv(self.talks) -> message => if let Ok(message) = message {
-                    self.hear(&message);
+                    self.handle_message(&message);
                 },
             }
         }
@@ -67,7 +67,7 @@
         self.perform(actions);
     }
 
-    fn hear(&self, message: &InboundMessage) {
+    fn handle_message(&self, message: &InboundMessage) {
         let Body::QuotaTalk(talk) = &message.body else {
             return;
         };
@@ -95,7 +95,7 @@
     fn perform(&self, actions: Vec<QuotaAction>) {
         let mut talks = BTreeMap::new();
         for action in actions {
-            if let Some(call) = sort_action(action, &mut talks) {
+            if let Some(call) = route_action(action, &mut talks) {
                 self.call_store(call);
             }
         }
--- a/crates/member/src/quota_store_duty.rs
+++ b/crates/member/src/quota_store_loop.rs
@@ -10,24 +10,24 @@
 
 use crate::{
     event,
-    quota_call::{QuotaCall, send_talks, sort_action},
+    quota_call::{QuotaCall, route_action, send_talks},
     shared_state::SharedState,
     store_key::{quota_key, read_record},
 };
 
 /// How often the duty looks whether it should stop.
-const STOP_CHECK: Duration = Duration::from_millis(200);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How long handing back may hold up the end of the process.
-const HAND_BACK_PATIENCE: Duration = Duration::from_secs(2);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Reads and writes the records of the teams, one call after the other.
-pub(crate) struct QuotaStoreDuty {
+pub(crate) struct QuotaStoreLoop {
     shared: Arc<SharedState>,
     calls: Receiver<QuotaCall>,
 }
 
-impl QuotaStoreDuty {
+impl QuotaStoreLoop {
     pub(crate) fn new(shared: Arc<SharedState>, calls: Receiver<QuotaCall>) -> Self {
         Self { shared, calls }
     }
@@ -35,7 +35,7 @@
     /// Runs until the service stops.
     pub(crate) fn run(self) {
         while !self.shared.is_stopping() {
-            match self.calls.recv_timeout(STOP_CHECK) {
+            match self.calls.recv_timeout(STOP_CHECK_INTERVAL) {
                 Ok(call) => perform_call(&self.shared, call),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
@@ -45,14 +45,14 @@
 }
 
 /// Gives back what this host does not use, when it stops.
-pub(crate) fn hand_back(shared: &SharedState) {
+pub(crate) fn release_grants(shared: &SharedState) {
     shared.quota.machine().lock().set_leaving();
     let now = shared.now();
     let actions = shared.quota.machine().lock().tick(now);
     for action in actions {
         // With the store down or slow the grants stay as they are; others take them over
         // once nothing of this host can run any more.
-        if shared.now().saturating_sub(now) > HAND_BACK_PATIENCE {
+        if shared.now().saturating_sub(now) > RELEASE_TIMEOUT {
             return;
         }
         if let QuotaAction::Write(write) = action {
@@ -111,7 +111,7 @@
     };
     let mut talks = BTreeMap::new();
     for action in actions {
-        sort_action(action, &mut talks);
+        route_action(action, &mut talks);
     }
     send_talks(shared, talks);
 }
--- a/crates/member/src/shared_state.rs
+++ b/crates/member/src/shared_state.rs
@@ -18,7 +18,7 @@
 use store::{KeyStore, StoreError};
 use wire::state::{ConfigRecord, Member};
 
-use crate::{MemberOptions, config_holder::ConfigHolder, event, quota_book::QuotaBook};
+use crate::{MemberOptions, config_holder::ConfigHolder, event, local_quota::LocalQuota};
 
 /// What the duties of the service share.
 pub(crate) struct SharedState {
@@ -27,7 +27,7 @@
     pub lease: Mutex<LeaseMachine>,
     pub acks: Mutex<ListAcks>,
     pub holder: ConfigHolder,
-    pub quota: QuotaBook,
+    pub quota: LocalQuota,
     pub members: ArcSwap<Vec<MemberInfo>>,
     leaving: AtomicBool,
     stopping: AtomicBool,
@@ -45,7 +45,7 @@
         let incarnation = options.node.incarnation();
         Self {
             lease: Mutex::new(LeaseMachine::new(lease_options, own.clone(), incarnation)),
-            quota: QuotaBook::new(&options.settings, own.clone(), incarnation),
+            quota: LocalQuota::new(&options.settings, own.clone(), incarnation),
             own,
             options,
             acks: Mutex::default(),
@@ -134,8 +134,8 @@
     }
 
     /// Follows a configuration record from the store and tells the peers.
-    pub(crate) fn follow_config(&self, record: &ConfigRecord) -> Result<(), StoreError> {
-        if self.holder.follow(self.store(), record)? {
+    pub(crate) fn apply_config(&self, record: &ConfigRecord) -> Result<(), StoreError> {
+        if self.holder.apply_record(self.store(), record)? {
             self.publish_config();
         }
         Ok(())
@@ -143,7 +143,7 @@
 
     /// Has the lease and the quotas use the configuration now in force.
     pub(crate) fn publish_config(&self) {
-        let force = self.holder.force();
+        let force = self.holder.active_config();
         self.lease.lock().set_config(force.revision, force.hash);
         let (revision, limits) = self.holder.limits();
         self.quota.set_limits(revision, &limits);
@@ -151,8 +151,8 @@
     }
 
     /// Takes a newer member list, once the configuration that it asks for is held.
-    pub(crate) fn follow_list(&self, list: &MemberList) {
-        if list.config_floor() > self.holder.force().revision {
+    pub(crate) fn apply_list(&self, list: &MemberList) {
+        if list.config_floor() > self.holder.active_config().revision {
             return;
         }
         let mut lease = self.lease.lock();
@@ -207,7 +207,7 @@
 
     /// Lives in the list, or in the settled one, that were not heard for longer than a lease
     /// and are not known to have ended.
-    pub(crate) fn silent_lives(&self) -> Vec<Member> {
+    pub(crate) fn unresponsive_members(&self) -> Vec<Member> {
         let now = self.now();
         let length = self.options.settings.lease_length;
         let lease = self.lease.lock();
--- a/crates/member/src/store_key.rs
+++ b/crates/member/src/store_key.rs
@@ -51,6 +51,6 @@
 }
 
 /// Wraps a fault of the store with the step at which it arose.
-pub(crate) fn store_fault(step: &'static str, error: StoreError) -> StepError {
+pub(crate) fn store_step_error(step: &'static str, error: StoreError) -> StepError {
     StepError::new(step, "store", error)
 }
--- a/crates/member/src/store_duty.rs
+++ b/crates/member/src/store_loop.rs
@@ -17,27 +17,27 @@
     event,
     incarnation::claim_incarnation,
     shared_state::SharedState,
-    store_key::{CONFIG, MEMBERS, read_record, store_fault},
+    store_key::{CONFIG, MEMBERS, read_record, store_step_error},
 };
 
 /// How often the duty looks whether there is something to do.
-const ROUND: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How often the store is read although nothing asks for it, so that a lost hint heals.
-const IDLE_READ: Duration = Duration::from_secs(15);
+const IDLE_READ_INTERVAL: Duration = Duration::from_secs(15);
 
 /// Distance of reads that only hints ask for.
-const HINT_DISTANCE: Duration = Duration::from_millis(100);
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Reads list and configuration from the store when the lease or a hint asks for it, and
 /// keeps the member list: joins, rejoins, removes members that are gone.
-pub(crate) struct StoreDuty {
+pub(crate) struct StoreLoop {
     shared: Arc<SharedState>,
     read_at: Option<BootTime>,
     failing: bool,
 }
 
-impl StoreDuty {
+impl StoreLoop {
     pub(crate) fn new(shared: Arc<SharedState>) -> Self {
         Self {
             shared,
@@ -50,10 +50,10 @@
     pub(crate) fn run(mut self) {
         while !self.shared.is_stopping() {
             if self.is_due() {
-                let outcome = self.round();
-                self.report(outcome);
+                let outcome = self.run_round();
+                self.log_outcome(outcome);
             }
-            self.shared.await_store_wake(ROUND);
+            self.shared.await_store_wake(CHECK_INTERVAL);
         }
         if let Err(error) = self.leave_list() {
             log_event::warn(&event::MEMBER_LEAVE_FAILED, format_args!("cause={error}"));
@@ -67,7 +67,7 @@
         let Some(since_read) = since_read else {
             return true;
         };
-        if since_read < HINT_DISTANCE {
+        if since_read < MIN_READ_INTERVAL {
             return false;
         }
         let lease = self.shared.lease.lock();
@@ -77,12 +77,12 @@
         !lease.is_listed()
             || lease.is_behind()
             || !renewed && since_read >= length / 4
-            || since_read >= IDLE_READ
-            || !lease.list().is_settled() && since_read >= self.settle_distance(&lease)
-            || self.has_lost(&lease, now) && since_read >= length / 4
+            || since_read >= IDLE_READ_INTERVAL
+            || !lease.list().is_settled() && since_read >= self.settle_interval(&lease)
+            || self.has_lost_members(&lease, now) && since_read >= length / 4
     }
 
-    fn has_lost(&self, lease: &LeaseMachine, now: BootTime) -> bool {
+    fn has_lost_members(&self, lease: &LeaseMachine, now: BootTime) -> bool {
         let acks = self.shared.acks.lock();
         !lease.lost_members(now).is_empty()
             || lease.list().members().iter().any(|m| acks.has_ended(m))
@@ -90,16 +90,16 @@
 
     /// How long this host waits between attempts to settle the list: its place in the list
     /// decides, so that one host mostly does it.
-    fn settle_distance(&self, lease: &LeaseMachine) -> Duration {
+    fn settle_interval(&self, lease: &LeaseMachine) -> Duration {
         let members = lease.list().members();
         let place = members
             .iter()
             .position(|m| m.id == self.shared.own.as_str());
         let place = u32::try_from(place.unwrap_or(members.len())).unwrap_or(u32::MAX);
-        ROUND.saturating_mul(1 + 4 * place)
+        CHECK_INTERVAL.saturating_mul(1 + 4 * place)
     }
 
-    fn round(&mut self) -> Result<(), StepError> {
+    fn run_round(&mut self) -> Result<(), StepError> {
         let sent = self.shared.now();
         self.read_at = Some(sent);
         let (version, list) = self.read_all(sent)?;
@@ -110,7 +110,7 @@
         if self.remove_lost(version, &list)? {
             return Ok(());
         }
-        self.settle(version, &list)
+        self.settle_list(version, &list)
     }
 
     /// Reads the list and then the configuration, in this order: the configuration read is
@@ -118,24 +118,24 @@
     fn read_all(&self, sent: BootTime) -> Result<(StoreVersion, MemberList), StepError> {
         let store = self.shared.store();
         let (version, record) = read_record::<MemberRecord>(store, MEMBERS)
-            .map_err(|error| store_fault("read member list", error))?;
+            .map_err(|error| store_step_error("read member list", error))?;
         let (_, config) = read_record::<ConfigRecord>(store, CONFIG)
-            .map_err(|error| store_fault("read configuration", error))?;
+            .map_err(|error| store_step_error("read configuration", error))?;
         self.shared
-            .follow_config(&config)
-            .map_err(|error| store_fault("follow configuration", error))?;
+            .apply_config(&config)
+            .map_err(|error| store_step_error("follow configuration", error))?;
         let held = self.shared.lease.lock().list().revision();
-        if config.revision < self.shared.holder.force().revision || record.revision < held {
+        if config.revision < self.shared.holder.active_config().revision || record.revision < held {
             // A store that went back proves nothing fresh.
             let error = StoreError::Rejected(format!(
                 "old revisions: configuration {}, members {}",
                 config.revision, record.revision
             ));
-            return Err(store_fault("read list and configuration", error));
+            return Err(store_step_error("read list and configuration", error));
         }
         let list = MemberList::new(record);
-        self.shared.follow_list(&list);
-        self.note_own_list();
+        self.shared.apply_list(&list);
+        self.ack_own_list();
         let mut lease = self.shared.lease.lock();
         if lease.list().revision() >= list.revision() {
             lease.record_store_read(sent);
@@ -143,7 +143,7 @@
         Ok((version, list))
     }
 
-    fn note_own_list(&self) {
+    fn ack_own_list(&self) {
         let revision = self.shared.lease.lock().list().revision();
         self.shared
             .acks
@@ -162,7 +162,7 @@
             self.begin_incarnation()?;
             return Ok(());
         }
-        let floor = self.shared.holder.force().revision;
+        let floor = self.shared.holder.active_config().revision;
         let next = match list.join(self.shared.own_member(), floor) {
             Ok(next) => next,
             Err(ListRefusal::NewerIncarnation(incarnation)) => {
@@ -214,15 +214,15 @@
             return Ok(false);
         };
         let (id, incarnation) = (MemberId::from(member.id.as_str()), member.incarnation);
-        self.remove(version, list, &id, incarnation, "remove lost member")?;
+        self.remove_member(version, list, &id, incarnation, "remove lost member")?;
         Ok(true)
     }
 
     /// Settles the list. Any member may; the first of the list goes ahead, the others only
     /// step in when it does not, so that they do not write all at once.
-    fn settle(&self, version: StoreVersion, list: &MemberList) -> Result<(), StepError> {
+    fn settle_list(&self, version: StoreVersion, list: &MemberList) -> Result<(), StepError> {
         let acks = self.shared.acks.lock().clone();
-        let floor = self.shared.holder.force().revision;
+        let floor = self.shared.holder.active_config().revision;
         let Ok(next) = list.settle(&acks, floor) else {
             return Ok(());
         };
@@ -240,9 +240,9 @@
             if !list.contains(own, incarnation) {
                 return Ok(());
             }
-            match self.remove(version, &list, own, incarnation, "leave member list") {
+            match self.remove_member(version, &list, own, incarnation, "leave member list") {
                 Ok(()) => {
-                    self.say_farewell(&list);
+                    self.send_last_beats(&list);
                     return Ok(());
                 }
                 Err(error) => {
@@ -254,7 +254,7 @@
     }
 
     /// A last beat tells the others that the list changed; after it none comes from here.
-    fn say_farewell(&self, list: &MemberList) {
+    fn send_last_beats(&self, list: &MemberList) {
         let now = self.shared.now();
         let own = self.shared.own.as_str();
         for member in list.members().iter().filter(|m| m.id != own) {
@@ -264,7 +264,7 @@
         }
     }
 
-    fn remove(
+    fn remove_member(
         &self,
         version: StoreVersion,
         list: &MemberList,
@@ -272,7 +272,7 @@
         incarnation: Incarnation,
         step: &'static str,
     ) -> Result<(), StepError> {
-        let floor = self.shared.holder.force().revision;
+        let floor = self.shared.holder.active_config().revision;
         let Ok(next) = list.remove(member, incarnation, floor) else {
             return Ok(());
         };
@@ -301,15 +301,15 @@
         let bytes = next.record().encode_to_vec();
         match self.shared.store().swap(MEMBERS, version, &bytes) {
             Ok(_) => {
-                self.shared.follow_list(next);
-                self.note_own_list();
+                self.shared.apply_list(next);
+                self.ack_own_list();
                 Ok(true)
             }
             Err(StoreError::Conflict { .. }) => {
                 self.shared.wake_store();
                 Ok(false)
             }
-            Err(error) => Err(store_fault(step, error)),
+            Err(error) => Err(store_step_error(step, error)),
         }
     }
 
@@ -325,7 +325,7 @@
         });
     }
 
-    fn report(&mut self, outcome: Result<(), StepError>) {
+    fn log_outcome(&mut self, outcome: Result<(), StepError>) {
         match outcome {
             Ok(()) if self.failing => {
                 self.failing = false;
--- a/crates/member/src/watch_duty.rs
+++ b/crates/member/src/watch_loop.rs
@@ -11,19 +11,19 @@
 
 /// How long one watch waits. It only speeds changes up: a host whose watch hangs or lies
 /// learns of them from its peers' beats, and its lease never rests on a watch.
-const WATCH_PATIENCE: Duration = Duration::from_secs(5);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Pauses after failed watches grow between these.
 const PAUSE_MIN: Duration = Duration::from_millis(100);
 const PAUSE_MAX: Duration = Duration::from_secs(1);
 
 /// Waits for changes of the configuration: the one watch of an entry host.
-pub(crate) struct WatchDuty {
+pub(crate) struct WatchLoop {
     shared: Arc<SharedState>,
     version: StoreVersion,
 }
 
-impl WatchDuty {
+impl WatchLoop {
     pub(crate) fn new(shared: Arc<SharedState>) -> Self {
         Self { shared, version: 0 }
     }
@@ -47,7 +47,7 @@
         let watched = self
             .shared
             .store()
-            .watch(CONFIG, self.version, WATCH_PATIENCE)?;
+            .watch(CONFIG, self.version, WATCH_TIMEOUT)?;
         let Some(stored) = watched else {
             return Ok(());
         };
@@ -59,6 +59,6 @@
         }
         self.version = stored.version;
         self.shared
-            .follow_config(&decode_record(CONFIG, &stored.value)?)
+            .apply_config(&decode_record(CONFIG, &stored.value)?)
     }
 }
--- a/crates/member/tests/common/mod.rs
+++ b/crates/member/tests/common/mod.rs
@@ -252,7 +252,7 @@
         for host in &hosts {
             host.await_serving();
             let full = || ports::MemberSource::members(&*host.service).len() == count;
-            await_that("every host is listed", full);
+            wait_until("every host is listed", full);
         }
         hosts
     }
@@ -262,7 +262,7 @@
     }
 
     pub fn await_serving(&self) {
-        await_that("the host serves", || self.serves());
+        wait_until("the host serves", || self.serves());
     }
 
     /// Cuts the host off from the store, and from nothing else.
@@ -278,7 +278,7 @@
     }
 }
 
-pub fn await_that(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let deadline = Instant::now() + PATIENCE;
     while !holds() {
         assert!(Instant::now() < deadline, "waited in vain until {what}");
--- a/crates/member/tests/member_service.rs
+++ b/crates/member/tests/member_service.rs
@@ -6,7 +6,7 @@
 
 use std::{sync::Arc, thread, time::Duration};
 
-use common::{MemoryStore, StoreFaults, TestHost, await_that};
+use common::{MemoryStore, StoreFaults, TestHost, wait_until};
 use model::Revision;
 use ports::{ChangeError, ChangeRequest, ChangeSink, ConfigSource, MemberSource, ServingGate};
 use wire::state::{KeyEdit, KeyRecord};
@@ -49,14 +49,14 @@
     let outcome = hosts[0].service.submit(&grant("k1", None)).unwrap();
     assert_eq!((outcome.revision, outcome.repeated), (1, false));
     for host in &hosts {
-        await_that("the key is known", || {
+        wait_until("the key is known", || {
             host.service.current().keys.contains_key("k1")
         });
     }
     let again = hosts[1].service.submit(&grant("k1", None)).unwrap();
     assert_eq!((again.revision, again.repeated), (1, true));
     hosts[2].service.submit(&withdraw("k1")).unwrap();
-    await_that("the key is gone", || {
+    wait_until("the key is gone", || {
         hosts[0].service.current().keys.is_empty()
     });
 }
@@ -124,7 +124,7 @@
     });
     hosts.pop().unwrap().kill();
     hosts.pop().unwrap().kill();
-    await_that("the last host refuses", || !hosts[0].serves());
+    wait_until("the last host refuses", || !hosts[0].serves());
     store.set_faults(StoreFaults::default());
     hosts[0].await_serving();
 }
@@ -142,7 +142,7 @@
     });
     hosts[0].service.submit(&withdraw("k1")).unwrap();
     for host in &hosts {
-        await_that("the key is gone", || host.service.current().keys.is_empty());
+        wait_until("the key is gone", || host.service.current().keys.is_empty());
     }
 }
 
@@ -154,7 +154,7 @@
     last.service.leave();
     assert!(last.service.check().is_err());
     last.service.stop();
-    await_that("the list has two", || hosts[0].service.members().len() == 2);
+    wait_until("the list has two", || hosts[0].service.members().len() == 2);
 }
 
 // Three of four hosts end at once, killed, and never come back. The one left serves on store
@@ -166,11 +166,11 @@
     for _ in 0..3 {
         hosts.pop().unwrap().kill();
     }
-    await_that("a change is accepted", || {
+    wait_until("a change is accepted", || {
         hosts[0].service.submit(&grant("k1", None)).is_ok()
     });
     hosts[0].await_serving();
-    await_that("the dead are off the list", || {
+    wait_until("the dead are off the list", || {
         hosts[0].service.members().len() == 1
     });
 }
@@ -184,7 +184,7 @@
     hosts[0].service.submit(&grant("k1", None)).unwrap();
     hosts[2].cut_store();
     hosts[0].service.submit(&withdraw("k1")).unwrap();
-    await_that("the key is gone", || {
+    wait_until("the key is gone", || {
         hosts[2].service.current().keys.is_empty()
     });
     hosts[2].await_serving();
--- a/crates/member/tests/quota_service.rs
+++ b/crates/member/tests/quota_service.rs
@@ -6,7 +6,7 @@
 
 use std::{sync::Arc, time::Instant};
 
-use common::{MemoryStore, StoreFaults, TestHost, await_that};
+use common::{MemoryStore, StoreFaults, TestHost, wait_until};
 use model::{Manifest, TeamId};
 use ports::{ChangeRequest, ChangeSink, QuotaPermit, QuotaSource};
 use wire::state::SectionEdit;
@@ -31,7 +31,7 @@
     let mut permits = Vec::new();
     let wanted = u32::try_from(count).unwrap();
     let begin = Instant::now();
-    await_that("the units are held", || {
+    wait_until("the units are held", || {
         permits.extend(host.service.try_take(&team));
         let waiting = wanted - u32::try_from(permits.len()).unwrap();
         host.service.report_waiting(&team, waiting);
--- a/crates/peer/src/body_kind.rs
+++ b/crates/peer/src/body_kind.rs
@@ -54,7 +54,7 @@
     /// The kind whose queue this one shares: a question and its answer go to the same duty,
     /// in the order in which they arrived.
     #[must_use]
-    pub const fn queue(self) -> Self {
+    pub const fn queue_kind(self) -> Self {
         match self {
             Self::SlotGrant => Self::SlotDemand,
             Self::ClaimReply => Self::ClaimRequest,
--- a/crates/peer/src/inbound_router.rs
+++ b/crates/peer/src/inbound_router.rs
@@ -35,7 +35,7 @@
 
     /// The queue of `kind`, which kinds that one duty answers share.
     pub(crate) fn receiver(&self, kind: BodyKind) -> Receiver<InboundMessage> {
-        self.receivers[kind.queue().index()].clone()
+        self.receivers[kind.queue_kind().index()].clone()
     }
 
     /// Decodes `bytes` and queues the message, or counts why it was dropped.
@@ -65,7 +65,7 @@
             incarnation,
             body,
         };
-        match self.senders[kind.queue().index()].try_send(message) {
+        match self.senders[kind.queue_kind().index()].try_send(message) {
             Ok(()) => {}
             Err(TrySendError::Full(message) | TrySendError::Disconnected(message)) => {
                 self.drop_message("queue-full", &message.from);
--- a/crates/peer/src/outbound_link.rs
+++ b/crates/peer/src/outbound_link.rs
@@ -23,7 +23,7 @@
 const QUEUE_LENGTH: i32 = 64;
 
 /// Messages that may wait for another one to go along with; the oldest are dropped.
-const WAITING_MAX: usize = 32;
+const MAX_DEFERRED: usize = 32;
 
 /// First pause before nng dials again.
 const REDIAL_MIN: Duration = Duration::from_millis(50);
@@ -40,7 +40,7 @@
     _dialer: Dialer,
     sequence: AtomicU64,
     sent_bytes: AtomicU64,
-    waiting: Mutex<VecDeque<Envelope>>,
+    deferred: Mutex<VecDeque<Envelope>>,
 }
 
 impl OutboundLink {
@@ -68,7 +68,7 @@
             _dialer: dialer,
             sequence: AtomicU64::new(0),
             sent_bytes: AtomicU64::new(0),
-            waiting: Mutex::default(),
+            deferred: Mutex::default(),
         })
     }
 
@@ -87,8 +87,8 @@
 
     /// Keeps `body` until the next message goes out.
     pub(crate) fn send_with_next(&self, body: Body) {
-        let mut waiting = self.waiting.lock();
-        if WAITING_MAX <= waiting.len() {
+        let mut waiting = self.deferred.lock();
+        if MAX_DEFERRED <= waiting.len() {
             waiting.pop_front();
         }
         waiting.push_back(Envelope {
@@ -100,7 +100,7 @@
     /// Queues `envelope`, with what waited for it, and returns at once.
     pub(crate) fn send(&self, mut envelope: Envelope) -> Result<(), LinkError> {
         envelope.sequence = self.sequence.fetch_add(1, Ordering::Relaxed) + 1;
-        envelope.earlier = std::mem::take(&mut *self.waiting.lock()).into();
+        envelope.earlier = std::mem::take(&mut *self.deferred.lock()).into();
         self.send_bytes(&envelope.encode_to_vec())
     }
 
--- a/crates/peer/src/peer_node.rs
+++ b/crates/peer/src/peer_node.rs
@@ -29,7 +29,7 @@
 const MESSAGE_LIMIT: usize = 2 * 1024 * 1024;
 
 /// How often the receiving thread looks whether it should stop.
-const STOP_CHECK: Duration = Duration::from_millis(200);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 const THREAD_STACK: usize = 256 * 1024;
 
@@ -73,7 +73,7 @@
         let fail = |error: Error| StepError::new("listen for peers", listen, error);
         let socket = Socket::new(Protocol::Pull0).map_err(fail)?;
         socket
-            .set_opt::<RecvTimeout>(Some(STOP_CHECK))
+            .set_opt::<RecvTimeout>(Some(STOP_CHECK_INTERVAL))
             .map_err(fail)?;
         let builder = ListenerBuilder::new(&socket, &format!("tcp://{listen}")).map_err(fail)?;
         builder
@@ -265,7 +265,7 @@
             Err(Error::Closed) => return,
             Err(error) => {
                 log_event::warn(&event::PEER_RECEIVE_FAILED, format_args!("cause={error}"));
-                thread::sleep(STOP_CHECK);
+                thread::sleep(STOP_CHECK_INTERVAL);
             }
         }
     }
--- a/crates/share/src/session_book.rs
+++ b/crates/share/src/broker_sessions.rs
@@ -21,10 +21,10 @@
 
 /// This entry host's sessions with the brokers of all pools.
 #[derive(Debug)]
-pub struct SessionBook {
+pub struct BrokerSessions {
     options: HolderOptions,
     next_session: u64,
-    owners: BTreeMap<PoolId, MemberId>,
+    brokers: BTreeMap<PoolId, MemberId>,
     sessions: BTreeMap<MemberId, SessionState>,
     demands: BTreeMap<PoolId, PoolDemand>,
     budget: ByteBudget,
@@ -35,18 +35,18 @@
 #[derive(Debug)]
 struct SessionState {
     holder: SlotHolder,
-    asked: BootTime,
+    last_demand: BootTime,
     // Requests began to queue since the last demand, or slots are to be given back.
     urgent: bool,
 }
 
-impl SessionBook {
+impl BrokerSessions {
     /// A book without sessions; `first_session` must exceed those of earlier lives of this host.
     pub fn new(first_session: u64, options: HolderOptions) -> Self {
         Self {
             options,
             next_session: first_session,
-            owners: BTreeMap::new(),
+            brokers: BTreeMap::new(),
             sessions: BTreeMap::new(),
             demands: BTreeMap::new(),
             budget: ByteBudget::new(BYTES_PER_SECOND, BYTES_BURST),
@@ -58,17 +58,17 @@
     ///
     /// A broker that gains pools gets a new session, whose first demand tells what this
     /// host holds, so that no slot is granted twice and none is lost in the change.
-    pub fn set_owners(&mut self, owners: BTreeMap<PoolId, MemberId>) {
-        if self.owners == owners {
+    pub fn set_brokers(&mut self, owners: BTreeMap<PoolId, MemberId>) {
+        if self.brokers == owners {
             return;
         }
         let gained: Vec<MemberId> = owners
             .iter()
-            .filter(|(pool, owner)| self.owners.get(*pool) != Some(*owner))
+            .filter(|(pool, owner)| self.brokers.get(*pool) != Some(*owner))
             .map(|(_, owner)| owner.clone())
             .collect();
-        let held = self.held_pools();
-        for (pool, owner) in &self.owners {
+        let held = self.held_slots();
+        for (pool, owner) in &self.brokers {
             let session = self.sessions.get_mut(owner);
             if owners.get(pool) != Some(owner)
                 && let Some(session) = session
@@ -76,11 +76,11 @@
                 session.holder.remove_pool(pool);
             }
         }
-        self.owners = owners;
+        self.brokers = owners;
         for broker in gained {
-            self.begin_session(&broker, &held);
+            self.start_session(&broker, &held);
         }
-        let owners = &self.owners;
+        let owners = &self.brokers;
         self.sessions
             .retain(|broker, _| owners.values().any(|owner| owner == broker));
     }
@@ -97,7 +97,7 @@
         // Used time adds up at the broker, so it is told even where it is the same again.
         let used = demand.teams.iter().any(|team| 0 < team.used_ms);
         let changed = used || last.is_none_or(|last| *last != demand);
-        if let Some(owner) = self.owners.get(&demand.pool)
+        if let Some(owner) = self.brokers.get(&demand.pool)
             && let Some(session) = self.sessions.get_mut(owner)
             && changed
         {
@@ -113,15 +113,16 @@
         let is_within = self.budget.allows(now);
         let is_due = |broker: &MemberId, session: &SessionState| {
             let wait = if session.urgent {
-                times.gap
+                times.min_gap
             } else if session.holder.has_unsent_demand() || self.is_backlogged(broker) {
                 times.interval
             } else {
                 times.idle_interval
             };
-            session.asked + wait <= now
+            session.last_demand + wait <= now
         };
-        let is_renewal_due = |session: &SessionState| session.asked + times.idle_interval <= now;
+        let is_renewal_due =
+            |session: &SessionState| session.last_demand + times.idle_interval <= now;
         let brokers: Vec<MemberId> = self
             .sessions
             .iter()
@@ -130,7 +131,7 @@
             .map(|(broker, _)| broker.clone())
             .collect();
         let ask = |broker: MemberId| {
-            let demand = self.ask(now, &broker, is_within)?;
+            let demand = self.next_demand(now, &broker, is_within)?;
             Some((broker, demand))
         };
         brokers.into_iter().filter_map(ask).collect()
@@ -142,8 +143,8 @@
             return Vec::new();
         };
         if grant.session == 0 {
-            let held = self.held_pools();
-            self.begin_session(broker, &held);
+            let held = self.held_slots();
+            self.start_session(broker, &held);
             return Vec::new();
         }
         if grant.round == 0 {
@@ -173,7 +174,7 @@
 
     /// The lease held on a pool now, lapsed or not; `None` if it was never granted.
     pub fn lease(&self, pool: &PoolId) -> Option<Arc<SlotLease>> {
-        let session = self.sessions.get(self.owners.get(pool)?)?;
+        let session = self.sessions.get(self.brokers.get(pool)?)?;
         let (_, held) = session.holder.pools().find(|(id, _)| *id == pool)?;
         let targets = held.offer.targets.iter().map(|(host, &slots)| TargetSlots {
             host: host.clone(),
@@ -194,19 +195,24 @@
 
     /// The pools that have a broker.
     pub fn pools(&self) -> impl Iterator<Item = &PoolId> {
-        self.owners.keys()
+        self.brokers.keys()
     }
 
     fn is_backlogged(&self, broker: &MemberId) -> bool {
         let queued = self.demands.values().filter(|demand| is_queued(demand));
-        let mut owners = queued.filter_map(|demand| self.owners.get(&demand.pool));
+        let mut owners = queued.filter_map(|demand| self.brokers.get(&demand.pool));
         owners.any(|owner| owner == broker)
     }
 
     // Beyond the budget a session is renewed and tells nothing; a new one has to tell.
-    fn ask(&mut self, now: BootTime, broker: &MemberId, is_within: bool) -> Option<SlotDemand> {
+    fn next_demand(
+        &mut self,
+        now: BootTime,
+        broker: &MemberId,
+        is_within: bool,
+    ) -> Option<SlotDemand> {
         let session = self.sessions.get_mut(broker)?;
-        session.asked = now;
+        session.last_demand = now;
         session.urgent = false;
         let (round, mut fresh) = session.holder.begin_round(now);
         let applied = session.holder.applied();
@@ -266,10 +272,10 @@
             .unwrap_or_default()
     }
 
-    fn begin_session(&mut self, broker: &MemberId, held: &BTreeMap<PoolId, (BootTime, SlotMap)>) {
+    fn start_session(&mut self, broker: &MemberId, held: &BTreeMap<PoolId, (BootTime, SlotMap)>) {
         self.next_session += 1;
         let mut holder = SlotHolder::new(self.next_session, self.options);
-        for (pool, owner) in &self.owners {
+        for (pool, owner) in &self.brokers {
             if owner != broker {
                 continue;
             }
@@ -281,13 +287,13 @@
         }
         let state = SessionState {
             holder,
-            asked: BootTime::ZERO,
+            last_demand: BootTime::ZERO,
             urgent: true,
         };
         self.sessions.insert(broker.clone(), state);
     }
 
-    fn held_pools(&self) -> BTreeMap<PoolId, (BootTime, SlotMap)> {
+    fn held_slots(&self) -> BTreeMap<PoolId, (BootTime, SlotMap)> {
         let mut held_pools = BTreeMap::new();
         for session in self.sessions.values() {
             for (pool, held) in session.holder.pools() {
--- a/crates/share/src/lib.rs
+++ b/crates/share/src/lib.rs
@@ -8,13 +8,13 @@
 
 pub mod event;
 
-mod broker_desk;
+mod broker_sessions;
 mod convert;
 mod demand_merge;
-mod pool_terms;
+mod pool_brokers;
+mod pool_config;
 mod service;
-mod session_book;
 
-pub use broker_desk::BrokerDesk;
+pub use broker_sessions::BrokerSessions;
+pub use pool_brokers::PoolBrokers;
 pub use service::{ShareOptions, ShareService, ShareTimes};
-pub use session_book::SessionBook;
--- a/crates/share/src/broker_desk.rs
+++ b/crates/share/src/pool_brokers.rs
@@ -8,7 +8,7 @@
 
 /// What the desk says to a demand.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct DeskAnswer {
+pub struct DemandResponse {
     /// The grant.
     pub grant: SlotGrant,
     /// Holders that should ask again at once, because they hold more than their due.
@@ -17,20 +17,20 @@
 
 /// One pool as the desk needs it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct DeskPool {
+pub struct BrokeredPool {
     /// Slots of each target that takes new work.
     pub targets: SlotMap,
 }
 
 /// The brokers of all pools that this entry host owns.
 #[derive(Debug)]
-pub struct BrokerDesk {
+pub struct PoolBrokers {
     options: BrokerOptions,
     brokers: BTreeMap<PoolId, SlotBroker>,
     sessions: BTreeMap<MemberId, u64>,
 }
 
-impl BrokerDesk {
+impl PoolBrokers {
     /// A desk that owns nothing yet.
     pub fn new(options: BrokerOptions) -> Self {
         Self {
@@ -51,22 +51,26 @@
     /// that has not noticed a loss must not have its slots of that pool renewed by grants
     /// for the others; and one that asked for a pool before this host brokered it believes
     /// its demand known, so it would wait for slots for ever.
-    pub fn set_pools(&mut self, now: BootTime, pools: &BTreeMap<PoolId, DeskPool>) {
+    pub fn set_pools(&mut self, now: BootTime, pools: &BTreeMap<PoolId, BrokeredPool>) {
         if !self.brokers.keys().eq(pools.keys()) {
             self.sessions.clear();
         }
         self.brokers.retain(|pool, _| pools.contains_key(pool));
-        for (pool, desk_pool) in pools {
+        for (pool, brokered_pool) in pools {
             let broker = self
                 .brokers
                 .entry(pool.clone())
                 .or_insert_with(|| SlotBroker::new(pool.clone(), now, self.options));
-            broker.set_targets(desk_pool.targets.clone());
+            broker.set_targets(brokered_pool.targets.clone());
         }
     }
 
     /// Replaces the weights of the teams and the members that may hold slots.
-    pub fn set_parties(&mut self, weights: &BTreeMap<TeamId, f64>, members: &BTreeSet<MemberId>) {
+    pub fn set_weights_and_members(
+        &mut self,
+        weights: &BTreeMap<TeamId, f64>,
+        members: &BTreeSet<MemberId>,
+    ) {
         for broker in self.brokers.values_mut() {
             broker.set_weights(weights.clone());
             broker.set_members(members.clone());
@@ -81,7 +85,7 @@
         now: BootTime,
         from: &MemberId,
         demand: &SlotDemand,
-    ) -> Option<DeskAnswer> {
+    ) -> Option<DemandResponse> {
         let known = self.sessions.get(from).copied();
         if known.is_some_and(|known| demand.session < known) {
             return None;
@@ -92,17 +96,17 @@
                 round: demand.round,
                 ..SlotGrant::default()
             };
-            return Some(DeskAnswer {
+            return Some(DemandResponse {
                 grant,
-                ..DeskAnswer::default()
+                ..DemandResponse::default()
             });
         }
         self.sessions.insert(from.clone(), demand.session);
-        let reported = self.take_reports(now, from, demand, opening);
-        self.confirm_others(now, from, demand, opening, &reported);
+        let reported = self.apply_reports(now, from, demand, opening);
+        self.confirm_unreported(now, from, demand, opening, &reported);
         let grant = self.grant(now, from, demand);
         let nudges = self.nudges(from);
-        Some(DeskAnswer { grant, nudges })
+        Some(DemandResponse { grant, nudges })
     }
 
     // A grant of round 0 asks its holder to ask again.
@@ -131,7 +135,7 @@
         }
     }
 
-    fn take_reports(
+    fn apply_reports(
         &mut self,
         now: BootTime,
         from: &MemberId,
@@ -155,7 +159,7 @@
         reported
     }
 
-    fn confirm_others(
+    fn confirm_unreported(
         &mut self,
         now: BootTime,
         from: &MemberId,
--- a/crates/share/src/pool_terms.rs
+++ b/crates/share/src/pool_config.rs
@@ -5,7 +5,10 @@
 use ports::ActiveConfig;
 
 /// The broker of each pool of executors, out of the members that are fit to be one.
-pub(crate) fn pool_owners(config: &ActiveConfig, fit: &[MemberId]) -> BTreeMap<PoolId, MemberId> {
+pub(crate) fn assign_brokers(
+    config: &ActiveConfig,
+    fit: &[MemberId],
+) -> BTreeMap<PoolId, MemberId> {
     let pools = config.manifest.pools.iter();
     let executors = pools.filter(|(_, spec)| spec.role == HostRole::Executor);
     executors
--- a/crates/share/src/service.rs
+++ b/crates/share/src/service.rs
@@ -18,11 +18,11 @@
 use wire::peer::{SlotDemand, SlotGrant, envelope::Body};
 
 use crate::{
-    broker_desk::{BrokerDesk, DeskPool},
+    broker_sessions::BrokerSessions,
     demand_merge::merge_report,
     event,
-    pool_terms::{pool_owners, team_weights},
-    session_book::SessionBook,
+    pool_brokers::{BrokeredPool, PoolBrokers},
+    pool_config::{assign_brokers, team_weights},
 };
 
 const STACK_BYTES: usize = 256 * 1024;
@@ -39,9 +39,9 @@
     /// Interval of demands that only renew what is held.
     pub idle_interval: Duration,
     /// Shortest time between two demands to a broker when requests begin to queue.
-    pub gap: Duration,
+    pub min_gap: Duration,
     /// Shortest time between two requests to a holder to ask again.
-    pub nudge_gap: Duration,
+    pub min_nudge_gap: Duration,
     /// How long a grant may be used, counted from when its demand was sent.
     pub lease: Duration,
     /// Added to the lease before slots of a silent holder are given to others.
@@ -54,8 +54,8 @@
             tick: Duration::from_millis(25),
             interval: Duration::from_millis(250),
             idle_interval: Duration::from_millis(800),
-            gap: Duration::from_millis(50),
-            nudge_gap: Duration::from_millis(100),
+            min_gap: Duration::from_millis(50),
+            min_nudge_gap: Duration::from_millis(100),
             lease: Duration::from_secs(3),
             guard: Duration::from_millis(500),
         }
@@ -99,8 +99,8 @@
         let reports = Arc::new(Mutex::new(BTreeMap::new()));
         let (wake, woken) = bounded(1);
         let (stop, stopped) = bounded(0);
-        let duty = ShareDuty::new(options, Arc::clone(&leases), Arc::clone(&reports));
-        let handle = spawn_duty(duty, woken, stopped)
+        let duty = ShareLoop::new(options, Arc::clone(&leases), Arc::clone(&reports));
+        let handle = spawn_loop(duty, woken, stopped)
             .map_err(|error| StepError::new("start share duty", "", error))?;
         Ok(Arc::new(Self {
             leases,
@@ -136,24 +136,24 @@
     }
 }
 
-struct ShareDuty {
+struct ShareLoop {
     options: ShareOptions,
     own: MemberId,
     leases: Arc<RwLock<HashMap<PoolId, Arc<SlotLease>>>>,
     reports: Arc<Mutex<BTreeMap<PoolId, PoolDemand>>>,
-    desk: BrokerDesk,
-    book: SessionBook,
+    brokers: PoolBrokers,
+    sessions: BrokerSessions,
     started: BootTime,
-    refreshed: BootTime,
+    last_refresh: BootTime,
     // Which life of each member was first seen when.
-    ages: BTreeMap<MemberId, (Incarnation, BootTime)>,
+    first_seen: BTreeMap<MemberId, (Incarnation, BootTime)>,
     // When each holder was last asked to ask again.
-    nudged: BTreeMap<MemberId, BootTime>,
+    last_nudge: BTreeMap<MemberId, BootTime>,
     // Members that may hold slots, with the time each was last listed.
     holders: BTreeMap<MemberId, BootTime>,
 }
 
-impl ShareDuty {
+impl ShareLoop {
     fn new(
         options: ShareOptions,
         leases: Arc<RwLock<HashMap<PoolId, Arc<SlotLease>>>>,
@@ -170,12 +170,12 @@
             own: options.members.own_id(),
             leases,
             reports,
-            desk: BrokerDesk::new(broker_options),
-            book: SessionBook::new(first_session, HolderOptions { lease: times.lease }),
+            brokers: PoolBrokers::new(broker_options),
+            sessions: BrokerSessions::new(first_session, HolderOptions { lease: times.lease }),
             started: options.clock.boot_now(),
-            refreshed: BootTime::ZERO,
-            ages: BTreeMap::new(),
-            nudged: BTreeMap::new(),
+            last_refresh: BootTime::ZERO,
+            first_seen: BTreeMap::new(),
+            last_nudge: BTreeMap::new(),
             holders: BTreeMap::new(),
             options,
         }
@@ -189,7 +189,7 @@
             select! {
                 recv(stopped) -> _ => return,
                 recv(inbound) -> message => match message {
-                    Ok(message) => self.take_message(message),
+                    Ok(message) => self.handle_message(message),
                     Err(_) => inbound = &silent,
                 },
                 recv(woken) -> _ => {}
@@ -201,16 +201,16 @@
 
     fn step(&mut self) {
         let now = self.options.clock.boot_now();
-        if self.refreshed + self.options.times.interval <= now {
-            self.refreshed = now;
+        if self.last_refresh + self.options.times.interval <= now {
+            self.last_refresh = now;
             self.refresh(now);
         }
         let reports = std::mem::take(&mut *self.reports.lock());
         for demand in reports.into_values() {
-            self.book.report(demand);
+            self.sessions.report(demand);
         }
         let times = self.options.times;
-        for (broker, demand) in self.book.due(now, &times) {
+        for (broker, demand) in self.sessions.due(now, &times) {
             self.send_demand(now, &broker, demand);
         }
     }
@@ -219,29 +219,30 @@
     fn refresh(&mut self, now: BootTime) {
         let config = self.options.config.current();
         let members = self.options.members.members();
-        self.note_holders(now, &members);
-        let fit = self.fit_brokers(now, &members);
-        let owners = pool_owners(&config, &fit);
-        let own_pools: BTreeMap<PoolId, DeskPool> = owners
+        self.update_holders(now, &members);
+        let fit = self.eligible_brokers(now, &members);
+        let owners = assign_brokers(&config, &fit);
+        let own_pools: BTreeMap<PoolId, BrokeredPool> = owners
             .iter()
             .filter(|(_, owner)| **owner == self.own)
-            .map(|(pool, _)| (pool.clone(), self.desk_pool(&config, pool)))
+            .map(|(pool, _)| (pool.clone(), self.brokered_pool(&config, pool)))
             .collect();
-        self.desk.set_pools(now, &own_pools);
+        self.brokers.set_pools(now, &own_pools);
         let may_hold: BTreeSet<MemberId> = self.holders.keys().cloned().collect();
-        self.desk.set_parties(&team_weights(&config), &may_hold);
-        self.desk.expire(now);
-        self.book.set_owners(owners);
+        self.brokers
+            .set_weights_and_members(&team_weights(&config), &may_hold);
+        self.brokers.expire(now);
+        self.sessions.set_brokers(owners);
         self.leases
             .write()
             .retain(|pool, _| config.manifest.pools.contains_key(pool));
-        metrics::gauge!("lws_share_brokered_pools").set(self.desk.pool_count() as f64);
+        metrics::gauge!("lws_share_brokered_pools").set(self.brokers.pool_count() as f64);
     }
 
     // A member that was removed may use its slots until they lapse, so brokers wait for its
     // report as if it were listed. A process younger than that cannot know who was removed
     // before it began, and counts an unknown holder that never reports.
-    fn note_holders(&mut self, now: BootTime, members: &[MemberInfo]) {
+    fn update_holders(&mut self, now: BootTime, members: &[MemberInfo]) {
         for member in members {
             self.holders.insert(member.member.clone(), now);
         }
@@ -255,12 +256,12 @@
 
     // A broker that has just started grants nothing new until all earlier grants have
     // lapsed, so a young member gets no pools while there are older ones.
-    fn fit_brokers(&mut self, now: BootTime, members: &[MemberInfo]) -> Vec<MemberId> {
-        self.ages
+    fn eligible_brokers(&mut self, now: BootTime, members: &[MemberInfo]) -> Vec<MemberId> {
+        self.first_seen
             .retain(|id, _| members.iter().any(|member| member.member == *id));
         for member in members {
             let age = self
-                .ages
+                .first_seen
                 .entry(member.member.clone())
                 .or_insert((member.incarnation, now));
             if age.0 != member.incarnation {
@@ -273,7 +274,7 @@
             if own_is_young {
                 return member.member != self.own;
             }
-            let age = self.ages.get(&member.member);
+            let age = self.first_seen.get(&member.member);
             age.is_some_and(|(_, seen)| *seen + lapse <= now)
         };
         let usable = || {
@@ -291,27 +292,27 @@
         usable().map(|member| member.member.clone()).collect()
     }
 
-    fn desk_pool(&self, config: &ActiveConfig, pool: &PoolId) -> DeskPool {
+    fn brokered_pool(&self, config: &ActiveConfig, pool: &PoolId) -> BrokeredPool {
         let slots = config.manifest.pools.get(pool).map_or(0, |spec| spec.slots);
         let targets = self.options.targets.pool_targets(pool);
         let serving = targets
             .iter()
             .filter(|target| target.state == TargetState::Serving);
         let targets: SlotMap = serving.map(|target| (target.host.clone(), slots)).collect();
-        DeskPool { targets }
+        BrokeredPool { targets }
     }
 
-    fn take_message(&mut self, message: InboundMessage) {
+    fn handle_message(&mut self, message: InboundMessage) {
         let now = self.options.clock.boot_now();
         match message.body {
             Body::SlotDemand(demand) => {
-                if let Some(answer) = self.desk.answer(now, &message.from, &demand) {
+                if let Some(answer) = self.brokers.answer(now, &message.from, &demand) {
                     let is_renewal = demand.pools.is_empty() && answer.grant.pools.is_empty();
                     self.send(&message.from, Body::SlotGrant(answer.grant), is_renewal);
                     self.send_nudges(now, answer.nudges);
                 }
             }
-            Body::SlotGrant(grant) => self.take_grant(&message.from, &grant),
+            Body::SlotGrant(grant) => self.update_leases(&message.from, &grant),
             _ => {}
         }
     }
@@ -322,32 +323,32 @@
             self.send(broker, Body::SlotDemand(demand), is_renewal);
             return;
         }
-        if let Some(answer) = self.desk.answer(now, broker, &demand) {
-            self.take_grant(broker, &answer.grant);
+        if let Some(answer) = self.brokers.answer(now, broker, &demand) {
+            self.update_leases(broker, &answer.grant);
             self.send_nudges(now, answer.nudges);
         }
     }
 
     fn send_nudges(&mut self, now: BootTime, nudges: BTreeMap<MemberId, SlotGrant>) {
         for (holder, grant) in nudges {
-            let nudged = self.nudged.entry(holder.clone()).or_default();
-            if now < *nudged + self.options.times.nudge_gap {
+            let nudged = self.last_nudge.entry(holder.clone()).or_default();
+            if now < *nudged + self.options.times.min_nudge_gap {
                 continue;
             }
             *nudged = now;
             if holder == self.own {
-                self.take_grant(&holder, &grant);
+                self.update_leases(&holder, &grant);
             } else {
                 self.send(&holder, Body::SlotGrant(grant), false);
             }
         }
     }
 
-    fn take_grant(&mut self, broker: &MemberId, grant: &SlotGrant) {
-        let changed = self.book.apply(broker, grant);
+    fn update_leases(&mut self, broker: &MemberId, grant: &SlotGrant) {
+        let changed = self.sessions.apply(broker, grant);
         let mut leases = self.leases.write();
         for pool in changed {
-            if let Some(lease) = self.book.lease(&pool) {
+            if let Some(lease) = self.sessions.lease(&pool) {
                 leases.insert(pool, lease);
             }
         }
@@ -371,8 +372,8 @@
     }
 }
 
-fn spawn_duty(
-    duty: ShareDuty,
+fn spawn_loop(
+    duty: ShareLoop,
     woken: Receiver<()>,
     stopped: Receiver<()>,
 ) -> io::Result<JoinHandle<()>> {
--- a/crates/share/tests/byte_budget.rs
+++ b/crates/share/tests/byte_budget.rs
@@ -6,7 +6,7 @@
 use model::{MemberId, PoolId};
 use ports::{PoolDemand, TeamDemand};
 use prost::Message as _;
-use share::{SessionBook, ShareTimes};
+use share::{BrokerSessions, ShareTimes};
 use wire::peer::SlotGrant;
 
 const POOLS: usize = 150;
@@ -34,12 +34,12 @@
 // bytes must stay bounded and every session must still be renewed within its lease.
 #[test]
 fn due_bounds_bytes_and_renews() {
-    let mut book = SessionBook::new(1, HolderOptions::default());
+    let mut book = BrokerSessions::new(1, HolderOptions::default());
     let owner = |pool: usize| MemberId::from(format!("e{}", pool % BROKERS));
     let owners: BTreeMap<PoolId, MemberId> = (0..POOLS)
         .map(|pool| (format!("pool-{pool}").into(), owner(pool)))
         .collect();
-    book.set_owners(owners);
+    book.set_brokers(owners);
     let times = ShareTimes::default();
     let mut bytes = 0;
     let mut renewed: BTreeMap<MemberId, Duration> = BTreeMap::new();
--- a/crates/store/src/call_pace.rs
+++ b/crates/store/src/call_rate_limiter.rs
@@ -5,13 +5,13 @@
 /// The store's rates grow more slowly than the fleet, so that one entry host that has run
 /// wild must not use up what all of them share. Time comes in as a value.
 #[derive(Clone, Debug)]
-pub struct CallPace {
+pub struct CallRateLimiter {
     per_second: f64,
     tokens: f64,
     refilled: Duration,
 }
 
-impl CallPace {
+impl CallRateLimiter {
     /// A full bucket of `per_second` calls.
     pub fn new(per_second: u32) -> Self {
         Self {
@@ -25,7 +25,7 @@
     ///
     /// # Errors
     /// The wait.
-    pub fn take(&mut self, now: Duration) -> Result<(), Duration> {
+    pub fn try_acquire(&mut self, now: Duration) -> Result<(), Duration> {
         let elapsed = now.saturating_sub(self.refilled);
         self.refilled = self.refilled.max(now);
         let refill = elapsed.as_secs_f64() * self.per_second;
--- a/crates/store/src/http_caller.rs
+++ b/crates/store/src/http_caller.rs
@@ -84,11 +84,11 @@
         self.count_bytes("sent", plan.url.len() + plan.body.len());
         let result = if plan.body.is_empty() && plan.method != "PUT" {
             let request = builder.body(()).map_err(|error| not_sent(&error))?;
-            let request = self.timed(request, plan.timeout);
+            let request = self.with_timeout(request, plan.timeout);
             self.agent.run(request)
         } else {
             let request = builder.body(plan.body).map_err(|error| not_sent(&error))?;
-            let request = self.timed(request, plan.timeout);
+            let request = self.with_timeout(request, plan.timeout);
             self.agent.run(request)
         };
         let response = result.map_err(|error| classify(&error))?;
@@ -108,7 +108,11 @@
         .increment(bytes as u64);
     }
 
-    fn timed<S: ureq::AsSendBody>(&self, request: Request<S>, timeout: Duration) -> Request<S> {
+    fn with_timeout<S: ureq::AsSendBody>(
+        &self,
+        request: Request<S>,
+        timeout: Duration,
+    ) -> Request<S> {
         self.agent
             .configure_request(request)
             .timeout_global(Some(timeout))
--- a/crates/store/src/http_store.rs
+++ b/crates/store/src/http_store.rs
@@ -48,7 +48,7 @@
     }
 
     fn call(&self, kind: CallKind, plan: &CallPlan<'_>) -> Result<CallAnswer, StoreError> {
-        self.counts.note_call(kind);
+        self.counts.count_call(kind);
         let result = match self.caller.call(plan) {
             Ok(answer) => check_status(answer),
             Err(CallError::NotSent(cause)) => Err(StoreError::Unavailable(cause)),
@@ -100,7 +100,7 @@
         plan.if_version = Some(expect);
         plan.body = value;
         let answer = self.call(CallKind::Swap, &plan)?;
-        written(&answer)?;
+        check_written(&answer)?;
         answer
             .version
             .ok_or_else(|| StoreError::Unknown("answer without a version".to_owned()))
@@ -110,7 +110,7 @@
         check_key(key)?;
         let mut plan = self.plan("DELETE", &format!("/v1/keys/{key}"));
         plan.if_version = Some(expect);
-        written(&self.call(CallKind::Remove, &plan)?)
+        check_written(&self.call(CallKind::Remove, &plan)?)
     }
 
     fn watch(
@@ -134,8 +134,8 @@
         let mut plan = self.plan("GET", &format!("/v1/list?prefix={prefix}"));
         plan.max_answer = MAX_LISTING;
         let answer = self.call(CallKind::List, &plan)?;
-        let rows: Vec<ListRow> =
-            serde_json::from_slice(&answer.body).map_err(|error| unreadable(&error.to_string()))?;
+        let rows: Vec<ListRow> = serde_json::from_slice(&answer.body)
+            .map_err(|error| invalid_answer(&error.to_string()))?;
         rows.into_iter().map(ListRow::into_entry).collect()
     }
 }
@@ -150,7 +150,7 @@
 
 impl ListRow {
     fn into_entry(self) -> Result<(String, StoredValue), StoreError> {
-        let value = decode_hex(&self.value).ok_or_else(|| unreadable("value is not hex"))?;
+        let value = decode_hex(&self.value).ok_or_else(|| invalid_answer("value is not hex"))?;
         let stored = StoredValue {
             version: self.version,
             value,
@@ -159,7 +159,7 @@
     }
 }
 
-fn unreadable(cause: &str) -> StoreError {
+fn invalid_answer(cause: &str) -> StoreError {
     StoreError::Unknown(format!("unreadable answer: {cause}"))
 }
 
@@ -191,14 +191,14 @@
             version,
             value: answer.body,
         })),
-        (status, _) => Err(unreadable(&format!("status {status}"))),
+        (status, _) => Err(invalid_answer(&format!("status {status}"))),
     }
 }
 
-fn written(answer: &CallAnswer) -> Result<(), StoreError> {
+fn check_written(answer: &CallAnswer) -> Result<(), StoreError> {
     match (answer.status, answer.version) {
         (200, _) => Ok(()),
         (409, Some(current)) => Err(StoreError::Conflict { current }),
-        (status, _) => Err(unreadable(&format!("status {status}"))),
+        (status, _) => Err(invalid_answer(&format!("status {status}"))),
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod event;
 
 mod boot_clock;
-mod call_pace;
+mod call_rate_limiter;
 mod hex_text;
 mod host_list;
 mod http_caller;
@@ -21,7 +21,7 @@
 mod store_counts;
 
 pub use boot_clock::{BootClock, Clock};
-pub use call_pace::CallPace;
+pub use call_rate_limiter::CallRateLimiter;
 pub use host_list::{HostEntry, HostList, HostListError};
 pub use http_host_list::HttpHostList;
 pub use http_store::HttpStore;
--- a/crates/store/src/retry_store.rs
+++ b/crates/store/src/retry_store.rs
@@ -8,7 +8,8 @@
 use parking_lot::Mutex;
 
 use crate::{
-    CallPace, CircuitVerdict, Clock, KeyStore, StoreCircuit, StoreError, StoreVersion, StoredValue,
+    CallRateLimiter, CircuitVerdict, Clock, KeyStore, StoreCircuit, StoreError, StoreVersion,
+    StoredValue,
 };
 
 /// How a [`RetryStore`] repeats calls.
@@ -16,7 +17,7 @@
 pub struct RetrySettings {
     /// Longest that one operation may take with its repetitions; the last call may exceed
     /// it by the client's own timeout.
-    pub patience: Duration,
+    pub operation_timeout: Duration,
     /// First back-off; later ones double. Each wait is random between nothing and the back-off.
     pub first_backoff: Duration,
     /// Longest back-off.
@@ -32,7 +33,7 @@
 impl Default for RetrySettings {
     fn default() -> Self {
         Self {
-            patience: Duration::from_millis(1500),
+            operation_timeout: Duration::from_millis(1500),
             first_backoff: Duration::from_millis(40),
             longest_backoff: Duration::from_millis(400),
             first_pause: Duration::from_millis(200),
@@ -54,17 +55,17 @@
     clock: Arc<dyn Clock>,
     settings: RetrySettings,
     circuit: Mutex<StoreCircuit>,
-    pace: Mutex<CallPace>,
+    pace: Mutex<CallRateLimiter>,
 }
 
 /// What became of a write whose answer was lost.
-enum WriteFate {
+enum WriteResolution {
     /// The record is as asked for, at this version.
-    Done(StoreVersion),
+    Applied(StoreVersion),
     /// It had not taken effect; it may be repeated.
-    NotYet,
+    NotApplied,
     /// Another value is there: ours may have been there before it.
-    Unclear,
+    Ambiguous,
 }
 
 impl RetryStore {
@@ -80,7 +81,7 @@
         settings: RetrySettings,
     ) -> Self {
         let circuit = StoreCircuit::new(settings.first_pause, settings.longest_pause);
-        let pace = CallPace::new(settings.calls_per_second);
+        let pace = CallRateLimiter::new(settings.calls_per_second);
         Self {
             inner,
             clock,
@@ -96,29 +97,29 @@
     }
 
     /// One call through circuit and ceiling.
-    fn once<T>(&self, call: impl Fn() -> Result<T, StoreError>) -> Result<T, StoreError> {
-        self.wait_for_pace()?;
+    fn call_once<T>(&self, call: impl Fn() -> Result<T, StoreError>) -> Result<T, StoreError> {
+        self.wait_for_rate()?;
         if self.circuit.lock().admit(self.clock.boot_now()) == CircuitVerdict::Fail {
             return Err(StoreError::Unavailable("not asked: it is down".to_owned()));
         }
         let result = call();
         match &result {
             Err(StoreError::Unavailable(cause) | StoreError::Unknown(cause)) => {
-                self.note_failure(cause);
+                self.record_failure(cause);
             }
-            _ => self.note_answer(),
+            _ => self.record_answer(),
         }
         result
     }
 
-    fn wait_for_pace(&self) -> Result<(), StoreError> {
+    fn wait_for_rate(&self) -> Result<(), StoreError> {
         let begin = Instant::now();
         loop {
-            let Err(wait) = self.pace.lock().take(self.clock.boot_now()) else {
+            let Err(wait) = self.pace.lock().try_acquire(self.clock.boot_now()) else {
                 return Ok(());
             };
             counter!("lws_store_paced").increment(1);
-            if begin.elapsed() + wait > self.settings.patience {
+            if begin.elapsed() + wait > self.settings.operation_timeout {
                 let cause = "not asked: too many calls from here".to_owned();
                 return Err(StoreError::Unavailable(cause));
             }
@@ -126,26 +127,29 @@
         }
     }
 
-    fn note_answer(&self) {
-        if self.circuit.lock().note_answer() {
+    fn record_answer(&self) {
+        if self.circuit.lock().record_answer() {
             gauge!("lws_store_circuit_open").set(0.0);
             log::info!(target: "E0101", "store-answers-again");
         }
     }
 
-    fn note_failure(&self, cause: &str) {
+    fn record_failure(&self, cause: &str) {
         let now = self.clock.boot_now();
-        if self.circuit.lock().note_failure(now, rand::random()) {
+        if self.circuit.lock().record_failure(now, rand::random()) {
             gauge!("lws_store_circuit_open").set(1.0);
             log::warn!(target: "E0100", "store-down cause={cause:?}");
         }
     }
 
     /// Repeats an operation that does no harm when repeated.
-    fn repeat<T>(&self, call: impl Fn() -> Result<T, StoreError>) -> Result<T, StoreError> {
+    fn retry_idempotent<T>(
+        &self,
+        call: impl Fn() -> Result<T, StoreError>,
+    ) -> Result<T, StoreError> {
         let mut backoff = RetryBackoff::new(&self.settings);
         loop {
-            let result = self.once(&call);
+            let result = self.call_once(&call);
             let Err(StoreError::Unavailable(_) | StoreError::Unknown(_)) = &result else {
                 return result;
             };
@@ -157,10 +161,10 @@
     }
 
     /// Repeats a write until its fate is clear or patience ends.
-    fn settle<T>(
+    fn retry_write<T>(
         &self,
         write: impl Fn() -> Result<T, StoreError>,
-        find_fate: impl Fn() -> Result<WriteFate, StoreError>,
+        read_back: impl Fn() -> Result<WriteResolution, StoreError>,
         done: impl Fn(StoreVersion) -> T,
     ) -> Result<T, StoreError> {
         let mut backoff = RetryBackoff::new(&self.settings);
@@ -168,7 +172,7 @@
         // call no longer means that nothing was recorded.
         let mut lost: Option<StoreError> = None;
         loop {
-            let result = self.once(&write);
+            let result = self.call_once(&write);
             match (&result, &lost) {
                 (Err(StoreError::Unknown(_)), None) => lost = result.err(),
                 (Err(StoreError::Conflict { .. }), Some(_))
@@ -176,14 +180,14 @@
                 _ => return result,
             }
             if let Some(unknown) = &lost {
-                match find_fate() {
-                    Ok(WriteFate::Done(version)) => {
+                match read_back() {
+                    Ok(WriteResolution::Applied(version)) => {
                         counter!("lws_store_settled").increment(1);
                         log::info!(target: "E0102", "store-write-settled version={version}");
                         return Ok(done(version));
                     }
-                    Ok(WriteFate::Unclear) => return Err(unknown.clone()),
-                    Ok(WriteFate::NotYet) | Err(_) => {}
+                    Ok(WriteResolution::Ambiguous) => return Err(unknown.clone()),
+                    Ok(WriteResolution::NotApplied) | Err(_) => {}
                 }
             }
             let hopeless = lost.is_none() && self.is_open();
@@ -197,7 +201,7 @@
 
 impl KeyStore for RetryStore {
     fn read(&self, key: &str) -> Result<Option<StoredValue>, StoreError> {
-        self.repeat(|| self.inner.read(key))
+        self.retry_idempotent(|| self.inner.read(key))
     }
 
     fn swap(
@@ -206,14 +210,16 @@
         expect: StoreVersion,
         value: &[u8],
     ) -> Result<StoreVersion, StoreError> {
-        self.settle(
+        self.retry_write(
             || self.inner.swap(key, expect, value),
             || {
-                Ok(match self.once(|| self.inner.read(key))? {
-                    Some(stored) if stored.version == expect => WriteFate::NotYet,
-                    None if expect == 0 => WriteFate::NotYet,
-                    Some(stored) if stored.value == value => WriteFate::Done(stored.version),
-                    _ => WriteFate::Unclear,
+                Ok(match self.call_once(|| self.inner.read(key))? {
+                    Some(stored) if stored.version == expect => WriteResolution::NotApplied,
+                    None if expect == 0 => WriteResolution::NotApplied,
+                    Some(stored) if stored.value == value => {
+                        WriteResolution::Applied(stored.version)
+                    }
+                    _ => WriteResolution::Ambiguous,
                 })
             },
             |version| version,
@@ -221,13 +227,13 @@
     }
 
     fn remove(&self, key: &str, expect: StoreVersion) -> Result<(), StoreError> {
-        self.settle(
+        self.retry_write(
             || self.inner.remove(key, expect),
             || {
-                Ok(match self.once(|| self.inner.read(key))? {
-                    Some(stored) if stored.version == expect => WriteFate::NotYet,
-                    Some(_) => WriteFate::Unclear,
-                    None => WriteFate::Done(0),
+                Ok(match self.call_once(|| self.inner.read(key))? {
+                    Some(stored) if stored.version == expect => WriteResolution::NotApplied,
+                    Some(_) => WriteResolution::Ambiguous,
+                    None => WriteResolution::Applied(0),
                 })
             },
             |_| (),
@@ -242,7 +248,7 @@
         after: StoreVersion,
         patience: Duration,
     ) -> Result<Option<StoredValue>, StoreError> {
-        self.wait_for_pace()?;
+        self.wait_for_rate()?;
         if self.is_open() {
             let cause = "not watched: it is down".to_owned();
             return Err(StoreError::Unavailable(cause));
@@ -251,7 +257,7 @@
     }
 
     fn list(&self, prefix: &str) -> Result<Vec<(String, StoredValue)>, StoreError> {
-        self.repeat(|| self.inner.list(prefix))
+        self.retry_idempotent(|| self.inner.list(prefix))
     }
 }
 
@@ -266,7 +272,7 @@
 impl RetryBackoff {
     fn new(settings: &RetrySettings) -> Self {
         Self {
-            deadline: Instant::now() + settings.patience,
+            deadline: Instant::now() + settings.operation_timeout,
             limit: settings.first_backoff,
             longest: settings.longest_backoff,
         }
--- a/crates/store/src/store_circuit.rs
+++ b/crates/store/src/store_circuit.rs
@@ -60,7 +60,7 @@
     }
 
     /// Takes in that the store answered; true if this closed the circuit.
-    pub fn note_answer(&mut self) -> bool {
+    pub fn record_answer(&mut self) -> bool {
         self.failures = 0;
         self.pause = self.first_pause;
         self.probe_at.take().is_some()
@@ -68,7 +68,7 @@
 
     /// Takes in that no answer came; true if this opened the circuit. `jitter` from 0 to 1
     /// spreads the probes of many clients.
-    pub fn note_failure(&mut self, now: Duration, jitter: f64) -> bool {
+    pub fn record_failure(&mut self, now: Duration, jitter: f64) -> bool {
         self.failures = self.failures.saturating_add(1);
         if self.failures < OPEN_AFTER {
             return false;
--- a/crates/store/src/store_counts.rs
+++ b/crates/store/src/store_counts.rs
@@ -56,7 +56,7 @@
         CallKind::ALL.iter().map(|kind| self.of(*kind)).sum()
     }
 
-    pub(crate) fn note_call(&self, kind: CallKind) {
+    pub(crate) fn count_call(&self, kind: CallKind) {
         self.calls[kind as usize].fetch_add(1, Ordering::Relaxed);
         counter!("lws_store_calls", "kind" => kind.name()).increment(1);
     }
--- a/crates/store/tests/retry_store.rs
+++ b/crates/store/tests/retry_store.rs
@@ -8,8 +8,8 @@
 use parking_lot::Mutex;
 use proptest::prelude::*;
 use store::{
-    BootClock, CallKind, CallPace, CircuitVerdict, HttpStore, KeyStore, RetrySettings, RetryStore,
-    StoreCircuit, StoreError, StoreVersion, StoredValue,
+    BootClock, CallKind, CallRateLimiter, CircuitVerdict, HttpStore, KeyStore, RetrySettings,
+    RetryStore, StoreCircuit, StoreError, StoreVersion, StoredValue,
 };
 
 /// What happens to one call of a [`ScriptStore`].
@@ -137,7 +137,7 @@
 
 fn quick() -> RetrySettings {
     RetrySettings {
-        patience: Duration::from_millis(60),
+        operation_timeout: Duration::from_millis(60),
         first_backoff: Duration::from_micros(50),
         longest_backoff: Duration::from_micros(200),
         first_pause: Duration::from_micros(100),
@@ -267,7 +267,7 @@
     });
     let settings = RetrySettings {
         calls_per_second: 10_000,
-        patience: Duration::from_secs(20),
+        operation_timeout: Duration::from_secs(20),
         ..quick()
     };
     let writers = 4;
@@ -325,7 +325,7 @@
     let inner = Arc::new(HttpStore::new(&fake.url(), Duration::from_secs(5)));
     let counts = inner.counts();
     let settings = RetrySettings {
-        patience: Duration::from_millis(100),
+        operation_timeout: Duration::from_millis(100),
         first_pause: Duration::from_millis(400),
         longest_pause: Duration::from_millis(400),
         ..RetrySettings::default()
@@ -347,24 +347,24 @@
     let pause = Duration::from_secs(1);
     let mut circuit = StoreCircuit::new(pause, 4 * pause);
     let mut now = Duration::from_secs(100);
-    let opened = (0..4).filter(|_| circuit.note_failure(now, 1.0)).count();
+    let opened = (0..4).filter(|_| circuit.record_failure(now, 1.0)).count();
     assert_eq!((opened, circuit.is_open()), (1, true));
     assert_eq!(circuit.admit(now), CircuitVerdict::Fail);
     now += pause;
     assert_eq!(circuit.admit(now), CircuitVerdict::Probe);
     assert_eq!(circuit.admit(now), CircuitVerdict::Fail);
-    assert!(!circuit.note_failure(now, 1.0));
+    assert!(!circuit.record_failure(now, 1.0));
     assert_eq!(circuit.admit(now + pause), CircuitVerdict::Fail);
     assert_eq!(circuit.admit(now + 2 * pause), CircuitVerdict::Probe);
-    assert!(circuit.note_answer());
+    assert!(circuit.record_answer());
     assert_eq!(circuit.admit(now), CircuitVerdict::Pass);
 }
 
 #[test]
 fn pace_holds_ceiling() {
-    let mut pace = CallPace::new(50);
+    let mut pace = CallRateLimiter::new(50);
     let taken = (0..10_000)
-        .filter(|tick| pace.take(Duration::from_millis(*tick)).is_ok())
+        .filter(|tick| pace.try_acquire(Duration::from_millis(*tick)).is_ok())
         .count();
     assert!((50 * 10..=50 * 11).contains(&taken), "{taken}");
 }
