--- a/crates/member/src/change_submission.rs
+++ b/crates/member/src/change_submission.rs
@@ -56,9 +56,7 @@
                 return Ok(outcome);
             }
             if self.shared.now() >= self.deadline {
-                return Err(
-                    self.submit_error("too many changes at once, or no answer of the store")
-                );
+                return Err(self.to_error("too many changes at once, or no answer of the store"));
             }
         }
     }
@@ -68,14 +66,14 @@
         let (version, record, state) = match self.read_newest() {
             Ok(newest) => newest,
             Err(error @ StoreError::Rejected(_)) => {
-                return Err(self.submit_error(&error.to_string()));
+                return Err(self.to_error(&error.to_string()));
             }
             Err(error) if self.outcome_unknown => {
                 log_event::debug(&event::CHANGE_OUTCOME_UNREAD, format_args!("cause={error}"));
                 thread::sleep(RETRY_PAUSE);
                 return Ok(None);
             }
-            Err(error) => return Err(self.submit_error(&error.to_string())),
+            Err(error) => return Err(self.to_error(&error.to_string())),
         };
         match plan_change(&state, &record, &self.input(), &ConfigLimits::default()) {
             ChangePlan::Repeated(revision) => Ok(Some(ChangeOutcome {
@@ -130,7 +128,7 @@
             let outcome = self.shared.store().swap(&key, 0, &base.encode_to_vec());
             // An unanswered base is abandoned: no record names it.
             if let Err(error) = outcome {
-                return Err(self.submit_error(&error.to_string()));
+                return Err(self.to_error(&error.to_string()));
             }
             write.record.base_key = key;
         }
@@ -161,7 +159,7 @@
                 thread::sleep(RETRY_PAUSE);
                 Ok(None)
             }
-            Err(error) => Err(self.submit_error(&error.to_string())),
+            Err(error) => Err(self.to_error(&error.to_string())),
         }
     }
 
@@ -227,7 +225,7 @@
         }
     }
 
-    fn submit_error(&self, cause: &str) -> ChangeError {
+    fn to_error(&self, cause: &str) -> ChangeError {
         if self.outcome_unknown {
             return ChangeError::Pending(cause.to_owned());
         }
