--- a/crates/member/src/change_submission.rs
+++ b/crates/member/src/change_submission.rs
@@ -65,9 +65,7 @@
     fn attempt(&mut self) -> Result<Option<ChangeOutcome>, ChangeError> {
         let (version, record, state) = match self.read_newest() {
             Ok(newest) => newest,
-            Err(error @ StoreError::Rejected(_)) => {
-                return Err(self.to_error(&error.to_string()));
-            }
+            Err(error @ StoreError::Rejected(_)) => return Err(self.to_error(&error.to_string())),
             Err(error) if self.outcome_unknown => {
                 log_event::debug(&event::CHANGE_OUTCOME_UNREAD, format_args!("cause={error}"));
                 thread::sleep(RETRY_PAUSE);
