--- a/crates/decide/tests/work_lives.rs
+++ b/crates/decide/tests/work_lives.rs
@@ -1,4 +1,4 @@
-//! On what evidence a target's life is taken for ended, and what becomes of its tasks then.
+//! When a target's incarnation counts as ended, and what happens to its tasks then.
 
 mod desk;
 
@@ -10,44 +10,49 @@
     work::{EndKind, EndReport, PollAnswer, RunReport, TargetEntry, TargetMode, TargetReport},
 };
 
-/// Looks at the later life of `t1`.
-fn see_reborn(scene: &mut DeskScene, running: Vec<RunReport>, ended: Vec<EndReport>) {
+/// Reports the later incarnation of `t1`.
+fn report_restarted(scene: &mut DeskScene, running: Vec<RunReport>, ended: Vec<EndReport>) {
     scene.now.boot += Duration::from_millis(1);
     let sent = scene.now.boot;
     scene.now.boot += Duration::from_millis(1);
-    let sight = TargetReport {
+    let report = TargetReport {
         clock: Duration::from_secs(1),
         started_at: LATER,
         running,
         ended,
     };
-    let seen = PollAnswer::Seen(sight);
+    let seen = PollAnswer::Seen(report);
     scene
         .desk
         .apply_report(&"t1".into(), sent, 0, &seen, scene.now);
     scene.run();
 }
 
-/// A batch runs twice: an idle target had restarted under its id, which nobody noticed, since idle
-/// targets are not looked at and the store's answers came late. It took starts, and when its new
-/// entry came they were taken for ended with the life before and started elsewhere.
+/// Guards against running a task twice: an idle target had restarted under its id unnoticed,
+/// because idle targets are not polled and the store answered late. It got starts, and when its new
+/// entry arrived they were taken for ended with the previous incarnation.
 #[test]
-fn reborn_target_keeps_unseen_runs() {
+fn upsert_target_restarted_keeps_unreported_runs() {
     let (mut scene, starts) = DeskScene::started(2000, vec![step(2, 1000)]);
     scene.add("t2", 2000);
     scene.desk.upsert_target(reborn(2000), scene.now);
     scene.run();
-    assert!(scene.starts.is_empty(), "the new life may run them");
-    see_reborn(&mut scene, vec![running(&starts[0].1)], Vec::new());
+    assert!(scene.starts.is_empty(), "the new incarnation may run them");
+    report_restarted(&mut scene, vec![running(&starts[0].1)], Vec::new());
     assert_eq!(scene.stops(), 0);
-    assert_eq!(scene.starts.len(), 1, "the other ran in the life before");
+    assert_eq!(
+        scene.starts.len(),
+        1,
+        "the other ran in the previous incarnation"
+    );
     assert_eq!(scene.starts[0].1.task, starts[1].1.task);
 }
 
-/// A batch runs twice: a new life was taken for unused, and fell silent while it ran a task that
-/// had been sent to the life before. What the start granted has to lapse.
+/// Guards against running a task twice: a new incarnation was taken for unused and became
+/// unresponsive while it ran a task sent to the previous one. The lease of the start has to expire
+/// first.
 #[test]
-fn reborn_target_lapses_first() {
+fn give_up_restarted_waits_for_lease() {
     let mut scene = DeskScene::submitted(2000, vec![step(1, 1000)]);
     let (id, start) = scene.starts.remove(0);
     scene.add("t2", 2000);
@@ -59,31 +64,31 @@
         scene.miss("t1");
         scene.desk.mark_target_unlisted(&"t1".into());
         scene.run();
-        assert!(scene.starts.is_empty(), "five seconds were granted");
+        assert!(scene.starts.is_empty(), "the lease is five seconds");
     }
     scene.pass(Duration::from_millis(1600));
     assert_eq!(scene.starts.len(), 1);
 }
 
-/// A batch runs twice: a look told of a restart before the host list did, and a start that was
-/// under way to the life before was taken for lost. It may still reach the new one.
+/// Guards against running a task twice: a poll reported a restart before the host list did, and a
+/// start in flight to the previous incarnation was taken for lost. It may still reach the new one.
 #[test]
-fn reborn_unlisted_target_closes_start() {
+fn apply_report_restarted_unlisted_fences_start() {
     let mut scene = DeskScene::submitted(2000, vec![step(1, 1000)]);
     assert_eq!(scene.starts.len(), 1);
     scene.starts.clear();
     scene.add("t2", 2000);
     scene.desk.mark_target_unlisted(&"t1".into());
-    see_reborn(&mut scene, Vec::new(), Vec::new());
+    report_restarted(&mut scene, Vec::new(), Vec::new());
     assert!(scene.starts.is_empty(), "it may still arrive");
     assert_eq!(scene.stops(), 1);
 }
 
-/// A batch runs twice after it was done: a target restarted unnoticed, ran the batch, and was told
-/// with the next look to forget its ends up to the number that the life before had reached. A
-/// target that has not been heard for a while is asked without that first.
+/// Guards against running a finished task again: a target restarted unnoticed, ran the task, and
+/// the next poll told it to forget its ends up to the number of the previous incarnation. After a
+/// pause, a target is first polled without acknowledging ends.
 #[test]
-fn look_after_pause_forgets_no_ends() {
+fn poll_order_after_pause_acks_no_ends() {
     let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 1000)]);
     scene.end("t1", &starts[0].1, EndKind::Done);
     let order = scene.desk.poll_order(&"t1".into(), scene.now);
@@ -107,10 +112,11 @@
     assert_eq!(order.map(|order| order.acked_end), Some(1));
 }
 
-/// A batch runs twice: all entries of targets had lapsed while the store was away, and the entry
-/// of the life before came back first. It ended the life that ran the batch.
+/// Guards against running a task twice: all entries of targets had expired while the store was
+/// unavailable, and the entry of the previous incarnation came back first. It ended the incarnation
+/// that ran the task.
 #[test]
-fn older_life_ends_no_unlisted_life() {
+fn upsert_target_older_keeps_unlisted() {
     let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 2000)]);
     scene.see("t1", vec![running(&starts[0].1)], Vec::new());
     scene.add("t2", 2000);
@@ -125,24 +131,24 @@
     assert!(scene.starts.is_empty(), "it runs on t1");
 }
 
-/// A batch runs twice: an entry of another writer, without the time of a start or of a pool that
-/// nobody knows, named the address of a target that ran it.
+/// Guards against running a task twice: an entry of another writer, without a start time or with an
+/// unknown_pool pool, had the address of the target that ran it.
 #[test]
-fn foreign_entry_ends_nothing() {
+fn upsert_target_foreign_ends_nothing() {
     let foreign = TargetEntry {
         address: "t1:80".into(),
         ..target("foreign", 2000)
     };
-    let unborn = TargetEntry {
+    let without_start_time = TargetEntry {
         started_at: Duration::ZERO,
         ..foreign.clone()
     };
-    let unknown = TargetEntry {
+    let unknown_pool = TargetEntry {
         pool: "nowhere".into(),
         started_at: LATER,
         ..foreign
     };
-    for entry in [unborn, unknown] {
+    for entry in [without_start_time, unknown_pool] {
         let mut scene = DeskScene::new(1);
         scene.add("t1", 2000);
         scene.submit("a", &plan(vec![step(1, 2000)]));
@@ -155,10 +161,11 @@
     }
 }
 
-/// A pool lacks a host for the rest of a term: the successor had not looked at a target yet when
-/// the entry of the life before showed once more, and took the present one for ended.
+/// Guards against a pool that lacks a host for the rest of a term: the successor had not polled a
+/// target yet when the entry of its previous incarnation showed up again, and took the present one
+/// for ended.
 #[test]
-fn older_life_ends_no_inherited_life() {
+fn upsert_target_older_keeps_inherited() {
     let mut first = DeskScene::new(1);
     first.add("t1", 2000);
     let mut second = first.successor(9);
@@ -172,10 +179,10 @@
     assert_eq!(second.desk.listed_targets(), [HostId::from("t1")]);
 }
 
-/// A target takes more than it holds: it had restarted as a smaller one under its id, and an event
-/// of the store about the life before came after the new entry.
+/// Guards against overcommitting a target: it had restarted with a smaller capacity under its id,
+/// and a store event of the previous incarnation arrived after the new entry.
 #[test]
-fn older_entry_changes_nothing() {
+fn upsert_target_older_changes_nothing() {
     let mut scene = DeskScene::new(1);
     scene.add("t1", 4000);
     scene.desk.upsert_target(reborn(1000), scene.now);
@@ -184,47 +191,47 @@
         ..target("t1", 4000)
     };
     scene.desk.upsert_target(older, scene.now);
-    see_reborn(&mut scene, Vec::new(), Vec::new());
+    report_restarted(&mut scene, Vec::new(), Vec::new());
     scene.submit("a", &plan(vec![step(2, 1000)]));
     assert_eq!(scene.starts.len(), 1);
 }
 
-/// A batch runs twice: its target had left the host list while the store was away, and two lists
-/// of hosts lacked its life though it answered every look.
+/// Guards against running a task twice: its target had left the host list while the store was
+/// unavailable, and two host lists lacked its incarnation although it answered every poll.
 #[test]
-fn answering_life_outlasts_lists() {
+fn update_incarnations_answering_kept() {
     let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 1000)]);
     scene.add("t2", 2000);
     scene.desk.mark_target_unlisted(&"t1".into());
-    let lives = ["t2".into()].into();
+    let listed_incarnations = ["t2".into()].into();
     for _ in 0..6 {
         scene.see("t1", vec![running(&starts[0].1)], Vec::new());
         scene.pass(Duration::from_millis(500));
         scene
             .desk
-            .update_incarnations(&lives, scene.now.boot, scene.now);
+            .update_incarnations(&listed_incarnations, scene.now.boot, scene.now);
         scene.pass(Duration::from_millis(450));
         scene
             .desk
-            .update_incarnations(&lives, scene.now.boot, scene.now);
+            .update_incarnations(&listed_incarnations, scene.now.boot, scene.now);
         scene.run();
         assert!(scene.starts.is_empty(), "it runs on t1");
     }
     scene.pass(Duration::from_millis(1000));
     scene
         .desk
-        .update_incarnations(&lives, scene.now.boot, scene.now);
+        .update_incarnations(&listed_incarnations, scene.now.boot, scene.now);
     scene
         .desk
-        .update_incarnations(&lives, scene.now.boot, scene.now);
+        .update_incarnations(&listed_incarnations, scene.now.boot, scene.now);
     scene.run();
-    assert_eq!(scene.starts.len(), 1, "it answers no more");
+    assert_eq!(scene.starts.len(), 1, "it no longer answers");
 }
 
-/// A target is lost for the rest of a term: it had just come back under its id when the answer
-/// to a call that was sent before named another life at its address.
+/// Guards against losing a target for the rest of a term: it had just restarted under its id when
+/// the answer to an earlier call named another incarnation at its address.
 #[test]
-fn late_answer_ends_no_later_life() {
+fn apply_report_late_answer_keeps_later_incarnation() {
     let mut scene = DeskScene::new(1);
     scene.add("t1", 2000);
     let sent = scene.now.boot;
@@ -241,11 +248,11 @@
     assert!(scene.desk.listed_targets().is_empty());
 }
 
-/// A task of a cancelled job runs on: its start was not answered and held back by the target, and
-/// had been stopped meanwhile. The target restarted, where nobody knew of that stop, and nobody
-/// looks at a target that is taken to be idle.
+/// Guards against a task of a cancelled job that keeps running: its start was unanswered and
+/// delayed by the target, and was stopped meanwhile. The target restarted and did not know of the
+/// stop, and idle targets are not polled.
 #[test]
-fn stopped_start_closes_in_next_life() {
+fn stopped_start_fenced_in_next_incarnation() {
     let mut scene = DeskScene::submitted(2000, vec![step(1, 1000)]);
     let (id, start) = scene.starts.remove(0);
     scene.cancel("a");
@@ -255,13 +262,13 @@
     scene.raise("t1");
     scene.desk.upsert_target(reborn(2000), scene.now);
     scene.run();
-    assert_eq!(scene.stops(), 2, "one in each life");
+    assert_eq!(scene.stops(), 2, "one in each incarnation");
 }
 
-/// A batch runs twice: the answer to a stop in the life before came after the next life had begun,
-/// and was taken for the answer to the stop there.
+/// Guards against running a task twice: the answer to a stop in the previous incarnation arrived
+/// after the next one had started, and was taken for the answer to the stop there.
 #[test]
-fn stop_answer_counts_for_its_life() {
+fn stop_answer_counts_for_own_incarnation() {
     let mut scene = DeskScene::submitted(2000, vec![step(1, 1000)]);
     let (id, start) = scene.starts.remove(0);
     scene.add("t2", 2000);
@@ -272,12 +279,15 @@
     scene.pass(Duration::from_millis(100));
     scene.desk.upsert_target(reborn(2000), scene.now);
     scene.run();
-    assert!(scene.stops() > 1, "the new life knows nothing of the first");
+    assert!(
+        scene.stops() > 1,
+        "the new incarnation does not know of the first"
+    );
     scene.answer_stop(&id, &start, sent);
-    see_reborn(&mut scene, Vec::new(), Vec::new());
-    assert!(scene.starts.is_empty(), "the second is not answered");
+    report_restarted(&mut scene, Vec::new(), Vec::new());
+    assert!(scene.starts.is_empty(), "the second stop is unanswered");
     let sent = scene.now.boot;
     scene.answer_stop(&id, &start, sent);
-    see_reborn(&mut scene, Vec::new(), Vec::new());
+    report_restarted(&mut scene, Vec::new(), Vec::new());
     assert_eq!(scene.starts.len(), 1);
 }
--- a/crates/decide/tests/work_stops.rs
+++ b/crates/decide/tests/work_stops.rs
@@ -1,4 +1,4 @@
-//! Stops of tasks that last: whether one may still be sent, or sent again, is asked each time.
+//! Stops of long-running tasks: each send of a stop checks again whether the step may lose a task.
 
 mod desk;
 
@@ -14,17 +14,17 @@
     },
 };
 
-const LATER: Duration = Duration::from_secs(500);
+const RESTARTED_AT: Duration = Duration::from_secs(500);
 /// Long enough for an unanswered stop to be sent again.
-const AGAIN: Duration = Duration::from_millis(600);
-/// Long enough for a target that is not looked at to count as away.
-const UNHEARD: Duration = Duration::from_millis(1400);
+const RETRY_STOP: Duration = Duration::from_millis(600);
+/// Long enough for a target that is not polled to count as unavailable.
+const UNAVAILABLE: Duration = Duration::from_millis(1400);
 
 type Started = (HostId, StartOrder);
 
-/// A service of two tasks, of which one may be missing, on two of three targets; the start of
-/// the first is not answered.
-fn with_unsure_start() -> (DeskScene, Started, Started) {
+/// A service of two tasks, of which one may be unavailable, on two of three targets. The start of
+/// the first is unanswered.
+fn with_unconfirmed_start() -> (DeskScene, Started, Started) {
     let mut scene = DeskScene::new(1);
     for name in ["t1", "t2", "t3"] {
         scene.add(name, 2000);
@@ -44,14 +44,14 @@
     scene
         .desk
         .handle_start_answer(id, &start.task, start.attempt, &answer, scene.now);
-    scene.see(id, vec![at_work(start)], Vec::new());
+    scene.see(id, vec![ready_run(start)], Vec::new());
     (scene, first, second)
 }
 
-/// The same with both at work.
-fn at_work_both() -> (DeskScene, Started, Started) {
-    let (mut scene, first, second) = with_unsure_start();
-    scene.see(&first.0, vec![at_work(&first.1)], Vec::new());
+/// The same with both tasks running and ready.
+fn with_both_ready() -> (DeskScene, Started, Started) {
+    let (mut scene, first, second) = with_unconfirmed_start();
+    scene.see(&first.0, vec![ready_run(&first.1)], Vec::new());
     (scene, first, second)
 }
 
@@ -64,15 +64,15 @@
     }
 }
 
-fn at_work(start: &StartOrder) -> RunReport {
+fn ready_run(start: &StartOrder) -> RunReport {
     RunReport {
         percent: 100,
         ..running(start)
     }
 }
 
-/// Has the host of a target emptied for its maintenance.
-fn empty(scene: &mut DeskScene, id: &HostId) {
+/// Drains the host of a target for its maintenance.
+fn drain_host(scene: &mut DeskScene, id: &HostId) {
     let host = FleetHost {
         host: "h1".into(),
         pool: POOL.into(),
@@ -93,8 +93,8 @@
     scene.pass(Duration::from_millis(50));
 }
 
-/// What was ordered to be stopped and is still to be sent.
-fn wanted_stops(scene: &mut DeskScene) -> Vec<(HostId, StopOrder)> {
+/// Ordered stops that still have to be sent.
+fn stops_to_send(scene: &mut DeskScene) -> Vec<(HostId, StopOrder)> {
     let others = std::mem::take(&mut scene.others);
     let stops = others.into_iter().filter_map(|order| match order {
         SchedulerAction::Stop(id, stop) => Some((id, stop)),
@@ -107,7 +107,7 @@
         .collect()
 }
 
-fn lose_answer(scene: &mut DeskScene, (id, stop): &(HostId, StopOrder)) {
+fn lose_stop_answer(scene: &mut DeskScene, (id, stop): &(HostId, StopOrder)) {
     let lost = OrderAnswer::Unanswered("timed out".to_owned());
     let sent = scene.now.boot;
     scene
@@ -115,208 +115,227 @@
         .handle_stop_answer(id, &stop.task, stop.attempt, sent, &lost, scene.now);
 }
 
-/// A service loses both of its tasks: a start that was not answered was closed by a stop, which
-/// was lost. The start was carried out late, and the next stop ended the task though the other
-/// one was away.
+/// Guards against a service that loses both tasks: an unanswered start was fenced by a stop, which
+/// was lost. The start was executed late, and the next stop ended the task while the other one was
+/// unavailable.
 #[test]
-fn repeated_stop_spares_late_start() {
-    let (mut scene, (id, start), _) = with_unsure_start();
+fn retry_stop_late_start_kept() {
+    let (mut scene, (id, start), _) = with_unconfirmed_start();
     scene.raise(&id);
-    let stops = wanted_stops(&mut scene);
-    assert_eq!(stops.len(), 1, "the start is closed");
-    lose_answer(&mut scene, &stops[0]);
+    let stops = stops_to_send(&mut scene);
+    assert_eq!(stops.len(), 1, "the start is fenced");
+    lose_stop_answer(&mut scene, &stops[0]);
     for _ in 0..5 {
-        scene.pass(AGAIN);
-        scene.see(&id, vec![at_work(&start)], Vec::new());
-        wanted_stops(&mut scene);
+        scene.pass(RETRY_STOP);
+        scene.see(&id, vec![ready_run(&start)], Vec::new());
+        stops_to_send(&mut scene);
     }
-    scene.pass(AGAIN);
-    assert!(wanted_stops(&mut scene).is_empty(), "the other is away");
+    scene.pass(RETRY_STOP);
+    assert!(
+        stops_to_send(&mut scene).is_empty(),
+        "the other is unavailable"
+    );
 }
 
-/// A service loses both of its tasks: its target began another life, which had taken the start of
-/// the life before when the look came. The look brought the stop of what it showed at work.
+/// Guards against a service that loses both tasks: its target restarted, and the new incarnation
+/// had already executed the previous one's start when it was polled. The report led to a stop of
+/// the running task.
 #[test]
-fn stop_in_next_life_spares_late_start() {
-    let (mut scene, (id, start), _) = with_unsure_start();
-    scene.pass(UNHEARD);
+fn fence_start_next_incarnation_late_start_kept() {
+    let (mut scene, (id, start), _) = with_unconfirmed_start();
+    scene.pass(UNAVAILABLE);
     scene.others.clear();
-    let sight = TargetReport {
+    let report = TargetReport {
         clock: scene.now.boot,
-        started_at: LATER,
-        running: vec![at_work(&start)],
+        started_at: RESTARTED_AT,
+        running: vec![ready_run(&start)],
         ended: Vec::new(),
     };
     let sent = scene.now.boot;
     scene
         .desk
-        .apply_report(&id, sent, 0, &PollAnswer::Seen(sight), scene.now);
+        .apply_report(&id, sent, 0, &PollAnswer::Seen(report), scene.now);
     scene.run();
-    assert!(wanted_stops(&mut scene).is_empty(), "the other is away");
+    assert!(
+        stops_to_send(&mut scene).is_empty(),
+        "the other is unavailable"
+    );
 }
 
-/// A service loses both of its tasks: a task that no target was taken to run was taken over when a
-/// look showed it, and the stop that had closed its start ended it afterwards.
+/// Guards against a service that loses both tasks: a run without a known placement was adopted from
+/// a report, and the stop that had fenced its start ended it afterwards.
 #[test]
-fn adopted_run_is_not_stopped() {
-    let (mut scene, (id, start), _) = with_unsure_start();
-    scene.see(&id, vec![at_work(&start)], Vec::new());
-    let reborn = TargetEntry {
-        started_at: LATER,
+fn adopt_run_not_stopped() {
+    let (mut scene, (id, start), _) = with_unconfirmed_start();
+    scene.see(&id, vec![ready_run(&start)], Vec::new());
+    let restarted = TargetEntry {
+        started_at: RESTARTED_AT,
         ..target(&id, 2000)
     };
-    // Nothing takes the task meanwhile.
+    // No other target can run the task meanwhile.
     for other in ["t2", "t3"] {
         scene.desk.mark_target_unlisted(&other.into());
     }
-    scene.desk.upsert_target(reborn, scene.now);
+    scene.desk.upsert_target(restarted, scene.now);
     scene.run();
     scene.starts.clear();
-    wanted_stops(&mut scene);
-    let sight = TargetReport {
+    stops_to_send(&mut scene);
+    let report = TargetReport {
         clock: scene.now.boot,
-        started_at: LATER,
-        running: vec![at_work(&start)],
+        started_at: RESTARTED_AT,
+        running: vec![ready_run(&start)],
         ended: Vec::new(),
     };
     let sent = scene.now.boot;
     scene
         .desk
-        .apply_report(&id, sent, 0, &PollAnswer::Seen(sight), scene.now);
+        .apply_report(&id, sent, 0, &PollAnswer::Seen(report), scene.now);
     scene.run();
-    scene.pass(UNHEARD);
-    assert!(wanted_stops(&mut scene).is_empty(), "the other is away");
+    scene.pass(UNAVAILABLE);
+    assert!(
+        stops_to_send(&mut scene).is_empty(),
+        "the other is unavailable"
+    );
 }
 
-/// A service loses both of its tasks: the stop that was to empty a host was not answered, the other
-/// task's target fell silent, and the stop was sent again.
+/// Guards against a service that loses both tasks: the stop that drains a host was unanswered, the
+/// other task's target became unresponsive, and the stop was sent again.
 #[test]
-fn repeated_stop_waits_for_sibling() {
-    let (mut scene, (id, start), (other, sibling)) = at_work_both();
-    empty(&mut scene, &id);
-    let stops = wanted_stops(&mut scene);
+fn retry_stop_waits_for_sibling() {
+    let (mut scene, (id, start), (other, sibling)) = with_both_ready();
+    drain_host(&mut scene, &id);
+    let stops = stops_to_send(&mut scene);
     assert_eq!(stops.len(), 1);
-    lose_answer(&mut scene, &stops[0]);
-    scene.pass(UNHEARD);
-    scene.see(&id, vec![at_work(&start)], Vec::new());
-    wanted_stops(&mut scene);
-    scene.pass(AGAIN);
-    assert!(wanted_stops(&mut scene).is_empty(), "the other is away");
-    scene.see(&other, vec![at_work(&sibling)], Vec::new());
-    scene.see(&id, vec![at_work(&start)], Vec::new());
-    scene.pass(AGAIN);
-    assert_eq!(wanted_stops(&mut scene).len(), 1, "it is back");
+    lose_stop_answer(&mut scene, &stops[0]);
+    scene.pass(UNAVAILABLE);
+    scene.see(&id, vec![ready_run(&start)], Vec::new());
+    stops_to_send(&mut scene);
+    scene.pass(RETRY_STOP);
+    assert!(
+        stops_to_send(&mut scene).is_empty(),
+        "the other is unavailable"
+    );
+    scene.see(&other, vec![ready_run(&sibling)], Vec::new());
+    scene.see(&id, vec![ready_run(&start)], Vec::new());
+    scene.pass(RETRY_STOP);
+    assert_eq!(stops_to_send(&mut scene).len(), 1, "it is back");
 }
 
-/// A service loses both of its tasks: a stop waited for a connection to its target until the
-/// other task was away.
+/// Guards against a service that loses both tasks: a stop waited for a connection to its target
+/// until the other task was unavailable.
 #[test]
-fn waiting_stop_is_asked_anew() {
-    let (mut scene, (id, start), (other, sibling)) = at_work_both();
-    empty(&mut scene, &id);
+fn should_send_stop_checks_again() {
+    let (mut scene, (id, start), (other, sibling)) = with_both_ready();
+    drain_host(&mut scene, &id);
     assert_eq!(scene.stops(), 1);
-    scene.now.boot += UNHEARD;
-    assert!(wanted_stops(&mut scene).is_empty(), "the other is away");
-    scene.see(&other, vec![at_work(&sibling)], Vec::new());
-    scene.see(&id, vec![at_work(&start)], Vec::new());
+    scene.now.boot += UNAVAILABLE;
+    assert!(
+        stops_to_send(&mut scene).is_empty(),
+        "the other is unavailable"
+    );
+    scene.see(&other, vec![ready_run(&sibling)], Vec::new());
+    scene.see(&id, vec![ready_run(&start)], Vec::new());
     scene.pass(Duration::from_millis(50));
-    assert_eq!(wanted_stops(&mut scene).len(), 1, "it is back");
+    assert_eq!(stops_to_send(&mut scene).len(), 1, "it is back");
 }
 
-/// A service loses both of its tasks: a stop of the first was not answered and might still come,
-/// and the second was stopped while the first seemed to be at work.
+/// Guards against a service that loses both tasks: a stop of the first was unanswered and might
+/// still arrive, and the second was stopped while the first seemed to be ready.
 #[test]
-fn late_stop_counts_as_away() {
-    let (mut scene, (id, start), (other, sibling)) = with_unsure_start();
+fn unconfirmed_stop_counts_as_unavailable() {
+    let (mut scene, (id, start), (other, sibling)) = with_unconfirmed_start();
     scene.raise(&id);
-    let stops = wanted_stops(&mut scene);
-    lose_answer(&mut scene, &stops[0]);
-    let look = |scene: &mut DeskScene| {
-        scene.see(&id, vec![at_work(&start)], Vec::new());
-        scene.see(&other, vec![at_work(&sibling)], Vec::new());
+    let stops = stops_to_send(&mut scene);
+    lose_stop_answer(&mut scene, &stops[0]);
+    let report_running = |scene: &mut DeskScene| {
+        scene.see(&id, vec![ready_run(&start)], Vec::new());
+        scene.see(&other, vec![ready_run(&sibling)], Vec::new());
     };
-    look(&mut scene);
-    empty(&mut scene, &other);
-    assert!(wanted_stops(&mut scene).is_empty(), "the stop may come yet");
+    report_running(&mut scene);
+    drain_host(&mut scene, &other);
+    assert!(
+        stops_to_send(&mut scene).is_empty(),
+        "the stop may still arrive"
+    );
     scene.now.boot += Duration::from_secs(14);
-    look(&mut scene);
+    report_running(&mut scene);
     scene.pass(Duration::from_millis(50));
-    assert_eq!(wanted_stops(&mut scene).len(), 1);
+    assert_eq!(stops_to_send(&mut scene).len(), 1);
 }
 
-/// A service loses both of its tasks: an owner that had lost the store emptied one host while its
-/// successor emptied another.
+/// Guards against a service that loses both tasks: an owner that had lost the store drained one
+/// host while its successor drained another.
 #[test]
-fn lone_owner_empties_no_host() {
-    let (mut scene, (id, start), (other, sibling)) = at_work_both();
+fn evacuate_uncertain_owner_stops_nothing() {
+    let (mut scene, (id, start), (other, sibling)) = with_both_ready();
     scene.desk.set_ownership_uncertain(true);
-    empty(&mut scene, &id);
-    assert!(wanted_stops(&mut scene).is_empty());
+    drain_host(&mut scene, &id);
+    assert!(stops_to_send(&mut scene).is_empty());
     scene.desk.set_ownership_uncertain(false);
-    scene.see(&id, vec![at_work(&start)], Vec::new());
-    scene.see(&other, vec![at_work(&sibling)], Vec::new());
+    scene.see(&id, vec![ready_run(&start)], Vec::new());
+    scene.see(&other, vec![ready_run(&sibling)], Vec::new());
     scene.pass(Duration::from_millis(50));
-    assert_eq!(wanted_stops(&mut scene).len(), 1);
+    assert_eq!(stops_to_send(&mut scene).len(), 1);
 }
 
-/// A service loses both of its tasks: the stop that was to close a start was not answered, nor were
-/// the looks after it. The start was carried out meanwhile, and the next stop ended the task.
+/// Guards against a service that loses both tasks: the stop that fences a start was unanswered, and
+/// so were the polls after it. The start was executed meanwhile, and the next stop ended the task.
 #[test]
-fn closing_stop_waits_for_look() {
-    let (mut scene, (id, start), _) = with_unsure_start();
+fn fence_start_waits_for_poll() {
+    let (mut scene, (id, start), _) = with_unconfirmed_start();
     scene.raise(&id);
-    let stops = wanted_stops(&mut scene);
-    assert_eq!(stops.len(), 1, "a look has just shown that it is not there");
-    lose_answer(&mut scene, &stops[0]);
-    scene.pass(UNHEARD);
+    let stops = stops_to_send(&mut scene);
+    assert_eq!(stops.len(), 1, "a poll has just shown that it is not there");
+    lose_stop_answer(&mut scene, &stops[0]);
+    scene.pass(UNAVAILABLE);
     assert!(scene.others.contains(&SchedulerAction::Poll(id.clone())));
     assert!(
-        wanted_stops(&mut scene).is_empty(),
-        "it may be there by now"
+        stops_to_send(&mut scene).is_empty(),
+        "the start may have been executed by now"
     );
     scene.raise(&id);
-    assert_eq!(wanted_stops(&mut scene).len(), 1, "it is not there");
-    lose_answer(&mut scene, &stops[0]);
-    scene.pass(UNHEARD);
-    scene.see(&id, vec![at_work(&start)], Vec::new());
-    scene.pass(AGAIN);
-    assert!(wanted_stops(&mut scene).is_empty(), "it is at work");
+    assert_eq!(stops_to_send(&mut scene).len(), 1, "it is not there");
+    lose_stop_answer(&mut scene, &stops[0]);
+    scene.pass(UNAVAILABLE);
+    scene.see(&id, vec![ready_run(&start)], Vec::new());
+    scene.pass(RETRY_STOP);
+    assert!(stops_to_send(&mut scene).is_empty(), "it is ready");
 }
 
-/// A service loses both of its tasks: the host list told that a target has begun another life,
-/// where the start of the life before had been carried out already.
+/// Guards against a service that loses both tasks: the host list showed that a target had
+/// restarted, and its new incarnation had already executed the previous one's start.
 #[test]
-fn next_life_is_looked_at_before_stop() {
-    let (mut scene, (id, start), _) = with_unsure_start();
-    scene.pass(UNHEARD);
+fn fence_start_next_incarnation_polled_first() {
+    let (mut scene, (id, start), _) = with_unconfirmed_start();
+    scene.pass(UNAVAILABLE);
     scene.others.clear();
-    let reborn = TargetEntry {
-        started_at: LATER,
+    let restarted = TargetEntry {
+        started_at: RESTARTED_AT,
         ..target(&id, 2000)
     };
-    scene.desk.upsert_target(reborn, scene.now);
+    scene.desk.upsert_target(restarted, scene.now);
     scene.run();
     assert!(scene.others.contains(&SchedulerAction::Poll(id.clone())));
     assert!(
-        wanted_stops(&mut scene).is_empty(),
-        "it may be there by now"
+        stops_to_send(&mut scene).is_empty(),
+        "the start may have been executed by now"
     );
-    let look = |scene: &mut DeskScene, running| {
-        let sight = TargetReport {
+    let report_running = |scene: &mut DeskScene, running| {
+        let report = TargetReport {
             clock: scene.now.boot,
-            started_at: LATER,
+            started_at: RESTARTED_AT,
             running,
             ended: Vec::new(),
         };
         let sent = scene.now.boot;
         scene
             .desk
-            .apply_report(&id, sent, 0, &PollAnswer::Seen(sight), scene.now);
+            .apply_report(&id, sent, 0, &PollAnswer::Seen(report), scene.now);
         scene.run();
     };
-    look(&mut scene, Vec::new());
-    assert_eq!(wanted_stops(&mut scene).len(), 1, "it is not there");
-    look(&mut scene, vec![at_work(&start)]);
-    scene.pass(AGAIN);
-    assert!(wanted_stops(&mut scene).is_empty(), "it is at work");
+    report_running(&mut scene, Vec::new());
+    assert_eq!(stops_to_send(&mut scene).len(), 1, "it is not there");
+    report_running(&mut scene, vec![ready_run(&start)]);
+    scene.pass(RETRY_STOP);
+    assert!(stops_to_send(&mut scene).is_empty(), "it is ready");
 }
