--- a/crates/decide/tests/work_lives.rs
+++ b/crates/decide/tests/work_lives.rs
@@ -132,7 +132,7 @@
 }
 
 /// Guards against running a task twice: an entry of another writer, without a start time or with an
-/// unknown_pool pool, had the address of the target that ran it.
+/// unknown pool, had the address of the target that ran it.
 #[test]
 fn upsert_target_foreign_ends_nothing() {
     let foreign = TargetEntry {
--- a/crates/decide/tests/work_takeover.rs
+++ b/crates/decide/tests/work_takeover.rs
@@ -1,4 +1,4 @@
-//! What a successor makes of the work that its predecessor has left.
+//! A successor takes over the work of its predecessor.
 
 mod desk;
 
@@ -8,8 +8,9 @@
 use desk::{DeskScene, ended, lasting_pair, plan, running, step};
 use model::work::{EndKind, PollAnswer};
 
-/// A caller sees its job run on though the owner was killed. The successor reads the log, looks
-/// at the target and finds the run; taking it for a stray one would stop it and start it again.
+/// Guards against restarting running tasks after an owner was killed: the successor replays the
+/// log, polls the target and finds the runs. Treating them as unwanted would stop them and start
+/// them again.
 #[test]
 fn successor_adopts_runs() {
     let (first, starts) = DeskScene::started(4000, vec![step(2, 1000)]);
@@ -27,10 +28,10 @@
     assert!(second.starts.is_empty());
 }
 
-/// Guards against starts that keep a new owner from looking at its predecessor's targets: what runs
-/// there lapses, and what has ended is started again.
+/// Guards against starts that delay a new owner's polls of its predecessor's targets: leases there
+/// would expire, and ended tasks would be started again.
 #[test]
-fn successor_looks_at_unreached_before_starts() {
+fn successor_polls_unpolled_before_starts() {
     let (first, _) = DeskScene::started(4000, vec![step(2, 1000)]);
     let mut second = first.successor(9);
     second.list("t1", 4000);
@@ -42,9 +43,10 @@
     assert_eq!(class(&second, "t1"), Some(CallClass::Probe));
 }
 
-/// A target is filled beyond its room, and all on it slows down. A job fails, the owner stops its
-/// other runs, the log is made shorter and the owner goes. Its successor finds a run that is still
-/// being stopped, of a job whose steps the log does not tell any more, and has to count its room.
+/// Guards against overcommitting a target, which slows down everything on it. A job failed, the
+/// owner stopped its other runs, the log was compacted and the owner left. Its successor finds a
+/// run that is still being stopped, of a job whose steps are no longer in the log, and has to count
+/// its resources.
 #[test]
 fn successor_counts_stopping_runs() {
     let (mut first, starts) = DeskScene::started(4000, vec![step(2, 1500)]);
@@ -70,11 +72,11 @@
     assert_eq!(second.starts.len(), 1);
 }
 
-/// A caller's batch must not run twice. The owner is killed while a task runs on a target that
-/// its successor can't reach and that has left the host list; the successor waits until the
-/// task's time has lapsed before it starts it elsewhere.
+/// Guards against running a task twice. The owner is killed while a task runs on a target that its
+/// successor can't reach and that has left the host list. The successor waits until the task's
+/// lease expires before it starts the task elsewhere.
 #[test]
-fn successor_waits_for_unreached_target() {
+fn successor_waits_for_unreachable_target() {
     let (first, starts) = DeskScene::started(4000, vec![step(1, 1000)]);
     assert_eq!(starts.len(), 1);
 
@@ -87,9 +89,9 @@
     assert_eq!(second.starts[0].0, "t2");
 }
 
-/// A service lacks a task for fourteen seconds: its target had crashed before the owner changed,
-/// and most of the targets in the log were lives of hosts that had been moved since. They say
-/// nothing of whether the predecessor still gives orders.
+/// Guards against a service that lacks a task for fourteen seconds: its target had crashed before
+/// the owner changed, and most of the targets in the log were incarnations of hosts that had been
+/// moved since. They say nothing about whether the predecessor still sends orders.
 #[test]
 fn successor_does_not_count_gone_targets() {
     let mut first = DeskScene::new(1);
@@ -105,32 +107,32 @@
     assert_eq!(
         second.starts.len(),
         1,
-        "6.4 s of the grant and 1.8 s of the predecessor"
+        "6.4 s of the lease and 1.8 s of the predecessor"
     );
 }
 
-/// A service lacks a task for twelve seconds while processes are restarted one after the other:
-/// each owner handed over within the time that the next waits for a target which the log names
-/// and nobody reaches, and which was a life of a host that had been moved long before.
+/// Guards against a service that lacks a task for twelve seconds while processes are restarted one
+/// after the other: each owner handed over before the wait for an unreachable target in the log was
+/// over. The target was an incarnation of a host that had been moved long before.
 #[test]
-fn successor_frees_lives_without_host() {
+fn successor_frees_incarnations_without_host() {
     let (first, starts) = DeskScene::started(4000, vec![step(1, 1000)]);
     assert_eq!(starts.len(), 1);
 
     let mut second = first.successor(9);
     second.add("t2", 4000);
-    let lives = ["t2".into(), "t3".into()].into();
+    let listed_incarnations = ["t2".into(), "t3".into()].into();
     second
         .desk
-        .update_incarnations(&lives, second.now.boot, second.now);
+        .update_incarnations(&listed_incarnations, second.now.boot, second.now);
     second.pass(Duration::from_millis(500));
     assert!(
         second.starts.is_empty(),
-        "one list may have missed its host"
+        "one list may have omitted its host"
     );
     second
         .desk
-        .update_incarnations(&lives, second.now.boot, second.now);
+        .update_incarnations(&listed_incarnations, second.now.boot, second.now);
     second.pass(Duration::from_millis(50));
     assert_eq!(second.starts.len(), 1);
     let released = |entry: &wire::work::LogEntry| {
@@ -139,10 +141,10 @@
     assert!(second.stored.iter().any(released));
 }
 
-/// A batch must not run twice: a target that is cut off from everybody leaves the host list while
-/// its tasks run on, and its host still lives that life. Its granted time has to lapse.
+/// Guards against running a task twice: a target cut off by a network partition leaves the host
+/// list while its tasks run, and its host still has that incarnation. Its lease has to expire.
 #[test]
-fn successor_keeps_lives_with_host() {
+fn successor_keeps_incarnations_with_host() {
     let (first, starts) = DeskScene::started(4000, vec![step(1, 1000)]);
     assert_eq!(starts.len(), 1);
 
@@ -162,8 +164,9 @@
     assert!(second.starts.is_empty(), "it may still run on t1");
 }
 
-/// A service loses two tasks at once though one may be missing: the owner ordered one stopped and
-/// handed over, and its successor saw the task still listed at work and stopped another.
+/// Guards against a service that loses two tasks at once although only one may be unavailable: the
+/// owner ordered one stopped and handed over, and its successor saw the task still reported as
+/// ready and stopped another.
 #[test]
 fn successor_waits_before_stopping() {
     let mut first = DeskScene::new(1);
@@ -194,8 +197,8 @@
     assert_eq!(second.stops(), 1);
 }
 
-/// A job that the successor itself accepted can't run anywhere yet, and need not wait for a
-/// target that was not reached.
+/// A job accepted by the successor can't run anywhere yet, so it must not wait for a target that
+/// has not been polled.
 #[test]
 fn successor_starts_new_jobs() {
     let mut first = DeskScene::new(1);
@@ -207,8 +210,8 @@
     assert_eq!(second.starts.len(), 1);
 }
 
-/// An end that the predecessor recorded is listed again, since the target was not told. Counting
-/// it twice would fail a job that has an attempt left.
+/// An end that the predecessor recorded is reported again because the target was not told to forget
+/// it. Counting it twice would fail a job that has an attempt left.
 #[test]
 fn successor_counts_failure_once() {
     let (mut first, starts) = DeskScene::started(4000, vec![step(1, 1000)]);
@@ -223,9 +226,8 @@
     assert_eq!(second.starts.len(), 1, "one attempt is left");
 }
 
-/// A batch runs twice though it was done once. The owner can't reach the store, so it can't
-/// record the end of a task; its successor finds the end on the target in its first look, and
-/// has to count it.
+/// Guards against running a finished task again: the owner can't reach the store and can't record
+/// the end of a task. Its successor finds the end in the target's first report and has to count it.
 #[test]
 fn successor_counts_unstored_end() {
     let (first, starts) = DeskScene::started(4000, vec![step(1, 1000)]);
@@ -243,10 +245,11 @@
     );
 }
 
-/// A task runs more often than its queue allows: the owner recorded its last failure, and died
-/// before the page that told of the job's own. The successor fails the job in place of starting it.
+/// Guards against running a task more often than its queue allows: the owner recorded the last
+/// failure and crashed before the page with the failure of the job was written. The successor fails
+/// the job instead of starting it.
 #[test]
-fn successor_fails_hopeless_job() {
+fn successor_fails_job_without_attempts() {
     let mut first = DeskScene::submitted(4000, vec![step(1, 1000)]);
     for number in 1..3 {
         first.pass(Duration::from_secs(4));
@@ -272,10 +275,10 @@
     assert!(second.stored.iter().any(failed));
 }
 
-/// A workspace had more running than it may: a job was cancelled while its tasks ran on a target
-/// that the new owner had not reached, and others were started beside them.
+/// Guards against exceeding a workspace's limit: a job was cancelled while its tasks ran on a
+/// target that the new owner had not polled, and other tasks were started as well.
 #[test]
-fn successor_counts_cancelled_job_on_unreached_target() {
+fn successor_counts_cancelled_job_on_unpolled_target() {
     let (first, starts) = DeskScene::started(8000, vec![step(4, 2000)]);
     assert_eq!(starts.len(), 4);
 
@@ -290,9 +293,9 @@
     assert_eq!(second.starts.len(), 1);
 }
 
-/// The same, where the predecessor had recorded the cancellation and was killed.
+/// The same when the predecessor recorded the cancellation and was killed.
 #[test]
-fn successor_counts_job_cancelled_before_on_unreached_target() {
+fn successor_counts_job_cancelled_before_on_unpolled_target() {
     let (mut first, starts) = DeskScene::started(8000, vec![step(4, 2000)]);
     assert_eq!(starts.len(), 4);
     first.cancel("a");
@@ -307,9 +310,10 @@
     assert_eq!(second.starts.len(), 1);
 }
 
-/// Guards against starting another step of a job that turns out to have failed in the same plan.
+/// Guards against starting another step of a job that turns out to have failed in the same planning
+/// pass.
 #[test]
-fn successor_starts_no_step_beside_hopeless_one() {
+fn successor_starts_no_step_of_failed_job() {
     let mut first = DeskScene::submitted(4000, vec![step(1, 1000), step(1, 1000)]);
     for number in 1..3 {
         first.pass(Duration::from_secs(4));
@@ -330,8 +334,8 @@
     assert!(second.starts.is_empty(), "{:?}", second.starts);
 }
 
-/// Guards against a pool that stands still after a hand-over for as long as a target had been granted
-/// time that has answered that another life is at its address.
+/// Guards against a pool that is blocked after a handover until the lease of a target expires
+/// although the target answered that another incarnation is at its address.
 #[test]
 fn successor_frees_pool_of_replaced_target() {
     let (first, starts) = DeskScene::started(4000, vec![step(1, 1000)]);
--- a/crates/decide/tests/work_targets.rs
+++ b/crates/decide/tests/work_targets.rs
@@ -1,4 +1,4 @@
-//! What becomes of tasks when targets leave, fall silent or are born again.
+//! Tasks of targets that leave, become unresponsive or restart.
 
 mod desk;
 
@@ -8,19 +8,19 @@
 use model::work::{EndKind, PollAnswer, StepPlan, TargetEntry, TargetMode, TargetReport};
 use rstest::rstest;
 
-fn lasting(count: u32) -> StepPlan {
+fn long_running(count: u32) -> StepPlan {
     StepPlan {
         long_running: true,
         ..step(count, 1000)
     }
 }
 
-/// A service has a gap of some seconds: its target announced that it would leave, the task
-/// stayed until the target was gone, and then its granted time had to lapse. It is stopped at
-/// once instead, and starts elsewhere when its end is listed.
+/// Guards against a service that lacks a task for some seconds: its target announced that it would
+/// leave, the task stayed until the target was gone, and then its lease had to expire. The task has
+/// to be stopped at once, and starts elsewhere when its end is reported.
 #[test]
-fn draining_lasting_task_moves() {
-    let (mut scene, starts) = DeskScene::started(2000, vec![lasting(1)]);
+fn evacuate_draining_long_running_task_moves() {
+    let (mut scene, starts) = DeskScene::started(2000, vec![long_running(1)]);
     let (_, start) = &starts[0];
     scene.add("t2", 2000);
     let leaving = TargetEntry {
@@ -35,10 +35,10 @@
     assert_eq!(scene.starts[0].0, "t2");
 }
 
-/// A job is never done: a task that needs a label failed on the one host with it, and waited for
-/// another host of its pool, on which it can't run at all.
+/// Guards against a job that never finishes: a task that needs a label failed on the only host with
+/// it, and waited for another host of its pool, on which it can't run.
 #[test]
-fn failed_task_waits_for_suiting_target_only() {
+fn failed_task_waits_for_suitable_target_only() {
     let mut scene = DeskScene::new(1);
     scene.add("t1", 2000);
     let other = TargetEntry {
@@ -61,14 +61,14 @@
     assert_eq!(scene.starts[0].0, "t1");
 }
 
-/// A job stands still though half of its pool is free: a task failed on one host, and the others
-/// are full for long. After a while it takes the host that it failed on.
+/// Guards against a job that is blocked although half of its pool is free: a task failed on one
+/// host, and the others are full for long. After a while it accepts the host on which it failed.
 #[test]
 fn failed_task_waits_for_bounded_time() {
     let mut scene = DeskScene::new(1);
     scene.add("t2", 2000);
-    scene.submit("full", &plan(vec![lasting(1)]));
-    scene.submit("full-too", &plan(vec![lasting(1)]));
+    scene.submit("full", &plan(vec![long_running(1)]));
+    scene.submit("full-too", &plan(vec![long_running(1)]));
     assert_eq!(scene.start_all().len(), 2);
     scene.add("t1", 2000);
     scene.submit("a", &plan(vec![step(1, 1000)]));
@@ -77,17 +77,17 @@
     let failed = ended(1, &start.task, start.attempt, EndKind::Failed);
     scene.see("t1", Vec::new(), vec![failed]);
     scene.pass(Duration::from_millis(500));
-    assert!(scene.starts.is_empty(), "another host may get free");
+    assert!(scene.starts.is_empty(), "another host may become free");
     scene.pass(Duration::from_millis(2000));
     assert_eq!(scene.starts.len(), 1);
     assert_eq!(scene.starts[0].0, "t1");
 }
 
-/// A batch runs twice: a target had crashed behind a cut and come back at its address under another
-/// id, and then the entry of the life before showed once more in the host list. It ended the life
-/// that ran the batch.
+/// Guards against running a task twice: a target crashed during a network partition and came back
+/// at its address under another id. Then the entry of its previous incarnation showed up in the
+/// host list again and ended the incarnation that ran the task.
 #[test]
-fn older_life_at_address_ends_nothing() {
+fn upsert_target_older_at_address_ends_nothing() {
     let mut scene = DeskScene::new(1);
     let older = target("t1", 2000);
     let newer = TargetEntry {
@@ -96,14 +96,14 @@
         ..target("t2", 2000)
     };
     scene.desk.upsert_target(older.clone(), scene.now);
-    let sight = model::work::TargetReport {
+    let report = model::work::TargetReport {
         clock: scene.now.boot,
         started_at: newer.started_at,
         ..model::work::TargetReport::default()
     };
     scene.desk.upsert_target(newer, scene.now);
     scene.run();
-    let seen = PollAnswer::Seen(sight);
+    let seen = PollAnswer::Seen(report);
     let sent = scene.now.boot;
     scene
         .desk
@@ -119,10 +119,10 @@
     assert!(!listed.contains(&"t1".into()) && listed.contains(&"t2".into()));
 }
 
-/// A batch runs twice: its target was cut off, left the host list and ran on. Nothing is
-/// started elsewhere before the time that was granted to the target has lapsed.
+/// Guards against running a task twice: its target was cut off, left the host list and kept
+/// running. Nothing is started elsewhere before the target's lease expires.
 #[test]
-fn silent_target_lapses_first() {
+fn give_up_unresponsive_waits_for_lease() {
     let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 1000)]);
     scene.see("t1", vec![running(&starts[0].1)], Vec::new());
     scene.add("t2", 2000);
@@ -132,31 +132,31 @@
     for _ in 0..30 {
         scene.pass(Duration::from_millis(200));
         scene.miss("t1");
-        assert!(scene.starts.is_empty(), "6 s were granted");
+        assert!(scene.starts.is_empty(), "the lease is 6 s");
     }
     scene.pass(Duration::from_millis(600));
     assert_eq!(scene.starts.len(), 1);
 }
 
-/// A target crashes and comes back under its id within a heartbeat. What ran there is over, and
-/// starts again at once, without waiting for any lapse.
+/// A target crashes and comes back under its id within a heartbeat. Its runs have ended and start
+/// again at once, without waiting for a lease.
 #[test]
-fn reborn_target_frees_tasks() {
+fn upsert_target_restarted_frees_tasks() {
     let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 1000)]);
     scene.see("t1", vec![running(&starts[0].1)], Vec::new());
     scene.desk.upsert_target(reborn(2000), scene.now);
     scene.run();
     assert!(
         scene.starts.is_empty(),
-        "the new life has not seen the token"
+        "the new incarnation has not seen the token"
     );
     let order = scene.desk.poll_order(&"t1".into(), scene.now);
     assert!(order.is_some());
-    let sight = TargetReport {
+    let report = TargetReport {
         started_at: LATER,
         ..TargetReport::default()
     };
-    let seen = PollAnswer::Seen(sight);
+    let seen = PollAnswer::Seen(report);
     scene
         .desk
         .apply_report(&"t1".into(), scene.now.boot, 0, &seen, scene.now);
@@ -164,11 +164,11 @@
     assert_eq!(scene.starts.len(), 1);
 }
 
-/// A batch runs twice: a start was not answered, its target crashed and came back under its id,
-/// and the start was carried out there. The new life knows nothing of the stop that closed the
-/// start in the old one, so it is stopped there once more.
+/// Guards against running a task twice: a start was unanswered, its target crashed and came back
+/// under its id, and the start was executed there. The new incarnation does not know of the stop
+/// that fenced the start in the old one, so it is stopped again.
 #[test]
-fn doubtful_start_closes_in_next_life() {
+fn unconfirmed_start_fenced_in_next_incarnation() {
     let mut scene = DeskScene::submitted(2000, vec![step(1, 1000)]);
     let (id, start) = scene.starts.remove(0);
     scene.leave_unanswered(&id, &start);
@@ -181,10 +181,10 @@
     assert_eq!(scene.stops(), 2);
 }
 
-/// A start is not answered and arrives seconds later. It is asked for, closed by a stop, and
-/// the task starts elsewhere only when the stop was answered and the run is not there.
+/// A start is unanswered and arrives seconds later. It is polled for, fenced by a stop, and the
+/// task starts elsewhere only when the stop was answered and the run is not there.
 #[test]
-fn unanswered_start_closes_first() {
+fn unanswered_start_fenced_first() {
     let mut scene = DeskScene::submitted(2000, vec![step(1, 1000)]);
     let (id, start) = scene.starts.remove(0);
     scene.add("t2", 2000);
@@ -198,15 +198,15 @@
     assert_eq!(scene.starts.len(), 1);
 }
 
-/// A service lacks a task for ten seconds though a host has room: the host was being emptied for
-/// its maintenance, and could not be, since a task on it did not end. After a short while the
-/// service comes first.
+/// Guards against a service that lacks a task for ten seconds although a host has capacity: the
+/// host was draining for its maintenance and could not become empty because a task on it did not
+/// end. After a short while the service takes precedence.
 #[test]
-fn starved_lasting_task_takes_emptying_host() {
+fn starved_long_running_task_takes_draining_host() {
     let mut scene = DeskScene::new(1);
     scene.add("t1", 2000);
     scene.empty("t1");
-    scene.submit("a", &plan(vec![lasting(1)]));
+    scene.submit("a", &plan(vec![long_running(1)]));
     assert!(scene.starts.is_empty());
     for _ in 0..20 {
         scene.pass(Duration::from_millis(50));
@@ -214,8 +214,8 @@
     assert_eq!(scene.starts.len(), 1);
 }
 
-/// A caller's job fails though only one target was broken: its task failed there, started there
-/// again at once since the other target was full, and failed for the last time.
+/// Guards against failing a job when only one target is broken: its task failed there, restarted
+/// there at once because the other target was full, and failed for the last time.
 #[test]
 fn failed_task_waits_for_another_target() {
     let (mut scene, starts) = DeskScene::started(1000, vec![step(1, 1000)]);
@@ -232,10 +232,10 @@
     assert_eq!(scene.starts[0].0, "t2");
 }
 
-/// A log fills with one line again and again: a stray run is listed until its target has ended
+/// Guards against repeating one log line: an unwanted run is reported until its target has ended
 /// it, which takes a moment after the stop was answered.
 #[test]
-fn stray_run_is_stopped_once() {
+fn unwanted_run_stopped_once() {
     let (mut scene, starts) = DeskScene::started(1000, vec![step(1, 1000)]);
     let (id, start) = &starts[0];
     scene.desk.cancel(&"a".into(), scene.now);
@@ -248,12 +248,13 @@
     assert_eq!(scene.stops(), 1);
     scene.pass(Duration::from_millis(600));
     scene.see("t1", vec![running(start)], Vec::new());
-    assert_eq!(scene.stops(), 2, "a stop that had no effect is repeated");
+    assert_eq!(scene.stops(), 2, "a stop without effect is repeated");
 }
 
-/// A batch runs twice: the store was away when its task ended, the target was cut off and given
-/// up, and came back with the same end. If the target were told to forget the end now and the
-/// owner died before the store is back, a successor would find neither entry nor end.
+/// Guards against running a task twice: the store was unavailable when the task ended, the target
+/// was cut off and given up, and came back with the same end. If the target were told to forget the
+/// end now and the owner crashed before the store is back, a successor would find neither the entry
+/// nor the end.
 #[rstest]
 #[case::job_goes_on(vec![step(1, 1000), step(1, 1000)])]
 #[case::job_completed(vec![step(1, 1000)])]
@@ -271,11 +272,11 @@
     assert_eq!(order.map_or(0, |order| order.acked_end), 0);
 }
 
-/// A target gets more than it holds: of a gang one member's end stood for all, while the start of
-/// another was not answered yet. Its room was given back, and the start was carried out seconds
-/// later. It is closed by a stop, and the room stays taken until then.
+/// Guards against overcommitting a target: the end of one gang member stood for all, while the
+/// start of another was still unanswered. Its capacity was released, and the start was executed
+/// seconds later. The start is fenced by a stop, and the capacity stays reserved until then.
 #[test]
-fn done_gang_closes_doubtful_member() {
+fn done_gang_fences_unconfirmed_member() {
     let mut scene = DeskScene::new(1);
     for target in ["t1", "t2"] {
         scene.add(target, 1000);
@@ -297,24 +298,24 @@
     assert_eq!(
         scene.starts.len(),
         1,
-        "the room of the doubtful start is not free"
+        "the capacity of the unconfirmed start is not free"
     );
 }
 
-/// A batch runs twice: an owner that has lost the store goes on, its successor knows that a task
-/// is done, and a target is born again. The new life has seen neither token; the old owner must
-/// not be the first to give it orders.
+/// Guards against running a task twice: an owner that has lost the store continues, its successor
+/// knows that a task is done, and a target restarts. The new incarnation has seen neither token,
+/// and the old owner must not be the first to send it orders.
 #[test]
-fn lone_owner_leaves_new_life() {
+fn uncertain_owner_leaves_new_incarnation() {
     let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 1000)]);
     scene.see("t1", vec![running(&starts[0].1)], Vec::new());
     scene.desk.set_ownership_uncertain(true);
-    let sight = TargetReport {
+    let report = TargetReport {
         started_at: LATER,
         ..TargetReport::default()
     };
     scene.now.boot += Duration::from_millis(100);
-    let seen = PollAnswer::Seen(sight);
+    let seen = PollAnswer::Seen(report);
     scene
         .desk
         .apply_report(&"t1".into(), scene.now.boot, 0, &seen, scene.now);
@@ -323,8 +324,9 @@
     assert!(scene.desk.poll_order(&"t1".into(), scene.now).is_none());
 }
 
-/// A batch is late by seconds: its target answers looks, and nothing that it runs gets on. The
-/// task is stopped and starts on another target, while one that gets on slowly is left alone.
+/// Guards against a job that is late by seconds: its target answers polls, but none of its tasks
+/// progress. The task is stopped and starts on another target, while one that progresses slowly is
+/// left alone.
 #[test]
 fn stalled_task_moves() {
     let (mut scene, starts) = DeskScene::started(2000, vec![step(2, 1000)]);
@@ -345,10 +347,10 @@
     assert_eq!(scene.starts[0].0, "t2");
 }
 
-/// A workspace sends many times its usual and fills the pool. What it sends beyond its weight
-/// waits behind the jobs of others, also those that were handed in later.
+/// A workspace submits many times its usual amount and fills the pool. Its jobs beyond its weight
+/// wait behind the jobs of others, including later ones.
 #[test]
-fn jobs_beyond_share_go_last() {
+fn beyond_share_jobs_go_last() {
     let mut scene = DeskScene::new(1);
     scene.weigh(2);
     scene.add("t1", 1000);
@@ -382,8 +384,8 @@
     assert_eq!(ran, ["a", "b", "e"]);
 }
 
-/// An operator is told that no job waits while all of them do: their starts were refused, and a
-/// refused start is none.
+/// Guards against reporting no pending jobs while all of them wait: their starts were refused, and
+/// a refused start does not count as one.
 #[test]
 fn refused_start_leaves_job_pending() {
     let mut scene = DeskScene::submitted(2000, vec![step(1, 1000)]);
@@ -399,10 +401,10 @@
     assert_eq!(scene.desk.pending_jobs(desk::QUEUE, scene.now), 0);
 }
 
-/// Guards against closing a target for a start that this process did not send, as it was not sure of
-/// its lease.
+/// Guards against blocking a target because of a start that this process did not send while its
+/// lease was uncertain.
 #[test]
-fn withdrawn_start_leaves_target_open() {
+fn withdrawn_start_keeps_target_usable() {
     let mut scene = DeskScene::submitted(2000, vec![step(1, 1000)]);
     let (id, start) = scene.starts.remove(0);
     scene
@@ -414,10 +416,10 @@
     assert!(target.accepts_tasks(scene.now.boot) && !target.unreachable_recorded);
 }
 
-/// Guards against a start that waited for its turn behind a narrow link and is refused as too late,
-/// since the time that was granted with its decision is over.
+/// Guards against a start that was queued behind a slow link and is refused as too late because the
+/// lease granted with its decision has expired.
 #[test]
-fn renew_start_grants_time_anew() {
+fn renew_start_deadline_extends_lease() {
     let mut scene = DeskScene::new(1);
     scene.add("t1", 2000);
     scene.submit("a", &plan(vec![step(1, 1000)]));
