--- a/crates/decide/src/work/host_moves.rs
+++ b/crates/decide/src/work/host_moves.rs
@@ -60,8 +60,8 @@
     pub(super) fn pools_below_demand(&self) -> BTreeSet<PoolId> {
         let capacities = self.pool_capacities();
         let pools = self.hosts.values().map(|view| &view.fleet.pool);
-        let short = pools.filter(|pool| self.surplus(pool, &capacities) < 0.0);
-        short.cloned().collect()
+        let below_demand = pools.filter(|pool| self.surplus(pool, &capacities) < 0.0);
+        below_demand.cloned().collect()
     }
 
     fn fill_pool(
@@ -84,20 +84,20 @@
         }
     }
 
-    /// Returns a host that another pool can donate and that `suits` accepts: preferably one that is
-    /// switched off, otherwise an idle one from the pool with the largest surplus.
+    /// Returns a host that another pool can donate and that `is_suitable` accepts: preferably one
+    /// that is switched off, otherwise an idle one from the pool with the largest surplus.
     pub(super) fn donor(
         &self,
         pool: &PoolId,
         standby: Option<&PoolId>,
         pool_capacities: &BTreeMap<PoolId, PoolCapacity>,
         now: BootTime,
-        suits: impl Fn(&HostView) -> bool,
+        is_suitable: impl Fn(&HostView) -> bool,
     ) -> Option<HostId> {
         let free = |view: &&HostView| {
             view.fleet.pool != *pool
                 && is_free(view, now)
-                && suits(view)
+                && is_suitable(view)
                 && !self
                     .refused_moves
                     .contains(&(view.fleet.host.clone(), pool.clone()))
@@ -153,9 +153,9 @@
                 .get(&view.fleet.pool)
                 .copied()
                 .unwrap_or_default();
-            let left = capacity.cores - host_cores(view);
+            let remaining_cores = capacity.cores - host_cores(view);
             let min_hosts = self.min_hosts(&view.fleet.pool);
-            if left >= self.meter.floor(&view.fleet.pool) && capacity.hosts > min_hosts {
+            if remaining_cores >= self.meter.floor(&view.fleet.pool) && capacity.hosts > min_hosts {
                 self.order_move(&host, standby, pool_capacities);
             }
         }
@@ -199,12 +199,12 @@
 
     /// Returns the minimum number of hosts of a pool.
     fn min_hosts(&self, pool: &PoolId) -> usize {
-        let needed = self
+        let for_anti_affinity = self
             .anti_affinity_hosts
             .get(pool)
             .copied()
             .unwrap_or_default();
-        needed.max(self.min_idle_hosts)
+        for_anti_affinity.max(self.min_idle_hosts)
     }
 
     fn surplus(&self, pool: &PoolId, capacities: &BTreeMap<PoolId, PoolCapacity>) -> f64 {
@@ -216,7 +216,7 @@
     fn pool_capacities(&self) -> BTreeMap<PoolId, PoolCapacity> {
         let mut capacities: BTreeMap<PoolId, PoolCapacity> = BTreeMap::new();
         for view in self.hosts.values() {
-            let pool = match view.operation.as_ref().map(|errand| &errand.order) {
+            let pool = match view.operation.as_ref().map(|operation| &operation.order) {
                 Some(HostOrder::Move(_, pool)) => pool,
                 Some(HostOrder::Maintain(..)) | None => &view.fleet.pool,
             };
@@ -245,10 +245,10 @@
     /// Returns the cores that the open jobs of a pool need: first for tasks that run or could start
     /// now, then for long-running tasks.
     fn core_demand(&self, pool: &PoolId) -> (f64, f64) {
-        let need = self.index.jobs.demand(pool);
+        let demand = self.index.jobs.demand(pool);
         (
-            millicores_to_cores(need.present),
-            millicores_to_cores(need.long_running),
+            millicores_to_cores(demand.present),
+            millicores_to_cores(demand.long_running),
         )
     }
 
@@ -256,12 +256,12 @@
     /// plus one: a task that has to leave its host needs another host to move to.
     fn anti_affinity_hosts(&self, pool: &PoolId) -> usize {
         let hosts = self.index.jobs.anti_affinity_hosts(pool);
-        let spare = usize::from(hosts > 0);
-        let starved = self.unplaced_since.keys().any(|step| {
+        let replacement = usize::from(hosts > 0);
+        let has_unplaced = self.unplaced_since.keys().any(|step| {
             let job = self.job_table.jobs.get(&step.job);
             job.is_some_and(|job| job.pool == *pool)
         });
-        hosts + spare + usize::from(starved)
+        hosts + replacement + usize::from(has_unplaced)
     }
 }
 
--- a/crates/decide/src/work/host_planner.rs
+++ b/crates/decide/src/work/host_planner.rs
@@ -268,12 +268,12 @@
         let mut changed = Vec::new();
         let listed = !self.hosts.is_empty();
         for (id, view) in &mut self.waves {
-            let left = view
+            let any_left = view
                 .wave
                 .hosts
                 .iter()
                 .any(|host| !view.maintained.contains(host) && self.hosts.contains_key(host));
-            let completed = listed && !left;
+            let completed = listed && !any_left;
             if view.published != Some(completed) {
                 changed.push((*id, completed));
             }
--- a/crates/decide/src/work/host_replacements.rs
+++ b/crates/decide/src/work/host_replacements.rs
@@ -17,16 +17,16 @@
         &mut self,
         scheduler: &WorkScheduler,
         standby: Option<&PoolId>,
-        rooms: &mut BTreeMap<PoolId, PoolCapacity>,
+        capacities: &mut BTreeMap<PoolId, PoolCapacity>,
         now: BootTime,
     ) {
         for (pool, task) in &scheduler.stranded {
             if self.has_replacement(pool, task) {
                 continue;
             }
-            let suits = |view: &HostView| can_host(view, task);
-            if let Some(host) = self.donor(pool, standby, rooms, now, suits) {
-                self.order_move(&host, pool, rooms);
+            let is_suitable = |view: &HostView| can_host(view, task);
+            if let Some(host) = self.donor(pool, standby, capacities, now, is_suitable) {
+                self.order_move(&host, pool, capacities);
             }
         }
     }
@@ -36,10 +36,10 @@
     fn has_replacement(&self, pool: &PoolId, task: &StrandedTask) -> bool {
         let mut hosts = self.hosts.values().filter(|view| can_host(view, task));
         hosts.any(|view| match &view.operation {
-            Some(errand) => match &errand.order {
+            Some(operation) => match &operation.order {
                 HostOrder::Move(_, to) => to == pool,
                 HostOrder::Maintain(..) => {
-                    view.fleet.pool == *pool && errand.state != OperationState::Draining
+                    view.fleet.pool == *pool && operation.state != OperationState::Draining
                 }
             },
             None => {
@@ -52,6 +52,6 @@
 }
 
 fn can_host(view: &HostView, task: &StrandedTask) -> bool {
-    let labelled = task.label.is_empty() || view.fleet.labels.contains(&task.label);
-    labelled && task.need.fits_in(view.fleet.capacity)
+    let has_label = task.label.is_empty() || view.fleet.labels.contains(&task.label);
+    has_label && task.need.fits_in(view.fleet.capacity)
 }
--- a/crates/decide/src/work/host_waves.rs
+++ b/crates/decide/src/work/host_waves.rs
@@ -45,9 +45,9 @@
     /// its way, and the list may not show it yet.
     fn hosts_in_maintenance(&self, wave: &WaveView, now: BootTime) -> usize {
         let counts = |view: &&super::host_planner::HostView| {
-            let errand = view.operation.as_ref();
-            let ordered = errand.is_some_and(
-                |errand| matches!(&errand.order, HostOrder::Maintain(_, own) if *own == wave.wave.wave),
+            let operation = view.operation.as_ref();
+            let ordered = operation.is_some_and(
+                |operation| matches!(&operation.order, HostOrder::Maintain(_, own) if *own == wave.wave.wave),
             );
             let host = &view.fleet.host;
             let inherited = now < view.earlier_order_until
@@ -122,7 +122,7 @@
         let mut pools: BTreeMap<PoolId, PoolHostCounts> = BTreeMap::new();
         for view in self.hosts.values() {
             let pool = pools.entry(view.fleet.pool.clone()).or_default();
-            match view.operation.as_ref().map(|errand| &errand.order) {
+            match view.operation.as_ref().map(|operation| &operation.order) {
                 Some(HostOrder::Maintain(..)) => pool.leaving += 1,
                 Some(HostOrder::Move(..)) => {}
                 None => pool.open += usize::from(view.fleet.condition == HostCondition::Up),
--- a/crates/decide/src/work/job_index.rs
+++ b/crates/decide/src/work/job_index.rs
@@ -48,11 +48,11 @@
         &mut self,
         id: &JobId,
         job: Option<&WorkJob>,
-        terms: &FleetPolicy,
+        policy: &FleetPolicy,
         now: BootTime,
         due: &mut BTreeSet<PoolId>,
     ) {
-        let new = job.map(|job| JobSummary::of_job(job, terms, now));
+        let new = job.map(|job| JobSummary::of_job(job, policy, now));
         if self.summaries.get(id) == new.as_ref() {
             return;
         }
@@ -134,12 +134,12 @@
         pools: &BTreeSet<PoolId>,
     ) -> BTreeMap<WorkspaceId, ResourceVector> {
         let mut usage: BTreeMap<WorkspaceId, ResourceVector> = BTreeMap::new();
-        let doubts = pools
+        let pools_usage = pools
             .iter()
             .filter_map(|pool| self.unconfirmed_usage.get(pool));
-        for (workspace, doubt) in doubts.flatten() {
+        for (workspace, unconfirmed) in pools_usage.flatten() {
             let used = usage.entry(workspace.clone()).or_default();
-            *used = used.plus(*doubt);
+            *used = used.plus(*unconfirmed);
         }
         usage
     }
@@ -171,9 +171,9 @@
             *self.pending.entry(queue.clone()).or_default() += 1;
         }
         if summary.demand != CoreDemand::default() {
-            let need = self.demands.entry(summary.pool.clone()).or_default();
-            need.present += summary.demand.present;
-            need.long_running += summary.demand.long_running;
+            let demand = self.demands.entry(summary.pool.clone()).or_default();
+            demand.present += summary.demand.present;
+            demand.long_running += summary.demand.long_running;
         }
         if summary.backlog != PoolBacklog::default() {
             let key = (summary.pool.clone(), summary.group.inherited);
@@ -185,15 +185,15 @@
                 .unconfirmed_usage
                 .entry(summary.pool.clone())
                 .or_default();
-            let doubt = pool.entry(summary.group.workspace.clone()).or_default();
-            *doubt = doubt.plus(summary.unconfirmed_usage);
+            let unconfirmed = pool.entry(summary.group.workspace.clone()).or_default();
+            *unconfirmed = unconfirmed.plus(summary.unconfirmed_usage);
         }
         if summary.anti_affinity_hosts > 0 {
-            let apart = self
+            let job_counts = self
                 .anti_affinity_hosts
                 .entry(summary.pool.clone())
                 .or_default();
-            *apart.entry(summary.anti_affinity_hosts).or_default() += 1;
+            *job_counts.entry(summary.anti_affinity_hosts).or_default() += 1;
         }
         if let Some(until) = summary.rerank_at {
             self.reranks.insert((until, id.clone()));
@@ -219,10 +219,10 @@
                 self.pending.remove(queue);
             }
         }
-        if let Some(need) = self.demands.get_mut(&summary.pool) {
-            need.present -= summary.demand.present;
-            need.long_running -= summary.demand.long_running;
-            if *need == CoreDemand::default() {
+        if let Some(demand) = self.demands.get_mut(&summary.pool) {
+            demand.present -= summary.demand.present;
+            demand.long_running -= summary.demand.long_running;
+            if *demand == CoreDemand::default() {
                 self.demands.remove(&summary.pool);
             }
         }
@@ -270,9 +270,9 @@
         let Some(pool) = self.unconfirmed_usage.get_mut(&summary.pool) else {
             return;
         };
-        if let Some(doubt) = pool.get_mut(&summary.group.workspace) {
-            *doubt = doubt.minus(summary.unconfirmed_usage);
-            if *doubt == ResourceVector::default() {
+        if let Some(unconfirmed) = pool.get_mut(&summary.group.workspace) {
+            *unconfirmed = unconfirmed.minus(summary.unconfirmed_usage);
+            if *unconfirmed == ResourceVector::default() {
                 pool.remove(&summary.group.workspace);
             }
         }
@@ -293,16 +293,16 @@
     }
 
     fn remove_anti_affinity_hosts(&mut self, summary: &JobSummary) {
-        let Some(apart) = self.anti_affinity_hosts.get_mut(&summary.pool) else {
+        let Some(job_counts) = self.anti_affinity_hosts.get_mut(&summary.pool) else {
             return;
         };
-        if let Some(jobs) = apart.get_mut(&summary.anti_affinity_hosts) {
+        if let Some(jobs) = job_counts.get_mut(&summary.anti_affinity_hosts) {
             *jobs -= 1;
             if *jobs == 0 {
-                apart.remove(&summary.anti_affinity_hosts);
+                job_counts.remove(&summary.anti_affinity_hosts);
             }
         }
-        if apart.is_empty() {
+        if job_counts.is_empty() {
             self.anti_affinity_hosts.remove(&summary.pool);
         }
     }
--- a/crates/decide/src/work/job_summary.rs
+++ b/crates/decide/src/work/job_summary.rs
@@ -89,7 +89,7 @@
 }
 
 impl JobSummary {
-    pub(super) fn of_job(job: &WorkJob, terms: &FleetPolicy, now: BootTime) -> Self {
+    pub(super) fn of_job(job: &WorkJob, policy: &FleetPolicy, now: BootTime) -> Self {
         let mut summary = Self {
             pool: job.pool.clone(),
             ..Self::default()
@@ -112,13 +112,13 @@
         let with_anti_affinity = job.plan.steps.iter().filter(|step| step.anti_affinity > 0);
         let hosts = with_anti_affinity.map(|step| step.count.div_ceil(step.anti_affinity));
         summary.anti_affinity_hosts = hosts.max().unwrap_or_default() as usize;
-        summary.add_steps(job, terms, now);
+        summary.add_steps(job, policy, now);
         summary
     }
 
-    fn add_steps(&mut self, job: &WorkJob, terms: &FleetPolicy, now: BootTime) {
-        let queue = terms.queue(&job.queue);
-        let advised = queue.is_some_and(|queue| queue.advice.is_some());
+    fn add_steps(&mut self, job: &WorkJob, policy: &FleetPolicy, now: BootTime) {
+        let queue = policy.queue(&job.queue);
+        let needs_advice = queue.is_some_and(|queue| queue.advice.is_some());
         for (&number, occurrence) in &job.occurrences {
             let mut ranked = None;
             let unstarted = unstarted(job, occurrence);
@@ -154,7 +154,7 @@
                 // Long-running tasks may be placed on a target that is draining or paused, and
                 // advice is requested early. So these steps are considered regardless of free
                 // resources.
-                let needs_resources = !plan.long_running && !advised;
+                let needs_resources = !plan.long_running && !needs_advice;
                 let (resources, charged) = match needs_resources {
                     true => (plan.footprint(), plan.resources),
                     false => Default::default(),
--- a/crates/decide/src/work/job_table.rs
+++ b/crates/decide/src/work/job_table.rs
@@ -149,7 +149,8 @@
         let (key, attempt) = run;
         let job = self.jobs.get(&key.job)?;
         let task = job.task(key.occurrence, key.step, key.index)?;
-        let is_this_run = |place: &&TaskPlacement| place.target == *id && place.attempt == *attempt;
+        let is_this_run =
+            |placement: &&TaskPlacement| placement.target == *id && placement.attempt == *attempt;
         task.placement.as_ref().filter(is_this_run)
     }
 
--- a/crates/decide/src/work/pick.rs
+++ b/crates/decide/src/work/pick.rs
@@ -91,8 +91,8 @@
 ) -> bool {
     let resources = plan.footprint().plus(incoming);
     let is_away = |task: &&TaskState| {
-        let place = task.placement.as_ref();
-        place.is_none_or(|place| matches!(place.phase, PlacementPhase::Stopping(_)))
+        let placement = task.placement.as_ref();
+        placement.is_none_or(|placement| matches!(placement.phase, PlacementPhase::Stopping(_)))
     };
     let moved_first = match plan.anti_affinity {
         0 => 0,
@@ -132,7 +132,7 @@
     let is_there = |task: &&TaskState| {
         task.placement
             .as_ref()
-            .is_some_and(|place| place.target == *target)
+            .is_some_and(|placement| placement.target == *target)
     };
     u32::try_from(step.tasks.iter().filter(is_there).count()).unwrap_or(u32::MAX)
 }
@@ -147,12 +147,12 @@
     // packed, so that large tasks fit and other hosts stay empty to be switched off, moved or
     // maintained at once.
     if is_spread(plan) {
-        let together = u64::from(step_tasks_on(step, &target.entry.target));
+        let siblings = u64::from(step_tasks_on(step, &target.entry.target));
         (
             failed,
             off_affinity,
             lacks_siblings,
-            together,
+            siblings,
             if plan.best_effort {
                 u64::MAX - free
             } else {
@@ -167,6 +167,6 @@
 /// Returns true if the step has tasks, and none of them on this target.
 fn lacks_siblings(step: &StepState, target: &TargetState) -> bool {
     let placed = step.tasks.iter().filter_map(|task| task.placement.as_ref());
-    let mut racks = placed.map(|place| place.target.clone()).peekable();
-    racks.peek().is_some() && racks.all(|other| other != target.entry.target)
+    let mut targets = placed.map(|placement| placement.target.clone()).peekable();
+    targets.peek().is_some() && targets.all(|other| other != target.entry.target)
 }
--- a/crates/decide/src/work/throttle.rs
+++ b/crates/decide/src/work/throttle.rs
@@ -90,8 +90,8 @@
             let job = self.job_table.jobs.get(&run.0.job)?;
             let step = job.plan.steps.get(run.0.step as usize)?;
             let task = job.task(run.0.occurrence, run.0.step, run.0.index)?;
-            let place = task.placement.as_ref().filter(|_| step.serves_requests())?;
-            Some(tail_percent(place.load, step))
+            let placement = task.placement.as_ref().filter(|_| step.serves_requests())?;
+            Some(tail_percent(placement.load, step))
         });
         tails.max()
     }
