--- a/crates/store/src/boot_clock.rs
+++ b/crates/store/src/boot_clock.rs
@@ -3,7 +3,7 @@
 use model::BootTime;
 use rustix::time::{ClockId, clock_gettime};
 
-/// The clocks that the duties of an entry host read.
+/// The clocks that the threads of an entry host read.
 pub trait Clock: Send + Sync {
     /// Time since boot, suspended time included; never goes back.
     fn boot_now(&self) -> BootTime;
@@ -13,8 +13,8 @@
 
 /// The machine's own clocks.
 ///
-/// Leases are counted on the boot clock. A monotonic clock stands still while the host is
-/// suspended, so a holder that slept would believe in a lease that others see as lapsed.
+/// Leases are timed with the boot clock. A monotonic clock does not advance while the host is
+/// suspended, so after a suspend a holder would still use a lease that others see as expired.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BootClock;
 
--- a/crates/store/src/call_rate_limiter.rs
+++ b/crates/store/src/call_rate_limiter.rs
@@ -1,9 +1,9 @@
 use std::time::Duration;
 
-/// A ceiling on calls a second, with a burst of one second's worth.
+/// Token bucket that limits calls per second, with a burst of one second's worth of calls.
 ///
-/// The store's rates grow more slowly than the fleet, so that one entry host that has run
-/// wild must not use up what all of them share. Time comes in as a value.
+/// The store's permitted call rate grows more slowly than the fleet, and all entry hosts share
+/// it. The limit keeps one faulty entry host from using it up. The caller passes the time.
 #[derive(Clone, Debug)]
 pub struct CallRateLimiter {
     per_second: f64,
@@ -21,10 +21,10 @@
         }
     }
 
-    /// Takes one call, or says how long to wait before asking again.
+    /// Takes one token for a call.
     ///
     /// # Errors
-    /// The wait.
+    /// If no token is left; the error is the time to wait before the next attempt.
     pub fn try_acquire(&mut self, now: Duration) -> Result<(), Duration> {
         let elapsed = now.saturating_sub(self.refilled);
         self.refilled = self.refilled.max(now);
--- a/crates/store/src/host_list.rs
+++ b/crates/store/src/host_list.rs
@@ -1,40 +1,40 @@
 use model::{DataCentreId, HostId, HostRole, RackId, ServiceId};
 
-/// One host as the platform's list shows it.
+/// One host of the platform's host list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HostEntry {
-    /// Its id.
+    /// Id of the host.
     pub host: HostId,
-    /// Where it listens, as `ip:port`.
+    /// Address at which the host listens, as `ip:port`.
     pub address: String,
-    /// What it can do.
+    /// Whether the host is an executor or a worker.
     pub role: HostRole,
-    /// Service whose requests it answers, for an executor.
+    /// Service whose requests an executor answers.
     pub service: ServiceId,
-    /// Data centre that it stands in.
+    /// Data centre of the host.
     pub data_centre: DataCentreId,
-    /// Rack that it stands in.
+    /// Rack of the host.
     pub rack: RackId,
-    /// Processors.
+    /// Number of processor cores.
     pub cores: u32,
     /// Memory, in MB.
     pub memory_mb: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
-    /// True once the platform takes the host away.
+    /// True once the platform is removing the host.
     pub leaving: bool,
 }
 
-/// Why the host list could not be read.
+/// The host list could not be read; holds the cause.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("host list unavailable: {0}")]
 pub struct HostListError(pub String);
 
-/// The platform's list of live and leaving hosts. It lags.
+/// The platform's list of live and leaving hosts. It may lag behind the actual state.
 pub trait HostList: Send + Sync {
-    /// The hosts now listed.
+    /// Reads the hosts that are listed now.
     ///
     /// # Errors
-    /// If no whole list came in time; the last one read stays the best known.
+    /// If no complete list arrived in time; the caller should keep using the last one.
     fn hosts(&self) -> Result<Vec<HostEntry>, HostListError>;
 }
--- a/crates/store/src/http_caller.rs
+++ b/crates/store/src/http_caller.rs
@@ -5,54 +5,54 @@
     http::{Request, Response},
 };
 
-/// How long opening a connection may take; within one call's time for the whole answer.
+/// Timeout for opening a connection; it counts against the timeout of the whole call.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Idle connections kept for the next calls; each duty that calls uses one at a time.
+/// Idle connections kept for later calls; each calling thread uses one at a time.
 const IDLE_CONNECTIONS: usize = 8;
 
-/// Why a call brought no answer.
+/// Why a call got no response.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum CallError {
-    /// No connection was made, so that the peer saw nothing of the call.
+    /// No connection was made, so the server did not receive the call.
     NotSent(String),
-    /// The call went out, at least in part, and no whole answer came.
+    /// The request was sent, at least in part, and no complete response arrived.
     NoAnswer(String),
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Default)]
 pub(crate) struct CallAnswer {
     pub(crate) status: u16,
     pub(crate) version: Option<u64>,
-    /// Names the content of the body, to be asked again with `if_none_match`.
+    /// `ETag` of the body, for `if_none_match` of a later call.
     pub(crate) tag: Option<String>,
     pub(crate) body: Vec<u8>,
 }
 
-/// One call to be made.
+/// The parameters of one HTTP call.
 #[derive(Debug)]
 pub(crate) struct CallPlan<'a> {
     pub(crate) method: &'static str,
     pub(crate) url: String,
     pub(crate) if_version: Option<u64>,
-    /// Answer 304 without a body if the content is still the one with this tag.
+    /// `ETag` for which the server responds 304 without a body if the content is unchanged.
     pub(crate) if_none_match: Option<&'a str>,
     pub(crate) body: &'a [u8],
-    /// Longest wait for the whole answer.
+    /// Timeout for the complete response.
     pub(crate) timeout: Duration,
-    /// Most bytes of an answer that are read.
+    /// Maximum number of bytes read from the response body.
     pub(crate) max_answer: u64,
 }
 
-/// Makes HTTP calls that end in time and whose answers are bounded.
+/// Makes HTTP calls with a timeout and a limit on the response size.
 ///
-/// `ureq` repeats no call by itself, also not on a pooled connection that the peer has
-/// closed. So an error after the connection stood always means that the call may have
-/// reached the peer.
+/// `ureq` does not retry calls by itself, not even on a pooled connection that the server has
+/// closed. So an error after the connection was established always means that the server may
+/// have received the call.
 #[derive(Clone, Debug)]
 pub(crate) struct HttpCaller {
     agent: Agent,
-    // What is called, for the metrics.
+    // Name of the called service in metrics.
     service: &'static str,
 }
 
@@ -92,13 +92,14 @@
             self.agent.run(request)
         };
         let response = result.map_err(|error| classify(&error))?;
-        let packed = header_text(&response, "Content-Length").and_then(|text| text.parse().ok());
+        let content_length =
+            header_text(&response, "Content-Length").and_then(|text| text.parse().ok());
         let answer = read_answer(response, plan.max_answer)?;
-        self.count_bytes("received", packed.unwrap_or(answer.body.len()));
+        self.count_bytes("received", content_length.unwrap_or(answer.body.len()));
         Ok(answer)
     }
 
-    // Bodies and URLs; what HTTP adds is small and the same for each call.
+    // Counts bodies and URLs; the HTTP headers are small and the same for each call.
     fn count_bytes(&self, direction: &'static str, bytes: usize) {
         metrics::counter!(
             "lws_platform_bytes",
@@ -147,8 +148,8 @@
     value.to_str().ok()
 }
 
-/// Only errors that can't arise once a connection stands count as not sent. Taking a
-/// lost answer for an unsent call would make a caller repeat a write that took effect.
+/// Only errors that can't occur after a connection was established count as not sent. If a
+/// lost response counted as an unsent call, a caller would repeat a write that took effect.
 fn classify(error: &Error) -> CallError {
     let text = error.to_string();
     match error {
--- a/crates/store/src/http_host_list.rs
+++ b/crates/store/src/http_host_list.rs
@@ -9,14 +9,15 @@
     http_caller::{CallError, CallPlan, HttpCaller},
 };
 
-/// Most bytes of the list that are read: some 20,000 hosts.
+/// Maximum size of the list in bytes, enough for some 20,000 hosts.
 const MAX_ANSWER: u64 = 8 * 1024 * 1024;
 const NOT_MODIFIED: u16 = 304;
 
 /// The platform's host list over HTTP, as `docs/PLATFORM.md` describes it.
 ///
-/// At 1,200 hosts the list has some 240 KB and is read each second, far above what a node
-/// may spend on control. So it is asked for only if it changed since the last read.
+/// At 1,200 hosts the list has some 240 KB and is read each second, far more than the network
+/// budget of a node for control traffic. The request is therefore conditional: the server sends
+/// the list only if it changed since the last read.
 #[derive(Debug)]
 pub struct HttpHostList {
     caller: HttpCaller,
@@ -32,8 +33,8 @@
 }
 
 impl HttpHostList {
-    /// A client of the list at `base`, such as `http://10.0.0.1:7001`; a URL that ends in
-    /// `/v1/hosts` is taken as it is.
+    /// Creates a client of the list at `base`, such as `http://10.0.0.1:7001`; `base` may end in
+    /// `/v1/hosts`.
     pub fn new(base: &str, timeout: Duration) -> Self {
         let base = base.trim_end_matches('/').trim_end_matches("/v1/hosts");
         Self {
@@ -71,7 +72,7 @@
         let rows: Vec<HostRow> = serde_json::from_slice(&answer.body)
             .map_err(|error| HostListError(format!("unreadable answer: {error}")))?;
         let hosts: Vec<HostEntry> = rows.into_iter().map(HostEntry::from).collect();
-        // A list without a tag is read whole each time.
+        // A list without an `ETag` can't be cached and is read in full each time.
         *last = answer.tag.map(|tag| TaggedList {
             tag,
             hosts: hosts.clone(),
@@ -80,7 +81,7 @@
     }
 }
 
-/// One host as the list writes it.
+/// One host in the JSON form of the list.
 #[derive(Debug, Deserialize)]
 struct HostRow {
     host: String,
@@ -102,7 +103,7 @@
     leaving: bool,
 }
 
-/// Role of a host as the list writes it.
+/// Role of a host in the JSON form of the list.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum RoleName {
--- a/crates/store/src/http_store.rs
+++ b/crates/store/src/http_store.rs
@@ -8,20 +8,20 @@
     http_caller::{CallAnswer, CallError, CallPlan, HttpCaller},
 };
 
-/// Largest value that the store holds.
+/// Maximum size of a value in bytes, set by the store.
 const MAX_VALUE: usize = 1024 * 1024;
-/// Room for a value and what surrounds it in an answer.
+/// Maximum size of a response in bytes: a value and what surrounds it.
 const MAX_ANSWER: u64 = MAX_VALUE as u64 + 64 * 1024;
-/// Most bytes of a listing that are read; values come in hex, twice their size.
+/// Maximum size of a listing in bytes; values are hex encoded, which doubles their size.
 const MAX_LISTING: u64 = 32 * 1024 * 1024;
-/// Time that a watch's answer may take beyond the patience asked for.
+/// Time that the response to a watch may take beyond the requested wait.
 const WATCH_MARGIN: Duration = Duration::from_millis(800);
 
 /// The platform's store over HTTP, as `docs/PLATFORM.md` describes it.
 ///
-/// Each call is made once and ends within the timeout. `Unavailable` is answered only when
-/// the store did nothing: no connection was made, or it said 503. Whatever goes wrong after
-/// that is `Unknown`. [`crate::RetryStore`] repeats what may be repeated.
+/// Each call is made once and ends within the timeout. `Unavailable` is returned only if the
+/// store did nothing: no connection was made, or the status was 503. Any later failure is
+/// `Unknown`. [`crate::RetryStore`] adds retries.
 #[derive(Debug)]
 pub struct HttpStore {
     caller: HttpCaller,
@@ -31,8 +31,8 @@
 }
 
 impl HttpStore {
-    /// A client of the store at `base`, such as `http://10.0.0.1:7000`, that waits at most
-    /// `timeout` for an answer.
+    /// Creates a client of the store at `base`, such as `http://10.0.0.1:7000`, that waits at
+    /// most `timeout` for a response.
     pub fn new(base: &str, timeout: Duration) -> Self {
         Self {
             caller: HttpCaller::new("store"),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// What this client has asked of the store.
+    /// Counts of the calls that this client made.
     pub fn counts(&self) -> Arc<StoreCounts> {
         Arc::clone(&self.counts)
     }
@@ -55,9 +55,9 @@
             Err(CallError::NoAnswer(cause)) => Err(StoreError::Unknown(cause)),
         };
         match &result {
-            Err(StoreError::Unavailable(_)) => StoreCounts::note_failure(kind, "unavailable"),
-            Err(StoreError::Unknown(_)) => StoreCounts::note_failure(kind, "unknown"),
-            Err(StoreError::Rejected(_)) => StoreCounts::note_failure(kind, "rejected"),
+            Err(StoreError::Unavailable(_)) => StoreCounts::count_failure(kind, "unavailable"),
+            Err(StoreError::Unknown(_)) => StoreCounts::count_failure(kind, "unknown"),
+            Err(StoreError::Rejected(_)) => StoreCounts::count_failure(kind, "rejected"),
             _ => {}
         }
         result
@@ -117,15 +117,15 @@
         &self,
         key: &str,
         after: StoreVersion,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<Option<StoredValue>, StoreError> {
         check_key(key)?;
-        let wait = patience.as_millis();
+        let wait = max_wait.as_millis();
         let mut plan = self.plan(
             "GET",
             &format!("/v1/keys/{key}?after={after}&wait_ms={wait}"),
         );
-        plan.timeout = patience + WATCH_MARGIN.max(self.timeout);
+        plan.timeout = max_wait + WATCH_MARGIN.max(self.timeout);
         stored_value(self.call(CallKind::Watch, &plan)?)
     }
 
@@ -163,7 +163,7 @@
     StoreError::Unknown(format!("unreadable answer: {cause}"))
 }
 
-/// Refuses keys that would change the meaning of a URL.
+/// Rejects keys with characters that have a meaning in a URL.
 fn check_key(key: &str) -> Result<(), StoreError> {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b".-_/".contains(&byte);
     if key.bytes().all(allowed) {
--- a/crates/store/src/key_store.rs
+++ b/crates/store/src/key_store.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-/// Version of a key's value; it grows with each write, and 0 means that the key is absent.
+/// Version of a key's value. It grows with each write; 0 means that the key is absent.
 pub type StoreVersion = u64;
 
 /// A value read from the store.
@@ -8,7 +8,7 @@
 pub struct StoredValue {
     /// Version of the value.
     pub version: StoreVersion,
-    /// The value, at most a megabyte.
+    /// The value, at most 1 MB.
     pub value: Vec<u8>,
 }
 
@@ -18,32 +18,32 @@
     /// The key's version is not the expected one; nothing was written.
     #[error("conflict: the key is at version {current}")]
     Conflict {
-        /// Version that the key has.
+        /// Current version of the key.
         current: StoreVersion,
     },
-    /// Nothing was done: the store refused the call or no connection was made.
+    /// The store refused the call or no connection was made; nothing was written.
     #[error("store unavailable: {0}")]
     Unavailable(String),
-    /// The call was sent and no answer came: a write may have taken effect.
+    /// The call was sent and no response arrived; a write may have taken effect.
     #[error("store did not answer: {0}")]
     Unknown(String),
-    /// The call is malformed, or the value is too large; repeating it is useless.
+    /// The call is malformed or the value is too large; a retry would fail again.
     #[error("store rejected the call: {0}")]
     Rejected(String),
 }
 
 /// The platform's configuration store: keys with versions, compare-and-swap and watches.
 pub trait KeyStore: Send + Sync {
-    /// Reads a key; linearizable. `None` if it is absent.
+    /// Reads a key; the read is linearizable. `None` if the key is absent.
     ///
     /// # Errors
-    /// `Unavailable` or `Unknown` if no answer came in time.
+    /// `Unavailable` or `Unknown` if no response arrived in time.
     fn read(&self, key: &str) -> Result<Option<StoredValue>, StoreError>;
     /// Writes a key if its version is `expect` (0: if it is absent); returns the new version.
     ///
     /// # Errors
-    /// `Conflict` if the version differs; after `Unknown` the write may have taken effect,
-    /// and only a read tells.
+    /// `Conflict` if the version differs. After `Unknown` the write may have taken effect; only
+    /// a read shows whether it did.
     fn swap(
         &self,
         key: &str,
@@ -55,7 +55,7 @@
     /// # Errors
     /// As for [`KeyStore::swap`].
     fn remove(&self, key: &str, expect: StoreVersion) -> Result<(), StoreError>;
-    /// Waits up to `patience` until the key's version is above `after`; `None` if it was not.
+    /// Waits up to `max_wait` until the key's version is above `after`; `None` if it stays below.
     ///
     /// # Errors
     /// As for [`KeyStore::read`].
@@ -63,7 +63,7 @@
         &self,
         key: &str,
         after: StoreVersion,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<Option<StoredValue>, StoreError>;
     /// Reads all keys that begin with `prefix`, in order.
     ///
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,10 +1,10 @@
-//! Clients of the platform: configuration store, host list and the clock that counts
+//! Clients of the platform's configuration store and host list, and a clock that includes
 //! suspended time.
 //!
 //! Start with [`KeyStore`] and [`HostList`]: a deployment on another platform implements
 //! these two traits. [`HttpStore`] and [`HttpHostList`] speak the HTTP protocol of
-//! `docs/PLATFORM.md`; [`RetryStore`] repeats calls and settles lost answers, as argued in
-//! `docs/design/08-platform.md`.
+//! `docs/PLATFORM.md`; [`RetryStore`] retries calls and finds out whether a write with a lost
+//! response took effect; `docs/design/08-platform.md` explains why this is safe.
 
 pub mod event;
 
--- a/crates/store/src/retry_store.rs
+++ b/crates/store/src/retry_store.rs
@@ -12,21 +12,21 @@
     StoredValue,
 };
 
-/// How a [`RetryStore`] repeats calls.
+/// Settings of the retries, the circuit breaker and the rate limit of a [`RetryStore`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetrySettings {
-    /// Longest that one operation may take with its repetitions; the last call may exceed
-    /// it by the client's own timeout.
+    /// Timeout of one operation including its retries; the last call may exceed it by the
+    /// timeout of the underlying client.
     pub operation_timeout: Duration,
-    /// First back-off; later ones double. Each wait is random between nothing and the back-off.
+    /// First back-off; later ones double. Each wait is random between zero and the back-off.
     pub first_backoff: Duration,
-    /// Longest back-off.
+    /// Maximum back-off.
     pub longest_backoff: Duration,
-    /// First pause of the circuit, see [`StoreCircuit`].
+    /// First pause of the circuit breaker, see [`StoreCircuit`].
     pub first_pause: Duration,
-    /// Longest pause of the circuit.
+    /// Maximum pause of the circuit breaker.
     pub longest_pause: Duration,
-    /// Most calls a second, repetitions and watches included.
+    /// Maximum calls per second, retries and watches included.
     pub calls_per_second: u32,
 }
 
@@ -43,28 +43,28 @@
     }
 }
 
-/// A store that repeats what may be repeated, and settles writes whose answer was lost.
+/// A store client that retries calls and finds out whether a write with a lost response took
+/// effect.
 ///
-/// How a lost answer is settled, and when that is sound, is argued in
-/// `docs/design/08-platform.md`. In short: a repeated compare-and-swap on the same version
-/// takes effect at most once, since versions never come back; and a record that holds
-/// exactly the bytes asked for is what the caller wanted, whoever wrote them. Records that
-/// must tell *who* wrote them carry that in their bytes.
+/// `docs/design/08-platform.md` explains how and why this is safe. In short: a repeated
+/// compare-and-swap on the same version takes effect at most once, because versions are never
+/// reused. A record that holds exactly the bytes of the write counts as written, even if
+/// another client wrote it. Records that must identify their writer include it in their bytes.
 pub struct RetryStore {
     inner: Arc<dyn KeyStore>,
     clock: Arc<dyn Clock>,
     settings: RetrySettings,
     circuit: Mutex<StoreCircuit>,
-    pace: Mutex<CallRateLimiter>,
+    rate_limiter: Mutex<CallRateLimiter>,
 }
 
-/// What became of a write whose answer was lost.
+/// Result of reading a key after the response to a write was lost.
 enum WriteResolution {
-    /// The record is as asked for, at this version.
+    /// The record holds the written value, at this version.
     Applied(StoreVersion),
-    /// It had not taken effect; it may be repeated.
+    /// The write has not taken effect and may be repeated.
     NotApplied,
-    /// Another value is there: ours may have been there before it.
+    /// The record holds another value, which may have overwritten ours.
     Ambiguous,
 }
 
@@ -81,22 +81,22 @@
         settings: RetrySettings,
     ) -> Self {
         let circuit = StoreCircuit::new(settings.first_pause, settings.longest_pause);
-        let pace = CallRateLimiter::new(settings.calls_per_second);
+        let rate_limiter = CallRateLimiter::new(settings.calls_per_second);
         Self {
             inner,
             clock,
             circuit: Mutex::new(circuit),
-            pace: Mutex::new(pace),
+            rate_limiter: Mutex::new(rate_limiter),
             settings,
         }
     }
 
-    /// True while calls fail at once because the store has not answered.
+    /// True while the circuit is open: calls fail immediately because earlier ones failed.
     pub fn is_open(&self) -> bool {
         self.circuit.lock().is_open()
     }
 
-    /// One call through circuit and ceiling.
+    /// Makes one call, subject to the rate limit and the circuit breaker.
     fn call_once<T>(&self, call: impl Fn() -> Result<T, StoreError>) -> Result<T, StoreError> {
         self.wait_for_rate()?;
         if self.circuit.lock().admit(self.clock.boot_now()) == CircuitVerdict::Fail {
@@ -115,7 +115,7 @@
     fn wait_for_rate(&self) -> Result<(), StoreError> {
         let begin = Instant::now();
         loop {
-            let Err(wait) = self.pace.lock().try_acquire(self.clock.boot_now()) else {
+            let Err(wait) = self.rate_limiter.lock().try_acquire(self.clock.boot_now()) else {
                 return Ok(());
             };
             counter!("lws_store_paced").increment(1);
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Repeats an operation that does no harm when repeated.
+    /// Retries an idempotent operation until it succeeds or its timeout ends.
     fn retry_idempotent<T>(
         &self,
         call: impl Fn() -> Result<T, StoreError>,
@@ -153,14 +153,14 @@
             let Err(StoreError::Unavailable(_) | StoreError::Unknown(_)) = &result else {
                 return result;
             };
-            // With the circuit open a repetition would only be refused here again.
+            // With the circuit open, a retry would fail without reaching the store.
             if self.is_open() || !backoff.wait() {
                 return result;
             }
         }
     }
 
-    /// Repeats a write until its fate is clear or patience ends.
+    /// Retries a write until its outcome is known or its timeout ends.
     fn retry_write<T>(
         &self,
         write: impl Fn() -> Result<T, StoreError>,
@@ -168,18 +168,18 @@
         done: impl Fn(StoreVersion) -> T,
     ) -> Result<T, StoreError> {
         let mut backoff = RetryBackoff::new(&self.settings);
-        // From the first lost answer on, a conflict may be our own doing, and a refused
-        // call no longer means that nothing was recorded.
-        let mut lost: Option<StoreError> = None;
+        // After a lost response, a conflict may be caused by our own write, and a refused call
+        // no longer means that nothing was written.
+        let mut lost_response: Option<StoreError> = None;
         loop {
             let result = self.call_once(&write);
-            match (&result, &lost) {
-                (Err(StoreError::Unknown(_)), None) => lost = result.err(),
+            match (&result, &lost_response) {
+                (Err(StoreError::Unknown(_)), None) => lost_response = result.err(),
                 (Err(StoreError::Conflict { .. }), Some(_))
                 | (Err(StoreError::Unavailable(_) | StoreError::Unknown(_)), _) => {}
                 _ => return result,
             }
-            if let Some(unknown) = &lost {
+            if let Some(unknown) = &lost_response {
                 match read_back() {
                     Ok(WriteResolution::Applied(version)) => {
                         counter!("lws_store_settled").increment(1);
@@ -190,10 +190,10 @@
                     Ok(WriteResolution::NotApplied) | Err(_) => {}
                 }
             }
-            let hopeless = lost.is_none() && self.is_open();
-            if hopeless || !backoff.wait() {
+            let give_up = lost_response.is_none() && self.is_open();
+            if give_up || !backoff.wait() {
                 let never_sent = StoreError::Unavailable("it did not answer".to_owned());
-                return Err(lost.unwrap_or(never_sent));
+                return Err(lost_response.unwrap_or(never_sent));
             }
         }
     }
@@ -240,20 +240,20 @@
         )
     }
 
-    /// Waits once: whoever watches asks again anyway. A watch that hangs says nothing of
-    /// the store's health, so that the circuit does not hear of it.
+    /// Makes a single attempt, because callers watch in a loop. A watch that hangs says nothing
+    /// about the store's health, so its result does not affect the circuit breaker.
     fn watch(
         &self,
         key: &str,
         after: StoreVersion,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<Option<StoredValue>, StoreError> {
         self.wait_for_rate()?;
         if self.is_open() {
             let cause = "not watched: it is down".to_owned();
             return Err(StoreError::Unavailable(cause));
         }
-        self.inner.watch(key, after, patience)
+        self.inner.watch(key, after, max_wait)
     }
 
     fn list(&self, prefix: &str) -> Result<Vec<(String, StoredValue)>, StoreError> {
@@ -261,8 +261,8 @@
     }
 }
 
-/// Exponential back-off with full jitter: each wait is random between nothing and a limit
-/// that doubles, so that clients that failed together do not come back together.
+/// Exponential back-off with full jitter: each wait is random between zero and a limit that
+/// doubles, so that clients that failed at the same time do not retry at the same time.
 struct RetryBackoff {
     deadline: Instant,
     limit: Duration,
@@ -278,7 +278,7 @@
         }
     }
 
-    /// Waits; false at once if the wait would outlast the patience.
+    /// Sleeps before the next retry. Returns false immediately if the sleep would pass the deadline.
     fn wait(&mut self) -> bool {
         let wait = self.limit.mul_f64(rand::random());
         if Instant::now() + wait >= self.deadline {
--- a/crates/store/src/store_circuit.rs
+++ b/crates/store/src/store_circuit.rs
@@ -1,14 +1,14 @@
 use std::time::Duration;
 
-/// Failures in a row that open the circuit.
+/// Number of consecutive failures that open the circuit.
 const OPEN_AFTER: u32 = 4;
 
-/// Keeps a client from hammering a store that is down.
+/// Circuit breaker that keeps a client from overloading a store that is down.
 ///
-/// After some failures in a row the circuit opens, and calls fail at once without reaching
-/// the store. After a pause one call probes; its success closes the circuit, its failure
-/// doubles the pause up to a limit. Without this, every duty of every entry host would
-/// repeat its calls against a store that tries to come back. Time comes in as a value.
+/// After four failures in a row the circuit opens, and calls fail immediately without reaching
+/// the store. After a pause one call is let through as a probe: success closes the circuit,
+/// failure doubles the pause up to a limit. Without this, every thread of every entry host would
+/// retry its calls against a store that is recovering. The caller passes the time.
 #[derive(Clone, Debug)]
 pub struct StoreCircuit {
     failures: u32,
@@ -18,19 +18,19 @@
     probe_at: Option<Duration>,
 }
 
-/// What the circuit says of a call.
+/// Whether a call may be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CircuitVerdict {
-    /// Go ahead.
+    /// The circuit is closed; make the call.
     Pass,
-    /// Go ahead alone: this call finds out whether the store is back.
+    /// The circuit is open; make this one call to find out whether the store is back.
     Probe,
-    /// Fail at once.
+    /// The circuit is open; fail the call immediately.
     Fail,
 }
 
 impl StoreCircuit {
-    /// A closed circuit whose pauses grow from `first_pause` to `longest_pause`.
+    /// Creates a closed circuit whose pauses grow from `first_pause` to `longest_pause`.
     pub fn new(first_pause: Duration, longest_pause: Duration) -> Self {
         Self {
             failures: 0,
@@ -41,13 +41,13 @@
         }
     }
 
-    /// True while calls fail at once.
+    /// True while the circuit is open.
     pub fn is_open(&self) -> bool {
         self.probe_at.is_some()
     }
 
-    /// Asks whether a call may go out at `now`. A probe moves the time of the next one, so
-    /// that only one call goes out in each pause.
+    /// Decides whether a call may be made at `now`. A probe postpones the next one, so only one
+    /// call is made in each pause.
     pub fn admit(&mut self, now: Duration) -> CircuitVerdict {
         let Some(probe_at) = self.probe_at else {
             return CircuitVerdict::Pass;
@@ -59,15 +59,15 @@
         CircuitVerdict::Probe
     }
 
-    /// Takes in that the store answered; true if this closed the circuit.
+    /// Records a response of the store; true if this closed the circuit.
     pub fn record_answer(&mut self) -> bool {
         self.failures = 0;
         self.pause = self.first_pause;
         self.probe_at.take().is_some()
     }
 
-    /// Takes in that no answer came; true if this opened the circuit. `jitter` from 0 to 1
-    /// spreads the probes of many clients.
+    /// Records a call without a response; true if this opened the circuit. `jitter`, from 0 to
+    /// 1, spreads the probes of many clients.
     pub fn record_failure(&mut self, now: Duration, jitter: f64) -> bool {
         self.failures = self.failures.saturating_add(1);
         if self.failures < OPEN_AFTER {
--- a/crates/store/src/store_counts.rs
+++ b/crates/store/src/store_counts.rs
@@ -2,23 +2,23 @@
 
 use metrics::counter;
 
-/// Kinds of calls of the store; the platform counts each call, a waiting watch as one.
+/// Kind of a store call. The platform counts each call; a waiting watch counts as one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// Reads of one key.
+    /// Read of one key.
     Read,
-    /// Writes of one key.
+    /// Compare-and-swap of one key.
     Swap,
-    /// Removals of one key.
+    /// Removal of one key.
     Remove,
-    /// Waits for a newer version of one key.
+    /// Wait for a newer version of one key.
     Watch,
-    /// Reads of all keys with a prefix.
+    /// Read of all keys with a prefix.
     List,
 }
 
 impl CallKind {
-    /// All kinds, in the order of their numbers.
+    /// All kinds, in the order of their discriminants.
     pub const ALL: [Self; 5] = [
         Self::Read,
         Self::Swap,
@@ -39,19 +39,19 @@
     }
 }
 
-/// Counts the calls of one client by kind, repeated ones included.
+/// Counts the calls of one client by kind, retries included.
 #[derive(Debug, Default)]
 pub struct StoreCounts {
     calls: [AtomicU64; CallKind::ALL.len()],
 }
 
 impl StoreCounts {
-    /// Calls made so far.
+    /// Number of calls of one kind so far.
     pub fn of(&self, kind: CallKind) -> u64 {
         self.calls[kind as usize].load(Ordering::Relaxed)
     }
 
-    /// Calls of all kinds.
+    /// Number of calls of all kinds so far.
     pub fn total(&self) -> u64 {
         CallKind::ALL.iter().map(|kind| self.of(*kind)).sum()
     }
@@ -61,7 +61,7 @@
         counter!("lws_store_calls", "kind" => kind.name()).increment(1);
     }
 
-    pub(crate) fn note_failure(kind: CallKind, outcome: &'static str) {
+    pub(crate) fn count_failure(kind: CallKind, outcome: &'static str) {
         counter!("lws_store_failures", "kind" => kind.name(), "outcome" => outcome).increment(1);
     }
 }
--- a/crates/store/tests/http_host_list.rs
+++ b/crates/store/tests/http_host_list.rs
@@ -1,4 +1,4 @@
-//! The host list over HTTP, against the stand-in.
+//! Tests of the HTTP host list client against a fake server.
 
 #![allow(clippy::expect_used)]
 
@@ -20,10 +20,10 @@
     (0..count).map(row).collect()
 }
 
-// Operators see a host leave although nothing but one mark of the list changed: a client
-// that keeps the last list must not show an old one, nor an empty one for "not modified".
+// The client caches the list. It must not return an old list after a single flag changed, nor
+// an empty list for the status "not modified".
 #[test]
-fn hosts_unchanged_then_changed() {
+fn hosts_follow_changes_of_cached_list() {
     let fake = HostListFake::start("127.0.0.1:0").expect("start");
     let list = HttpHostList::new(&fake.url(), TIMEOUT);
     fake.set_hosts(rows(300, 0));
--- a/crates/store/tests/http_store.rs
+++ b/crates/store/tests/http_store.rs
@@ -1,4 +1,4 @@
-//! The store's client against the stand-in, with the store's faults.
+//! Tests of the HTTP store client against a fake store with injected faults.
 
 #![allow(clippy::unwrap_used, reason = "tests end on what should not fail")]
 
@@ -37,7 +37,7 @@
     store.remove("config", second).unwrap();
     assert_eq!(store.read("config").unwrap(), None);
     let third = store.swap("config", 0, b"").unwrap();
-    assert!(third > second, "a version came back after a removal");
+    assert!(third > second, "a version was reused after a removal");
     assert_eq!(store.read("config").unwrap().unwrap().value, b"");
 }
 
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn swap_too_large() {
+fn swap_rejects_large_value_and_bad_key() {
     let (_fake, store) = start();
     let value = vec![7; 1024 * 1024 + 1];
     assert!(matches!(
@@ -88,9 +88,9 @@
 }
 
 #[test]
-fn swap_store_down() {
-    // An operator applies a change during an outage and must be told that nothing was
-    // recorded. The store answers 503, or nothing listens at its address.
+fn swap_reports_unavailable_when_store_is_down() {
+    // Guards against reporting an unknown outcome when nothing was written: the store responds
+    // 503, or nothing listens at its address.
     let (fake, store) = start();
     fake.set_faults(StoreFaults {
         down: true,
@@ -111,10 +111,10 @@
 }
 
 #[test]
-fn swap_answer_lost() {
-    // An operator's change takes effect, but the connection breaks before the answer. If
-    // the client called that "unavailable", the operator would be told that nothing was
-    // recorded while the change comes into force.
+fn swap_reports_unknown_after_lost_response() {
+    // The write takes effect, but the connection breaks before the response. If the client
+    // returned `Unavailable`, the operator would see "nothing was recorded" although the change
+    // takes effect.
     let (fake, store) = start();
     fake.set_faults(StoreFaults {
         lose_writes: FaultRate::next(1),
@@ -129,9 +129,9 @@
 }
 
 #[test]
-fn calls_end_when_store_hangs() {
-    // A thread that renews the serving lease calls a store that accepts connections and
-    // never answers. Without a bound on the whole call the lease thread would stand.
+fn calls_time_out_when_store_hangs() {
+    // The store accepts connections and never responds. Without a timeout for the whole call,
+    // the thread that renews the serving lease would block forever.
     let (fake, store) = start();
     fake.set_faults(StoreFaults {
         silent: true,
@@ -150,9 +150,9 @@
 }
 
 #[test]
-fn watch_hangs_for_one_view() {
-    // One entry host's watch hangs while the others see the change. The client's own
-    // margin ends the call, so that the host reads the key instead.
+fn watch_times_out_for_one_host() {
+    // The watch of one entry host hangs while the others see the change. The client's own
+    // timeout ends the call, so that the host can read the key instead.
     let (fake, store) = start();
     fake.set_view_faults(
         "e1",
@@ -163,18 +163,18 @@
     );
     store.swap("k", 0, b"v").unwrap();
     let stuck = HttpStore::new(&format!("{}/view/e1", fake.url()), TIMEOUT);
-    let patience = Duration::from_millis(100);
+    let max_wait = Duration::from_millis(100);
     assert!(matches!(
-        stuck.watch("k", 0, patience),
+        stuck.watch("k", 0, max_wait),
         Err(StoreError::Unknown(_))
     ));
     assert!(stuck.read("k").unwrap().is_some());
-    assert!(store.watch("k", 0, patience).unwrap().is_some());
+    assert!(store.watch("k", 0, max_wait).unwrap().is_some());
     assert_eq!(fake.calls()["e1"].watch, 1);
 }
 
 #[test]
-fn store_over_rate() {
+fn swap_fails_above_rate_limit() {
     let (fake, store) = start();
     fake.set_faults(StoreFaults {
         writes_per_s: 3,
--- a/crates/store/tests/retry_store.rs
+++ b/crates/store/tests/retry_store.rs
@@ -1,4 +1,5 @@
-//! Repetition of calls and settling of lost answers, against scripted and real stand-ins.
+//! Tests of retries and of writes with lost responses, against a scripted store and a fake
+//! HTTP store.
 
 #![allow(clippy::unwrap_used, reason = "tests end on what should not fail")]
 
@@ -12,25 +13,25 @@
     RetryStore, StoreCircuit, StoreError, StoreVersion, StoredValue,
 };
 
-/// What happens to one call of a [`ScriptStore`].
+/// Scripted outcome of one call of a [`ScriptStore`].
 #[derive(Clone, Copy, Debug)]
-enum CallFate {
+enum CallOutcome {
     Fine,
     Refused,
-    /// It takes effect and its answer is lost.
+    /// It takes effect and its response is lost.
     Lost,
-    /// Its answer is lost and it takes effect with the next call, whatever that is.
+    /// Its response is lost and it takes effect just before the next call of any kind.
     Late,
-    /// Another writer comes first.
+    /// Another write takes effect just before it.
     Raced,
-    /// It takes effect, its answer is lost, and another writer overwrites it.
+    /// It takes effect, its response is lost, and another writer overwrites it.
     Overwritten,
 }
 
-/// A write that is still under way.
+/// A delayed write: expected version and value.
 type LateWrite = (StoreVersion, Vec<u8>);
 
-/// One key whose calls meet scripted fates.
+/// A store with one key whose calls have scripted outcomes.
 #[derive(Default)]
 struct ScriptStore {
     state: Mutex<ScriptState>,
@@ -38,7 +39,7 @@
 
 #[derive(Default)]
 struct ScriptState {
-    fates: VecDeque<CallFate>,
+    outcomes: VecDeque<CallOutcome>,
     version: StoreVersion,
     value: Vec<u8>,
     late: Vec<LateWrite>,
@@ -63,24 +64,24 @@
         Ok(self.version)
     }
 
-    fn arrive(&mut self) -> CallFate {
+    fn begin_call(&mut self) -> CallOutcome {
         for (expect, value) in std::mem::take(&mut self.late) {
             let _ = self.apply(expect, &value);
         }
-        let fate = self.fates.pop_front().unwrap_or(CallFate::Fine);
-        if matches!(fate, CallFate::Raced) {
+        let outcome = self.outcomes.pop_front().unwrap_or(CallOutcome::Fine);
+        if matches!(outcome, CallOutcome::Raced) {
             let _ = self.apply(self.version, b"theirs");
         }
-        fate
+        outcome
     }
 }
 
 impl KeyStore for ScriptStore {
     fn read(&self, _key: &str) -> Result<Option<StoredValue>, StoreError> {
         let mut state = self.state.lock();
-        match state.arrive() {
-            CallFate::Refused => Err(StoreError::Unavailable("refused".to_owned())),
-            CallFate::Lost | CallFate::Late => Err(StoreError::Unknown("lost".to_owned())),
+        match state.begin_call() {
+            CallOutcome::Refused => Err(StoreError::Unavailable("refused".to_owned())),
+            CallOutcome::Lost | CallOutcome::Late => Err(StoreError::Unknown("lost".to_owned())),
             _ if state.version == 0 => Ok(None),
             _ => Ok(Some(StoredValue {
                 version: state.version,
@@ -97,23 +98,23 @@
     ) -> Result<StoreVersion, StoreError> {
         let mut state = self.state.lock();
         let lost = Err(StoreError::Unknown("lost".to_owned()));
-        match state.arrive() {
-            CallFate::Refused => Err(StoreError::Unavailable("refused".to_owned())),
-            CallFate::Late => {
+        match state.begin_call() {
+            CallOutcome::Refused => Err(StoreError::Unavailable("refused".to_owned())),
+            CallOutcome::Late => {
                 state.late.push((expect, value.to_vec()));
                 lost
             }
-            CallFate::Lost => {
+            CallOutcome::Lost => {
                 let _ = state.apply(expect, value);
                 lost
             }
-            CallFate::Overwritten => {
+            CallOutcome::Overwritten => {
                 let _ = state.apply(expect, value);
                 let version = state.version;
                 let _ = state.apply(version, b"theirs");
                 lost
             }
-            CallFate::Fine | CallFate::Raced => state.apply(expect, value),
+            CallOutcome::Fine | CallOutcome::Raced => state.apply(expect, value),
         }
     }
 
@@ -125,7 +126,7 @@
         &self,
         _key: &str,
         _after: StoreVersion,
-        _patience: Duration,
+        _max_wait: Duration,
     ) -> Result<Option<StoredValue>, StoreError> {
         Ok(None)
     }
@@ -135,7 +136,7 @@
     }
 }
 
-fn quick() -> RetrySettings {
+fn fast_settings() -> RetrySettings {
     RetrySettings {
         operation_timeout: Duration::from_millis(60),
         first_backoff: Duration::from_micros(50),
@@ -146,37 +147,37 @@
     }
 }
 
-fn scripted(fates: &[CallFate]) -> (Arc<ScriptStore>, RetryStore) {
+fn scripted(outcomes: &[CallOutcome]) -> (Arc<ScriptStore>, RetryStore) {
     let script = Arc::new(ScriptStore::default());
-    script.state.lock().fates = fates.iter().copied().collect();
+    script.state.lock().outcomes = outcomes.iter().copied().collect();
     let inner = Arc::<ScriptStore>::clone(&script);
-    let store = RetryStore::with_settings(inner, Arc::new(BootClock), quick());
+    let store = RetryStore::with_settings(inner, Arc::new(BootClock), fast_settings());
     (script, store)
 }
 
 #[test]
 fn swap_lost_after_effect() {
-    // An operator applies a manifest, the store takes it, and the answer is lost. Reading
-    // back finds the operator's own bytes: the change is settled as written, once.
-    let (script, store) = scripted(&[CallFate::Lost, CallFate::Refused, CallFate::Lost]);
+    // The write takes effect and its response is lost. Reading back finds the written bytes, so
+    // the write must be reported as successful and must take effect only once.
+    let (script, store) = scripted(&[CallOutcome::Lost, CallOutcome::Refused, CallOutcome::Lost]);
     assert_eq!(store.swap("k", 0, OURS), Ok(1));
     assert_eq!(script.state.lock().effects, [1]);
 }
 
 #[test]
 fn swap_late_then_repeated() {
-    // The answer is lost and the read back shows the old version, because the write is
-    // still on its way. It is repeated; the version guard lets only one of the two through.
-    let (script, store) = scripted(&[CallFate::Late, CallFate::Late, CallFate::Fine]);
+    // The response is lost and reading back shows the old version, because the write is still
+    // in flight. The write is repeated; the version check lets only one of the two take effect.
+    let (script, store) = scripted(&[CallOutcome::Late, CallOutcome::Late, CallOutcome::Fine]);
     assert_eq!(store.swap("k", 0, OURS), Ok(1));
     assert_eq!(script.state.lock().effects, [1]);
 }
 
 #[test]
 fn swap_lost_then_overwritten() {
-    // The write takes effect, its answer is lost, and another writer builds on it. Calling
-    // that a conflict would tell the operator "nothing was written", which is false.
-    let (script, store) = scripted(&[CallFate::Overwritten]);
+    // The write takes effect, its response is lost, and another writer overwrites it. Reporting
+    // a conflict would mean "nothing was written", which is false.
+    let (script, store) = scripted(&[CallOutcome::Overwritten]);
     assert!(matches!(
         store.swap("k", 0, OURS),
         Err(StoreError::Unknown(_))
@@ -186,7 +187,7 @@
 
 #[test]
 fn swap_conflict_is_not_repeated() {
-    let (script, store) = scripted(&[CallFate::Raced]);
+    let (script, store) = scripted(&[CallOutcome::Raced]);
     assert_eq!(
         store.swap("k", 0, OURS),
         Err(StoreError::Conflict { current: 1 })
@@ -195,8 +196,8 @@
 }
 
 #[test]
-fn swap_refused_for_good() {
-    let (script, store) = scripted(&[CallFate::Refused; 10_000]);
+fn swap_always_refused_is_unavailable() {
+    let (script, store) = scripted(&[CallOutcome::Refused; 10_000]);
     assert!(matches!(
         store.swap("k", 0, OURS),
         Err(StoreError::Unavailable(_))
@@ -206,11 +207,11 @@
 
 #[test]
 fn swap_lost_then_down() {
-    // The write takes effect, its answer is lost, and the store goes down before it can be
-    // asked. "Unavailable, nothing was recorded" would be false; the outcome is unknown.
-    let mut fates = vec![CallFate::Lost];
-    fates.resize(10_000, CallFate::Refused);
-    let (script, store) = scripted(&fates);
+    // The write takes effect, its response is lost, and the store goes down before the value
+    // can be read back. `Unavailable` would mean "nothing was written", which is false.
+    let mut outcomes = vec![CallOutcome::Lost];
+    outcomes.resize(10_000, CallOutcome::Refused);
+    let (script, store) = scripted(&outcomes);
     assert!(matches!(
         store.swap("k", 0, OURS),
         Err(StoreError::Unknown(_))
@@ -218,29 +219,29 @@
     assert_eq!(script.state.lock().effects, [1]);
 }
 
-fn any_fate() -> impl Strategy<Value = CallFate> {
+fn any_outcome() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
-        Just(CallFate::Fine),
-        Just(CallFate::Refused),
-        Just(CallFate::Lost),
-        Just(CallFate::Late),
-        Just(CallFate::Raced),
-        Just(CallFate::Overwritten),
+        Just(CallOutcome::Fine),
+        Just(CallOutcome::Refused),
+        Just(CallOutcome::Lost),
+        Just(CallOutcome::Late),
+        Just(CallOutcome::Raced),
+        Just(CallOutcome::Overwritten),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 1_000, ..ProptestConfig::default() })]
 
-    /// Whatever happens to the calls: the value takes effect at most once, and each outcome
-    /// is true when it is told.
+    /// For any sequence of faults, the value takes effect at most once and the returned outcome
+    /// is correct.
     #[test]
-    fn swap_outcome_true(fates in proptest::collection::vec(any_fate(), 0..12), down_after: bool) {
-        let mut fates = fates;
+    fn swap_outcome_is_correct(outcomes in proptest::collection::vec(any_outcome(), 0..12), down_after: bool) {
+        let mut outcomes = outcomes;
         if down_after {
-            fates.resize(10_000, CallFate::Refused);
+            outcomes.resize(10_000, CallOutcome::Refused);
         }
-        let (script, store) = scripted(&fates);
+        let (script, store) = scripted(&outcomes);
         let outcome = store.swap("k", 0, OURS);
         let state = script.state.lock();
         prop_assert!(state.effects.len() <= 1, "{:?}", state.effects);
@@ -256,9 +257,9 @@
 }
 
 #[test]
-fn swap_lost_by_real_store() {
-    // As in production: many writers on one key, a third of all answers lost after the
-    // write took effect. Every counted increment is in the store, and none twice.
+fn swap_lost_responses_of_http_store() {
+    // Several writers append to one key while a third of all responses is lost after the write
+    // took effect. Each mark must be in the store exactly once.
     let fake = StoreFake::start("127.0.0.1:0").unwrap();
     fake.set_faults(StoreFaults {
         lose_writes: FaultRate::by_chance(0.33),
@@ -268,7 +269,7 @@
     let settings = RetrySettings {
         calls_per_second: 10_000,
         operation_timeout: Duration::from_secs(20),
-        ..quick()
+        ..fast_settings()
     };
     let writers = 4;
     std::thread::scope(|scope| {
@@ -297,7 +298,7 @@
     }
 }
 
-/// Adds a mark once, as writers of records do: read, check for the own mark, swap.
+/// Appends a mark once: reads the value, checks whether it holds the mark, and swaps.
 fn append_mark(store: &RetryStore, mark: &str) {
     loop {
         let stored = store.read("marks").unwrap();
@@ -314,9 +315,9 @@
 }
 
 #[test]
-fn reads_stop_hammering() {
-    // The store is down for long and twenty duties keep reading. The circuit lets through
-    // one probe a pause, and the first answer opens the way again.
+fn read_circuit_limits_calls() {
+    // The store is down for a long time and twenty threads keep reading. The circuit lets
+    // one probe through per pause, and the first response closes it again.
     let fake = StoreFake::start("127.0.0.1:0").unwrap();
     fake.set_faults(StoreFaults {
         down: true,
@@ -343,7 +344,7 @@
 }
 
 #[test]
-fn circuit_probes_once_a_pause() {
+fn circuit_probes_once_per_pause() {
     let pause = Duration::from_secs(1);
     let mut circuit = StoreCircuit::new(pause, 4 * pause);
     let mut now = Duration::from_secs(100);
@@ -361,10 +362,10 @@
 }
 
 #[test]
-fn pace_holds_ceiling() {
-    let mut pace = CallRateLimiter::new(50);
+fn try_acquire_enforces_rate() {
+    let mut limiter = CallRateLimiter::new(50);
     let taken = (0..10_000)
-        .filter(|tick| pace.try_acquire(Duration::from_millis(*tick)).is_ok())
+        .filter(|tick| limiter.try_acquire(Duration::from_millis(*tick)).is_ok())
         .count();
     assert!((50 * 10..=50 * 11).contains(&taken), "{taken}");
 }
