--- a/crates/share/src/broker_sessions.rs
+++ b/crates/share/src/broker_sessions.rs
@@ -11,12 +11,12 @@
     convert::{demand_to_wire, offer_from_wire},
 };
 
-// What a host may spend on its sessions, and cause its brokers to spend, in bytes a second.
-// As a broker it spends about as much again, and the rest of the 6 KB/s of a node is for
-// heartbeats, store and host list. With many full pools reports come less often instead.
+// Network budget for the sessions of a host, including the responses of its brokers, in bytes
+// per second. The host's own role as broker costs about as much again. The rest of the 6 KB/s of
+// a node is for heartbeats, store and host list. With many full pools, reports are less frequent.
 const BYTES_PER_SECOND: u32 = 2000;
 const BYTES_BURST: u32 = 8000;
-// Headers and acknowledgement of a message.
+// Bytes of the headers and the acknowledgement of a message.
 const MESSAGE_HEADER: usize = 104;
 
 /// This entry host's sessions with the brokers of all pools.
@@ -28,7 +28,7 @@
     sessions: BTreeMap<MemberId, SessionState>,
     demands: BTreeMap<PoolId, PoolDemand>,
     budget: ByteBudget,
-    // Slot time used since the session of the pool began, in milliseconds.
+    // Slot time used since the session of the pool started, in milliseconds.
     used: BTreeMap<(PoolId, TeamId), u64>,
 }
 
@@ -36,12 +36,13 @@
 struct SessionState {
     holder: SlotHolder,
     last_demand: BootTime,
-    // Requests began to queue since the last demand, or slots are to be given back.
+    // Requests began to queue since the last demand, or slots must be returned.
     urgent: bool,
 }
 
 impl BrokerSessions {
-    /// A book without sessions; `first_session` must exceed those of earlier lives of this host.
+    /// Creates an empty set; `first_session` must exceed the session numbers of earlier
+    /// incarnations of this host.
     pub fn new(first_session: u64, options: HolderOptions) -> Self {
         Self {
             options,
@@ -56,33 +57,33 @@
 
     /// Replaces the brokers of the pools.
     ///
-    /// A broker that gains pools gets a new session, whose first demand tells what this
-    /// host holds, so that no slot is granted twice and none is lost in the change.
-    pub fn set_brokers(&mut self, owners: BTreeMap<PoolId, MemberId>) {
-        if self.brokers == owners {
+    /// A broker that gains pools gets a new session. Its first demand reports the slots that
+    /// this host holds, so that no slot is granted twice and none is lost in the change.
+    pub fn set_brokers(&mut self, broker_of_pool: BTreeMap<PoolId, MemberId>) {
+        if self.brokers == broker_of_pool {
             return;
         }
-        let gained: Vec<MemberId> = owners
+        let gaining: Vec<MemberId> = broker_of_pool
             .iter()
-            .filter(|(pool, owner)| self.brokers.get(*pool) != Some(*owner))
-            .map(|(_, owner)| owner.clone())
+            .filter(|(pool, broker)| self.brokers.get(*pool) != Some(*broker))
+            .map(|(_, broker)| broker.clone())
             .collect();
         let held = self.held_slots();
-        for (pool, owner) in &self.brokers {
-            let session = self.sessions.get_mut(owner);
-            if owners.get(pool) != Some(owner)
+        for (pool, broker) in &self.brokers {
+            let session = self.sessions.get_mut(broker);
+            if broker_of_pool.get(pool) != Some(broker)
                 && let Some(session) = session
             {
                 session.holder.remove_pool(pool);
             }
         }
-        self.brokers = owners;
-        for broker in gained {
+        self.brokers = broker_of_pool;
+        for broker in gaining {
             self.start_session(&broker, &held);
         }
-        let owners = &self.brokers;
+        let broker_of_pool = &self.brokers;
         self.sessions
-            .retain(|broker, _| owners.values().any(|owner| owner == broker));
+            .retain(|broker, _| broker_of_pool.values().any(|other| other == broker));
     }
 
     /// Replaces this host's demand on a pool; true if requests began to queue.
@@ -93,24 +94,24 @@
         }
         let last = self.demands.get(&demand.pool);
         let queued_before = last.is_some_and(is_queued);
-        let begins = is_queued(&demand) && !queued_before;
-        // Used time adds up at the broker, so it is told even where it is the same again.
+        let begins_queueing = is_queued(&demand) && !queued_before;
+        // The broker sums used time, so an equal value must be sent again.
         let used = demand.teams.iter().any(|team| 0 < team.used_ms);
         let changed = used || last.is_none_or(|last| *last != demand);
-        if let Some(owner) = self.brokers.get(&demand.pool)
-            && let Some(session) = self.sessions.get_mut(owner)
+        if let Some(broker) = self.brokers.get(&demand.pool)
+            && let Some(session) = self.sessions.get_mut(broker)
             && changed
         {
             session.holder.mark_demand_changed(&demand.pool);
-            session.urgent |= begins;
+            session.urgent |= begins_queueing;
         }
         self.demands.insert(demand.pool.clone(), demand);
-        begins
+        begins_queueing
     }
 
-    /// The demands that are due at `now`.
+    /// Returns the demands that are due at `now`, with their brokers.
     pub fn due(&mut self, now: BootTime, times: &ShareTimes) -> Vec<(MemberId, SlotDemand)> {
-        let is_within = self.budget.allows(now);
+        let within_budget = self.budget.allows(now);
         let is_due = |broker: &MemberId, session: &SessionState| {
             let wait = if session.urgent {
                 times.min_gap
@@ -127,11 +128,11 @@
             .sessions
             .iter()
             .filter(|(broker, session)| is_due(broker, session))
-            .filter(|(_, session)| is_within || is_renewal_due(session))
+            .filter(|(_, session)| within_budget || is_renewal_due(session))
             .map(|(broker, _)| broker.clone())
             .collect();
         let ask = |broker: MemberId| {
-            let demand = self.next_demand(now, &broker, is_within)?;
+            let demand = self.next_demand(now, &broker, within_budget)?;
             Some((broker, demand))
         };
         brokers.into_iter().filter_map(ask).collect()
@@ -163,7 +164,7 @@
         {
             return Vec::new();
         }
-        // Others wait for slots that were given back until this is confirmed.
+        // Other holders get returned slots only after this host confirms the return.
         session.urgent |= session.holder.total_slots() < slots_before;
         session
             .holder
@@ -172,7 +173,7 @@
             .collect()
     }
 
-    /// The lease held on a pool now, lapsed or not; `None` if it was never granted.
+    /// The lease on a pool, expired or not; `None` if it was never granted.
     pub fn lease(&self, pool: &PoolId) -> Option<Arc<SlotLease>> {
         let session = self.sessions.get(self.brokers.get(pool)?)?;
         let (_, held) = session.holder.pools().find(|(id, _)| *id == pool)?;
@@ -193,23 +194,24 @@
         }))
     }
 
-    /// The pools that have a broker.
+    /// All pools that have a broker.
     pub fn pools(&self) -> impl Iterator<Item = &PoolId> {
         self.brokers.keys()
     }
 
     fn is_backlogged(&self, broker: &MemberId) -> bool {
         let queued = self.demands.values().filter(|demand| is_queued(demand));
-        let mut owners = queued.filter_map(|demand| self.brokers.get(&demand.pool));
-        owners.any(|owner| owner == broker)
+        let mut backlogged = queued.filter_map(|demand| self.brokers.get(&demand.pool));
+        backlogged.any(|other| other == broker)
     }
 
-    // Beyond the budget a session is renewed and tells nothing; a new one has to tell.
+    // Above the byte budget, a demand only renews the session; the first demand of a session
+    // must report in any case.
     fn next_demand(
         &mut self,
         now: BootTime,
         broker: &MemberId,
-        is_within: bool,
+        within_budget: bool,
     ) -> Option<SlotDemand> {
         let session = self.sessions.get_mut(broker)?;
         session.last_demand = now;
@@ -217,7 +219,7 @@
         let (round, mut fresh) = session.holder.begin_round(now);
         let applied = session.holder.applied();
         let number = session.holder.session();
-        if !is_within && 0 < applied {
+        if !within_budget && 0 < applied {
             for pool in fresh.drain(..) {
                 session.holder.mark_demand_changed(&pool);
             }
@@ -240,12 +242,12 @@
             let key = (pool.clone(), team.team.clone());
             team.used_ms = self.used.get(&key).copied().unwrap_or_default();
         }
-        let opening = self
+        let is_new_session = self
             .sessions
             .get(broker)
             .is_some_and(|session| session.holder.applied() == 0);
         let granted = self.granted(broker, pool);
-        let mut held = if opening {
+        let mut held = if is_new_session {
             granted.clone()
         } else {
             SlotMap::new()
@@ -275,8 +277,8 @@
     fn start_session(&mut self, broker: &MemberId, held: &BTreeMap<PoolId, (BootTime, SlotMap)>) {
         self.next_session += 1;
         let mut holder = SlotHolder::new(self.next_session, self.options);
-        for (pool, owner) in &self.brokers {
-            if owner != broker {
+        for (pool, assigned) in &self.brokers {
+            if assigned != broker {
                 continue;
             }
             holder.mark_demand_changed(pool);
--- a/crates/share/src/convert.rs
+++ b/crates/share/src/convert.rs
@@ -1,4 +1,4 @@
-//! Between the generated types on the wire and those of `decide`.
+//! Conversions between the generated wire types and the types of `decide` and `ports`.
 
 use std::time::Duration;
 
--- a/crates/share/src/demand_merge.rs
+++ b/crates/share/src/demand_merge.rs
@@ -3,9 +3,9 @@
 use model::PoolId;
 use ports::{PoolDemand, TeamDemand};
 
-/// Replaces the report on a pool by a newer one.
+/// Replaces the pending report on a pool by a newer one.
 ///
-/// Used time adds up until the duty has taken it; the rest is replaced.
+/// Used time is summed until the share loop reads the report; all other fields are replaced.
 pub(crate) fn merge_report(reports: &mut BTreeMap<PoolId, PoolDemand>, mut demand: PoolDemand) {
     if let Some(last) = reports.remove(&demand.pool) {
         for team in last.teams {
--- a/crates/share/src/lib.rs
+++ b/crates/share/src/lib.rs
@@ -1,10 +1,9 @@
-//! Slot leases that divide each pool among entry hosts and teams.
+//! Slot leases that divide the slots of each pool among entry hosts and teams.
 //!
 //! Start with [`ShareService`], which offers [`ports::SlotSource`] to the entry queues.
-//! Each pool has one broker, named by rendezvous hashing over the members that are heard.
-//! Every entry host keeps a session with each broker: it reports its demand, and is
-//! granted slots for a few seconds. `docs/design/06-shares.md` says why this is safe and
-//! what it costs.
+//! Each pool has one broker, chosen by rendezvous hashing over the reachable members. Every
+//! entry host keeps a session with each broker: it reports its demand and receives slots for a
+//! few seconds. `docs/design/06-shares.md` explains why this is safe and what it costs.
 
 pub mod event;
 
--- a/crates/share/src/pool_brokers.rs
+++ b/crates/share/src/pool_brokers.rs
@@ -6,19 +6,19 @@
 
 use crate::convert::{demand_from_wire, offer_to_wire};
 
-/// What the desk says to a demand.
+/// Response of the brokers to a demand message.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DemandResponse {
-    /// The grant.
+    /// Grant for the member that sent the demand.
     pub grant: SlotGrant,
-    /// Holders that should ask again at once, because they hold more than their due.
+    /// Grants of round 0 for holders above their share: they make the holder send a new demand.
     pub nudges: BTreeMap<MemberId, SlotGrant>,
 }
 
-/// One pool as the desk needs it.
+/// Input of the broker of one pool.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BrokeredPool {
-    /// Slots of each target that takes new work.
+    /// Number of slots of each target that accepts new work.
     pub targets: SlotMap,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl PoolBrokers {
-    /// A desk that owns nothing yet.
+    /// Creates a set without any pools.
     pub fn new(options: BrokerOptions) -> Self {
         Self {
             options,
@@ -40,17 +40,17 @@
         }
     }
 
-    /// Number of pools brokered here.
+    /// Number of pools that this host brokers.
     pub fn pool_count(&self) -> usize {
         self.brokers.len()
     }
 
     /// Replaces the pools that this host brokers.
     ///
-    /// When a pool comes or goes, all sessions end, and holders begin new ones. A holder
-    /// that has not noticed a loss must not have its slots of that pool renewed by grants
-    /// for the others; and one that asked for a pool before this host brokered it believes
-    /// its demand known, so it would wait for slots for ever.
+    /// When a pool is added or removed, all sessions end and holders start new ones, for two
+    /// reasons. A holder that still lists a removed pool must not have its slots of that pool
+    /// renewed by grants for other pools. And a holder that sent its demand for a pool before
+    /// this host brokered it would not send it again and would wait for slots forever.
     pub fn set_pools(&mut self, now: BootTime, pools: &BTreeMap<PoolId, BrokeredPool>) {
         if !self.brokers.keys().eq(pools.keys()) {
             self.sessions.clear();
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Replaces the weights of the teams and the members that may hold slots.
+    /// Replaces the weights of teams and the set of members that may hold slots.
     pub fn set_weights_and_members(
         &mut self,
         weights: &BTreeMap<TeamId, f64>,
@@ -77,9 +77,9 @@
         }
     }
 
-    /// Answers a demand; `None` for one that a later one overtook.
+    /// Responds to a demand; `None` if it belongs to an older session than the current one.
     ///
-    /// A grant of session 0 tells the holder that its session is unknown here.
+    /// A grant of session 0 means that the session is unknown to this broker.
     pub fn answer(
         &mut self,
         now: BootTime,
@@ -90,8 +90,8 @@
         if known.is_some_and(|known| demand.session < known) {
             return None;
         }
-        let opening = known != Some(demand.session);
-        if opening && 0 < demand.applied {
+        let is_new_session = known != Some(demand.session);
+        if is_new_session && 0 < demand.applied {
             let grant = SlotGrant {
                 round: demand.round,
                 ..SlotGrant::default()
@@ -102,14 +102,14 @@
             });
         }
         self.sessions.insert(from.clone(), demand.session);
-        let reported = self.apply_reports(now, from, demand, opening);
-        self.confirm_unreported(now, from, demand, opening, &reported);
+        let reported = self.apply_reports(now, from, demand, is_new_session);
+        self.confirm_unreported(now, from, demand, is_new_session, &reported);
         let grant = self.grant(now, from, demand);
         let nudges = self.nudges(from);
         Some(DemandResponse { grant, nudges })
     }
 
-    // A grant of round 0 asks its holder to ask again.
+    // A grant of round 0 makes its holder send a new demand.
     fn nudges(&self, from: &MemberId) -> BTreeMap<MemberId, SlotGrant> {
         let backlogged = self
             .brokers
@@ -128,7 +128,7 @@
             .collect()
     }
 
-    /// Forgets holders that went silent.
+    /// Removes holders whose leases have expired.
     pub fn expire(&mut self, now: BootTime) {
         for broker in self.brokers.values_mut() {
             broker.expire_holders(now);
@@ -140,7 +140,7 @@
         now: BootTime,
         from: &MemberId,
         demand: &SlotDemand,
-        opening: bool,
+        is_new_session: bool,
     ) -> BTreeSet<PoolId> {
         let mut reported = BTreeSet::new();
         for pool in &demand.pools {
@@ -149,7 +149,7 @@
                 continue;
             };
             let load = demand_from_wire(pool);
-            if opening || !broker.has_session(from) {
+            if is_new_session || !broker.has_session(from) {
                 broker.open(now, from, demand.round, load);
             } else if broker.confirm(now, from, demand.round, demand.applied) {
                 broker.update_load(from, load);
@@ -164,14 +164,14 @@
         now: BootTime,
         from: &MemberId,
         demand: &SlotDemand,
-        opening: bool,
+        is_new_session: bool,
         reported: &BTreeSet<PoolId>,
     ) {
         for (pool, broker) in &mut self.brokers {
             if reported.contains(pool) {
                 continue;
             }
-            if opening {
+            if is_new_session {
                 broker.close(from);
             } else {
                 broker.confirm(now, from, demand.round, demand.applied);
@@ -182,9 +182,9 @@
     fn grant(&mut self, now: BootTime, from: &MemberId, demand: &SlotDemand) -> SlotGrant {
         let mut pools = Vec::new();
         for (pool, broker) in &mut self.brokers {
-            let fresh = broker.offer_may_change(now, from)
+            let has_news = broker.offer_may_change(now, from)
                 || broker.has_unconfirmed_offer(from, demand.applied);
-            if !fresh && !broker.is_backlogged(from) {
+            if !has_news && !broker.is_backlogged(from) {
                 continue;
             }
             let Some(offer) = broker.offer(now, from, demand.round) else {
--- a/crates/share/src/pool_config.rs
+++ b/crates/share/src/pool_config.rs
@@ -4,22 +4,22 @@
 use model::{HostRole, MemberId, PoolId, TeamId};
 use ports::ActiveConfig;
 
-/// The broker of each pool of executors, out of the members that are fit to be one.
+/// Assigns a broker to each pool of executors, out of the eligible members.
 pub(crate) fn assign_brokers(
     config: &ActiveConfig,
-    fit: &[MemberId],
+    eligible: &[MemberId],
 ) -> BTreeMap<PoolId, MemberId> {
     let pools = config.manifest.pools.iter();
     let executors = pools.filter(|(_, spec)| spec.role == HostRole::Executor);
     executors
         .filter_map(|(pool, _)| {
-            let owner = rendezvous::duty_holder(pool, fit)?;
-            Some((pool.clone(), owner.clone()))
+            let broker = rendezvous::duty_holder(pool, eligible)?;
+            Some((pool.clone(), broker.clone()))
         })
         .collect()
 }
 
-/// The share of each team.
+/// Weight of each team in the division of slots: its configured share.
 pub(crate) fn team_weights(config: &ActiveConfig) -> BTreeMap<TeamId, f64> {
     let teams = config.manifest.teams.iter();
     teams
--- a/crates/share/src/service.rs
+++ b/crates/share/src/service.rs
@@ -26,25 +26,25 @@
 };
 
 const STACK_BYTES: usize = 256 * 1024;
-// Not a valid member id, so no member is taken for it.
+// Not a valid member id, so it can't be mistaken for a member.
 const UNKNOWN_HOLDER: &str = "?";
 
-/// Times of the share service.
+/// Intervals and timeouts of the share service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShareTimes {
-    /// How often the duty looks for work.
+    /// Interval at which the share loop checks for due work.
     pub tick: Duration,
-    /// Interval of demands to a broker while something changes or queues.
+    /// Interval of demands to a broker while demand changes or requests are queued.
     pub interval: Duration,
-    /// Interval of demands that only renew what is held.
+    /// Interval of demands that only renew the slots held.
     pub idle_interval: Duration,
-    /// Shortest time between two demands to a broker when requests begin to queue.
+    /// Minimum time between two demands to a broker when requests begin to queue.
     pub min_gap: Duration,
-    /// Shortest time between two requests to a holder to ask again.
+    /// Minimum time between two nudges to a holder, which ask it for a new demand.
     pub min_nudge_gap: Duration,
-    /// How long a grant may be used, counted from when its demand was sent.
+    /// How long a grant is valid, counted from the sending of its demand.
     pub lease: Duration,
-    /// Added to the lease before slots of a silent holder are given to others.
+    /// Safety margin after the lease of an unresponsive holder before its slots are reassigned.
     pub guard: Duration,
 }
 
@@ -62,21 +62,21 @@
     }
 }
 
-/// What the share service works with.
+/// Dependencies and settings of the share service.
 pub struct ShareOptions {
-    /// Sends to other entry hosts.
+    /// Link for messages to other entry hosts.
     pub link: Arc<dyn PeerLink>,
-    /// Demands and grants from other entry hosts.
+    /// Received demands and grants of other entry hosts.
     pub inbound: Receiver<InboundMessage>,
-    /// The member list.
+    /// Source of the member list.
     pub members: Arc<dyn MemberSource>,
-    /// Pools, slots and weights.
+    /// Source of pools, slots per target and team weights.
     pub config: Arc<dyn ConfigSource>,
-    /// Targets of the pools.
+    /// Source of the targets of each pool.
     pub targets: Arc<dyn TargetSource>,
-    /// The boot clock.
+    /// Clock for leases and sessions.
     pub clock: Arc<dyn Clock>,
-    /// Times.
+    /// Intervals and timeouts.
     pub times: ShareTimes,
 }
 
@@ -86,28 +86,28 @@
     reports: Arc<Mutex<BTreeMap<PoolId, PoolDemand>>>,
     wake: Sender<()>,
     stop: Option<Sender<()>>,
-    duty: Option<JoinHandle<()>>,
+    thread: Option<JoinHandle<()>>,
 }
 
 impl ShareService {
-    /// Starts the duty.
+    /// Starts the thread of the service.
     ///
     /// # Errors
     /// If the thread can't be started.
     pub fn start(options: ShareOptions) -> Result<Arc<Self>, StepError> {
         let leases = Arc::new(RwLock::new(HashMap::new()));
         let reports = Arc::new(Mutex::new(BTreeMap::new()));
-        let (wake, woken) = bounded(1);
-        let (stop, stopped) = bounded(0);
-        let duty = ShareLoop::new(options, Arc::clone(&leases), Arc::clone(&reports));
-        let handle = spawn_loop(duty, woken, stopped)
+        let (wake, wake_rx) = bounded(1);
+        let (stop, stop_rx) = bounded(0);
+        let share_loop = ShareLoop::new(options, Arc::clone(&leases), Arc::clone(&reports));
+        let handle = spawn_loop(share_loop, wake_rx, stop_rx)
             .map_err(|error| StepError::new("start share duty", "", error))?;
         Ok(Arc::new(Self {
             leases,
             reports,
             wake,
             stop: Some(stop),
-            duty: Some(handle),
+            thread: Some(handle),
         }))
     }
 }
@@ -121,7 +121,7 @@
         let queued = demand.teams.iter().any(|team| 0 < team.queued);
         merge_report(&mut self.reports.lock(), demand);
         if queued {
-            // A full channel means that the duty is about to look anyway.
+            // If the channel is full, a wake-up is already pending.
             let _ = self.wake.try_send(());
         }
     }
@@ -130,8 +130,8 @@
 impl Drop for ShareService {
     fn drop(&mut self) {
         drop(self.stop.take());
-        if let Some(duty) = self.duty.take() {
-            let _ = duty.join();
+        if let Some(thread) = self.thread.take() {
+            let _ = thread.join();
         }
     }
 }
@@ -145,11 +145,11 @@
     sessions: BrokerSessions,
     started: BootTime,
     last_refresh: BootTime,
-    // Which life of each member was first seen when.
+    // Incarnation of each member and when it was first seen.
     first_seen: BTreeMap<MemberId, (Incarnation, BootTime)>,
-    // When each holder was last asked to ask again.
+    // When each holder was last nudged to send a new demand.
     last_nudge: BTreeMap<MemberId, BootTime>,
-    // Members that may hold slots, with the time each was last listed.
+    // Members that may hold slots, and when each was last listed.
     holders: BTreeMap<MemberId, BootTime>,
 }
 
@@ -181,18 +181,18 @@
         }
     }
 
-    fn run(mut self, woken: &Receiver<()>, stopped: &Receiver<()>) {
+    fn run(mut self, wake_rx: &Receiver<()>, stop_rx: &Receiver<()>) {
         let inbound = self.options.inbound.clone();
         let mut inbound = &inbound;
-        let silent = never();
+        let closed = never();
         loop {
             select! {
-                recv(stopped) -> _ => return,
+                recv(stop_rx) -> _ => return,
                 recv(inbound) -> message => match message {
                     Ok(message) => self.handle_message(message),
-                    Err(_) => inbound = &silent,
+                    Err(_) => inbound = &closed,
                 },
-                recv(woken) -> _ => {}
+                recv(wake_rx) -> _ => {}
                 default(self.options.times.tick) => {}
             }
             self.step();
@@ -215,16 +215,16 @@
         }
     }
 
-    // Follows the member list, the configuration and the targets.
+    // Applies the current member list, configuration and targets.
     fn refresh(&mut self, now: BootTime) {
         let config = self.options.config.current();
         let members = self.options.members.members();
         self.update_holders(now, &members);
-        let fit = self.eligible_brokers(now, &members);
-        let owners = assign_brokers(&config, &fit);
-        let own_pools: BTreeMap<PoolId, BrokeredPool> = owners
+        let eligible = self.eligible_brokers(now, &members);
+        let broker_of_pool = assign_brokers(&config, &eligible);
+        let own_pools: BTreeMap<PoolId, BrokeredPool> = broker_of_pool
             .iter()
-            .filter(|(_, owner)| **owner == self.own)
+            .filter(|(_, broker)| **broker == self.own)
             .map(|(pool, _)| (pool.clone(), self.brokered_pool(&config, pool)))
             .collect();
         self.brokers.set_pools(now, &own_pools);
@@ -232,16 +232,16 @@
         self.brokers
             .set_weights_and_members(&team_weights(&config), &may_hold);
         self.brokers.expire(now);
-        self.sessions.set_brokers(owners);
+        self.sessions.set_brokers(broker_of_pool);
         self.leases
             .write()
             .retain(|pool, _| config.manifest.pools.contains_key(pool));
         metrics::gauge!("lws_share_brokered_pools").set(self.brokers.pool_count() as f64);
     }
 
-    // A member that was removed may use its slots until they lapse, so brokers wait for its
-    // report as if it were listed. A process younger than that cannot know who was removed
-    // before it began, and counts an unknown holder that never reports.
+    // A removed member may use its slots until its lease expires, so brokers wait for its
+    // report as if it were still listed. A process that started more recently than that cannot
+    // know which members were removed before; it counts one unknown holder that never reports.
     fn update_holders(&mut self, now: BootTime, members: &[MemberInfo]) {
         for member in members {
             self.holders.insert(member.member.clone(), now);
@@ -254,8 +254,8 @@
         self.holders.retain(|_, listed| now < *listed + lapse);
     }
 
-    // A broker that has just started grants nothing new until all earlier grants have
-    // lapsed, so a young member gets no pools while there are older ones.
+    // A broker that has just started grants no new slots until all earlier grants have expired.
+    // So a recently started member gets no pools while older members are available.
     fn eligible_brokers(&mut self, now: BootTime, members: &[MemberInfo]) -> Vec<MemberId> {
         self.first_seen
             .retain(|id, _| members.iter().any(|member| member.member == *id));
@@ -269,27 +269,27 @@
             }
         }
         let lapse = self.options.times.lease + self.options.times.guard;
-        let own_is_young = now < self.started + lapse;
-        let is_settled = |member: &&MemberInfo| {
-            if own_is_young {
+        let recently_started = now < self.started + lapse;
+        let is_established = |member: &&MemberInfo| {
+            if recently_started {
                 return member.member != self.own;
             }
             let age = self.first_seen.get(&member.member);
             age.is_some_and(|(_, seen)| *seen + lapse <= now)
         };
-        let usable = || {
+        let available = || {
             members
                 .iter()
                 .filter(|member| member.reachable && !member.leaving)
         };
-        let settled: Vec<MemberId> = usable()
-            .filter(is_settled)
+        let established: Vec<MemberId> = available()
+            .filter(is_established)
             .map(|member| member.member.clone())
             .collect();
-        if !settled.is_empty() {
-            return settled;
+        if !established.is_empty() {
+            return established;
         }
-        usable().map(|member| member.member.clone()).collect()
+        available().map(|member| member.member.clone()).collect()
     }
 
     fn brokered_pool(&self, config: &ActiveConfig, pool: &PoolId) -> BrokeredPool {
@@ -354,8 +354,8 @@
         }
     }
 
-    // A lost message is made up for by the next round. One that only renews goes along with
-    // a heartbeat: for an idle pool messages of their own would cost more than all else.
+    // The next round replaces a lost message. A message that only renews is sent with the next
+    // heartbeat, because separate messages for idle pools would dominate the network traffic.
     fn send(&self, to: &MemberId, body: Body, is_renewal: bool) {
         let link = &self.options.link;
         let sent = if is_renewal {
@@ -373,12 +373,12 @@
 }
 
 fn spawn_loop(
-    duty: ShareLoop,
-    woken: Receiver<()>,
-    stopped: Receiver<()>,
+    share_loop: ShareLoop,
+    wake_rx: Receiver<()>,
+    stop_rx: Receiver<()>,
 ) -> io::Result<JoinHandle<()>> {
     thread::Builder::new()
         .name("share".to_owned())
         .stack_size(STACK_BYTES)
-        .spawn(move || duty.run(&woken, &stopped))
+        .spawn(move || share_loop.run(&wake_rx, &stop_rx))
 }
--- a/crates/share/tests/byte_budget.rs
+++ b/crates/share/tests/byte_budget.rs
@@ -1,4 +1,4 @@
-//! What a host spends on its sessions when very many pools are full.
+//! Network use of a host's broker sessions when very many pools are full.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -29,33 +29,33 @@
     }
 }
 
-// Operators see the network between entry hosts fill up in a release window, when every
-// pool is full at once: each pool's report is some hundred bytes, four times a second. The
-// bytes must stay bounded and every session must still be renewed within its lease.
+// Guards against overloading the network between entry hosts when all pools are full at once:
+// each pool's report has some hundred bytes and is due four times a second. The bytes must stay
+// bounded and every session must still be renewed within its lease.
 #[test]
 fn due_bounds_bytes_and_renews() {
-    let mut book = BrokerSessions::new(1, HolderOptions::default());
-    let owner = |pool: usize| MemberId::from(format!("e{}", pool % BROKERS));
-    let owners: BTreeMap<PoolId, MemberId> = (0..POOLS)
-        .map(|pool| (format!("pool-{pool}").into(), owner(pool)))
+    let mut sessions = BrokerSessions::new(1, HolderOptions::default());
+    let assigned = |pool: usize| MemberId::from(format!("e{}", pool % BROKERS));
+    let broker_of_pool: BTreeMap<PoolId, MemberId> = (0..POOLS)
+        .map(|pool| (format!("pool-{pool}").into(), assigned(pool)))
         .collect();
-    book.set_brokers(owners);
+    sessions.set_brokers(broker_of_pool);
     let times = ShareTimes::default();
     let mut bytes = 0;
     let mut renewed: BTreeMap<MemberId, Duration> = BTreeMap::new();
     for tick in 1..SECONDS * 40 {
         let now = times.tick * tick;
         for pool in 0..POOLS {
-            book.report(demand(pool, 75));
+            sessions.report(demand(pool, 75));
         }
-        for (broker, demand) in book.due(now, &times) {
+        for (broker, demand) in sessions.due(now, &times) {
             bytes += demand.encoded_len();
             let grant = SlotGrant {
                 round: demand.round,
                 session: demand.session,
                 pools: Vec::new(),
             };
-            book.apply(&broker, &grant);
+            sessions.apply(&broker, &grant);
             let last = renewed.insert(broker.clone(), now).unwrap_or(now);
             assert!(
                 now - last < times.lease / 2,
--- a/crates/share/tests/share_service.rs
+++ b/crates/share/tests/share_service.rs
@@ -1,4 +1,4 @@
-//! Share services of several entry hosts, joined in memory.
+//! Tests of the share services of several entry hosts, connected in memory.
 
 #![allow(clippy::expect_used)]
 
@@ -20,7 +20,7 @@
 use store::{BootClock, Clock};
 use wire::peer::envelope::Body;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 const POOLS: [&str; 4] = ["p0", "p1", "p2", "p3"];
 const TARGETS: usize = 3;
 const SLOTS: u32 = 8;
@@ -29,14 +29,16 @@
 
 struct MemoryLink {
     own: MemberId,
-    boxes: Mailboxes,
+    mailboxes: Mailboxes,
     cut: Arc<AtomicBool>,
 }
 
 impl PeerLink for MemoryLink {
     fn send(&self, to: &MemberId, body: Body) -> Result<(), LinkError> {
-        let boxes = self.boxes.lock();
-        let sender = boxes.get(to).ok_or_else(|| LinkError::NoLink(to.clone()))?;
+        let mailboxes = self.mailboxes.lock();
+        let sender = mailboxes
+            .get(to)
+            .ok_or_else(|| LinkError::NoLink(to.clone()))?;
         if self.cut.load(Ordering::SeqCst) {
             return Ok(());
         }
@@ -51,7 +53,7 @@
     }
 
     fn peers(&self) -> Vec<MemberId> {
-        self.boxes
+        self.mailboxes
             .lock()
             .keys()
             .filter(|id| **id != self.own)
@@ -138,19 +140,19 @@
     let list = Arc::new(Mutex::new(Arc::new(
         (0..count).map(member_info).collect::<Vec<_>>(),
     )));
-    let boxes: Mailboxes = Arc::default();
+    let mailboxes: Mailboxes = Arc::default();
     let mut services = Vec::new();
     let mut cuts = Vec::new();
     for index in 0..count {
         let own = member_info(index).member;
         let (sender, inbound) = bounded(256);
-        boxes.lock().insert(own.clone(), sender);
+        mailboxes.lock().insert(own.clone(), sender);
         let cut = Arc::new(AtomicBool::new(false));
         cuts.push(Arc::clone(&cut));
         let service = ShareService::start(ShareOptions {
             link: Arc::new(MemoryLink {
                 own: own.clone(),
-                boxes: Arc::clone(&boxes),
+                mailboxes: Arc::clone(&mailboxes),
                 cut,
             }),
             inbound,
@@ -198,7 +200,7 @@
     fn wait(&self, what: &str, mut done: impl FnMut(&Self) -> bool) {
         let start = Instant::now();
         while !done(self) {
-            assert!(start.elapsed() < PATIENCE, "timed out: {what}");
+            assert!(start.elapsed() < WAIT_LIMIT, "timed out: {what}");
             thread::sleep(Duration::from_millis(5));
         }
         println!("{what}: {:?}", start.elapsed());
@@ -225,9 +227,9 @@
     });
 }
 
-// A caller's requests wait while slots stay with a dead entry host: it held half of the
-// pool, its process was killed, and the member list drops it. Its slots must come back
-// after the lease and the guard, and never sooner than it stopped believing in them.
+// An entry host that holds half of a pool is killed and removed from the member list. Its slots
+// must be reassigned after lease and guard, and not before its own lease has expired; otherwise
+// requests would wait forever or slots would be used twice.
 #[test]
 fn lease_returns_from_dead_host() {
     let fleet = start_fleet(2);
@@ -237,7 +239,7 @@
     fleet.cuts[0].store(true, Ordering::SeqCst);
     *fleet.list.lock() = Arc::new(vec![member_info(1)]);
     fleet.demand(1, "p0", 100);
-    fleet.wait("all slots at the host left", |fleet| {
+    fleet.wait("all slots at the remaining host", |fleet| {
         let total = fleet.slots(0, "p0") + fleet.slots(1, "p0");
         assert!(total <= SLOTS * TARGETS as u32, "{total} slots leased");
         fleet.slots(1, "p0") == SLOTS * TARGETS as u32
--- a/crates/store/src/retry_store.rs
+++ b/crates/store/src/retry_store.rs
@@ -278,7 +278,7 @@
         }
     }
 
-    /// Sleeps before the next retry. Returns false immediately if the sleep would pass the deadline.
+    /// Sleeps before the next retry; false immediately if the sleep would pass the deadline.
     fn wait(&mut self) -> bool {
         let wait = self.limit.mul_f64(rand::random());
         if Instant::now() + wait >= self.deadline {
