--- a/crates/decide/tests/work_services.rs
+++ b/crates/decide/tests/work_services.rs
@@ -64,7 +64,7 @@
 struct Call {
     target: HostId,
     order: Order,
-    born: Duration,
+    target_started_at: Duration,
     sent: BootTime,
     arrives_at: BootTime,
     times_out_at: BootTime,
@@ -88,7 +88,7 @@
     planner: HostPlanner,
     targets: BTreeMap<HostId, WorldTarget>,
     calls: Vec<Call>,
-    gone: BTreeMap<TaskKey, Unavailable>,
+    unavailable: BTreeMap<TaskKey, Unavailable>,
     violations: Vec<String>,
     /// Events of each task, for the message of a violation.
     history: BTreeMap<TaskKey, Vec<String>>,
@@ -120,7 +120,7 @@
             planner: HostPlanner::default(),
             targets: names.map(new_target).collect(),
             calls: Vec::new(),
-            gone: BTreeMap::new(),
+            unavailable: BTreeMap::new(),
             violations: Vec::new(),
             history: BTreeMap::new(),
             stops: 0,
@@ -279,10 +279,10 @@
         let now = self.now;
         for (name, state) in &self.targets {
             let known = self.scheduler.targets.get(name);
-            let born = known
+            let started_at = known
                 .filter(|known| known.listed)
                 .map(|known| known.incarnation.started_at);
-            if state.up && born != Some(state.born) {
+            if state.up && started_at != Some(state.born) {
                 let mut entry = target(name, CAPACITY);
                 entry.started_at = state.born;
                 self.scheduler.upsert_target(entry, now);
@@ -383,7 +383,7 @@
         };
         let state = self.targets.get(&target);
         self.calls.push(Call {
-            born: state.map(|state| state.born).unwrap_or_default(),
+            target_started_at: state.map(|state| state.born).unwrap_or_default(),
             target,
             order,
             sent: now,
@@ -407,7 +407,7 @@
             let Some(state) = self.targets.get_mut(&call.target) else {
                 continue;
             };
-            if !state.up || state.cut || (is_held_up && call.born != state.born) {
+            if !state.up || state.cut || (is_held_up && call.target_started_at != state.born) {
                 call.answers = false;
                 continue;
             }
@@ -423,7 +423,7 @@
                     record_event(&order.task, &format!("start {}", order.attempt));
                     let answer = state.start(order, now, BootTime::MAX);
                     if matches!(answer, StartAnswer::Started { .. }) {
-                        self.gone.remove(&order.task);
+                        self.unavailable.remove(&order.task);
                         state.started_at.entry(order.task.clone()).or_insert(now);
                     }
                     Answer::Start(answer)
@@ -506,8 +506,10 @@
         let max_unavailable =
             self.scheduler.job_table.jobs["a"].plan.steps[0].max_unavailable as usize;
         let missing = |index: &u32| {
-            let gone = self.gone.get(&key(*index));
-            gone.is_some_and(|gone| gone.ordered || now >= gone.since + MISSING_AFTER)
+            let unavailable = self.unavailable.get(&key(*index));
+            unavailable.is_some_and(|unavailable| {
+                unavailable.ordered || now >= unavailable.since + MISSING_AFTER
+            })
         };
         let others = (0..TASKS).filter(|index| *index != task.index);
         let away: Vec<u32> = others.filter(missing).collect();
@@ -524,7 +526,7 @@
             return;
         }
         let since = self.now.boot;
-        self.gone
+        self.unavailable
             .insert(task.clone(), Unavailable { since, ordered });
     }
 
