--- a/crates/decide/tests/work_rebirth.rs
+++ b/crates/decide/tests/work_rebirth.rs
@@ -9,7 +9,7 @@
 
 const NEXT_STARTED_AT: Duration = Duration::from_secs(900);
 
-/// One task that was started on a target and that no report has runs since, and a second target.
+/// One task that was started on a target and that no report has shown since, and a second target.
 fn started_unreported() -> (DeskScene, StartOrder) {
     let (mut scene, starts) = DeskScene::started(4000, vec![step(1, 1000)]);
     scene.add("t2", 4000);
@@ -70,7 +70,7 @@
     assert_eq!(scene.starts.len(), 1);
 }
 
-/// Guards against a job that never finishes: a start that no report had runs was lost with its
+/// Guards against a job that never finishes: a start that no report had shown was lost with its
 /// incarnation.
 #[test]
 fn unreported_run_restarts_once_missing() {
