--- a/crates/decide/src/work/desk_admit.rs
+++ b/crates/decide/src/work/desk_admit.rs
@@ -70,7 +70,7 @@
     /// Tasks that wait for a pool. While a predecessor's targets have not been polled yet, its jobs
     /// wait for that, and other jobs go ahead of them.
     fn backlog(&self, pool: &PoolId) -> PoolBacklog {
-        let inherited = !self.index.unobserved_pools.contains(pool);
+        let inherited = !self.index.unpolled_pools.contains(pool);
         self.index.jobs.backlog(pool, inherited)
     }
 }
--- a/crates/decide/src/work/desk_index.rs
+++ b/crates/decide/src/work/desk_index.rs
@@ -28,7 +28,7 @@
     /// Pools in which tasks may be startable.
     pub(super) startable_pools: BTreeSet<PoolId>,
     /// Pools with targets that had not been polled yet when starts were last planned.
-    pub(super) unobserved_pools: BTreeSet<PoolId>,
+    pub(super) unpolled_pools: BTreeSet<PoolId>,
     /// Pools in which tasks wait because their workspace is at its limit.
     pub(super) capped: BTreeMap<WorkspaceId, BTreeSet<PoolId>>,
     /// Targets added since [`WorkScheduler::take_added_targets`] was last called.
--- a/crates/decide/src/work/desk_sight.rs
+++ b/crates/decide/src/work/desk_sight.rs
@@ -52,7 +52,7 @@
     pub fn poll_order(&mut self, id: &HostId, now: SchedulerTime) -> Option<PollOrder> {
         self.poll_class(id, now)?;
         let tuning = self.tuning;
-        let mixed = self.runs_service_and_fill_tasks(id);
+        let mixed = self.runs_serving_and_best_effort(id);
         let target = self.targets.get_mut_untracked(id)?;
         let busy = !target.claims.is_empty();
         let acked_end = target.acked_end_at(now.boot);
@@ -355,7 +355,7 @@
         self.record_unreachable(id, now);
     }
 
-    fn runs_service_and_fill_tasks(&self, id: &HostId) -> bool {
+    fn runs_serving_and_best_effort(&self, id: &HostId) -> bool {
         let Some(target) = self.targets.get(id) else {
             return false;
         };
--- a/crates/decide/src/work/desk_tick.rs
+++ b/crates/decide/src/work/desk_tick.rs
@@ -192,7 +192,7 @@
     ///
     /// Hosts that are down leave the host list before their granted lease expires.
     fn is_mass_unresponsive(&self, now: SchedulerTime) -> bool {
-        let recent = |alone: BootTime| now.boot.saturating_sub(alone) < RECENT_STORE_DELAY_WINDOW;
+        let recent = |at: BootTime| now.boot.saturating_sub(at) < RECENT_STORE_DELAY_WINDOW;
         let share = match self.last_uncertain.is_some_and(recent) {
             true => MASS_UNRESPONSIVE_FRACTION_UNCERTAIN,
             false => MASS_UNRESPONSIVE_FRACTION,
--- a/crates/decide/src/work/scheduler_plan.rs
+++ b/crates/decide/src/work/scheduler_plan.rs
@@ -27,7 +27,7 @@
 struct StartPlan {
     pools: BTreeSet<PoolId>,
     /// Pools whose inherited jobs have to wait because targets have not been polled yet.
-    unobserved_pools: BTreeSet<PoolId>,
+    unpolled_pools: BTreeSet<PoolId>,
     /// What workspaces may have running on targets that have not been polled yet.
     unconfirmed_usage: BTreeMap<WorkspaceId, ResourceVector>,
     /// Largest free amount on any target of each pool, per resource.
@@ -85,16 +85,16 @@
         if std::mem::take(&mut self.replan_needed) {
             pools.extend(self.index.jobs.pools().cloned());
         }
-        let unobserved_pools = self.index.targets.unknown_pools();
-        if self.index.unobserved_pools != unobserved_pools {
+        let unpolled_pools = self.index.targets.unknown_pools();
+        if self.index.unpolled_pools != unpolled_pools {
             // What may run there counted against the limits in all pools.
             pools.extend(self.index.jobs.pools().cloned());
-            self.index.unobserved_pools.clone_from(&unobserved_pools);
+            self.index.unpolled_pools.clone_from(&unpolled_pools);
         }
         StartPlan {
             pools,
-            unconfirmed_usage: self.index.jobs.unconfirmed_usage(&unobserved_pools),
-            unobserved_pools,
+            unconfirmed_usage: self.index.jobs.unconfirmed_usage(&unpolled_pools),
+            unpolled_pools,
             ..StartPlan::default()
         }
     }
@@ -109,9 +109,9 @@
         let mut capped = Vec::new();
         self.measure_free_capacity(plan, now);
         for pool in &plan.pools {
-            let is_unobserved = plan.unobserved_pools.contains(pool);
+            let is_unpolled = plan.unpolled_pools.contains(pool);
             for (group, ranked) in self.index.jobs.waiting_groups(pool) {
-                if group.inherited && is_unobserved {
+                if group.inherited && is_unpolled {
                     continue;
                 }
                 let found = self.next_startable_step(plan, pool, group, ranked);
@@ -166,8 +166,8 @@
     fn measure_free_capacity(&self, plan: &mut StartPlan, now: SchedulerTime) {
         for pool in &plan.pools {
             if !plan.max_free.contains_key(pool) {
-                let room = self.index.targets.most_free(pool, now.boot);
-                plan.max_free.insert(pool.clone(), room);
+                let free = self.index.targets.most_free(pool, now.boot);
+                plan.max_free.insert(pool.clone(), free);
             }
         }
     }
--- a/crates/decide/src/work/work_scheduler.rs
+++ b/crates/decide/src/work/work_scheduler.rs
@@ -143,9 +143,9 @@
     ///
     /// Running tasks continue meanwhile, but no task is started and no new incarnation of a target
     /// is given this owner's token ([`WorkScheduler::plan_starts`]).
-    pub fn set_ownership_uncertain(&mut self, alone: bool) {
-        self.replan_needed |= self.ownership_uncertain && !alone;
-        self.ownership_uncertain = alone;
+    pub fn set_ownership_uncertain(&mut self, uncertain: bool) {
+        self.replan_needed |= self.ownership_uncertain && !uncertain;
+        self.ownership_uncertain = uncertain;
     }
 
     /// Fencing token of this term.
