--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -1,9 +1,9 @@
 //! The caller port: connections, limits, keys and routes.
 //!
-//! Start with [`CallerPort`]. One thread serves all connections, since a thread for each
-//! would let slow senders decide how much memory the process takes; see
-//! `docs/design/03-callers.md`. Nothing here blocks: work is handed on over bounded
-//! channels and its outcome awaited.
+//! Start with [`CallerPort`]. One thread serves all connections. With a thread per
+//! connection, slow senders would decide how much memory the process uses; see
+//! `docs/design/03-callers.md`. Nothing here blocks: requests are passed on over bounded
+//! channels and their outcomes are awaited.
 
 mod body_budget;
 mod body_reader;
--- a/crates/entry/src/caller/body_budget.rs
+++ b/crates/entry/src/caller/body_budget.rs
@@ -4,14 +4,15 @@
 use model::TeamId;
 use parking_lot::Mutex;
 
-/// Bounds the memory of bodies, in total and for each team.
+/// Limits the memory of bodies, in total and per team.
 ///
-/// Bodies of requests and answers have a budget each. With one for both, bodies that wait
-/// could take all of it, and no request could end because its answer found no room.
+/// Request bodies and response bodies have separate budgets. With a shared one, waiting
+/// request bodies could use all of it, and no request could finish because there would be
+/// no memory for its response.
 ///
-/// Memory is taken as bytes arrive and not as a header announces them, so that a caller
-/// who announces much and sends little holds little. One team gets at most three
-/// quarters, so that its slow senders can't refuse the other teams.
+/// Memory is reserved as bytes arrive, not by the announced length, so that a caller who
+/// announces much and sends little uses little. One team gets at most three quarters, so
+/// that its slow senders can't block the other teams.
 #[derive(Debug)]
 pub(crate) struct BodyBudget {
     total: usize,
@@ -24,7 +25,7 @@
     teams: HashMap<TeamId, usize>,
 }
 
-/// Bytes taken from a [`BodyBudget`], given back when dropped.
+/// Bytes reserved from a [`BodyBudget`], released when dropped.
 #[derive(Debug)]
 pub(crate) struct BodyReservation {
     budget: Arc<BodyBudget>,
@@ -33,7 +34,7 @@
 }
 
 impl BodyBudget {
-    /// A budget of `total` bytes.
+    /// Creates a budget of `total` bytes.
     pub fn new(total: usize) -> Arc<Self> {
         Arc::new(Self {
             total,
@@ -41,7 +42,7 @@
         })
     }
 
-    /// An empty share for `team`, to be grown.
+    /// An empty reservation for `team`, to be grown.
     pub fn reservation(self: &Arc<Self>, team: &TeamId) -> BodyReservation {
         BodyReservation {
             budget: Arc::clone(self),
@@ -75,7 +76,7 @@
 }
 
 impl BodyReservation {
-    /// Takes `bytes` more; false if there are none left for the team.
+    /// Reserves `bytes` more; returns false if that would exceed a limit.
     pub fn grow(&mut self, bytes: usize) -> bool {
         let granted = self.budget.try_reserve(&self.team, bytes);
         if granted {
@@ -84,14 +85,15 @@
         granted
     }
 
-    /// Gives back what is held above `bytes`.
+    /// Releases what is reserved above `bytes`.
     pub fn shrink_to(&mut self, bytes: usize) {
         let surplus = self.bytes.saturating_sub(bytes);
         self.budget.release(&self.team, surplus);
         self.bytes -= surplus;
     }
 
-    /// Bytes of `body` that count as held until the last user of them is done.
+    /// Returns `body` with the reservation attached; it is released when the last reference
+    /// to the body is dropped.
     pub fn attach(self, body: Bytes) -> Bytes {
         Bytes::from_owner(ReservedBody {
             body,
--- a/crates/entry/src/caller/body_reader.rs
+++ b/crates/entry/src/caller/body_reader.rs
@@ -11,10 +11,10 @@
 use super::{body_budget::BodyReservation, caller_port::CallerPort, request_head::bad_request};
 use crate::CallerProblem;
 
-/// Reads a whole body within its size, its time and its share of memory.
+/// Reads a complete body within its limits of size, time and memory.
 ///
-/// The time is for the whole body and not for each byte, so that a sender can't hold its
-/// connection and memory by sending one byte now and then.
+/// The timeout is for the whole body, not for each read, so that a sender can't hold its
+/// connection and memory by sending single bytes now and then.
 pub(super) async fn read_body(
     port: &CallerPort,
     request: Request<Incoming>,
@@ -51,7 +51,8 @@
     max_body: usize,
     reservation: &mut BodyReservation,
 ) -> Result<Bytes, CallerProblem> {
-    // Untouched memory costs nothing, and growing would copy the body a few times.
+    // Allocated memory that is not written to costs nothing, and growing would copy the
+    // body several times.
     let mut bytes = Vec::with_capacity(announced);
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
--- a/crates/entry/src/caller/caller_port.rs
+++ b/crates/entry/src/caller/caller_port.rs
@@ -13,41 +13,41 @@
 use super::{JobThreadPool, body_budget::BodyBudget, connection_limiter::ConnectionLimiter};
 use crate::{ClaimService, EntryTuning, caller_request::CallerRequest};
 
-/// What the caller port needs to answer a request.
+/// Dependencies and settings of the caller port.
 pub(crate) struct CallerPort {
-    /// Bounds that settings do not name.
+    /// Limits that are not part of the settings.
     pub tuning: EntryTuning,
-    /// Largest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body: usize,
-    /// Longest deadline that a caller may ask for.
+    /// Maximum deadline that a caller may request.
     pub max_deadline: Duration,
-    /// Keys, teams and services in force.
+    /// The active configuration: keys, teams and services.
     pub config: Arc<dyn ConfigSource>,
-    /// Whether this host takes new work.
+    /// Whether this host accepts new requests.
     pub gate: Arc<dyn ServingGate>,
-    /// Whether a service has targets at all.
+    /// Targets of each service.
     pub targets: Arc<dyn TargetSource>,
     /// Clocks for deadlines and for the expiry of keys.
     pub clock: Arc<dyn Clock>,
-    /// Mints request ids.
+    /// Mints request ids and resolves the ids of requests.
     pub claims: Arc<ClaimService>,
-    /// Takes job operations.
+    /// Runs job operations.
     pub jobs: JobThreadPool,
-    /// Takes admitted requests.
+    /// Receives admitted requests.
     pub admission: Sender<Box<CallerRequest>>,
-    /// Memory of bodies and answers.
+    /// Memory budget of request bodies.
     pub budget: Arc<BodyBudget>,
-    /// Connections of callers.
+    /// Limits the connections of callers.
     pub connections: Arc<ConnectionLimiter>,
-    /// True once this host shuts down gracefully.
+    /// True once a graceful shutdown has started.
     pub leaving: Arc<AtomicBool>,
 }
 
 impl CallerPort {
-    /// Whether new work may be admitted.
+    /// Checks whether new requests may be admitted.
     ///
     /// # Errors
-    /// Why not.
+    /// The reason why not.
     pub fn check_serving(&self) -> Result<(), NotServing> {
         if self.leaving.load(Ordering::Acquire) {
             return Err(NotServing::Leaving);
--- a/crates/entry/src/caller/caller_stream.rs
+++ b/crates/entry/src/caller/caller_stream.rs
@@ -12,16 +12,16 @@
     time::{Instant, Sleep},
 };
 
-/// Windows in a row in which a caller may take too little. More than one, because this
-/// thread may be the slow one.
+/// Number of consecutive windows in which a caller may read too little. More than one,
+/// because this thread may be the slow side.
 const MAX_SLOW_WINDOWS: u32 = 3;
 
-/// A caller's connection that gives up on a caller who takes its answer too slowly.
+/// A caller's connection that fails when the caller reads its response too slowly.
 ///
-/// A caller that stops reading would hold its answer in memory for as long as it likes.
-/// While a write waits, the caller must take some bytes in each few windows; then the memory of
-/// an answer is held for a bounded time. A caller that reads and sends nothing is bounded
-/// by the head timeout instead.
+/// A caller that stops reading would hold its response in memory indefinitely. While a
+/// write is pending, the caller must read a minimum number of bytes within a few windows,
+/// so the memory of a response is held for a bounded time. A caller that neither reads nor
+/// sends is limited by the timeout of the request head instead.
 pub(crate) struct CallerStream {
     stream: TcpStream,
     window: Duration,
@@ -32,7 +32,8 @@
 }
 
 impl CallerStream {
-    /// Demands that `floor` bytes be taken in every few `window`s while a write waits.
+    /// Wraps a connection. While a write is pending, `min_bytes` must be read within
+    /// `MAX_SLOW_WINDOWS` windows of length `window`.
     pub fn new(stream: TcpStream, window: Duration, min_bytes: usize) -> Self {
         Self {
             stream,
@@ -107,7 +108,7 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // The last bytes of an answer are with the kernel: the window of this answer ends.
+        // The last bytes of the response are in the kernel's buffer, so its window ends.
         self.reset_window();
         Pin::new(&mut self.stream).poll_flush(cx)
     }
--- a/crates/entry/src/caller/connection_limiter.rs
+++ b/crates/entry/src/caller/connection_limiter.rs
@@ -2,9 +2,9 @@
 
 use parking_lot::Mutex;
 
-/// Counts the connections of callers, in total and for each source address.
+/// Limits the connections of callers, in total and per source address.
 ///
-/// A flood from one address is refused at the address's own bound, so that it leaves room
+/// A flood from one address is refused at the limit per address, so that connections remain
 /// for the others.
 #[derive(Debug)]
 pub(crate) struct ConnectionLimiter {
@@ -19,15 +19,16 @@
     addresses: HashMap<IpAddr, usize>,
 }
 
-/// One counted connection, uncounted when dropped.
+/// A counted connection; dropping it removes it from the count.
 #[derive(Debug)]
 pub(crate) struct ConnectionPermit {
-    count: Arc<ConnectionLimiter>,
+    limiter: Arc<ConnectionLimiter>,
     address: IpAddr,
 }
 
 impl ConnectionLimiter {
-    /// Admits `total` connections, and `each` from one address.
+    /// Creates a limiter that allows `total` connections, and `per_address` from one
+    /// address.
     pub fn new(total: usize, per_address: usize) -> Arc<Self> {
         Arc::new(Self {
             total,
@@ -36,7 +37,7 @@
         })
     }
 
-    /// Counts a connection from `address`; `None` if it is one too many.
+    /// Counts a connection from `address`; `None` if it would exceed a limit.
     pub fn try_acquire(self: &Arc<Self>, address: IpAddr) -> Option<ConnectionPermit> {
         let mut open = self.open.lock();
         let from_address = open.addresses.get(&address).copied().unwrap_or_default();
@@ -46,12 +47,12 @@
         open.sum += 1;
         open.addresses.insert(address, from_address + 1);
         Some(ConnectionPermit {
-            count: Arc::clone(self),
+            limiter: Arc::clone(self),
             address,
         })
     }
 
-    /// Connections now held.
+    /// Number of open connections.
     pub fn open_count(&self) -> usize {
         self.open.lock().sum
     }
@@ -59,7 +60,7 @@
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        let mut open = self.count.open.lock();
+        let mut open = self.limiter.open.lock();
         open.sum = open.sum.saturating_sub(1);
         let Some(from_address) = open.addresses.get_mut(&self.address) else {
             return;
--- a/crates/entry/src/caller/job_routes.rs
+++ b/crates/entry/src/caller/job_routes.rs
@@ -14,8 +14,8 @@
 };
 use crate::CallerProblem;
 
-/// Submits a job.
-pub(super) async fn answer_submit(
+/// Handles the submission of a job.
+pub(super) async fn handle_submit(
     port: &CallerPort,
     service: ServiceId,
     request: Request<Incoming>,
@@ -39,7 +39,7 @@
     let (job, claim) = read_job(port, &config, service, &verified, request.headers())?;
     let mut reservation = port.budget.reservation(&verified.team);
     let payload = read_body(port, request, &mut reservation, port.max_deadline).await?;
-    // The key may have been withdrawn while the body arrived.
+    // The key may have been revoked while the body was read.
     recheck_key(
         &port.config.current(),
         &verified.team,
@@ -117,8 +117,8 @@
     }
 }
 
-/// Looks a job up, or cancels it.
-pub(super) async fn answer_job<B>(
+/// Returns the state of a job, or cancels it if `cancel` is true.
+pub(super) async fn handle_job<B>(
     port: &CallerPort,
     request: &Request<B>,
     job: JobId,
--- a/crates/entry/src/caller/job_thread_pool.rs
+++ b/crates/entry/src/caller/job_thread_pool.rs
@@ -7,17 +7,17 @@
 
 use crate::{CallerProblem, ClaimService};
 
-/// Job operations that wait for a thread.
+/// Maximum number of job operations waiting for a thread.
 const JOB_QUEUE_LIMIT: usize = 256;
-/// Stack of a job thread, in bytes.
+/// Stack size of a job thread, in bytes.
 const JOB_STACK: usize = 256 * 1024;
 
-/// One operation on a job.
+/// An operation on a job.
 #[derive(Debug)]
 pub(crate) enum JobCall {
-    /// Record a job; with `true` only if its request id can be claimed.
+    /// Record a job. If the flag is true, its request id must be claimed first.
     Submit(Box<JobRequest>, bool),
-    /// Look a job up.
+    /// Return the state of a job.
     View(TeamId, JobId),
     /// Cancel a job.
     Cancel(TeamId, JobId),
@@ -28,17 +28,18 @@
     reply: oneshot::Sender<Result<JobView, CallerProblem>>,
 }
 
-/// Hands job operations to threads, because recording a job waits for the store.
+/// Runs job operations on threads, because recording a job blocks on the store.
 ///
-/// The threads are many enough that the store's batches fill, and bounded, so that a
-/// store outage holds a known number of operations and refuses the rest at once.
+/// There are enough threads to fill the store's batches. Their number and the queue are
+/// bounded, so that during a store outage a fixed number of operations wait and the rest
+/// are refused immediately.
 #[derive(Clone, Debug)]
 pub(crate) struct JobThreadPool {
     operations: Sender<JobOperation>,
 }
 
 impl JobThreadPool {
-    /// Starts the threads; they end once every clone of the desk is dropped.
+    /// Starts the threads. They exit once every clone of the pool is dropped.
     pub fn start(runner: &JobRunner, threads: usize) -> Result<Self, StepError> {
         let (sender, receiver) = bounded(JOB_QUEUE_LIMIT);
         for index in 0..threads.max(1) {
@@ -53,7 +54,7 @@
         Ok(Self { operations: sender })
     }
 
-    /// Runs one operation and waits for its outcome.
+    /// Runs one operation and waits for its result.
     pub async fn run(&self, call: JobCall) -> Result<JobView, CallerProblem> {
         let (reply, outcome) = oneshot::channel();
         match self.operations.try_send(JobOperation { call, reply }) {
@@ -71,14 +72,14 @@
     }
 }
 
-/// What the job threads work with.
+/// Dependencies of the job threads.
 #[derive(Clone)]
 pub(crate) struct JobRunner {
     /// Where jobs are recorded.
     pub sink: Arc<dyn JobSink>,
-    /// Settles whether a request id may be used.
+    /// Claims request ids.
     pub claims: Arc<ClaimService>,
-    /// Longest wait for the home of a request id.
+    /// Maximum wait for the home of a request id to answer a claim.
     pub claim_timeout: Duration,
 }
 
@@ -94,16 +95,16 @@
                     self.sink.cancel(&team, &job).map_err(|e| job_problem(&e))
                 }
             };
-            // The caller may have gone away; the job stands or not all the same.
+            // The caller may have disconnected; the operation has run regardless.
             let _ = operation.reply.send(outcome);
         }
     }
 
-    /// Records a job under an id that its caller gave only if the id can be claimed.
+    /// Records a job. If `claim` is true, the id given by the caller must be claimed first.
     ///
-    /// A caller whose answer was lost submits again, and the balancer sends that to another
-    /// entry host, whose log does not have the job. Without the claim it would be a second
-    /// job. Where the job is known, it is the answer.
+    /// A caller whose response was lost submits again, and the load balancer may send that
+    /// to another entry host, whose log does not contain the job. Without the claim it
+    /// would be recorded a second time. If the job is known here, it is returned.
     fn submit(&self, request: JobRequest, claim: bool) -> Result<JobView, CallerProblem> {
         if claim {
             let (id, team) = (&request.request, &request.team);
--- a/crates/entry/src/caller/key_check.rs
+++ b/crates/entry/src/caller/key_check.rs
@@ -9,15 +9,15 @@
 use super::{caller_port::CallerPort, request_head::header_text};
 use crate::{CallerProblem, caller_request::KeyFingerprint};
 
-/// A key that was found good, and the team that it admits work for.
+/// A verified key and its team.
 pub(crate) struct VerifiedKey {
-    /// Team whose work the key admits.
+    /// Team that the key belongs to.
     pub team: TeamId,
-    /// What is checked again before the work goes out.
+    /// Identifies the key for the second check, right before the request is sent.
     pub fingerprint: KeyFingerprint,
 }
 
-/// The team whose key came with a request.
+/// Verifies the key of a request and returns its team.
 pub(super) fn authenticate<B>(
     port: &CallerPort,
     config: &ActiveConfig,
@@ -27,10 +27,10 @@
     check_key(config, authorization, port.clock.unix_now())
 }
 
-/// Checks the header `Authorization` against the keys in force.
+/// Checks the `Authorization` header against the active keys.
 ///
-/// The secret is compared as a salted digest in constant time, and an unknown key costs
-/// the same digest, so that answer times tell nothing of which key ids exist.
+/// The secret is compared as a salted digest in constant time. For an unknown key a digest
+/// is computed as well, so that response times do not reveal which key ids exist.
 fn check_key(
     config: &ActiveConfig,
     authorization: Option<&str>,
@@ -63,9 +63,9 @@
     })
 }
 
-/// Whether a key that admitted a request still stands in the configuration now in force.
+/// Checks that the key of an admitted request is still valid in the active configuration.
 ///
-/// A key withdrawn while its request is queued must not start it.
+/// A request must not start if its key was revoked while it was queued.
 pub(crate) fn recheck_key(
     config: &ActiveConfig,
     team: &TeamId,
--- a/crates/entry/src/caller/port_loop.rs
+++ b/crates/entry/src/caller/port_loop.rs
@@ -22,44 +22,46 @@
 };
 use crate::event;
 
-/// Largest request head, in bytes.
+/// Maximum size of a request head, in bytes.
 const MAX_HEAD: usize = 16 * 1024;
-/// Most headers of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
-/// Refusals of surplus connections that are written at once; more are just closed.
+/// Maximum number of refusals sent concurrently; further connections over the limit are
+/// closed without a response.
 const MAX_REFUSALS: usize = 64;
-/// Longest wait for a refused caller to take its refusal.
+/// Maximum time for sending a refusal.
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(500);
-/// What a surplus connection is told.
+/// Response to a connection over the limit.
 const REFUSAL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\n\
 Content-Length: 115\r\nRetry-After: 1\r\nConnection: close\r\n\r\n\
 {\"problem\":\"not-serving\",\"fate\":\"not-run\",\"detail\":\"too many \
 connections to this entry host\",\"retry_after_ms\":1000}";
 
-/// How far the caller port is on its way down.
+/// Phase of the shutdown of the caller port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PortPhase {
-    /// Takes connections.
+    /// Accepts connections.
     Open,
-    /// Answers what is under way, then closes each connection.
+    /// Finishes the requests in progress, then closes each connection.
     Closing,
-    /// Drops what is left.
+    /// Drops the remaining connections.
     Closed,
 }
 
-/// Accepts connections until the phase says otherwise, and returns when all are closed.
+/// Accepts connections until `phase` leaves `Open`, and returns when all connections are
+/// closed.
 pub(crate) async fn serve_port(
     port: Arc<CallerPort>,
     listener: TcpListener,
     mut phase: watch::Receiver<PortPhase>,
 ) {
-    // Every connection task holds a sender; the receiver ends when the last one is gone.
+    // Every connection task holds a sender; the receiver ends when the last task has ended.
     let (open_task, mut all_ended) = tokio::sync::mpsc::channel::<()>(1);
     let refusals = ConnectionLimiter::new(MAX_REFUSALS, MAX_REFUSALS);
     loop {
         let open = *phase.borrow_and_update() == PortPhase::Open;
-        // Connections that wait in the listener would be reset with it, so they are taken in
-        // before it closes.
+        // Connections waiting in the listen queue would be reset when the listener closes,
+        // so all of them are accepted first.
         let accepted = tokio::select! {
             biased;
             accepted = listener.accept() => accepted,
@@ -67,7 +69,7 @@
             () = std::future::ready(()), if !open => break,
         };
         let Ok((stream, peer)) = accepted else {
-            // Out of file descriptors or the like: wait instead of spinning.
+            // For example out of file descriptors: wait instead of spinning.
             metrics::counter!("lws_accept_errors").increment(1);
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
@@ -111,14 +113,14 @@
     mut phase: watch::Receiver<PortPhase>,
     _open_task: tokio::sync::mpsc::Sender<()>,
 ) {
-    // Small answers must not wait for the caller's acknowledgement of the last one.
+    // Without this, a small response could wait for the caller's ACK of the previous one.
     let _ = stream.set_nodelay(true);
     let tuning = &port.tuning;
     let stream = CallerStream::new(stream, tuning.write_window, tuning.min_write_bytes);
     let head_timeout = tuning.head_timeout;
     let service = service_fn(|request| {
         let port = Arc::clone(&port);
-        async move { Ok::<_, Infallible>(routes::answer(&port, request).await) }
+        async move { Ok::<_, Infallible>(routes::handle_request(&port, request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -150,7 +152,8 @@
     drop(permit);
 }
 
-/// Tells a surplus connection that it is one, without letting it hold anything for long.
+/// Sends a refusal to a connection over the limit; the number of such connections and their
+/// time are bounded.
 fn refuse_connection(stream: TcpStream, address: IpAddr, refusals: &Arc<ConnectionLimiter>) {
     let Some(permit) = refusals.try_acquire(address) else {
         return;
@@ -159,7 +162,8 @@
         if stream.writable().await.is_ok() {
             let _ = stream.try_write(REFUSAL);
         }
-        // Closing with unread bytes would reset the connection before the refusal is read.
+        // Closing with unread bytes would reset the connection before the caller reads the
+        // refusal.
         let mut discarded = [0_u8; 4096];
         while stream.readable().await.is_ok() {
             match stream.try_read(&mut discarded) {
--- a/crates/entry/src/caller/request_head.rs
+++ b/crates/entry/src/caller/request_head.rs
@@ -9,15 +9,15 @@
 
 use crate::CallerProblem;
 
-/// Longest request id.
+/// Maximum length of a request id.
 const MAX_ID: usize = 128;
 
-/// What the headers of a request ask for.
+/// The parsed headers of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RequestHead {
     /// Header `Request-Id`.
     pub request: Option<RequestId>,
-    /// Header `Deadline-Ms`: how long an answer is of use.
+    /// Header `Deadline-Ms`: the time until the deadline.
     pub timeout: Option<Duration>,
     /// Header `Idempotent`.
     pub idempotent: bool,
@@ -28,10 +28,10 @@
 }
 
 impl RequestHead {
-    /// Reads the headers.
+    /// Parses the headers.
     ///
     /// # Errors
-    /// The first header that can't be read, with what it may hold.
+    /// The first invalid header, with the values that are allowed.
     pub fn read(headers: &HeaderMap, max_deadline: Duration) -> Result<Self, CallerProblem> {
         Ok(Self {
             request: read_id(headers)?,
@@ -45,7 +45,8 @@
         })
     }
 
-    /// The id of a request that must run once at most and may be a repetition.
+    /// The id of a non-idempotent request, if it was minted by an entry host. Such a
+    /// request must run at most once and may be a repetition.
     pub fn single_use_id(headers: &HeaderMap) -> Option<RequestId> {
         let request = read_id(headers).ok()??;
         let idempotent = read_flag(headers, "idempotent").unwrap_or_default();
@@ -53,7 +54,7 @@
     }
 }
 
-/// A header as text; `None` if it is absent.
+/// Returns a header as text; `None` if it is absent.
 pub(crate) fn header_text<'a>(
     headers: &'a HeaderMap,
     name: &'static str,
@@ -63,7 +64,7 @@
     let Some(value) = values.next() else {
         return Ok(None);
     };
-    // Two values could be read as different requests by different hosts.
+    // With two values, two hosts could interpret the same request differently.
     if values.next().is_some() {
         return Err(bad_request(format!("header {name} is given twice")));
     }
@@ -126,7 +127,7 @@
     }
 }
 
-/// A refusal of a malformed request.
+/// The problem returned for a malformed request.
 pub(crate) fn bad_request(detail: impl Into<String>) -> CallerProblem {
     CallerProblem::not_run(ProblemKind::BadRequest, detail)
 }
--- a/crates/entry/src/caller/respond.rs
+++ b/crates/entry/src/caller/respond.rs
@@ -9,10 +9,10 @@
 
 use crate::{CallerProblem, caller_request::TargetAnswer};
 
-/// The type of every response of the caller port.
+/// Type of all responses of the caller port.
 pub(crate) type CallerResponse = Response<Full<Bytes>>;
 
-/// Passes a target's answer on, whole.
+/// Passes on the complete response of a target.
 pub(crate) fn respond_answer(request: &RequestId, answer: TargetAnswer) -> CallerResponse {
     let mut response = Response::new(Full::new(answer.body));
     *response.status_mut() =
@@ -24,7 +24,7 @@
     response
 }
 
-/// Refuses, with the problem as JSON.
+/// Responds with a problem as JSON.
 pub(crate) fn respond_problem(
     request: Option<&RequestId>,
     problem: &CallerProblem,
@@ -41,7 +41,7 @@
     response
 }
 
-/// Answers with `value` as JSON.
+/// Responds with `value` as JSON.
 pub(crate) fn respond_json(status: u16, value: &impl Serialize) -> CallerResponse {
     let body = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(Full::new(Bytes::from(body)));
@@ -51,7 +51,7 @@
     response
 }
 
-/// Answers with a line of text.
+/// Responds with one line of text.
 pub(crate) fn respond_text(status: u16, text: &str) -> CallerResponse {
     let mut response = Response::new(Full::new(Bytes::from(format!("{text}\n"))));
     *response.status_mut() =
--- a/crates/entry/src/caller/routes.rs
+++ b/crates/entry/src/caller/routes.rs
@@ -13,7 +13,7 @@
 use super::{
     body_reader::read_body,
     caller_port::CallerPort,
-    job_routes::{answer_job, answer_submit},
+    job_routes::{handle_job, handle_submit},
     key_check::authenticate,
     request_head::RequestHead,
     respond::{CallerResponse, respond_answer, respond_json, respond_problem, respond_text},
@@ -23,8 +23,8 @@
     caller_request::{CallerOutcome, CallerRequest, ReplySlot},
 };
 
-/// How long after its deadline a request's outcome is waited for at most. The admission
-/// thread ends every request by its deadline; this only bounds a fault of this process.
+/// Maximum wait for the outcome of a request after its deadline. The admission thread ends
+/// every request by its deadline; this only bounds the effect of a bug in this process.
 const OUTCOME_GRACE: Duration = Duration::from_secs(2);
 
 #[derive(Serialize)]
@@ -32,11 +32,15 @@
     request_id: RequestId,
 }
 
-/// Answers one HTTP request.
+/// Handles one HTTP request.
 ///
-/// While this host leaves, each answer ends its connection: a caller that kept it open
-/// could send its next request just as it is closed, and would not know that request's fate.
-pub(crate) async fn answer(port: &CallerPort, request: Request<Incoming>) -> CallerResponse {
+/// During a graceful shutdown each response closes its connection. A caller that kept the
+/// connection open could send its next request just as it is closed, and would not know the
+/// fate of that request.
+pub(crate) async fn handle_request(
+    port: &CallerPort,
+    request: Request<Incoming>,
+) -> CallerResponse {
     let mut response = route(port, request).await;
     if port.leaving.load(Ordering::Acquire) {
         let close = HeaderValue::from_static("close");
@@ -50,21 +54,21 @@
     let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
     match (request.method().clone(), parts.as_slice()) {
         (Method::GET, ["livez"]) => respond_text(200, "alive"),
-        (Method::GET, ["readyz"]) => answer_ready(port),
-        (Method::POST, ["v1", "request-ids"]) => into_response(None, answer_mint(port, &request)),
+        (Method::GET, ["readyz"]) => handle_readyz(port),
+        (Method::POST, ["v1", "request-ids"]) => into_response(None, handle_mint(port, &request)),
         (Method::POST, ["v1", "services", service, "requests"]) => {
-            answer_request(port, &(*service).into(), request).await
+            handle_service_request(port, &(*service).into(), request).await
         }
         (Method::POST, ["v1", "services", service, "jobs"]) => {
-            let outcome = answer_submit(port, (*service).into(), request).await;
+            let outcome = handle_submit(port, (*service).into(), request).await;
             into_response(None, outcome)
         }
         (Method::GET, ["v1", "jobs", job]) => {
-            let outcome = answer_job(port, &request, (*job).into(), false).await;
+            let outcome = handle_job(port, &request, (*job).into(), false).await;
             into_response(None, outcome)
         }
         (Method::DELETE, ["v1", "jobs", job]) => {
-            let outcome = answer_job(port, &request, (*job).into(), true).await;
+            let outcome = handle_job(port, &request, (*job).into(), true).await;
             into_response(None, outcome)
         }
         _ => respond_problem(
@@ -84,14 +88,14 @@
     })
 }
 
-fn answer_ready(port: &CallerPort) -> CallerResponse {
+fn handle_readyz(port: &CallerPort) -> CallerResponse {
     match port.check_serving() {
         Ok(()) => respond_text(200, "ready"),
         Err(cause) => respond_text(503, &cause.to_string()),
     }
 }
 
-fn answer_mint<B>(
+fn handle_mint<B>(
     port: &CallerPort,
     request: &Request<B>,
 ) -> Result<CallerResponse, CallerProblem> {
@@ -101,7 +105,7 @@
     Ok(respond_json(200, &MintedBody { request_id: minted }))
 }
 
-async fn answer_request(
+async fn handle_service_request(
     port: &CallerPort,
     service: &ServiceId,
     request: Request<Incoming>,
@@ -112,21 +116,21 @@
         Some(given_id) => port.claims.qualify_fate(given_id, problem),
         None => problem,
     };
-    let prepared = match admit_request(port, service, request, arrived).await {
+    let prepared = match prepare_request(port, service, request, arrived).await {
         Ok(prepared) => prepared,
         Err(problem) => return into_response(None, Err(qualify_fate(problem))),
     };
-    let PreparedRequest { work, outcome } = prepared;
-    let id = work.id.clone();
-    let timeout = work.deadline.saturating_sub(arrived) + OUTCOME_GRACE;
-    match port.admission.try_send(work) {
+    let PreparedRequest { request, outcome } = prepared;
+    let id = request.id.clone();
+    let timeout = request.deadline.saturating_sub(arrived) + OUTCOME_GRACE;
+    match port.admission.try_send(request) {
         Ok(()) => {}
-        Err(TrySendError::Full(mut work)) => {
+        Err(TrySendError::Full(mut request)) => {
             let problem = CallerProblem::not_run(ProblemKind::QueueFull, "this entry host is full")
                 .with_retry_after(Duration::from_secs(1));
-            work.refuse(problem);
+            request.refuse(problem);
         }
-        Err(TrySendError::Disconnected(mut work)) => work.refuse(NotServing::Leaving.into()),
+        Err(TrySendError::Disconnected(mut request)) => request.refuse(NotServing::Leaving.into()),
     }
     match await_outcome(outcome, timeout).await {
         Ok(answer) => {
@@ -154,11 +158,11 @@
 }
 
 struct PreparedRequest {
-    work: Box<CallerRequest>,
+    request: Box<CallerRequest>,
     outcome: tokio::sync::oneshot::Receiver<CallerOutcome>,
 }
 
-async fn admit_request(
+async fn prepare_request(
     port: &CallerPort,
     service: &ServiceId,
     request: Request<Incoming>,
@@ -174,7 +178,7 @@
     let mut reservation = port.budget.reservation(&verified.team);
     let body = read_body(port, request, &mut reservation, timeout).await?;
     let (reply, outcome) = ReplySlot::channel();
-    let work = Box::new(CallerRequest {
+    let request = Box::new(CallerRequest {
         id,
         team: verified.team,
         fingerprint: verified.fingerprint,
@@ -190,7 +194,7 @@
         body: reservation.attach(body),
         reply,
     });
-    Ok(PreparedRequest { work, outcome })
+    Ok(PreparedRequest { request, outcome })
 }
 
 fn find_pool(
