--- a/crates/entry/src/caller_request.rs
+++ b/crates/entry/src/caller_request.rs
@@ -5,67 +5,69 @@
 
 use crate::CallerProblem;
 
-/// What a caller gets in the end.
+/// The final result for a caller.
 pub(crate) type CallerOutcome = Result<TargetAnswer, CallerProblem>;
 
-/// A whole answer of a target.
+/// The complete response of a target.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TargetAnswer {
     /// HTTP status.
     pub status: u16,
     /// Header `Content-Type`, if the target sent one.
     pub content_type: Option<String>,
-    /// The body, whole.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// The key that admitted a request; checked again before the request goes out.
+/// Identifies the key that admitted a request; the key is checked again before the request
+/// is sent.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KeyFingerprint {
-    /// Its id.
+    /// Id of the key.
     pub key: KeyId,
-    /// The digest it had, so that a key granted anew under the same id does not count.
+    /// Digest of the key, so that a key granted later under the same id is not accepted.
     pub digest: Vec<u8>,
 }
 
-/// One admitted request, from the caller port to its answer.
+/// An admitted request, from the caller port to its response.
 #[derive(Debug)]
 pub(crate) struct CallerRequest {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// Team whose key came with it.
+    /// Team of the key.
     pub team: TeamId,
     /// The key.
     pub fingerprint: KeyFingerprint,
-    /// Pool whose executors answer the service.
+    /// Pool whose executors serve the service.
     pub pool: PoolId,
-    /// When it arrived.
+    /// Time of arrival.
     pub arrived: BootTime,
-    /// When its answer is of no more use.
+    /// Time after which the response is of no use.
     pub deadline: BootTime,
-    /// Whether running it twice does no harm.
+    /// Whether running it more than once is harmless.
     pub idempotent: bool,
-    /// Whether it goes before the other requests of its team.
+    /// Whether it is started before other requests of its team.
     pub urgent: bool,
-    /// Whether its id must be claimed at the host that minted it; false once it is.
+    /// Whether its id must still be claimed at the host that minted it.
     pub needs_claim: bool,
-    /// Attempts made so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// True once an attempt ended that a target may have run.
+    /// True once an attempt has ended that a target may have run.
     pub may_have_run: bool,
     /// Header `Content-Type`, if the caller sent one.
     pub content_type: Option<String>,
-    /// The body, whole.
+    /// The complete body.
     pub body: Bytes,
-    /// Where the outcome goes.
+    /// Receives the outcome.
     pub reply: ReplySlot,
 }
 
 impl CallerRequest {
-    /// The id that the target is told and must echo.
+    /// The id that is sent to the target, which must echo it.
     ///
-    /// Ids that entry hosts minted are unique. A caller's own id is not: two teams may use
-    /// the same one at a time, and a target that crosses their answers would go unnoticed.
+    /// Ids minted by entry hosts are unique, but an id chosen by a caller is not: two teams
+    /// may use the same one at the same time. If a target then confused their responses, it
+    /// would go undetected, so the team is prepended.
     pub fn target_id(&self) -> RequestId {
         if MintedId::parse(&self.id).is_some() {
             return self.id.clone();
@@ -73,10 +75,10 @@
         RequestId::from(format!("{}:{}", self.team, self.id))
     }
 
-    /// Hands the caller its problem.
+    /// Sends the problem to the caller.
     ///
-    /// What refuses a request now knows nothing of its earlier attempts; if one of them may
-    /// have run, then "not run" would be false.
+    /// The problem describes the current attempt only. If an earlier attempt may have run,
+    /// "not run" would be false and is replaced.
     pub fn refuse(&mut self, mut problem: CallerProblem) {
         if self.may_have_run && problem.fate == RunFate::NotRun {
             problem.fate = RunFate::MayHaveRun;
@@ -86,29 +88,29 @@
     }
 }
 
-/// The one place that the outcome of a request goes to.
+/// The sender of a request's outcome.
 ///
-/// Dropping it unused leaves the caller's task without an outcome; that task then says
-/// that the request may have run, which is true whatever the cause.
+/// If it is dropped unused, the task that waits for the outcome reports that the request
+/// may have run, which is always true.
 #[derive(Debug)]
 pub(crate) struct ReplySlot(Option<oneshot::Sender<CallerOutcome>>);
 
 impl ReplySlot {
-    /// A slot and the receiver that waits for its outcome.
+    /// Creates a slot and the receiver of its outcome.
     pub fn channel() -> (Self, oneshot::Receiver<CallerOutcome>) {
         let (sender, receiver) = oneshot::channel();
         (Self(Some(sender)), receiver)
     }
 
-    /// True once the caller went away.
+    /// True once the caller has disconnected.
     pub fn is_abandoned(&self) -> bool {
         self.0.as_ref().is_none_or(oneshot::Sender::is_closed)
     }
 
-    /// Hands the outcome over; only the first one counts.
+    /// Sends the outcome; only the first one counts.
     pub fn send(&mut self, outcome: CallerOutcome) {
         let Some(sender) = self.0.take() else { return };
-        // The caller may have gone away; then nobody wants the outcome.
+        // Fails only if the caller has disconnected.
         let _ = sender.send(outcome);
     }
 }
--- a/crates/entry/src/entry_server.rs
+++ b/crates/entry/src/entry_server.rs
@@ -31,28 +31,29 @@
     event,
 };
 
-/// Requests on their way from the caller port to the admission thread.
+/// Capacity of the channel from the caller port to the admission thread.
 const ADMISSION_QUEUE_LEN: usize = 1024;
-/// Stack of the duty threads, in bytes.
+/// Stack size of the admission thread and the port thread, in bytes.
 const THREAD_STACK: usize = 1024 * 1024;
-/// How long the port answers on after a shutdown began, at least. Callers that keep their
-/// connections are told by an answer that theirs ends; only one that was silent for this
-/// long can still send a request just as its connection is closed.
+/// Minimum time for which the port keeps responding after a shutdown has started. Callers
+/// with open connections learn from a response that theirs will be closed. Only a caller
+/// that sends nothing for this long can still send a request just as its connection is
+/// closed.
 const MIN_SHUTDOWN_TIME: Duration = Duration::from_secs(1);
-/// How long callers may take their last answers after the work is done.
+/// Maximum time for callers to read their last responses after all requests have ended.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What an entry server works with.
+/// Dependencies and settings of an entry server.
 pub struct EntryConfig {
-    /// Addresses, limits and the own id.
+    /// Addresses, limits and the id of this host.
     pub settings: ServeSettings,
-    /// Bounds that settings do not name.
+    /// Limits that are not part of the settings.
     pub tuning: EntryTuning,
-    /// The configuration in force.
+    /// The active configuration.
     pub config: Arc<dyn ConfigSource>,
-    /// Whether this host may take new work.
+    /// Whether this host may accept new requests.
     pub gate: Arc<dyn ServingGate>,
-    /// Units of team limits.
+    /// Units of the team limits.
     pub quotas: Arc<dyn QuotaSource>,
     /// Targets of each pool.
     pub targets: Arc<dyn TargetSource>,
@@ -60,11 +61,11 @@
     pub slots: Arc<dyn SlotSource>,
     /// The entry hosts.
     pub members: Arc<dyn MemberSource>,
-    /// Takes jobs.
+    /// Records jobs.
     pub jobs: Arc<dyn JobSink>,
     /// Sends claims to other entry hosts.
     pub link: Arc<dyn PeerLink>,
-    /// Claims and their replies from other entry hosts; other messages are ignored.
+    /// Claims and replies to claims from other entry hosts; other messages are ignored.
     pub inbound: Receiver<InboundMessage>,
     /// The clocks.
     pub clock: Arc<dyn Clock>,
@@ -72,7 +73,8 @@
 
 /// The caller interface of one entry host, with its queues and its dispatch to targets.
 ///
-/// Dropping it without [`EntryServer::shutdown`] refuses what is queued and cuts what runs.
+/// Dropping it without [`EntryServer::shutdown`] refuses queued requests and aborts running
+/// ones.
 pub struct EntryServer {
     caller_address: SocketAddr,
     clock: Arc<dyn Clock>,
@@ -91,7 +93,7 @@
 }
 
 impl EntryServer {
-    /// Opens the caller port and starts every duty.
+    /// Opens the caller port and starts all threads.
     ///
     /// # Errors
     /// If the caller address can't be bound or a thread can't be started.
@@ -165,27 +167,27 @@
         })
     }
 
-    /// The address on which callers are answered.
+    /// The address that callers connect to.
     pub fn caller_address(&self) -> SocketAddr {
         self.caller_address
     }
 
-    /// Mints and claims request ids.
+    /// The service that mints and claims request ids.
     pub fn claims(&self) -> Arc<ClaimService> {
         Arc::clone(&self.claims)
     }
 
-    /// Requests that this host has in flight to a target, or may have.
+    /// Number of requests that are running, or may be running, on a target.
     pub fn running(&self, host: &HostId) -> u32 {
         self.counts.lock().get(host).copied().unwrap_or_default()
     }
 
-    /// Shuts down gracefully, and returns when it is done.
+    /// Shuts down gracefully and returns when the shutdown is complete.
     ///
-    /// New requests are refused from now on, and readiness says so. What is queued may
-    /// still start during the first half of `patience` and is refused after that; what
-    /// runs may end until `patience` is over. Call it before [`ServingGate::leave`], which
-    /// keeps anything from starting.
+    /// New requests are refused immediately and the readiness check fails. Queued requests
+    /// may start during the first half of `timeout` and are refused after that; running
+    /// requests may finish until `timeout` is over. Call it before [`ServingGate::leave`],
+    /// which prevents any request from starting.
     pub fn shutdown(&self, timeout: Duration) {
         if self.leaving.swap(true, Ordering::AcqRel) {
             return;
@@ -200,11 +202,11 @@
             refuse_at: now + timeout / 2,
             end_at: now + timeout,
         };
-        // A full ring means that a finish is already on its way.
+        // A full channel means that a `Finish` command is already queued.
         let _ = self.commands.try_send(finish);
         let mut threads = self.threads.lock();
         if let Some(admission) = threads.admission.take() {
-            // A panic of the thread was logged where it arose.
+            // A panic of the thread has already been logged.
             let _ = admission.join();
         }
         thread::sleep(accept_until.saturating_duration_since(Instant::now()));
@@ -250,22 +252,22 @@
     address: &str,
     phase: watch::Receiver<PortPhase>,
 ) -> Result<(SocketAddr, JoinHandle<()>), StepError> {
-    let step_error = |cause| StepError::new("open caller port", address, cause);
-    let listener = std::net::TcpListener::bind(address).map_err(step_error)?;
-    listener.set_nonblocking(true).map_err(step_error)?;
-    let local = listener.local_addr().map_err(step_error)?;
+    let open_error = |cause| StepError::new("open caller port", address, cause);
+    let listener = std::net::TcpListener::bind(address).map_err(open_error)?;
+    listener.set_nonblocking(true).map_err(open_error)?;
+    let local = listener.local_addr().map_err(open_error)?;
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(step_error)?;
+        .map_err(open_error)?;
     let entered = runtime.enter();
-    let listener = TcpListener::from_std(listener).map_err(step_error)?;
+    let listener = TcpListener::from_std(listener).map_err(open_error)?;
     drop(entered);
     let thread = thread::Builder::new()
         .name("entry-callers".to_owned())
         .stack_size(THREAD_STACK)
         .spawn(move || runtime.block_on(serve_port(Arc::new(port), listener, phase)))
-        .map_err(step_error)?;
+        .map_err(open_error)?;
     Ok((local, thread))
 }
 
--- a/crates/entry/src/entry_tuning.rs
+++ b/crates/entry/src/entry_tuning.rs
@@ -1,42 +1,42 @@
 use std::time::Duration;
 
-/// Bounds of the caller port and of the dispatch that settings do not name.
+/// Limits of the caller port and of dispatch that are not part of the settings.
 ///
-/// The defaults fit the sizes of today; `docs/design/03-callers.md` says why.
+/// See `docs/design/03-callers.md` for the reasons for the defaults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EntryTuning {
-    /// Most connections from one source address, in percent of all. Generous, because
-    /// many callers may stand behind one address, such as a balancer's, and still below
-    /// the total, so that one can't take all.
+    /// Maximum number of connections from one source address, in percent of all
+    /// connections. It is high because many callers may share one address, such as that of
+    /// a load balancer, but below 100 so that one address can't take all connections.
     pub address_percent: usize,
-    /// Longest wait for a whole request head, idle time between requests included.
+    /// Maximum wait for a complete request head, including idle time between requests.
     pub head_timeout: Duration,
-    /// Longest time from the request head to the end of the body.
+    /// Maximum time from the request head to the end of the body.
     pub body_timeout: Duration,
-    /// Time within which a caller must take `write_floor` bytes of its answer.
+    /// Time within which a caller must read `min_write_bytes` of its response.
     pub write_window: Duration,
-    /// Fewest bytes of an answer that a caller must take within `write_window`.
+    /// Minimum number of bytes of a response that a caller must read within `write_window`.
     pub min_write_bytes: usize,
-    /// Most bytes of request bodies held at once; one team gets three quarters at most.
+    /// Maximum memory for request bodies, in bytes; one team gets at most three quarters.
     pub body_memory: usize,
-    /// Most bytes of answers held at once; one team gets three quarters at most.
+    /// Maximum memory for response bodies, in bytes; one team gets at most three quarters.
     pub answer_memory: usize,
-    /// Deadline of a request that names none.
+    /// Deadline of a request that does not specify one.
     pub default_deadline: Duration,
-    /// Most requests in flight to targets.
+    /// Maximum number of requests in flight to targets.
     pub max_dispatch: usize,
-    /// Longest wait for a connection to a target. A lost packet of the connect is sent again
-    /// after a second only, so waiting longer gains nothing over another target.
+    /// Timeout for connecting to a target. A lost SYN packet is sent again only after one
+    /// second, so a longer wait is no better than trying another target.
     pub connect_timeout: Duration,
-    /// Retries that a pool may have, in percent of its first attempts.
+    /// Retry budget of a pool, in percent of its first attempts.
     pub retry_percent: u32,
-    /// Retries that a pool may save up.
+    /// Maximum number of unused retries that a pool can accumulate.
     pub retry_burst: u32,
-    /// Longest wait for the home of a request id.
+    /// Maximum wait for the home of a request id to answer a claim.
     pub claim_timeout: Duration,
-    /// Most minted request ids that wait for their use.
+    /// Maximum number of minted request ids that are not used yet.
     pub open_ids: usize,
-    /// Threads that hand jobs to the store.
+    /// Number of threads that record jobs in the store.
     pub job_threads: usize,
 }
 
