--- a/crates/entry/examples/added_latency.rs
+++ b/crates/entry/examples/added_latency.rs
@@ -1,7 +1,7 @@
-//! What an entry server adds to calling a target directly.
+//! Latency that an entry server adds to calling a target directly.
 //!
 //! `cargo run --release -p entry --example added_latency` prints the table of
-//! `docs/design/03-callers.md`: closed-loop callers on kept connections, the stand-in of an
+//! `docs/design/03-callers.md`: closed-loop callers on open connections, with the fake
 //! executor in the same process.
 #![allow(clippy::print_stdout, clippy::unwrap_used)]
 
--- a/crates/entry/examples/idle_connections.rs
+++ b/crates/entry/examples/idle_connections.rs
@@ -1,4 +1,4 @@
-//! Threads and memory that idle callers cost, with `tiny_http` and with the caller port.
+//! Threads and memory used by idle callers, with `tiny_http` and with the caller port.
 //!
 //! `cargo run --release -p entry --example idle_connections` prints the table of
 //! `docs/design/03-callers.md`.
@@ -68,7 +68,7 @@
     }
 }
 
-/// Threads and resident KB of this process.
+/// Threads and resident memory in KB of this process.
 fn read_status() -> (i64, i64) {
     let status = fs::read_to_string("/proc/self/status").unwrap();
     let field = |name: &str| -> i64 {
--- a/crates/entry/examples/retry_storm.rs
+++ b/crates/entry/examples/retry_storm.rs
@@ -1,8 +1,8 @@
-//! What a pool sees that fails for two seconds, with the retry budget and without one.
+//! Load on a pool that fails for two seconds, with and without a retry budget.
 //!
 //! `cargo run --release -p entry --example retry_storm` prints the table of
 //! `docs/design/04-at-most-once.md`: 200 idempotent requests a second, evenly spaced; both
-//! targets close every connection without an answer from the first to the third second.
+//! targets close every connection without a response from the first to the third second.
 #![allow(clippy::print_stdout, clippy::unwrap_used)]
 
 #[path = "../tests/support/mod.rs"]
--- a/crates/entry/tests/api_page.rs
+++ b/crates/entry/tests/api_page.rs
@@ -1,4 +1,4 @@
-//! The page for callers names every problem with its status, and the bounds in force.
+//! The API page lists every problem with its status, and the current limits.
 #![allow(clippy::unwrap_used)]
 
 use entry::EntryTuning;
--- a/crates/entry/tests/bad_input.rs
+++ b/crates/entry/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! What a caller is told that sends something wrong: a clear error, and nothing is run.
+//! Invalid requests are refused with a clear error, and nothing is run.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -116,8 +116,8 @@
     assert_eq!(target.call_count(), 0);
 }
 
-/// A caller's machine crashes while it sends an order: the body ends before its announced
-/// length. Half an order must not reach a target.
+/// Guards against a truncated request reaching a target: the connection closes before the
+/// announced length of the body has arrived.
 #[test]
 fn body_truncated() {
     let target = RawTarget::echo();
--- a/crates/entry/tests/claims.rs
+++ b/crates/entry/tests/claims.rs
@@ -1,4 +1,5 @@
-//! At most once across entry hosts: a caller that repeats a request elsewhere.
+//! Requests run at most once across entry hosts, also when a caller repeats them on another
+//! host.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -34,8 +35,8 @@
     EntryFixture::start_with(&[target], setup)
 }
 
-/// A franchisee's order times out at the caller, and the caller sends it again through
-/// another entry host. The order must not be placed twice.
+/// Guards against a second run when a caller times out and repeats a request on another
+/// entry host.
 #[test]
 fn claim_repeated_through_another_host() {
     let target = RawTarget::echo();
@@ -52,7 +53,7 @@
     assert_eq!(target.call_count(), 1);
 }
 
-/// The balancer and an impatient caller send the same order through all hosts at once.
+/// Guards against a second run when the same request arrives at all hosts at the same time.
 #[test]
 fn claim_concurrent_repeats() {
     let target = RawTarget::echo();
@@ -75,7 +76,7 @@
     }
 }
 
-/// The id that a request got without asking for one must not serve for a second run.
+/// An id that was minted for a request on arrival can't be used for a second run.
 #[test]
 fn claim_of_id_minted_on_arrival() {
     let target = RawTarget::echo();
@@ -93,8 +94,8 @@
     assert_eq!(target.call_count(), 1);
 }
 
-/// The host that minted the id left the list, or started anew and remembers nothing. No
-/// one can say whether the order was placed, so it isn't placed now.
+/// The home of an id has left or was restarted, so it is unknown whether the id was used.
+/// The request must not run.
 #[test]
 fn claim_home_gone() {
     let target = RawTarget::echo();
@@ -107,15 +108,15 @@
         let reply = fixture.caller().with("request-id", &id).ask(b"order");
         assert_eq!((reply.status, reply.fate().as_str()), (409, "may-have-run"));
     }
-    // The reborn home itself, asked directly.
+    // The same request sent directly to the restarted home.
     let restarted = entry_host_with_members(&target, &mesh, 0, vec![("e1", 2), ("e3", 1)]);
     let reply = restarted.caller().with("request-id", &id).ask(b"order");
     assert_eq!((reply.status, reply.fate().as_str()), (409, "may-have-run"));
     assert_eq!(target.call_count(), 0);
 }
 
-/// One message between the hosts is lost while a link reconnects: first the question, then
-/// the answer. The order is placed once all the same.
+/// A link loses one message, first a claim and then a reply. The claim is sent again and
+/// the request runs once.
 #[test]
 fn claim_message_lost() {
     let target = RawTarget::echo();
@@ -133,8 +134,8 @@
     assert_eq!(target.call_count(), 2);
 }
 
-/// The home is cut off and answers nothing. The caller gets its final answer well before
-/// its deadline, and nothing is run.
+/// The home of an id is unreachable. The caller gets its final response well before the
+/// deadline, and nothing runs.
 #[test]
 fn claim_home_unresponsive() {
     let target = RawTarget::echo();
@@ -151,7 +152,7 @@
     assert_eq!(target.call_count(), 0);
 }
 
-/// Another team guesses an id and tries it first. It is refused, and the owner's order
+/// Another team uses an id before its owner does. It is refused, and the owner's request
 /// still runs.
 #[test]
 fn claim_by_another_team() {
@@ -166,8 +167,8 @@
     assert_eq!(target.call_count(), 1);
 }
 
-/// While the home is cut off, replies that are not its own arrive: from another host, and
-/// from an earlier life of the home. Neither may let the order run.
+/// Replies to a claim from another host or from another incarnation of the home must not
+/// let the request run.
 #[test]
 fn claim_reply_from_wrong_member() {
     let target = RawTarget::echo();
@@ -207,9 +208,9 @@
     assert_eq!(target.call_count(), 0);
 }
 
-/// A franchisee doubles an order: its answer was lost, the repetition under the same id was
-/// refused before its claim with "not run", and so the caller ordered anew. The refusal
-/// was true of the repetition only. At the id's home too, and for a refused key.
+/// Guards against a false "not run". The response to a request was lost, and the repetition
+/// is refused before its claim. That refusal must not claim that the request was not run,
+/// neither at the home of the id nor for a refused key.
 #[test]
 fn refusal_of_repeat_is_uncertain() {
     let target = RawTarget::echo();
@@ -241,7 +242,8 @@
     assert_eq!(target.call_count(), 1);
 }
 
-/// The first use of an id is refused at its home: nobody has claimed it, so it was not run.
+/// The first use of an id is refused at its home. The id was not claimed, so "not run" is
+/// true.
 #[test]
 fn refusal_of_first_use_is_not_run() {
     let target = RawTarget::echo();
@@ -256,8 +258,8 @@
     assert_eq!(refused.ask(b"order").fate(), "not-run");
 }
 
-/// A member's batch is recorded and its answer lost; the caller submits it again, and the
-/// balancer sends that to another entry host. Run twice, it would put wrong estimates out.
+/// Guards against recording a job twice: the response was lost, and the caller submits the
+/// job again through another entry host.
 #[test]
 fn job_repeated_through_another_host() {
     let target = RawTarget::echo();
--- a/crates/entry/tests/fault_storm.rs
+++ b/crates/entry/tests/fault_storm.rs
@@ -1,5 +1,5 @@
-//! Three entry hosts, four failing targets and callers that repeat what they did not get:
-//! each outcome that a caller was told is held against the targets' own records.
+//! Three entry hosts, four failing targets, and callers that repeat failed requests. The
+//! outcomes that the callers got are compared with the runs recorded by the targets.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -26,10 +26,10 @@
 const TARGETS: usize = 4;
 const CALLERS: u64 = 16;
 const REQUESTS: u64 = 15;
-/// Units of each team's limit at each entry host.
+/// Quota units per team on each entry host.
 const UNITS: u32 = 2;
 
-/// What one caller was told of one request, over all its repetitions.
+/// All responses that a caller got for one request, including its repetitions.
 struct CallRecord {
     nonce: String,
     idempotent: bool,
@@ -37,9 +37,9 @@
     expected: Vec<u8>,
 }
 
-/// Packing lines wait for quotes and orders while targets cross, cut, lose and delay
-/// answers, drain and reboot. Callers repeat through whatever entry host comes next. No
-/// order is placed twice, no one gets another's answer, and "not run" is true.
+/// Targets swap, truncate, lose and delay responses, drain and reboot, while callers repeat
+/// requests through random entry hosts. No non-idempotent request runs twice, no caller
+/// gets the response of another request, and "not run" is always true.
 #[rstest]
 #[case::seed_1(1)]
 #[case::seed_2(2)]
@@ -65,7 +65,7 @@
         .collect();
     over.store(true, Ordering::Release);
     disturber.join().unwrap();
-    // What was lost may still run until its deadline.
+    // Requests whose response was lost may run until their deadline.
     thread::sleep(Duration::from_secs(1));
     let runs: Vec<RunRecord> = executors.iter().flat_map(ExecutorFake::runs).collect();
     check_outcomes(&records, &runs);
@@ -74,7 +74,7 @@
         .iter()
         .map(|executor| executor.counts().over_connections)
         .sum();
-    assert_eq!(surplus, 0, "connections beyond what a target allows");
+    assert_eq!(surplus, 0, "connections over the limit of a target");
 }
 
 fn executor(seed: u64, index: usize) -> ExecutorFake {
@@ -115,7 +115,7 @@
     (0..HOSTS).map(host).collect()
 }
 
-/// Drains and reboots targets in turn.
+/// Drains and reboots random targets.
 fn disturb_targets(seed: u64, addresses: &[String], over: &AtomicBool) {
     let mut rng = StdRng::seed_from_u64(seed);
     while !over.load(Ordering::Acquire) {
@@ -125,7 +125,7 @@
         } else {
             "reboot"
         };
-        // A target that is away refuses the call, as it does others.
+        // A target that is rebooting refuses this call as well.
         let _ = ureq::post(format!("http://{address}/v1/{call}")).send_empty();
         thread::sleep(Duration::from_millis(rng.random_range(50..300)));
         let _ = ureq::post(format!("http://{address}/v1/undrain")).send_empty();
@@ -191,16 +191,19 @@
         for reply in &record.replies {
             if reply.status == 200 {
                 answered += 1;
-                assert!(reply.body == record.expected, "{nonce} got a wrong answer");
-                assert!(runs >= 1, "{nonce} was answered and did not run");
+                assert!(
+                    reply.body == record.expected,
+                    "{nonce} got the wrong response"
+                );
+                assert!(runs >= 1, "{nonce} was answered but did not run");
             }
         }
         let never = |reply: &CallReply| reply.status != 200 && reply.fate() == "not-run";
         if record.replies.iter().all(never) {
-            assert_eq!(runs, 0, "{nonce} was told not-run only");
+            assert_eq!(runs, 0, "{nonce} ran although all responses said not-run");
         }
     }
-    // A storm that answers nobody would prove nothing.
+    // Without enough responses the checks above would prove little.
     assert!(
         answered * 2 > records.len(),
         "{answered} of {} answered",
@@ -208,7 +211,7 @@
     );
 }
 
-/// No team ran more at a moment than its units at all entry hosts.
+/// No team ever ran more requests at once than its units on all entry hosts.
 fn check_limits(runs: &[RunRecord]) {
     let most = i32::try_from(HOSTS).unwrap() * i32::try_from(UNITS).unwrap();
     for team in [TEAM, OTHER_TEAM] {
--- a/crates/entry/tests/floods.rs
+++ b/crates/entry/tests/floods.rs
@@ -1,4 +1,5 @@
-//! Floods, slow senders and many large answers: bounded memory, and nobody starves.
+//! Floods of connections, slow senders and large responses use bounded memory and block
+//! nobody else.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -29,9 +30,9 @@
     body.iter().copied().cycle().take(length).collect()
 }
 
-/// 200 callers ask at once for answers of a megabyte, and each must get its own, whole.
-/// Targets answer late, and each fortieth answer is the whole one of another request, under
-/// that request's id.
+/// 200 callers request responses of 1 MiB each at once, and each must get its own,
+/// complete. Targets respond with delays, and every 40th response is the complete one of
+/// another request under its id.
 #[test]
 fn large_answers_to_many_callers() {
     const LENGTH: usize = 1024 * 1024;
@@ -71,12 +72,15 @@
         })
         .collect();
     for call in calling {
-        assert!(call.join().unwrap(), "not the caller's own answer");
+        assert!(call.join().unwrap(), "the response of another request");
     }
-    assert!(calls.load(Ordering::Acquire) >= 205, "nothing was crossed");
+    assert!(
+        calls.load(Ordering::Acquire) >= 205,
+        "no response was swapped"
+    );
 }
 
-/// 200 callers send bodies of a megabyte.
+/// 200 callers send bodies of 1 MiB each.
 #[test]
 fn large_bodies_of_many_callers() {
     let target = RawTarget::echo();
@@ -99,7 +103,7 @@
     }
 }
 
-/// Hundreds of callers send a byte and stop. Others are answered as if they were not there.
+/// Guards against slow senders blocking others: hundreds of callers send one byte and stop.
 #[test]
 fn slow_senders_do_not_block_others() {
     let target = RawTarget::echo();
@@ -121,7 +125,7 @@
     drop(slow);
 }
 
-/// Connections beyond the bound are told so at once, and those within it go on.
+/// Connections over the limit are refused at once, and those within it keep working.
 #[test]
 fn connection_limit_refused_at_once() {
     let target = RawTarget::echo();
@@ -152,8 +156,8 @@
     drop(held);
 }
 
-/// One address floods the port. The bound of each address leaves room for the others;
-/// here a caller from another loopback address.
+/// The limit per address leaves connections for other addresses: one address floods the
+/// port, and another loopback address still connects.
 #[test]
 fn connection_limit_per_address() {
     let target = RawTarget::echo();
@@ -171,14 +175,14 @@
     let mut text = String::new();
     surplus.read_to_string(&mut text).unwrap();
     assert!(text.starts_with("HTTP/1.1 503"), "{text}");
-    // The source address of a connection to 127.0.0.2 is 127.0.0.1, so bind it.
+    // A connection to 127.0.0.2 has the source address 127.0.0.1 by default, so bind it.
     let mut other = connect_from("127.0.0.2:0", port);
     exchange_livez(&mut other);
     drop(held);
 }
 
-/// Callers of one team announce large bodies and send most of them slowly. The memory of
-/// bodies is bounded, and the other team still gets its part.
+/// Callers of one team announce large bodies and send most of them slowly. The memory for
+/// bodies is bounded, and the other team still gets its share.
 #[test]
 fn body_memory_bounded_by_team() {
     let target = RawTarget::echo();
@@ -194,10 +198,13 @@
             stream
         })
         .collect();
-    // Three of them fit into the team's part, and the other five are refused.
+    // Three of them fit into the team's share of the memory; the other five are refused.
     let until = Instant::now() + TIMEOUT;
     while slow.iter().filter(|stream| has_answer(stream)).count() < 5 {
-        assert!(Instant::now() < until, "fewer than five were refused");
+        assert!(
+            Instant::now() < until,
+            "fewer than five requests were refused"
+        );
         thread::sleep(Duration::from_millis(5));
     }
     let reply = fixture.caller().with_key(OTHER_KEY).ask(&[b'y'; 50_000]);
@@ -215,11 +222,12 @@
     stream.peek(&mut [0]).is_ok_and(|count| count > 0)
 }
 
-/// More than the buffers of both sockets take in, so that a caller who doesn't read shows.
+/// More than the buffers of both sockets hold, so that a caller that doesn't read blocks
+/// the write.
 const LARGE: usize = 24 * 1024 * 1024;
 
-/// A caller asks for a large answer and never reads it. Its connection ends, and with it
-/// the memory of its answer.
+/// A caller requests a large response and never reads it. Its connection is closed and the
+/// memory of its response released.
 #[test]
 fn slow_reader_disconnected() {
     let target = RawTarget::start(|_| TargetReply::Answer(vec![b'x'; LARGE]));
@@ -232,7 +240,8 @@
     stream.write_all((head(KEY, 1) + "x").as_bytes()).unwrap();
     stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     assert_eq!(stream.peek(&mut [0]).unwrap(), 1);
-    // The team's part of the memory holds one such answer; this one waits for it.
+    // The team's share of the memory holds only one such response, so this request waits
+    // for it.
     let reply = fixture.caller().with("deadline-ms", "30000").ask(b"y");
     assert_eq!((reply.status, reply.body.len()), (200, LARGE));
     stream.set_read_timeout(Some(TIMEOUT)).unwrap();
--- a/crates/entry/tests/queues.rs
+++ b/crates/entry/tests/queues.rs
@@ -1,4 +1,4 @@
-//! Queues, shares, limits and early refusals under more demand than slots.
+//! Queues, shares, limits and early refusals when there are more requests than slots.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -29,7 +29,7 @@
     })
 }
 
-/// A target that answers nothing before its gate is opened.
+/// A target that responds only after its gate is opened.
 fn gated_target() -> (RawTarget, Arc<AtomicBool>) {
     let gate = Arc::new(AtomicBool::new(false));
     let opened = Arc::clone(&gate);
@@ -42,7 +42,7 @@
     (target, gate)
 }
 
-/// A target whose work takes `service` of the clock that its entry server goes by.
+/// A target whose requests take `service` on the clock of the entry server.
 fn stepped_target(clock: &Arc<StepClock>, service: Duration) -> RawTarget {
     let clock = Arc::clone(clock);
     RawTarget::start(move |call| {
@@ -85,7 +85,7 @@
         .map_or(0, |demand| demand.queued)
 }
 
-/// Takes all slots away, or gives them back.
+/// Sets the number of slots, for example to zero to stop all starts.
 fn set_slots(fixture: &EntryFixture, slots: u32) {
     fixture.slots.slots.lock().insert("t0".into(), slots);
     fixture.renew_slots();
@@ -111,8 +111,8 @@
     assert_eq!(target.most_running.load(Ordering::Acquire), 3);
 }
 
-/// Six members of an association wait for one pool with equal shares, and one of them sends
-/// five times as much. What runs is due to both alike.
+/// Two teams with equal shares; one queues five times as many requests. The other one's
+/// requests must not wait behind them.
 #[test]
 fn shares_under_saturation() {
     let clock = Arc::new(StepClock::default());
@@ -120,10 +120,10 @@
     let fixture = EntryFixture::start_with(&[&target], one_slot_with_clock(clock));
     set_slots(&fixture, 0);
     let flooding = fixture.caller();
-    let modest = fixture.caller().with_key(OTHER_KEY);
+    let other = fixture.caller().with_key(OTHER_KEY);
     let calls: Vec<_> = (0..50)
         .map(|_| ask_in_background(flooding.clone(), "x"))
-        .chain((0..10).map(|_| ask_in_background(modest.clone(), "y")))
+        .chain((0..10).map(|_| ask_in_background(other.clone(), "y")))
         .collect();
     wait_for("queues", || {
         queued_count(&fixture, TEAM) == 50 && queued_count(&fixture, OTHER_TEAM) == 10
@@ -139,12 +139,12 @@
         .unwrap();
     assert!(
         last <= 22,
-        "the modest team's ten end at place {last} of 60"
+        "the last request of the other team ran at position {last} of 60"
     );
 }
 
-/// Many slots become free at one moment. One team must not take them all because its
-/// virtual time was the lowest by a little.
+/// Many slots become free at the same moment. A team must not get all of them because its
+/// virtual time is slightly lower.
 #[test]
 fn free_slots_divided() {
     let (target, gate) = gated_target();
@@ -158,7 +158,7 @@
         queued_count(&fixture, TEAM) == 8 && queued_count(&fixture, OTHER_TEAM) == 8
     });
     set_slots(&fixture, 8);
-    // None of the first may end before all of them were counted.
+    // None of the first requests may finish before all of them are counted.
     wait_for("full slots", || target.call_count() >= 8);
     let first: Vec<_> = target
         .calls
@@ -174,7 +174,7 @@
     assert_eq!(first.iter().filter(|team| *team == TEAM).count(), 4);
 }
 
-/// What the fleet used counts: a team that used much elsewhere goes second here.
+/// Usage on other hosts counts: a team with much usage elsewhere goes second here.
 #[test]
 fn virtual_time_includes_fleet_usage() {
     let clock = Arc::new(StepClock::default());
@@ -214,7 +214,7 @@
     assert_eq!(order[..3], [OTHER_TEAM; 3]);
 }
 
-/// Someone waits for a quote while the team's own batch fills the queue.
+/// An urgent request goes before the other queued requests of its team.
 #[test]
 fn urgent_request_first() {
     let target = slow_target(Duration::from_millis(5));
@@ -234,7 +234,7 @@
     }
 }
 
-/// One team runs as much as its limit allows. Its requests wait; the other team's do not.
+/// Requests of a team at its limit wait without delaying those of another team.
 #[test]
 fn quota_blocked_team_blocks_no_other() {
     let target = slow_target(Duration::from_millis(20));
@@ -243,7 +243,7 @@
     let calls: Vec<_> = (0..3)
         .map(|_| ask_in_background(fixture.caller(), "x"))
         .collect();
-    wait_for("waiting note", || {
+    wait_for("report of waiting requests", || {
         fixture.quotas.waiting.lock().get(TEAM).copied() == Some(3)
     });
     let other = fixture.caller().with_key(OTHER_KEY).ask(b"y");
@@ -253,13 +253,13 @@
         assert_eq!(call.join().unwrap().status, 200);
     }
     assert_eq!(fixture.quotas.most_used.lock()[TEAM], 1);
-    wait_for("note withdrawn", || {
+    wait_for("report that none is waiting", || {
         fixture.quotas.waiting.lock().get(TEAM).copied() == Some(0)
     });
 }
 
-/// A team's requests stop at one entry host for want of units, while another host holds
-/// units that it can't use: it has a long queue and few slots, and asked by its queue.
+/// Guards against a host drawing more units than its slots can use: it has a long queue and
+/// few slots, and must not report the length of its queue as its need.
 #[test]
 fn quota_waiting_limited_by_slots() {
     let target = slow_target(Duration::from_millis(20));
@@ -269,7 +269,7 @@
         .map(|_| ask_in_background(fixture.caller(), "x"))
         .collect();
     wait_for("queue", || queued_count(&fixture, TEAM) == 40);
-    wait_for("waiting note", || {
+    wait_for("report of waiting requests", || {
         fixture.quotas.waiting.lock().get(TEAM).copied() == Some(8)
     });
     fixture.quotas.limits.lock().insert(TEAM.into(), 8);
@@ -306,8 +306,8 @@
     assert_eq!(reply.fate(), "not-run");
 }
 
-/// The queue is long and the caller's deadline short. Waiting would be for nothing, so the
-/// caller is told at once and may try elsewhere or come back.
+/// A request that can't be started before its deadline is refused at once, so that its
+/// caller can try elsewhere.
 #[test]
 fn deadline_unreachable_refused_at_once() {
     let target = slow_target(Duration::from_millis(50));
@@ -328,17 +328,16 @@
     assert!(reply.json()["retry_after_ms"].as_u64().unwrap() > 500);
     assert!(
         target.call_count() - before < 20,
-        "refused at its deadline only"
+        "the request was not refused before its deadline"
     );
     for call in calls {
         call.join().unwrap();
     }
 }
 
-/// Callers are told "may have run" although the pool was busy all the time: more was asked
-/// than the pool does, each request came to a slot just before its deadline, a target spent
-/// the slot on it, and the answer came too late. Requests that waited too long must be
-/// refused as not run, so that slots go to those that can still end in time.
+/// Guards against wasted slots under overload: each request gets a slot just before its
+/// deadline, and the response comes too late. Requests that waited too long must be refused
+/// as "not run", so that the slots go to requests that can still finish in time.
 #[test]
 fn overload_refuses_late_requests() {
     let clock = Arc::new(JumpClock::default());
@@ -363,7 +362,7 @@
         thread::sleep(Duration::from_millis(5));
     }
     wait_for("queue", || queued_count(&fixture, TEAM) == 60);
-    // However long that took, the first is left half a second.
+    // Independent of the time spent so far, the first request has half a second left.
     *clock.0.lock() = Duration::from_millis(7500).saturating_sub(started.elapsed());
     set_slots(&fixture, 1);
     let replies: Vec<CallReply> = calls.into_iter().map(|call| call.join().unwrap()).collect();
@@ -378,8 +377,8 @@
     );
 }
 
-/// A team floods a pool whose queue is bounded. It is refused, and a request of the other
-/// team still finds room.
+/// A team floods a pool with a bounded queue. Its own requests are refused, and a request
+/// of another team is still queued.
 #[test]
 fn queue_full_refuses_longest_team() {
     let target = slow_target(Duration::from_millis(20));
@@ -412,8 +411,7 @@
     assert_eq!((counts[&200], counts[&429]), (19, 41));
 }
 
-/// A caller hangs up while its request is queued. Nobody waits for the answer, so no slot
-/// is spent on it.
+/// The caller of a queued request disconnects. The request must not use a slot.
 #[test]
 fn abandoned_request_not_started() {
     let target = slow_target(Duration::from_millis(300));
@@ -433,7 +431,9 @@
         stream.write_all(text.as_bytes()).unwrap();
         wait_for("queued", || queued_count(&fixture, TEAM) == 1);
     }
-    wait_for("forgotten", || queued_count(&fixture, TEAM) == 0);
+    wait_for("removed from the queue", || {
+        queued_count(&fixture, TEAM) == 0
+    });
     set_slots(&fixture, 1);
     assert_eq!(first.join().unwrap().status, 200);
     assert_eq!(target.call_count(), 1);
--- a/crates/entry/tests/random_bytes.rs
+++ b/crates/entry/tests/random_bytes.rs
@@ -1,4 +1,5 @@
-//! Whatever bytes come in at the caller port, it answers or closes, and goes on serving.
+//! The caller port responds to or closes any connection, whatever bytes it receives, and
+//! keeps working.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -28,7 +29,7 @@
     })
 }
 
-/// Sends the bytes, and checks that the port still serves a good request.
+/// Sends the bytes, and checks that the port still answers a valid request.
 fn send(bytes: &[u8]) -> String {
     let fixture = &port().fixture;
     let timeout = Duration::from_secs(30);
@@ -46,8 +47,8 @@
     .into_bytes()
 }
 
-/// Holds each answer that came back on a connection to what was promised: it is whole, and a
-/// refusal is a problem with its fate. Damaged bytes may make more than one request.
+/// Checks every response on a connection: it is complete, and a refusal contains a problem
+/// with its fate. Damaged bytes may form more than one request.
 fn check_answers(text: &str) -> Result<(), TestCaseError> {
     let mut rest = text;
     while let Some((head, after)) = rest.split_once("\r\n\r\n") {
@@ -56,7 +57,7 @@
             .find_map(|line| line.strip_prefix("content-length: "))
             .map_or(after.len(), |length| length.parse().unwrap());
         let body = after.get(..length);
-        prop_assert!(body.is_some(), "not whole: {}", text);
+        prop_assert!(body.is_some(), "incomplete response: {}", text);
         let body = body.unwrap_or_default();
         if head.contains("content-type: application/json") {
             let problem: serde_json::Value = serde_json::from_str(body).unwrap();
@@ -64,13 +65,13 @@
         }
         rest = &after[length..];
     }
-    prop_assert!(rest.is_empty(), "not an answer: {}", rest);
+    prop_assert!(rest.is_empty(), "not a response: {}", rest);
     Ok(())
 }
 
-/// Seen in a run of the whole suite: with the name of its length and of `Connection` damaged, a
-/// request is over after its head, and the three bytes left are a second one. Two answers come
-/// back on the connection, and reading them as one took the second for a part of the first.
+/// Guards against reading two responses as one: if the names of `Content-Length` and
+/// `Connection` are damaged, the request ends after its head and the remaining three bytes
+/// form a second request.
 #[test]
 fn damaged_length_makes_two_requests() {
     let bytes = format!(
@@ -91,8 +92,8 @@
         send(&bytes);
     }
 
-    /// A good request with a few bytes changed, put in or cut out: where an answer comes
-    /// back it is a whole one, and a refusal is a problem with its fate.
+    /// A valid request with a few bytes changed, inserted or removed. Every response is
+    /// complete, and a refusal contains a problem with its fate.
     #[test]
     fn damaged_request(
         edits in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 0..3_u8), 1..6),
--- a/crates/entry/tests/request_path.rs
+++ b/crates/entry/tests/request_path.rs
@@ -1,4 +1,4 @@
-//! A request from its caller to a target and back.
+//! The path of a request from the caller to a target and back.
 #![allow(clippy::unwrap_used)]
 
 mod support;
--- a/crates/entry/tests/shutdown.rs
+++ b/crates/entry/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! A graceful shutdown cuts off no request.
+//! A graceful shutdown does not abort any request.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -20,8 +20,8 @@
     })
 }
 
-/// An operator replaces an entry host under load: what runs and what is queued is answered
-/// whole, new requests are refused truthfully, and readiness says so to the balancer.
+/// A shutdown under load: running and queued requests get complete responses, new ones are
+/// refused as "not run", and the readiness check fails.
 #[test]
 fn shutdown_answers_all() {
     let target = slow_target(Duration::from_millis(100));
@@ -56,8 +56,8 @@
     assert!(TcpStream::connect(fixture.server.caller_address()).is_err());
 }
 
-/// The patience ends while requests are queued: they get a true refusal, not a cut
-/// connection.
+/// The timeout of the shutdown ends while requests are queued: they are refused as "not
+/// run" instead of being disconnected.
 #[test]
 fn shutdown_refuses_queued() {
     let target = slow_target(Duration::from_millis(400));
@@ -83,8 +83,8 @@
     assert!((1..6).contains(&answered), "{answered}");
 }
 
-/// A request whose body is still on its way when the shutdown begins was not admitted yet;
-/// its caller gets an answer all the same.
+/// The body of a request is still being sent when the shutdown starts. The request was not
+/// admitted yet, but its caller must get a response.
 #[test]
 fn shutdown_while_body_arrives() {
     let target = RawTarget::echo();
@@ -124,9 +124,8 @@
     assert!(TcpStream::connect(address).is_err());
 }
 
-/// Callers keep their connections and send one request after another while the host shuts
-/// down. None may meet a connection that closes under its request: the caller would not
-/// know whether its order was placed.
+/// Callers send requests on open connections during the shutdown. No connection may close
+/// after a request was sent on it, because the caller would not know its fate.
 #[test]
 fn shutdown_closes_kept_connections() {
     let target = RawTarget::echo();
@@ -143,7 +142,7 @@
     }
 }
 
-/// Sends requests on a kept connection until the port is closed to new ones.
+/// Sends requests on an open connection until the port refuses new ones.
 fn send_until_closed(address: std::net::SocketAddr) -> (u32, u32) {
     let (mut answered, mut refused) = (0, 0);
     let head = format!(
@@ -163,10 +162,10 @@
                 .and_then(|()| stream.read(&mut answer))
                 .unwrap_or_default();
             if count == 0 && request == 0 {
-                // Connected in the moment in which the port closed.
+                // The connection was accepted just as the port closed.
                 continue 'connect;
             }
-            assert!(count > 0, "the connection closed under a request");
+            assert!(count > 0, "the connection closed after a request was sent");
             let text = String::from_utf8_lossy(&answer[..count]).into_owned();
             if text.starts_with("HTTP/1.1 200") {
                 answered += 1;
--- a/crates/entry/tests/support/entry_fixture.rs
+++ b/crates/entry/tests/support/entry_fixture.rs
@@ -25,7 +25,7 @@
 pub const OTHER_KEY: &str = "k2.secret-two";
 const POOL: &str = "quoting";
 
-/// What a test changes about its entry server.
+/// Settings of an entry server under test.
 pub struct FixtureSetup {
     pub settings: ServeSettings,
     pub tuning: EntryTuning,
@@ -52,7 +52,7 @@
     }
 }
 
-/// An entry server with stand-ins behind its ports.
+/// An entry server whose dependencies are stubs.
 pub struct EntryFixture {
     pub server: EntryServer,
     pub config: Arc<ConfigStub>,
@@ -77,7 +77,7 @@
         Self::start_at(&addresses, setup)
     }
 
-    /// Starts with targets at any addresses.
+    /// Starts with targets at the given addresses.
     pub fn start_at(addresses: &[String], setup: FixtureSetup) -> Self {
         let hosts: Vec<TargetHost> = addresses
             .iter()
@@ -147,14 +147,14 @@
         Caller::new(self.server.caller_address())
     }
 
-    /// Changes the configuration in force.
+    /// Changes the active configuration.
     pub fn change(&self, edit: impl FnOnce(&mut ActiveConfig)) {
         let mut config = self.config.0.load().as_ref().clone();
         edit(&mut config);
         self.config.0.store(Arc::new(config));
     }
 
-    /// Puts a changed slot lease in force.
+    /// Publishes the slot lease with the current slots.
     pub fn renew_slots(&self) {
         self.slots.renew(POOL);
     }
--- a/crates/entry/tests/support/http_call.rs
+++ b/crates/entry/tests/support/http_call.rs
@@ -8,7 +8,7 @@
 
 use super::entry_fixture::{KEY, SERVICE};
 
-/// What a caller got.
+/// A response to a caller.
 #[derive(Clone, Debug)]
 pub struct CallReply {
     pub status: u16,
@@ -72,7 +72,7 @@
         self
     }
 
-    /// Asks the service of the bench.
+    /// Sends a request to the service of the fixture.
     pub fn ask(&self, body: &[u8]) -> CallReply {
         self.post(&format!("/v1/services/{SERVICE}/requests"), body)
     }
@@ -101,7 +101,7 @@
         read(builder.call().unwrap())
     }
 
-    /// A request id minted by the entry server.
+    /// Mints a request id.
     pub fn mint(&self) -> String {
         let reply = self.post("/v1/request-ids", b"");
         assert_eq!(reply.status, 200, "{}", reply.text());
@@ -129,11 +129,11 @@
     }
 }
 
-/// Sends bytes as they are and reads until the server closes or goes silent.
+/// Sends raw bytes and reads until the server closes the connection or the timeout expires.
 pub fn raw_exchange(address: SocketAddr, bytes: &[u8], timeout: Duration) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(timeout)).unwrap();
-    // The server may close before it has read everything.
+    // The server may close the connection before it has read everything.
     let _ = stream.write_all(bytes);
     let mut text = Vec::new();
     let _ = stream.read_to_end(&mut text);
--- a/crates/entry/tests/support/mod.rs
+++ b/crates/entry/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the ports of an entry server, and a target that misbehaves on demand.
+//! Stubs for the dependencies of an entry server, and a target that fails on demand.
 #![allow(
     dead_code,
     unused_imports,
--- a/crates/entry/tests/support/port_stubs.rs
+++ b/crates/entry/tests/support/port_stubs.rs
@@ -28,13 +28,13 @@
     }
 }
 
-/// A gate that says what it is told, and does something when it is asked.
+/// A gate with a settable state that runs a hook on each check.
 #[derive(Default)]
 pub struct GateStub(pub Mutex<Option<NotServing>>, pub Mutex<Option<GateHook>>);
 
 pub type GateHook = Box<dyn FnMut() + Send>;
 
-/// The machine's clock with jumps, as after a pause of the process.
+/// The system clock plus an offset, as after a pause of the process.
 #[derive(Default)]
 pub struct JumpClock(pub Mutex<Duration>);
 
@@ -47,14 +47,14 @@
     }
 }
 
-/// A clock that a busy machine hardly moves: what its threads wait for a processor counts a
-/// fraction, and what a test says that work takes counts whole.
+/// A clock that advances by explicit steps and, in between, at a fraction of real time.
+/// Waiting for a CPU on a busy machine hardly moves it.
 pub struct StepClock {
     started: Duration,
     steps: Mutex<Duration>,
 }
 
-/// How many times slower than the machine's clock it goes by itself.
+/// How many times slower than the system clock it advances by itself.
 const STEP_CLOCK_SLOWNESS: u32 = 20;
 
 impl Default for StepClock {
@@ -67,7 +67,7 @@
 }
 
 impl StepClock {
-    /// Lets time pass.
+    /// Advances the clock.
     pub fn step(&self, time: Duration) {
         *self.steps.lock() += time;
     }
@@ -98,7 +98,7 @@
     }
 }
 
-/// Counts units in use and refuses above a limit.
+/// Counts the units in use and refuses those above the limit.
 #[derive(Default)]
 pub struct QuotaStub {
     pub limits: Mutex<HashMap<TeamId, u32>>,
@@ -171,7 +171,7 @@
 }
 
 impl SlotStub {
-    /// Puts a changed lease in force.
+    /// Publishes a lease with the current slots.
     pub fn renew(&self, pool: &str) {
         let targets = self
             .slots
@@ -218,13 +218,13 @@
     }
 }
 
-/// Carries messages between entry servers of one test.
+/// Delivers messages between the entry servers of a test.
 #[derive(Default)]
 pub struct LinkMesh {
     pub inboxes: Mutex<HashMap<MemberId, Sender<InboundMessage>>>,
-    /// Messages to drop, counted down.
+    /// Number of messages still to be dropped.
     pub messages_to_drop: AtomicU32,
-    /// Replies to claims to drop, counted down.
+    /// Number of replies to claims still to be dropped.
     pub replies_to_drop: AtomicU32,
     pub sent: AtomicU64,
 }
@@ -269,7 +269,7 @@
     .is_ok()
 }
 
-/// Records jobs, or fails as told.
+/// Records jobs, or returns the configured error.
 #[derive(Default)]
 pub struct JobStub {
     pub jobs: Mutex<Vec<JobRequest>>,
--- a/crates/entry/tests/support/raw_target.rs
+++ b/crates/entry/tests/support/raw_target.rs
@@ -11,7 +11,7 @@
 
 use parking_lot::Mutex;
 
-/// A request as the target read it.
+/// A request as received by the target.
 #[derive(Clone, Debug, Default)]
 pub struct TargetCall {
     pub path: String,
@@ -22,27 +22,27 @@
     pub body: Vec<u8>,
 }
 
-/// What the target does with a request.
+/// How the target responds to a request.
 pub enum TargetReply {
-    /// 200 with the right echo.
+    /// 200 with the request's id.
     Answer(Vec<u8>),
-    /// Any status with the right echo.
+    /// Any status with the request's id.
     Status(u16, Vec<u8>),
-    /// 200 with an echo of another request.
+    /// 200 with the id of another request.
     Crossed(Vec<u8>, String),
-    /// 200 that announces more bytes than it sends, and then closes.
+    /// 200 with a content length larger than the body, then closes.
     Truncated(Vec<u8>, usize),
-    /// 503 that says that nothing was run.
+    /// 503 with the header `Not-Run`.
     NotRun,
-    /// Closes without an answer.
+    /// Closes the connection without a response.
     Hangup,
-    /// Says nothing for the given time, then closes.
+    /// Sends nothing for the given time, then closes the connection.
     Silence(Duration),
 }
 
 type Behaviour = dyn Fn(&TargetCall) -> TargetReply + Send + Sync;
 
-/// A small HTTP target on a thread for each connection.
+/// A minimal HTTP target with one thread per connection.
 pub struct RawTarget {
     pub address: SocketAddr,
     pub calls: Arc<Mutex<Vec<TargetCall>>>,
@@ -81,7 +81,7 @@
         target
     }
 
-    /// A target that answers with the body it got.
+    /// A target that responds with the body of the request.
     pub fn echo() -> Self {
         Self::start(|call| TargetReply::Answer(call.body.clone()))
     }
@@ -93,7 +93,7 @@
     /// Stops listening, and returns once connections are refused.
     pub fn stop(&self) {
         self.stop.store(true, Ordering::Release);
-        // Each connection wakes the listener, and the first one ends it.
+        // Each connection wakes the listener thread, and the first one makes it exit.
         while TcpStream::connect(self.address).is_ok() {
             thread::sleep(Duration::from_millis(1));
         }
--- a/crates/entry/tests/target_failures.rs
+++ b/crates/entry/tests/target_failures.rs
@@ -1,4 +1,5 @@
-//! Targets that fail, lie or go away: whole answers only, true refusals, no second run.
+//! Targets that fail, send wrong responses or are unreachable: responses are complete,
+//! refusals are true, and nothing runs twice.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -19,7 +20,7 @@
     EntryFixture, FixtureSetup, JumpClock, RawTarget, SERVICE, TEAM, TargetCall, TargetReply,
 };
 
-/// A target that does `fault` once and answers rightly from then on.
+/// A target that returns `fault` for its first request and responds correctly afterwards.
 fn faulty_first_time(fault: fn(&TargetCall) -> TargetReply) -> RawTarget {
     let calls = AtomicUsize::new(0);
     RawTarget::start(move |call| {
@@ -46,9 +47,9 @@
     TargetReply::Hangup
 }
 
-/// A target mixes up two answers, breaks one off, or dies with a request. The caller of a
-/// non-idempotent request is told at once that it may have run: the target had it, and a
-/// second run could bill a franchisee twice.
+/// A target sends the response of another request, truncates a response or closes the
+/// connection. The caller of a non-idempotent request is told at once that it may have run,
+/// and the request is not retried.
 #[rstest]
 #[case::crossed(crossed)]
 #[case::truncated(truncated)]
@@ -59,12 +60,15 @@
     let started = Instant::now();
     let reply = fixture.caller().with("deadline-ms", "50000").ask(b"order");
     assert_eq!((reply.status, reply.fate().as_str()), (504, "may-have-run"));
-    assert!(started.elapsed() < Duration::from_secs(20), "held back");
+    assert!(
+        started.elapsed() < Duration::from_secs(20),
+        "the refusal was delayed"
+    );
     assert_eq!(target.call_count(), 1);
 }
 
-/// The same faults strike an idempotent request: it is sent again, and the caller gets the
-/// whole answer to its own request.
+/// After the same faults an idempotent request is retried, and the caller gets the complete
+/// response.
 #[rstest]
 #[case::crossed(crossed)]
 #[case::truncated(truncated)]
@@ -77,12 +81,13 @@
     assert_eq!((reply.status, reply.text().as_str()), (200, "quote"));
     assert_eq!(reply.request, "quote-1");
     assert_eq!(target.call_count(), 2);
-    // Two teams may use the same id at a time, so targets see the team in it.
+    // Two teams may use the same id at the same time, so the id sent to targets contains
+    // the team.
     assert_eq!(target.calls.lock()[0].request, format!("{TEAM}:quote-1"));
 }
 
-/// An idempotent request is lost once, waits for its retry, and its key is withdrawn
-/// meanwhile. Its first attempt may have run, so the refusal must not say "not run".
+/// The response to an idempotent request is lost, and its key is revoked before the retry.
+/// The first attempt may have run, so the refusal must not say "not run".
 #[test]
 fn refusal_after_unknown_attempt() {
     let fixture_slot: Arc<parking_lot::Mutex<Option<Arc<EntryFixture>>>> = Arc::default();
@@ -104,8 +109,8 @@
     fixture_slot.lock().take();
 }
 
-/// One of two targets is gone, and the pool's budget allows no ejection. Its free slots must
-/// not draw request after request until the retry budget is spent.
+/// One of two targets is down, and the pool's budget does not allow its ejection. Its free
+/// slots must not attract requests until the retry budget is exhausted.
 #[test]
 fn connect_refused_uses_other_target() {
     let gone = RawTarget::echo();
@@ -141,7 +146,10 @@
         assert_eq!(reply.status, 200, "{}", reply.text());
     }
     assert_eq!(target.call_count(), 5);
-    assert!(busy.call_count() < 5, "a refusing target is left alone");
+    assert!(
+        busy.call_count() < 5,
+        "a refusing target must get fewer requests"
+    );
 }
 
 #[rstest]
@@ -170,8 +178,8 @@
     assert_eq!((leaving.call_count(), target.call_count()), (0, 10));
 }
 
-/// A target accepts connections and fails every request at once, so it is always free and
-/// would draw as much traffic as the others together. It is ejected, while the pool's
+/// A target accepts connections and fails every request at once, so it always has free
+/// slots and would get as many requests as all others together. It is ejected if the pool's
 /// budget allows it.
 #[rstest]
 #[case::says_so(failed)]
@@ -193,8 +201,8 @@
     );
 }
 
-/// The sound target is busy, so trying it first does not help: what waits would go to the
-/// failing one, which is always free and fails a request in no time.
+/// The healthy target is busy, so preferring it is not enough: queued requests would go to
+/// the failing target, which always has free slots.
 #[test]
 fn failing_target_ejected_under_load() {
     let failing = RawTarget::start(failed);
@@ -215,8 +223,8 @@
     assert!(failed <= 40, "{failed} of 160 went to the failing target");
 }
 
-/// The same fault strikes every target of the pool, as after a bad release. Ejecting them
-/// would leave the pool below its budget, so they stay in use.
+/// All targets of a pool fail, as after a bad release. Ejecting them would leave the pool
+/// below its budget, so they stay in use.
 #[test]
 fn failing_pool_not_ejected() {
     let targets = [(); 2].map(|()| RawTarget::start(failed));
@@ -237,8 +245,8 @@
     }
 }
 
-/// All targets of a pool fail for a moment. Without a budget each request would be sent
-/// again and again, just when the pool has least to spare.
+/// All targets of a pool fail. Without a retry budget each request would be sent again and
+/// again and add load to the failing pool.
 #[test]
 fn retries_within_budget() {
     let target = RawTarget::start(|_| TargetReply::Hangup);
@@ -254,8 +262,8 @@
     assert!(extra <= 16 + 10, "{extra} retries for 100 requests");
 }
 
-/// The serving lease lapses while a request waits for its slot: the host may have been cut
-/// off and its teams' units given to others, so the request must not go out any more.
+/// The serving lease expires while a request is queued. The host may be cut off and its
+/// teams' units granted to others, so the request must not be sent.
 #[test]
 fn gate_checked_before_first_byte() {
     let target = RawTarget::start(|call| {
@@ -282,8 +290,8 @@
     assert_eq!(target.call_count(), 1);
 }
 
-/// An operator withdraws a key while a request that it admitted is queued, or grants
-/// another secret under the same id.
+/// A key is revoked while a request that it admitted is queued, or another secret is
+/// granted under the same id.
 #[rstest]
 #[case::withdrawn(None)]
 #[case::granted_anew(Some("secret-new"))]
@@ -319,8 +327,8 @@
 }
 
 /// The process is paused for two seconds while it connects to a target. The target must not
-/// be told that the request has as much time left as before the pause: it would run it after
-/// its deadline, when the team's unit belongs to another request.
+/// get the time left as of before the pause: it would run the request after its deadline,
+/// when the team's unit belongs to another request.
 #[test]
 fn stale_headers_not_sent() {
     let target = RawTarget::echo();
@@ -333,7 +341,7 @@
     let mut checks = 0;
     *fixture.gate.1.lock() = Some(Box::new(move || {
         checks += 1;
-        // First at admission, then right before the first byte.
+        // The first check is at admission, the second one right before the first byte.
         if checks == 2 {
             *clock.0.lock() += Duration::from_secs(2);
         }
@@ -345,8 +353,8 @@
     assert!(calls[0].deadline_ms <= 28_000, "{}", calls[0].deadline_ms);
 }
 
-/// A target goes silent with a request. The caller is told at its deadline that it may have
-/// run; the team's unit and the target's slot stay taken as long as it may run.
+/// A target closes the connection after receiving a request. The caller is told that the
+/// request may have run, and the team's unit stays taken as long as it may be running.
 #[test]
 fn unknown_fate_holds_quota() {
     let target = RawTarget::start(|_| TargetReply::Hangup);
@@ -363,8 +371,8 @@
     assert_eq!(fixture.server.running(&"t0".into()), 0);
 }
 
-/// A target dies with a request that had a minute left, and is back at once. Its only slot
-/// must not stay idle for that minute.
+/// A target crashes with a request that had a minute left, and is back at once. Its only
+/// slot must not stay idle for that minute.
 #[test]
 fn slot_released_after_hangup() {
     let target = faulty_first_time(hangup);
@@ -377,8 +385,8 @@
     assert_eq!(first.fate(), "may-have-run");
     let second = fixture.caller().with("deadline-ms", "20000").ask(b"next");
     assert_eq!(second.status, 200);
-    // The second request's unit comes back just after its answer. The first one's stays
-    // taken, and whoever drains the target sees that something may run.
+    // The second request's unit is released just after its response. The first one's stays
+    // taken, and the target still counts as running a request.
     let until = Instant::now() + Duration::from_secs(20);
     while fixture.quotas.used_by(TEAM) > 1 && Instant::now() < until {
         thread::sleep(Duration::from_millis(2));
@@ -387,8 +395,8 @@
     assert_eq!(fixture.server.running(&"t0".into()), 1);
 }
 
-/// A target may work on a request a little beyond its deadline. Until that time has passed,
-/// no other request is sent into the same slot.
+/// A target may work on a request shortly beyond its deadline. Until then no other request
+/// is sent to the same slot.
 #[test]
 fn slot_held_after_timeout() {
     let second_at = Arc::new(parking_lot::Mutex::new(None));
@@ -411,7 +419,7 @@
     assert_eq!(first.fate(), "may-have-run");
     assert_eq!(fixture.caller().ask(b"next").status, 200);
     let second_at = second_at.lock().unwrap();
-    // The deadline and the shortest grace, both counted from after `begun`.
+    // The deadline and the minimum grace period, both counted from after `started`.
     assert!(second_at - started >= Duration::from_millis(800));
 }
 
