--- a/crates/entry/src/caller/connection_limiter.rs
+++ b/crates/entry/src/caller/connection_limiter.rs
@@ -10,11 +10,11 @@
 pub(crate) struct ConnectionLimiter {
     total: usize,
     per_address: usize,
-    open: Mutex<OpenConnections>,
+    held: Mutex<HeldConnections>,
 }
 
 #[derive(Debug, Default)]
-struct OpenConnections {
+struct HeldConnections {
     sum: usize,
     addresses: HashMap<IpAddr, usize>,
 }
@@ -33,19 +33,19 @@
         Arc::new(Self {
             total,
             per_address,
-            open: Mutex::new(OpenConnections::default()),
+            held: Mutex::new(HeldConnections::default()),
         })
     }
 
     /// Counts a connection from `address`; `None` if it would exceed a limit.
     pub fn try_acquire(self: &Arc<Self>, address: IpAddr) -> Option<ConnectionPermit> {
-        let mut open = self.open.lock();
-        let from_address = open.addresses.get(&address).copied().unwrap_or_default();
-        if open.sum >= self.total || from_address >= self.per_address {
+        let mut held = self.held.lock();
+        let from_address = held.addresses.get(&address).copied().unwrap_or_default();
+        if held.sum >= self.total || from_address >= self.per_address {
             return None;
         }
-        open.sum += 1;
-        open.addresses.insert(address, from_address + 1);
+        held.sum += 1;
+        held.addresses.insert(address, from_address + 1);
         Some(ConnectionPermit {
             limiter: Arc::clone(self),
             address,
@@ -54,20 +54,20 @@
 
     /// Number of open connections.
     pub fn open_count(&self) -> usize {
-        self.open.lock().sum
+        self.held.lock().sum
     }
 }
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        let mut open = self.limiter.open.lock();
-        open.sum = open.sum.saturating_sub(1);
-        let Some(from_address) = open.addresses.get_mut(&self.address) else {
+        let mut held = self.limiter.held.lock();
+        held.sum = held.sum.saturating_sub(1);
+        let Some(from_address) = held.addresses.get_mut(&self.address) else {
             return;
         };
         *from_address = from_address.saturating_sub(1);
         if *from_address == 0 {
-            open.addresses.remove(&self.address);
+            held.addresses.remove(&self.address);
         }
     }
 }
