--- a/crates/entry/src/admission/demand_meter.rs
+++ b/crates/entry/src/admission/demand_meter.rs
@@ -47,7 +47,12 @@
     ///
     /// Charging running requests in advance keeps one team from taking every slot that
     /// becomes free at the same moment.
-    pub fn unaccounted(&self, team: &TeamId, service_time: Duration, now: BootTime) -> Duration {
+    pub fn unaccounted_time(
+        &self,
+        team: &TeamId,
+        service_time: Duration,
+        now: BootTime,
+    ) -> Duration {
         let Some(meter) = self.teams.get(team) else {
             return Duration::ZERO;
         };
--- a/crates/entry/src/admission/finish_attempt.rs
+++ b/crates/entry/src/admission/finish_attempt.rs
@@ -151,7 +151,7 @@
             pool: request.pool.clone(),
             team: request.team.clone(),
             host,
-            slot: timed_out,
+            holds_slot: timed_out,
             _permit: permit,
         });
     }
@@ -168,7 +168,7 @@
         self.holds = kept;
         let over: Vec<ResourceHold> = over;
         for hold in over {
-            if hold.slot {
+            if hold.holds_slot {
                 self.release(&hold.pool, &hold.team, &hold.host, now);
             } else {
                 self.table.end_unconfirmed(&hold.host);
--- a/crates/entry/src/admission/pool_state.rs
+++ b/crates/entry/src/admission/pool_state.rs
@@ -91,7 +91,7 @@
             Duration::from_millis(used.virtual_ms)
         });
         let mean_service = self.mean_service.max(MIN_SERVICE_TIME);
-        leased + self.meter.unaccounted(team, mean_service, now) / snapshot.weight(team)
+        leased + self.meter.unaccounted_time(team, mean_service, now) / snapshot.weight(team)
     }
 
     /// Expected time in the queue for `request`, from recent service times and the slots
--- a/crates/entry/src/admission/resource_hold.rs
+++ b/crates/entry/src/admission/resource_hold.rs
@@ -13,7 +13,7 @@
     pub(super) team: TeamId,
     pub(super) host: HostId,
     /// Whether the slot is held too.
-    pub(super) slot: bool,
+    pub(super) holds_slot: bool,
     pub(super) _permit: QuotaPermit,
 }
 
--- a/crates/entry/src/claim/claim_service.rs
+++ b/crates/entry/src/claim/claim_service.rs
@@ -118,7 +118,7 @@
         if is_known || self.is_unclaimed_here(given) {
             return problem;
         }
-        problem.into_uncertain()
+        problem.with_uncertain_fate()
     }
 
     fn is_unclaimed_here(&self, request: &RequestId) -> bool {
--- a/crates/entry/src/dispatch/target_connection.rs
+++ b/crates/entry/src/dispatch/target_connection.rs
@@ -83,7 +83,7 @@
             .header("request-id", request.request.as_str())
             .header("deadline-ms", &left)
             .header("team", request.team)
-            .header("idempotent", flag(request.idempotent));
+            .header("idempotent", bool_text(request.idempotent));
         if let Some(text) = request.content_type {
             builder = builder.header(CONTENT_TYPE, text);
         }
@@ -100,6 +100,6 @@
     }
 }
 
-fn flag(value: bool) -> &'static str {
+fn bool_text(value: bool) -> &'static str {
     if value { "true" } else { "false" }
 }
--- a/crates/entry/src/problem.rs
+++ b/crates/entry/src/problem.rs
@@ -49,7 +49,7 @@
 
     /// Changes the fate from "not run" to "may have run": only this attempt is known not to
     /// have run.
-    pub(crate) fn into_uncertain(mut self) -> Self {
+    pub(crate) fn with_uncertain_fate(mut self) -> Self {
         self.fate = RunFate::MayHaveRun;
         self.detail += "; this attempt did not run, but an earlier one with the same \
                         Request-Id may have: ask again with that id";
--- a/crates/entry/tests/target_failures.rs
+++ b/crates/entry/tests/target_failures.rs
@@ -113,10 +113,10 @@
 /// slots must not attract requests until the retry budget is exhausted.
 #[test]
 fn connect_refused_uses_other_target() {
-    let gone = RawTarget::echo();
-    gone.stop();
+    let stopped = RawTarget::echo();
+    stopped.stop();
     let target = RawTarget::echo();
-    let fixture = EntryFixture::start(&[&gone, &target]);
+    let fixture = EntryFixture::start(&[&stopped, &target]);
     for number in 0..100 {
         let body = format!("order {number}");
         let reply = fixture.caller().ask(body.as_bytes());
@@ -127,9 +127,9 @@
 
 #[test]
 fn all_targets_unreachable_not_run() {
-    let gone = RawTarget::echo();
-    gone.stop();
-    let fixture = EntryFixture::start(&[&gone]);
+    let stopped = RawTarget::echo();
+    stopped.stop();
+    let fixture = EntryFixture::start(&[&stopped]);
     let reply = fixture.caller().with("deadline-ms", "30000").ask(b"order");
     assert_eq!((reply.status, reply.problem().as_str()), (503, "no-target"));
     assert_eq!(reply.fate(), "not-run");
