--- a/crates/decide/benches/desk_turn.rs
+++ b/crates/decide/benches/desk_turn.rs
@@ -1,12 +1,12 @@
 //! Cost of a task in the owner's scheduler from its submission to its end, by the number of
 //! targets, waiting tasks and workspaces. `docs/CAPACITY.md` has the figures.
 
-#[path = "../tests/desk/turn.rs"]
+#[path = "../tests/harness/queue_load.rs"]
 #[allow(dead_code, reason = "the tests use more of it")]
-mod turn;
+mod queue_load;
 
 use divan::{AllocProfiler, Bencher};
-use turn::{TurnLoad, TurnSize};
+use queue_load::{QueueLoad, TurnSize};
 
 #[global_allocator]
 static ALLOCATIONS: AllocProfiler = AllocProfiler::system();
@@ -47,6 +47,6 @@
 
 #[divan::bench(args = sizes(), sample_count = 20, sample_size = 100)]
 fn task(bencher: Bencher, size: &TurnSize) {
-    let mut load = TurnLoad::new(*size);
-    bencher.bench_local(|| load.end_one());
+    let mut load = QueueLoad::new(*size);
+    bencher.bench_local(|| load.end_next_task());
 }
--- a/crates/decide/tests/common/fleet_world.rs
+++ b/crates/decide/tests/common/fleet_simulation.rs
@@ -30,7 +30,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct WorldOptions {
+pub struct SimulationOptions {
     pub pools: usize,
     pub hosts_per_pool: usize,
     pub budget: u32,
@@ -43,7 +43,7 @@
     pub fault: GuardFault,
 }
 
-impl Default for WorldOptions {
+impl Default for SimulationOptions {
     fn default() -> Self {
         Self {
             pools: 3,
@@ -72,20 +72,20 @@
 #[derive(Clone, Debug, Default)]
 struct PlannerState {
     map: FleetMap,
-    probed: BTreeMap<HostId, ProbeNote>,
-    wanted: Vec<HostId>,
+    probed: BTreeMap<HostId, ProbeRecord>,
+    probes_due: Vec<HostId>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct ProbeNote {
+struct ProbeRecord {
     at: Duration,
     health: HealthStatus,
     failures: u32,
-    stay: PhaseEntry,
+    phase_entry: PhaseEntry,
 }
 
 /// Hosts, a list that lags, and two planners that both believe to have the duty.
-pub struct FleetWorld {
+pub struct FleetSimulation {
     pub now: Duration,
     pub map: FleetMap,
     pub manifest: Manifest,
@@ -93,7 +93,7 @@
     pub violations: Vec<String>,
     pub planned_outages: u32,
     pub conflicts: u32,
-    options: WorldOptions,
+    options: SimulationOptions,
     machines: BTreeMap<HostId, Machine>,
     planners: [PlannerState; 2],
     missing_since: BTreeMap<HostId, Duration>,
@@ -102,8 +102,8 @@
     random: StdRng,
 }
 
-impl FleetWorld {
-    pub fn new(options: WorldOptions, seed: u64) -> Self {
+impl FleetSimulation {
+    pub fn new(options: SimulationOptions, seed: u64) -> Self {
         let mut manifest = Manifest::default();
         let window = WindowSpec {
             start: Duration::ZERO,
@@ -150,13 +150,13 @@
         let until = self.now + time;
         while self.now < until {
             self.now += STEP;
-            self.strike();
-            self.age_machines();
+            self.inject_faults();
+            self.advance_machines();
             let order = if self.random.random() { [0, 1] } else { [1, 0] };
             for planner in order {
                 // A planner that misses rounds holds an old map for a while.
                 if self.random.random_bool(0.6) {
-                    self.plan(planner);
+                    self.run_planner(planner);
                 }
             }
         }
@@ -171,7 +171,7 @@
         hosts.filter(|state| state.failed_return()).count()
     }
 
-    fn strike(&mut self) {
+    fn inject_faults(&mut self) {
         let per_step = self.options.losses_per_hour * STEP.as_secs_f64() / 3600.0;
         if self.random.random_bool(per_step.min(1.0)) {
             let index = self.random.random_range(0..self.machines.len());
@@ -186,9 +186,9 @@
         }
     }
 
-    fn age_machines(&mut self) {
+    fn advance_machines(&mut self) {
         for (host, machine) in &mut self.machines {
-            machine.age(self.now, &mut self.random);
+            machine.advance(self.now, &mut self.random);
             // The list shows a host that is down for longer than some seconds as gone.
             let listed = machine
                 .down_since
@@ -201,10 +201,10 @@
         }
     }
 
-    fn plan(&mut self, index: usize) {
+    fn run_planner(&mut self, index: usize) {
         let store_up = self.now >= self.store_down_until;
         let mut planner = std::mem::take(&mut self.planners[index]);
-        self.probe(&mut planner);
+        self.probe_hosts(&mut planner);
         let observations = self.observations(&planner);
         let view_map = self.view_map(&planner.map);
         let manifest = self.view_manifest();
@@ -216,7 +216,7 @@
             list_fresh: true,
             limits: &self.limits,
         });
-        planner.wanted = plan.probes;
+        planner.probes_due = plan.probes;
         if store_up {
             if !plan.change.is_empty() {
                 self.commit(&planner.map, &plan.change);
@@ -284,7 +284,7 @@
                 leaving: false,
                 missing_for: missing.map_or(Duration::ZERO, |since| self.now - *since),
                 health,
-                probed_in: planner.asked_in(host, self.options.fault),
+                probed_in: planner.probed_in(host, self.options.fault),
             }
         };
         let machines = self.machines.iter();
@@ -294,27 +294,27 @@
     }
 
     /// Probes the hosts that the last plan asked for, and pushes them on in their phase.
-    fn probe(&mut self, planner: &mut PlannerState) {
-        for host in std::mem::take(&mut planner.wanted) {
+    fn probe_hosts(&mut self, planner: &mut PlannerState) {
+        for host in std::mem::take(&mut planner.probes_due) {
             let Some(machine) = self.machines.get_mut(&host) else {
                 continue;
             };
             let Some(state) = planner.map.hosts.get(&host) else {
                 continue;
             };
-            let note = planner.probed.entry(host.clone()).or_default();
-            if note.stay != state.phase_entry() {
-                *note = ProbeNote::default();
+            let probe = planner.probed.entry(host.clone()).or_default();
+            if probe.phase_entry != state.phase_entry() {
+                *probe = ProbeRecord::default();
             }
-            note.stay = state.phase_entry();
-            note.at = self.now;
+            probe.phase_entry = state.phase_entry();
+            probe.at = self.now;
             if machine.down_since.is_some() {
-                note.health = HealthStatus::Unknown;
-                note.failures += 1;
+                probe.health = HealthStatus::Unknown;
+                probe.failures += 1;
                 continue;
             }
-            note.failures = 0;
-            note.health = HealthStatus::Answering {
+            probe.failures = 0;
+            probe.health = HealthStatus::Answering {
                 draining: machine.draining,
                 running: machine.running,
             };
@@ -341,7 +341,7 @@
             self.conflicts += 1;
             return;
         }
-        let change = self.true_racks(change);
+        let change = self.restore_racks(change);
         let before = std::mem::take(&mut self.map);
         let mut after = before.with_change(&change);
         let mut reread = before.clone();
@@ -374,7 +374,7 @@
         }
     }
 
-    fn true_racks(&self, change: &MapChange) -> MapChange {
+    fn restore_racks(&self, change: &MapChange) -> MapChange {
         let mut change = change.clone();
         for (host, state) in &mut change.hosts {
             state.facts = self.machines[host].facts.clone();
@@ -414,26 +414,26 @@
 impl PlannerState {
     fn health(&self, host: &HostId, now: Duration, age: Duration) -> HealthStatus {
         match self.probed.get(host) {
-            Some(note) if note.failures >= 3 => HealthStatus::Failing,
-            Some(note) if now - note.at <= age => note.health,
+            Some(probe) if probe.failures >= 3 => HealthStatus::Failing,
+            Some(probe) if now - probe.at <= age => probe.health,
             _ => HealthStatus::Unknown,
         }
     }
 
-    /// The stay in which a host was asked; with the guard away, whatever the map says.
-    fn asked_in(&self, host: &HostId, fault: GuardFault) -> PhaseEntry {
+    /// The phase_entry in which a host was asked; with the guard away, whatever the map says.
+    fn probed_in(&self, host: &HostId, fault: GuardFault) -> PhaseEntry {
         let state = self.map.hosts.get(host);
-        let held = state.map(HostState::phase_entry).unwrap_or_default();
+        let current_entry = state.map(HostState::phase_entry).unwrap_or_default();
         match fault {
-            GuardFault::HealthOfOtherPhase => return held,
-            GuardFault::LossesIgnored if held.0 == HostPhase::Lost => {
-                return (HostPhase::Serving, held.1);
+            GuardFault::HealthOfOtherPhase => return current_entry,
+            GuardFault::LossesIgnored if current_entry.0 == HostPhase::Lost => {
+                return (HostPhase::Serving, current_entry.1);
             }
-            GuardFault::LossesIgnored => return held,
+            GuardFault::LossesIgnored => return current_entry,
             _ => {}
         }
-        let note = self.probed.get(host);
-        note.map(|note| note.stay).unwrap_or_default()
+        let probe = self.probed.get(host);
+        probe.map(|probe| probe.phase_entry).unwrap_or_default()
     }
 }
 
@@ -466,7 +466,7 @@
         self.fail(now, until);
     }
 
-    fn age(&mut self, now: Duration, random: &mut StdRng) {
+    fn advance(&mut self, now: Duration, random: &mut StdRng) {
         if self.down_since.is_some() {
             if now >= self.down_until {
                 self.down_since = None;
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A seeded model of hosts, their list and two planners, for property tests.
 #![allow(dead_code)]
 
-mod fleet_world;
+mod fleet_simulation;
 
-pub use fleet_world::{FleetWorld, GuardFault, WorldOptions};
+pub use fleet_simulation::{FleetSimulation, GuardFault, SimulationOptions};
--- a/crates/decide/tests/desk/fleet.rs
+++ b/crates/decide/tests/harness/fleet_fixture.rs
@@ -14,72 +14,74 @@
     },
 };
 
-use super::{DeskScene, POOL, ended, running, scene::terms_with_limit, target};
+use super::{
+    POOL, SchedulerFixture, end_report, run_report, scheduler_fixture::policy_with_limit, target,
+};
 
 /// Name of the pool of hosts that are switched off.
 pub const STANDBY: &str = "standby";
 /// Pause between two rounds of plans and looks.
-const ROUND: Duration = Duration::from_millis(100);
+const ROUND_INTERVAL: Duration = Duration::from_millis(100);
 /// Time that a host is away for its maintenance or a move.
-const AWAY: Duration = Duration::from_millis(2000);
+const HOST_DOWNTIME: Duration = Duration::from_millis(2000);
 /// Time from the start of a task that lasts until it is at work.
 const STARTUP: Duration = Duration::from_millis(500);
 
 /// Hosts that do what they are told, beside a desk and a planner.
-pub struct FleetScene {
-    pub scene: DeskScene,
+pub struct FleetFixture {
+    pub fixture: SchedulerFixture,
     pub planner: HostPlanner,
-    pub hosts: Vec<SceneHost>,
+    pub hosts: Vec<FixtureHost>,
     /// Stops that the desk ordered.
     pub stops: usize,
     /// Starts of tasks on the target that they had just been taken from.
-    pub returns: usize,
+    pub restarts_in_place: usize,
     /// Runs that an order to a host ended.
-    pub killed: usize,
+    pub killed_runs: usize,
     /// The most hosts that were away for maintenance at once.
-    pub most_down: usize,
+    pub max_hosts_down: usize,
     /// The most tasks of one step that were not at work at once.
-    pub most_missing: usize,
+    pub max_tasks_missing: usize,
     /// The longest time from a stop to the next start of the same task.
-    pub longest_away: Duration,
-    left: BTreeMap<TaskKey, (HostId, BootTime)>,
+    pub longest_restart: Duration,
+    stopped_tasks: BTreeMap<TaskKey, (HostId, BootTime)>,
 }
 
 /// A host and what runs on it.
-pub struct SceneHost {
+pub struct FixtureHost {
     pub fleet: FleetHost,
     pub maintained: usize,
-    lives: u32,
-    back: BootTime,
+    incarnations: u32,
+    back_at: BootTime,
     runs: Vec<(StartOrder, BootTime)>,
     ends: Vec<EndReport>,
 }
 
-impl FleetScene {
+impl FleetFixture {
     /// A fleet of so many hosts in service and so many that are switched off.
     pub fn new(serving: usize, off: usize, cpu: u64) -> Self {
-        let mut scene = DeskScene::new(1);
-        let mut terms: FleetPolicy = terms_with_limit(1_000_000);
-        terms.pools.push(PoolPolicy {
+        let mut fixture = SchedulerFixture::new(1);
+        let mut policy: FleetPolicy = policy_with_limit(1_000_000);
+        policy.pools.push(PoolPolicy {
             name: STANDBY.into(),
             standby: true,
         });
-        scene.desk.set_policy(Arc::new(terms));
+        fixture.scheduler.set_policy(Arc::new(policy));
         let mut fleet = Self {
-            scene,
+            fixture,
             planner: HostPlanner::default(),
             hosts: Vec::new(),
             stops: 0,
-            returns: 0,
-            killed: 0,
-            most_down: 0,
-            most_missing: 0,
-            longest_away: Duration::ZERO,
-            left: BTreeMap::new(),
+            restarts_in_place: 0,
+            killed_runs: 0,
+            max_hosts_down: 0,
+            max_tasks_missing: 0,
+            longest_restart: Duration::ZERO,
+            stopped_tasks: BTreeMap::new(),
         };
         for number in 0..serving + off {
             let pool = if number < serving { POOL } else { STANDBY };
-            fleet.hosts.push(SceneHost {
+            fleet.hosts.push(FixtureHost {
                 fleet: FleetHost {
                     host: format!("h{number}").into(),
                     pool: pool.into(),
@@ -93,8 +95,8 @@
                     target: HostId::default(),
                 },
                 maintained: 0,
-                lives: 0,
-                back: BootTime::ZERO,
+                incarnations: 0,
+                back_at: BootTime::ZERO,
                 runs: Vec::new(),
                 ends: Vec::new(),
             });
@@ -103,19 +105,24 @@
     }
 
     /// Gives a host a label more.
-    pub fn label(&mut self, number: usize, label: &str) {
+    pub fn add_label(&mut self, number: usize, label: &str) {
         self.hosts[number].fleet.labels.push(label.into());
     }
 
     /// Brings the hosts into service.
-    pub fn open(&mut self) {
+    pub fn start_targets(&mut self) {
         for number in 0..self.hosts.len() {
-            self.enter(number);
+            self.start_target(number);
         }
     }
 
     /// Asks for the maintenance of the hosts named.
-    pub fn ask(&mut self, hosts: std::ops::Range<usize>, max_down: u32, deadline: Duration) {
+    pub fn request_maintenance(
+        &mut self,
+        hosts: std::ops::Range<usize>,
+        max_down: u32,
+        deadline: Duration,
+    ) {
         let wave = MaintenanceWave {
             wave: 1,
             hosts: hosts
@@ -124,130 +131,134 @@
             deadline,
             max_down,
         };
-        let now = self.scene.now.boot;
-        self.planner.apply_host_list(self.list(), now);
+        let now = self.fixture.now.boot;
+        self.planner.apply_host_list(self.host_list(), now);
         self.planner.apply_waves(&[wave], &BTreeSet::new(), now);
     }
 
     /// Lets some time pass.
-    pub fn pass(&mut self, time: Duration) {
-        let end = self.scene.now.boot + time;
-        while self.scene.now.boot < end {
-            self.round();
+    pub fn advance(&mut self, time: Duration) {
+        let end = self.fixture.now.boot + time;
+        while self.fixture.now.boot < end {
+            self.run_round();
         }
     }
 
     /// Lets time pass until the wave is done; how long that took, `limit` if it is not.
-    pub fn until_done(&mut self, limit: Duration) -> Duration {
-        let begin = self.scene.now.boot;
-        while self.scene.now.boot < begin + limit {
-            self.round();
+    pub fn run_until_done(&mut self, limit: Duration) -> Duration {
+        let begin = self.fixture.now.boot;
+        while self.fixture.now.boot < begin + limit {
+            self.run_round();
             if self.planner.changed_waves() == [(1, true)] {
                 break;
             }
         }
-        (self.scene.now.boot - begin).min(limit)
+        (self.fixture.now.boot - begin).min(limit)
     }
 
-    fn round(&mut self) {
-        self.scene.pass(ROUND);
-        let now = self.scene.now.boot;
+    fn run_round(&mut self) {
+        self.fixture.advance(ROUND_INTERVAL);
+        let now = self.fixture.now.boot;
         for number in 0..self.hosts.len() {
             let host = &mut self.hosts[number];
-            if host.fleet.condition != HostCondition::Up && now >= host.back {
+            if host.fleet.condition != HostCondition::Up && now >= host.back_at {
                 host.fleet.condition = HostCondition::Up;
-                self.enter(number);
+                self.start_target(number);
             }
         }
-        self.obey();
-        self.look();
-        self.obey();
-        self.note_missing();
-        let now = self.scene.now.boot;
-        self.planner.apply_host_list(self.list(), now);
-        for order in self.planner.plan(&mut self.scene.desk, now) {
-            self.order(&order);
+        self.execute_actions();
+        self.poll_targets();
+        self.execute_actions();
+        self.record_missing_tasks();
+        let now = self.fixture.now.boot;
+        self.planner.apply_host_list(self.host_list(), now);
+        for order in self.planner.plan(&mut self.fixture.scheduler, now) {
+            self.execute_host_order(&order);
         }
-        let down = |host: &&SceneHost| host.fleet.condition == HostCondition::UnderMaintenance;
-        self.most_down = self.most_down.max(self.hosts.iter().filter(down).count());
-        self.obey();
+        let down = |host: &&FixtureHost| host.fleet.condition == HostCondition::UnderMaintenance;
+        self.max_hosts_down = self
+            .max_hosts_down
+            .max(self.hosts.iter().filter(down).count());
+        self.execute_actions();
     }
 
-    fn list(&self) -> Vec<FleetHost> {
+    fn host_list(&self) -> Vec<FleetHost> {
         self.hosts.iter().map(|host| host.fleet.clone()).collect()
     }
 
-    /// A host begins another life as a target, if its pool has any.
-    fn enter(&mut self, number: usize) {
+    /// A host begins another target_id as a target, if its pool has any.
+    fn start_target(&mut self, number: usize) {
         let host = &mut self.hosts[number];
         host.fleet.target = HostId::default();
         host.ends.clear();
         if host.fleet.pool == STANDBY {
             return;
         }
-        host.lives += 1;
-        let life = format!("{}-{}", host.fleet.host, host.lives);
-        host.fleet.target = life.as_str().into();
+        host.incarnations += 1;
+        let target_id = format!("{}-{}", host.fleet.host, host.incarnations);
+        host.fleet.target = target_id.as_str().into();
         let entry = TargetEntry {
             labels: host.fleet.labels.clone(),
-            ..target(&life, host.fleet.capacity.cpu)
+            ..target(&target_id, host.fleet.capacity.cpu)
         };
-        self.scene.desk.upsert_target(entry, self.scene.now);
-        self.scene.run();
-        self.scene.raise(&life);
+        self.fixture
+            .scheduler
+            .upsert_target(entry, self.fixture.now);
+        self.fixture.run_planning();
+        self.fixture.report_idle(&target_id);
     }
 
     /// Carries out what the desk ordered of targets.
-    fn obey(&mut self) {
-        let now = self.scene.now;
-        for (id, start) in std::mem::take(&mut self.scene.starts) {
-            if let Some((before, since)) = self.left.remove(&start.task) {
-                self.returns += usize::from(before == id);
-                self.longest_away = self.longest_away.max(now.boot - since);
+    fn execute_actions(&mut self) {
+        let now = self.fixture.now;
+        for (id, start) in std::mem::take(&mut self.fixture.starts) {
+            if let Some((before, since)) = self.stopped_tasks.remove(&start.task) {
+                self.restarts_in_place += usize::from(before == id);
+                self.longest_restart = self.longest_restart.max(now.boot - since);
             }
-            let Some(host) = host_of(&mut self.hosts, &id) else {
+            let Some(host) = host_of_target(&mut self.hosts, &id) else {
                 continue;
             };
             host.runs.push((start.clone(), now.boot));
             let answer = StartAnswer::Started { clock: now.boot };
-            let desk = &mut self.scene.desk;
-            desk.handle_start_answer(&id, &start.task, start.attempt, &answer, now);
+            let scheduler = &mut self.fixture.scheduler;
+            scheduler.handle_start_answer(&id, &start.task, start.attempt, &answer, now);
         }
-        for order in std::mem::take(&mut self.scene.others) {
+        for order in std::mem::take(&mut self.fixture.other_actions) {
             let SchedulerAction::Stop(id, stop) = order else {
                 continue;
             };
             self.stops += 1;
-            let Some(host) = host_of(&mut self.hosts, &id) else {
+            let Some(host) = host_of_target(&mut self.hosts, &id) else {
                 continue;
             };
             host.runs.retain(|(start, _)| start.task != stop.task);
             let number = host.ends.len() as u64 + 1;
-            let end = ended(number, &stop.task, stop.attempt, EndKind::Stopped);
+            let end = end_report(number, &stop.task, stop.attempt, EndKind::Stopped);
             host.ends.push(end);
-            self.left.insert(stop.task.clone(), (id, now.boot));
+            self.stopped_tasks.insert(stop.task.clone(), (id, now.boot));
         }
     }
 
-    fn look(&mut self) {
+    fn poll_targets(&mut self) {
         for number in 0..self.hosts.len() {
-            let now = self.scene.now.boot;
+            let now = self.fixture.now.boot;
             let host = &self.hosts[number];
             if host.fleet.target.is_empty() {
                 continue;
             }
-            let sight = |(start, begun): &(StartOrder, BootTime)| RunReport {
+            let report = |(start, begun): &(StartOrder, BootTime)| RunReport {
                 percent: if now >= *begun + STARTUP { 100 } else { 0 },
-                ..running(start)
+                ..run_report(start)
             };
-            let runs = host.runs.iter().map(sight).collect();
-            let (life, ends) = (host.fleet.target.clone(), host.ends.clone());
-            self.scene.see(&life, runs, ends);
+            let runs = host.runs.iter().map(report).collect();
+            let (target_id, ends) = (host.fleet.target.clone(), host.ends.clone());
+            self.fixture.report(&target_id, runs, ends);
         }
     }
 
-    fn note_missing(&mut self) {
-        let now = self.scene.now.boot;
+    fn record_missing_tasks(&mut self) {
+        let now = self.fixture.now.boot;
         let runs = self.hosts.iter().flat_map(|host| &host.runs);
         let at_work = runs.filter(|(_, begun)| now >= *begun + STARTUP);
         let mut present: BTreeMap<_, usize> = BTreeMap::new();
@@ -256,29 +267,29 @@
                 .entry((&start.task.job, start.task.step))
                 .or_default() += 1;
         }
-        for (job, record) in &self.scene.desk.job_table.jobs {
+        for (job, record) in &self.fixture.scheduler.job_table.jobs {
             for (number, step) in (0..).zip(&record.plan.steps) {
                 let there = present.get(&(job, number)).copied().unwrap_or_default();
                 let missing = (step.count as usize).saturating_sub(there);
-                self.most_missing = self.most_missing.max(missing);
+                self.max_tasks_missing = self.max_tasks_missing.max(missing);
             }
         }
     }
 
-    fn order(&mut self, order: &HostOrder) {
-        let now = self.scene.now;
-        let life = self.planner.operation_target(order.host());
+    fn execute_host_order(&mut self, order: &HostOrder) {
+        let now = self.fixture.now;
+        let target_id = self.planner.operation_target(order.host());
         assert!(
             self.planner
                 .apply_answer(order, &HostOrderAnswer::Done, now.boot)
         );
-        let named = |host: &&mut SceneHost| host.fleet.host == *order.host();
+        let named = |host: &&mut FixtureHost| host.fleet.host == *order.host();
         let Some(host) = self.hosts.iter_mut().find(named) else {
             return;
         };
-        self.killed += host.runs.len();
+        self.killed_runs += host.runs.len();
         host.runs.clear();
-        host.back = now.boot + AWAY;
+        host.back_at = now.boot + HOST_DOWNTIME;
         host.fleet.target = HostId::default();
         match order {
             HostOrder::Move(_, pool) => {
@@ -290,14 +301,16 @@
                 host.maintained += 1;
             }
         }
-        if let Some(life) = life {
-            self.scene.desk.end_target_after_host_order(&life, now);
-            self.scene.desk.mark_target_unlisted(&life);
+        if let Some(target_id) = target_id {
+            self.fixture
+                .scheduler
+                .end_target_after_host_order(&target_id, now);
+            self.fixture.scheduler.mark_target_unlisted(&target_id);
         }
-        self.scene.run();
+        self.fixture.run_planning();
     }
 }
 
-fn host_of<'a>(hosts: &'a mut [SceneHost], id: &HostId) -> Option<&'a mut SceneHost> {
+fn host_of_target<'a>(hosts: &'a mut [FixtureHost], id: &HostId) -> Option<&'a mut FixtureHost> {
     hosts.iter_mut().find(|host| host.fleet.target == *id)
 }
--- a/crates/decide/tests/desk/turn.rs
+++ b/crates/decide/tests/harness/queue_load.rs
@@ -16,15 +16,15 @@
 use wire::work::JobRecord;
 
 /// Pools, each with a queue of its own.
-const POOLS: usize = 4;
+const POOL_COUNT: usize = 4;
 /// Tasks of a job.
-const TASKS: u32 = 8;
+const TASKS_PER_JOB: u32 = 8;
 /// Time between two ends.
-const BETWEEN_ENDS: Duration = Duration::from_micros(600);
-/// Ends between two ticks of the desk.
-const ENDS_A_TICK: u64 = 83;
+const END_INTERVAL: Duration = Duration::from_micros(600);
+/// Ends between two ticks of the scheduler.
+const ENDS_PER_TICK: u64 = 83;
 /// Room of a target: seven tasks, and a rest.
-const ROOM: ResourceVector = ResourceVector {
+const TARGET_CAPACITY: ResourceVector = ResourceVector {
     cpu: 16_000,
     memory_mb: 32_768,
     gpu: 0,
@@ -41,15 +41,15 @@
 
 /// A desk whose pools are full while more tasks wait.
 #[derive(Clone)]
-pub struct TurnLoad {
-    pub desk: WorkScheduler,
+pub struct QueueLoad {
+    pub scheduler: WorkScheduler,
     pub now: SchedulerTime,
     size: TurnSize,
     /// What runs on each target.
-    busy: BTreeMap<HostId, Vec<StartOrder>>,
-    /// Targets in the order in which they are looked at.
-    names: Vec<HostId>,
-    ends: BTreeMap<HostId, u64>,
+    runs: BTreeMap<HostId, Vec<StartOrder>>,
+    /// Targets in the action in which they are looked at.
+    target_ids: Vec<HostId>,
+    end_counts: BTreeMap<HostId, u64>,
     jobs: usize,
     /// Ends so far.
     pub ended: u64,
@@ -57,7 +57,7 @@
     pub started: u64,
 }
 
-impl TurnLoad {
+impl QueueLoad {
     /// A desk in the middle of a turn; no workspace has a limit.
     pub fn new(size: TurnSize) -> Self {
         Self::with_limit(size, 0)
@@ -66,43 +66,44 @@
     /// The same where the first workspace may have so many thousandths of a core running.
     pub fn with_limit(size: TurnSize, first_limit: u64) -> Self {
         let mut load = Self {
-            desk: WorkScheduler::new(SchedulerTuning::default(), 1),
+            scheduler: WorkScheduler::new(SchedulerTuning::default(), 1),
             now: SchedulerTime {
                 boot: Duration::from_secs(1000),
                 unix: Duration::from_secs(1_000_000),
             },
             size,
-            busy: BTreeMap::new(),
-            names: Vec::new(),
-            ends: BTreeMap::new(),
+            runs: BTreeMap::new(),
+            target_ids: Vec::new(),
+            end_counts: BTreeMap::new(),
             jobs: 0,
             ended: 0,
             started: 0,
         };
-        load.desk.set_policy(Arc::new(terms(size, first_limit)));
+        load.scheduler
+            .set_policy(Arc::new(policy(size, first_limit)));
         for number in 0..size.targets {
             load.add_target(number);
         }
-        load.run();
+        load.run_planning();
         let tasks = size.targets * 7 + size.waiting;
-        while load.jobs * (TASKS as usize) < tasks {
+        while load.jobs * (TASKS_PER_JOB as usize) < tasks {
             load.submit();
         }
-        load.run();
+        load.run_planning();
         load
     }
 
     /// One task ends; its room is given to another, and a job follows each that is done.
-    pub fn end_one(&mut self) {
-        let at = usize::try_from(self.ended).unwrap_or_default() % self.names.len();
-        let id = self.names[at].clone();
+    pub fn end_next_task(&mut self) {
+        let at = usize::try_from(self.ended).unwrap_or_default() % self.target_ids.len();
+        let id = self.target_ids[at].clone();
         self.ended += 1;
-        self.now.boot += BETWEEN_ENDS;
-        self.now.unix += BETWEEN_ENDS;
-        if self.ended.is_multiple_of(ENDS_A_TICK) {
-            self.desk.tick(self.now);
+        self.now.boot += END_INTERVAL;
+        self.now.unix += END_INTERVAL;
+        if self.ended.is_multiple_of(ENDS_PER_TICK) {
+            self.scheduler.tick(self.now);
         }
-        let runs = self.busy.entry(id.clone()).or_default();
+        let runs = self.runs.entry(id.clone()).or_default();
         let ended = (!runs.is_empty()).then(|| runs.remove(0));
         let percent = u8::try_from(self.ended % 90).unwrap_or_default();
         let running = runs.iter().map(|run| RunReport {
@@ -112,7 +113,7 @@
             ..RunReport::default()
         });
         let running = running.collect();
-        let number = self.ends.entry(id.clone()).or_default();
+        let number = self.end_counts.entry(id.clone()).or_default();
         let ends = ended.into_iter().map(|run| {
             *number += 1;
             EndReport {
@@ -124,17 +125,17 @@
             }
         });
         let ends = ends.collect();
-        self.see(&id, running, ends);
-        if self.ended.is_multiple_of(u64::from(TASKS)) {
+        self.report(&id, running, ends);
+        if self.ended.is_multiple_of(u64::from(TASKS_PER_JOB)) {
             self.submit();
         }
-        self.run();
+        self.run_planning();
     }
 
     /// Submits a job of the next workspace to the next queue.
     pub fn submit(&mut self) {
-        let queue = self.jobs % POOLS;
-        let space = self.jobs / POOLS % self.size.workspaces;
+        let queue = self.jobs % POOL_COUNT;
+        let space = self.jobs / POOL_COUNT % self.size.workspaces;
         self.submit_to(queue, space);
     }
 
@@ -144,7 +145,7 @@
         let plan = JobPlan {
             payload: "text".into(),
             steps: vec![StepPlan {
-                count: TASKS,
+                count: TASKS_PER_JOB,
                 resources: ResourceVector {
                     cpu: 2050 + (self.jobs as u64 * 7) % 200,
                     memory_mb: 2000,
@@ -164,35 +165,35 @@
             accepted_unix_ms: u64::try_from(self.now.unix.as_millis()).unwrap_or_default(),
             ..record_of_plan(&plan)
         };
-        self.desk.accept_job(&record, self.now);
+        self.scheduler.accept_job(&record, self.now);
     }
 
-    /// Plans, and answers what the desk orders.
-    pub fn run(&mut self) {
+    /// Plans, and answers what the desk actions.
+    pub fn run_planning(&mut self) {
         loop {
-            self.desk.plan_starts(self.now);
-            let orders = self.desk.take_actions();
-            self.desk.take_events();
-            if orders.is_empty() {
+            self.scheduler.plan_starts(self.now);
+            let actions = self.scheduler.take_actions();
+            self.scheduler.take_events();
+            if actions.is_empty() {
                 return;
             }
-            for order in orders {
-                self.answer(order);
+            for action in actions {
+                self.handle_action(action);
             }
         }
     }
 
-    fn answer(&mut self, order: SchedulerAction) {
-        match order {
-            SchedulerAction::AppendLog(record) => self.desk.handle_stored_entry(&record, self.now),
+    fn handle_action(&mut self, action: SchedulerAction) {
+        match action {
+            SchedulerAction::AppendLog(log) => self.scheduler.handle_stored_entry(&log, self.now),
             SchedulerAction::Start(id, start) => {
                 self.started += 1;
                 let answer = StartAnswer::Started {
                     clock: self.now.boot,
                 };
                 let (task, attempt) = (start.task.clone(), start.attempt);
-                self.busy.entry(id.clone()).or_default().push(start);
-                self.desk
+                self.runs.entry(id.clone()).or_default().push(start);
+                self.scheduler
                     .handle_start_answer(&id, &task, attempt, &answer, self.now);
             }
             _ => {}
@@ -204,31 +205,31 @@
         let entry = TargetEntry {
             target: id.clone(),
             address: format!("10.{}.{}.1:80", number / 250, number % 250).into(),
-            pool: format!("pool-{}", number % POOLS).into(),
+            pool: format!("pool-{}", number % POOL_COUNT).into(),
             rack: format!("rack-{}", number / 12).into(),
-            capacity: ROOM,
+            capacity: TARGET_CAPACITY,
             started_at: Duration::from_secs(1),
             ..TargetEntry::default()
         };
-        self.desk.upsert_target(entry, self.now);
-        self.see(&id, Vec::new(), Vec::new());
-        self.names.push(id);
+        self.scheduler.upsert_target(entry, self.now);
+        self.report(&id, Vec::new(), Vec::new());
+        self.target_ids.push(id);
     }
 
-    fn see(&mut self, id: &HostId, running: Vec<RunReport>, ended: Vec<EndReport>) {
+    fn report(&mut self, id: &HostId, running: Vec<RunReport>, ended: Vec<EndReport>) {
         let sent: BootTime = self.now.boot;
-        let sight = TargetReport {
+        let report = TargetReport {
             clock: self.now.boot,
             started_at: Duration::from_secs(1),
             running,
             ended,
         };
-        let answer = PollAnswer::Seen(sight);
-        self.desk.apply_report(id, sent, 0, &answer, self.now);
+        let answer = PollAnswer::Seen(report);
+        self.scheduler.apply_report(id, sent, 0, &answer, self.now);
     }
 }
 
-fn terms(size: TurnSize, first_limit: u64) -> FleetPolicy {
+fn policy(size: TurnSize, first_limit: u64) -> FleetPolicy {
     let queue = |number: usize| QueuePolicy {
         name: format!("queue-{number}").into(),
         pool: format!("pool-{number}").into(),
@@ -251,8 +252,8 @@
     };
     FleetPolicy {
         revision: 1,
-        queues: (0..POOLS).map(queue).collect(),
-        pools: (0..POOLS).map(pool).collect(),
+        queues: (0..POOL_COUNT).map(queue).collect(),
+        pools: (0..POOL_COUNT).map(pool).collect(),
         workspaces: (0..size.workspaces).map(space).collect(),
         max_body: 1 << 20,
     }
--- a/crates/decide/tests/desk/scene.rs
+++ b/crates/decide/tests/harness/scheduler_fixture.rs
@@ -14,159 +14,159 @@
 use wire::work::{JobRecord, LogEntry, log_entry::Event};
 
 /// A desk with one pool, one queue and one workspace, and a clock that the test moves.
-pub struct DeskScene {
-    pub desk: WorkScheduler,
+pub struct SchedulerFixture {
+    pub scheduler: WorkScheduler,
     pub now: SchedulerTime,
     /// Starts that the desk ordered and that have not been answered.
     pub starts: Vec<(HostId, StartOrder)>,
-    /// Other orders.
-    pub others: Vec<SchedulerAction>,
+    /// Other actions.
+    pub other_actions: Vec<SchedulerAction>,
     /// Entries that were stored.
     pub stored: Vec<LogEntry>,
     /// While set, the store takes nothing.
-    pub store_away: bool,
+    pub store_down: bool,
 }
 
 pub const POOL: &str = "pool";
 pub const QUEUE: &str = "queue";
-pub const SPACE: &str = "space";
+pub const WORKSPACE: &str = "space";
 
-impl DeskScene {
+impl SchedulerFixture {
     pub fn new(token: u64) -> Self {
-        let mut scene = Self {
-            desk: WorkScheduler::new(SchedulerTuning::default(), token),
+        let mut fixture = Self {
+            scheduler: WorkScheduler::new(SchedulerTuning::default(), token),
             now: SchedulerTime {
                 boot: Duration::from_secs(1000),
                 unix: Duration::from_secs(1_000_000),
             },
             starts: Vec::new(),
-            others: Vec::new(),
+            other_actions: Vec::new(),
             stored: Vec::new(),
-            store_away: false,
+            store_down: false,
         };
-        scene.desk.set_policy(Arc::new(terms()));
-        scene
+        fixture.scheduler.set_policy(Arc::new(policy()));
+        fixture
     }
 
-    /// A scene with one target, on which the tasks of one job are to be started.
-    pub fn submitted(cpu: u64, steps: Vec<StepPlan>) -> Self {
-        let mut scene = Self::new(1);
-        scene.add("t1", cpu);
-        scene.submit("a", &plan(steps));
-        scene
+    /// A fixture with one target, on which the tasks of one job are to be started.
+    pub fn with_job(cpu: u64, steps: Vec<StepPlan>) -> Self {
+        let mut fixture = Self::new(1);
+        fixture.add_target("t1", cpu);
+        fixture.submit("a", &plan(steps));
+        fixture
     }
 
     /// The same once they were started; also returns the starts.
-    pub fn started(cpu: u64, steps: Vec<StepPlan>) -> (Self, Vec<(HostId, StartOrder)>) {
-        let mut scene = Self::submitted(cpu, steps);
-        let starts = scene.start_all();
-        (scene, starts)
+    pub fn with_running_job(cpu: u64, steps: Vec<StepPlan>) -> (Self, Vec<(HostId, StartOrder)>) {
+        let mut fixture = Self::with_job(cpu, steps);
+        let starts = fixture.confirm_starts();
+        (fixture, starts)
     }
 
     /// A new term that reads what the present one has stored.
     pub fn successor(&self, token: u64) -> Self {
-        let mut scene = Self::new(token);
-        scene.now = self.now;
-        scene.stored = self.stored.clone();
+        let mut fixture = Self::new(token);
+        fixture.now = self.now;
+        fixture.stored = self.stored.clone();
         for entry in &self.stored {
-            scene.desk.replay(entry, scene.now);
+            fixture.scheduler.replay(entry, fixture.now);
         }
-        scene.desk.finish_replay(scene.now);
-        scene
+        fixture.scheduler.finish_replay(fixture.now);
+        fixture
     }
 
-    pub fn pass(&mut self, time: Duration) {
+    pub fn advance(&mut self, time: Duration) {
         self.now.boot += time;
         self.now.unix += time;
-        self.desk.tick(self.now);
-        self.run();
+        self.scheduler.tick(self.now);
+        self.run_planning();
     }
 
-    /// Plans and takes the orders; entries are stored at once.
-    pub fn run(&mut self) {
+    /// Plans and takes the actions; entries are stored at once.
+    pub fn run_planning(&mut self) {
         loop {
-            self.desk.plan_starts(self.now);
-            let orders = self.desk.take_actions();
-            if orders.is_empty() {
-                let broken = self.desk.index_mismatches(self.now.boot);
+            self.scheduler.plan_starts(self.now);
+            let actions = self.scheduler.take_actions();
+            if actions.is_empty() {
+                let broken = self.scheduler.index_mismatches(self.now.boot);
                 assert!(
                     broken.is_empty(),
                     "indexes that differ from the books: {broken:?}"
                 );
                 return;
             }
-            for order in orders {
-                match order {
-                    SchedulerAction::AppendLog(record) if self.store_away => {
-                        self.others.push(SchedulerAction::AppendLog(record));
+            for action in actions {
+                match action {
+                    SchedulerAction::AppendLog(record) if self.store_down => {
+                        self.other_actions.push(SchedulerAction::AppendLog(record));
                     }
                     SchedulerAction::AppendLog(record) => {
                         self.stored.push(record.entry.clone());
-                        self.desk.handle_stored_entry(&record, self.now);
+                        self.scheduler.handle_stored_entry(&record, self.now);
                     }
                     SchedulerAction::Start(id, start) => self.starts.push((id, start)),
-                    other => self.others.push(other),
+                    other => self.other_actions.push(other),
                 }
             }
         }
     }
 
-    pub fn list(&mut self, id: &str, cpu: u64) {
-        self.desk.upsert_target(target(id, cpu), self.now);
-        self.run();
+    pub fn list_target(&mut self, id: &str, cpu: u64) {
+        self.scheduler.upsert_target(target(id, cpu), self.now);
+        self.run_planning();
     }
 
     /// Lists a target and looks at it, so that it takes tasks.
-    pub fn add(&mut self, id: &str, cpu: u64) {
-        self.list(id, cpu);
-        self.raise(id);
+    pub fn add_target(&mut self, id: &str, cpu: u64) {
+        self.list_target(id, cpu);
+        self.report_idle(id);
     }
 
     /// Shows the first end on a target, on which nothing else runs.
-    pub fn end(&mut self, id: &str, start: &StartOrder, kind: EndKind) {
-        let end = ended(1, &start.task, start.attempt, kind);
-        self.see(id, Vec::new(), vec![end]);
+    pub fn report_end(&mut self, id: &str, start: &StartOrder, kind: EndKind) {
+        let end = end_report(1, &start.task, start.attempt, kind);
+        self.report(id, Vec::new(), vec![end]);
     }
 
     /// Looks at a target that runs nothing and ended nothing.
-    pub fn raise(&mut self, id: &str) {
-        self.see(id, Vec::new(), Vec::new());
+    pub fn report_idle(&mut self, id: &str) {
+        self.report(id, Vec::new(), Vec::new());
     }
 
-    pub fn see(&mut self, id: &str, running: Vec<RunReport>, ended: Vec<EndReport>) {
+    pub fn report(&mut self, id: &str, running: Vec<RunReport>, ended: Vec<EndReport>) {
         self.now.boot += Duration::from_millis(1);
         let sent = self.now.boot;
         self.now.boot += Duration::from_millis(1);
-        let sight = TargetReport {
+        let report = TargetReport {
             clock: self.now.boot,
             started_at: Duration::from_secs(1),
             running,
             ended,
         };
-        self.desk
-            .apply_report(&id.into(), sent, 0, &PollAnswer::Seen(sight), self.now);
-        self.run();
+        self.scheduler
+            .apply_report(&id.into(), sent, 0, &PollAnswer::Seen(report), self.now);
+        self.run_planning();
     }
 
     /// A look at a target that is not answered.
-    pub fn miss(&mut self, id: &str) {
-        let silent = PollAnswer::Unanswered("timed out".to_owned());
+    pub fn time_out_poll(&mut self, id: &str) {
+        let timed_out = PollAnswer::Unanswered("timed out".to_owned());
         let sent = self.now.boot;
-        self.desk
-            .apply_report(&id.into(), sent, 0, &silent, self.now);
+        self.scheduler
+            .apply_report(&id.into(), sent, 0, &timed_out, self.now);
     }
 
     /// A start that is not answered.
-    pub fn leave_unanswered(&mut self, id: &HostId, start: &StartOrder) {
+    pub fn time_out_start(&mut self, id: &HostId, start: &StartOrder) {
         let unanswered = StartAnswer::Unanswered("timed out".to_owned());
-        self.desk
+        self.scheduler
             .handle_start_answer(id, &start.task, start.attempt, &unanswered, self.now);
     }
 
     /// A target has done the stop that was sent at a time.
-    pub fn answer_stop(&mut self, id: &HostId, start: &StartOrder, sent: BootTime) {
+    pub fn confirm_stop(&mut self, id: &HostId, start: &StartOrder, sent: BootTime) {
         let done = OrderAnswer::Done;
-        self.desk
+        self.scheduler
             .handle_stop_answer(id, &start.task, start.attempt, sent, &done, self.now);
     }
 
@@ -175,66 +175,66 @@
             job: job.to_owned(),
             queue: QUEUE.to_owned(),
             pool: POOL.to_owned(),
-            workspace: SPACE.to_owned(),
+            workspace: WORKSPACE.to_owned(),
             accepted_unix_ms: u64::try_from(self.now.unix.as_millis()).unwrap_or_default(),
             ..record_of_plan(plan)
         };
         self.stored.push(LogEntry {
             event: Some(Event::Accepted(record.clone())),
         });
-        self.desk.accept_job(&record, self.now);
-        self.desk.tick(self.now);
-        self.run();
+        self.scheduler.accept_job(&record, self.now);
+        self.scheduler.tick(self.now);
+        self.run_planning();
     }
 
     /// Cancels a job, as its caller wants.
     pub fn cancel(&mut self, job: &str) {
-        self.desk.cancel(&job.into(), self.now);
+        self.scheduler.cancel(&job.into(), self.now);
         self.stored.push(LogEntry {
             event: Some(Event::Cancelled(job.to_owned())),
         });
-        self.run();
+        self.run_planning();
     }
 
     /// Begins to empty a target's host.
-    pub fn empty(&mut self, id: &str) {
-        if let Some(target) = self.desk.targets.get_mut(id) {
+    pub fn start_draining(&mut self, id: &str) {
+        if let Some(target) = self.scheduler.targets.get_mut(id) {
             target.drain = HostDrainState::Draining;
         }
     }
 
     /// Replaces the log by a shorter one that says the same.
-    pub fn compact(&mut self) {
-        self.stored = self.desk.job_table.compacted_entries();
+    pub fn compact_log(&mut self) {
+        self.stored = self.scheduler.job_table.compacted_entries();
     }
 
     /// Gives the workspace a weight.
-    pub fn weigh(&mut self, weight: u32) {
-        let mut terms = FleetPolicy::clone(&self.desk.policy);
-        terms
+    pub fn set_workspace_weight(&mut self, weight: u32) {
+        let mut policy = FleetPolicy::clone(&self.scheduler.policy);
+        policy
             .workspaces
             .iter_mut()
             .for_each(|space| space.weight = weight);
-        self.desk.set_policy(Arc::new(terms));
+        self.scheduler.set_policy(Arc::new(policy));
     }
 
     /// Answers all starts with success; returns them.
-    pub fn start_all(&mut self) -> Vec<(HostId, StartOrder)> {
+    pub fn confirm_starts(&mut self) -> Vec<(HostId, StartOrder)> {
         let starts = std::mem::take(&mut self.starts);
         for (id, start) in &starts {
             let answer = StartAnswer::Started {
                 clock: self.now.boot,
             };
-            self.desk
+            self.scheduler
                 .handle_start_answer(id, &start.task, start.attempt, &answer, self.now);
         }
-        self.run();
+        self.run_planning();
         starts
     }
 
-    pub fn stops(&self) -> usize {
-        let stop = |order: &&SchedulerAction| matches!(order, SchedulerAction::Stop(..));
-        self.others.iter().filter(stop).count()
+    pub fn stop_count(&self) -> usize {
+        let stop = |action: &&SchedulerAction| matches!(action, SchedulerAction::Stop(..));
+        self.other_actions.iter().filter(stop).count()
     }
 }
 
@@ -255,13 +255,13 @@
     }
 }
 
-/// When the later life of [`reborn`] begins.
-pub const LATER: Duration = Duration::from_secs(500);
+/// When the later life of [`restarted_target`] begins.
+pub const RESTARTED_AT: Duration = Duration::from_secs(500);
 
 /// The entry of a later life of `t1`, under the same id.
-pub fn reborn(cpu: u64) -> TargetEntry {
+pub fn restarted_target(cpu: u64) -> TargetEntry {
     TargetEntry {
-        started_at: LATER,
+        started_at: RESTARTED_AT,
         ..target("t1", cpu)
     }
 }
@@ -280,7 +280,7 @@
 }
 
 /// Two tasks that last, on a target each, of which one may be missing.
-pub fn lasting_pair() -> StepPlan {
+pub fn long_running_pair() -> StepPlan {
     StepPlan {
         long_running: true,
         max_unavailable: 1,
@@ -297,7 +297,7 @@
     }
 }
 
-pub fn running(start: &StartOrder) -> RunReport {
+pub fn run_report(start: &StartOrder) -> RunReport {
     RunReport {
         task: start.task.clone(),
         attempt: start.attempt,
@@ -306,7 +306,7 @@
     }
 }
 
-pub fn ended(number: u64, task: &TaskKey, attempt: u64, kind: EndKind) -> EndReport {
+pub fn end_report(number: u64, task: &TaskKey, attempt: u64, kind: EndKind) -> EndReport {
     EndReport {
         number,
         task: task.clone(),
@@ -316,12 +316,12 @@
     }
 }
 
-fn terms() -> FleetPolicy {
-    terms_with_limit(8000)
+fn policy() -> FleetPolicy {
+    policy_with_limit(8000)
 }
 
 /// Terms of one pool, one queue and one workspace of which so much may run.
-pub fn terms_with_limit(cpu: u64) -> FleetPolicy {
+pub fn policy_with_limit(cpu: u64) -> FleetPolicy {
     FleetPolicy {
         revision: 1,
         queues: vec![QueuePolicy {
@@ -336,7 +336,7 @@
             ..PoolPolicy::default()
         }],
         workspaces: vec![WorkspacePolicy {
-            name: SPACE.into(),
+            name: WORKSPACE.into(),
             limit: ResourceVector {
                 cpu,
                 ..ResourceVector::default()
--- a/crates/decide/tests/desk/world_call.rs
+++ b/crates/decide/tests/harness/sim_calls.rs
@@ -10,80 +10,80 @@
 };
 use rand::Rng;
 
-use super::world::{DeskWorld, TICK, WorldOwner};
+use super::simulation::{SimOwner, Simulation, TICK};
 
 /// How long an owner waits for the answer to an order.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Orders to one target that are under way at once.
-const ORDERS_AT_ONCE: usize = 3;
+const MAX_CALLS_IN_FLIGHT: usize = 3;
 /// Pause after a look that was not answered.
-const LOOK_PAUSE: Duration = Duration::from_millis(300);
+const POLL_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Part of the answers that come late, where the host list does.
-const SLOW_ANSWERS: f64 = 0.15;
+const SLOW_RESPONSES: f64 = 0.15;
 
-pub(super) enum WorldOrder {
+pub(super) enum SimRequest {
     Start(StartOrder),
     Stop(StopOrder),
-    Look(PollOrder),
+    Poll(PollOrder),
     /// A look beside the one that waits.
-    LookNow(PollOrder),
+    ExtraPoll(PollOrder),
 }
 
-pub(super) struct WorldCall {
+pub(super) struct SimCall {
     owner: u64,
     target: HostId,
     /// Life of the target when it was sent.
-    born: Duration,
+    target_started_at: Duration,
     sent: BootTime,
     arrives: BootTime,
     /// When the answer is back; `None` if it never is.
     answers: Option<BootTime>,
-    gives_up: BootTime,
-    order: WorldOrder,
-    done: Option<WorldAnswer>,
+    times_out: BootTime,
+    order: SimRequest,
+    done: Option<SimResponse>,
     settled: bool,
 }
 
-enum WorldAnswer {
+enum SimResponse {
     Start(StartAnswer),
     Stop(OrderAnswer),
-    Look(PollAnswer),
+    Poll(PollAnswer),
 }
 
-impl DeskWorld {
+impl Simulation {
     /// Gives an order to a target, or has it wait for its turn.
-    pub(super) fn give(&mut self, owner: &mut WorldOwner, name: HostId, order: WorldOrder) {
+    pub(super) fn send_or_queue(&mut self, owner: &mut SimOwner, name: HostId, order: SimRequest) {
         if self.faults.lanes {
-            owner.lanes.entry(name).or_default().push_back(order);
-        } else if !self.is_needless(owner, &name, &order) {
+            owner.call_queues.entry(name).or_default().push_back(order);
+        } else if !self.is_obsolete_stop(owner, &name, &order) {
             self.send_order(owner, name, order);
         }
     }
 
     /// Sends what has waited for its turn, unless it is not wanted any more.
-    pub(super) fn send_waiting(&mut self, owner: &mut WorldOwner, alone: bool) {
-        let names: Vec<HostId> = owner.lanes.keys().cloned().collect();
+    pub(super) fn send_queued(&mut self, owner: &mut SimOwner, alone: bool) {
+        let names: Vec<HostId> = owner.call_queues.keys().cloned().collect();
         for name in names {
-            if !owner.desk.targets.contains_key(&name) {
-                owner.lanes.remove(&name);
+            if !owner.scheduler.targets.contains_key(&name) {
+                owner.call_queues.remove(&name);
                 continue;
             }
-            while self.under_way(owner.token, &name) < ORDERS_AT_ONCE {
-                let lane = owner.lanes.get_mut(&name);
+            while self.calls_in_flight(owner.token, &name) < MAX_CALLS_IN_FLIGHT {
+                let lane = owner.call_queues.get_mut(&name);
                 let Some(order) = lane.and_then(std::collections::VecDeque::pop_front) else {
                     break;
                 };
-                if let WorldOrder::Start(start) = &order
-                    && (alone || !is_wanted(owner, &name, start))
+                if let SimRequest::Start(start) = &order
+                    && (alone || !is_start_pending(owner, &name, start))
                 {
                     let answer = StartAnswer::NotSent("not wanted any more".to_owned());
                     let (task, attempt) = (start.task.clone(), start.attempt);
                     owner
-                        .desk
+                        .scheduler
                         .handle_start_answer(&name, &task, attempt, &answer, self.now);
                     continue;
                 }
-                if self.is_needless(owner, &name, &order) {
+                if self.is_obsolete_stop(owner, &name, &order) {
                     continue;
                 }
                 self.send_order(owner, name.clone(), order);
@@ -92,62 +92,64 @@
     }
 
     /// True for a stop that is not wanted any more.
-    fn is_needless(&self, owner: &mut WorldOwner, name: &HostId, order: &WorldOrder) -> bool {
-        let WorldOrder::Stop(stop) = order else {
+    fn is_obsolete_stop(&self, owner: &mut SimOwner, name: &HostId, order: &SimRequest) -> bool {
+        let SimRequest::Stop(stop) = order else {
             return false;
         };
         let (task, attempt) = (&stop.task, stop.attempt);
-        !owner.desk.should_send_stop(name, task, attempt, self.now)
+        !owner
+            .scheduler
+            .should_send_stop(name, task, attempt, self.now)
     }
 
-    fn under_way(&self, owner: u64, name: &HostId) -> usize {
+    fn calls_in_flight(&self, owner: u64, name: &HostId) -> usize {
         let orders = self.calls.iter().filter(|call| {
-            let look = matches!(call.order, WorldOrder::Look(_) | WorldOrder::LookNow(_));
+            let look = matches!(call.order, SimRequest::Poll(_) | SimRequest::ExtraPoll(_));
             call.owner == owner && call.target == *name && !call.settled && !look
         });
         orders.count()
     }
 
     /// Sends a start or a stop.
-    fn send_order(&mut self, owner: &WorldOwner, name: HostId, order: WorldOrder) {
-        if let WorldOrder::Start(start) = &order {
+    fn send_order(&mut self, owner: &SimOwner, name: HostId, order: SimRequest) {
+        if let SimRequest::Start(start) = &order {
             self.check_start_sent(owner, &start.task);
         }
         self.send(owner.token, name, order);
     }
 
-    pub(super) fn send(&mut self, owner: u64, name: HostId, order: WorldOrder) {
+    pub(super) fn send(&mut self, owner: u64, name: HostId, order: SimRequest) {
         let now = self.now.boot;
         match &order {
-            WorldOrder::Start(start) => {
-                self.tell(
+            SimRequest::Start(start) => {
+                self.record_task_event(
                     &start.task,
                     &format!("owner {owner} starts {} on {name}", start.attempt),
                 );
             }
-            WorldOrder::Stop(stop) => {
-                self.tell(
+            SimRequest::Stop(stop) => {
+                self.record_task_event(
                     &stop.task,
                     &format!("owner {owner} stops {} on {name}", stop.attempt),
                 );
             }
-            WorldOrder::Look(_) | WorldOrder::LookNow(_) => {}
+            SimRequest::Poll(_) | SimRequest::ExtraPoll(_) => {}
         }
-        let draw: f64 = self.dice.random();
+        let draw: f64 = self.rng.random();
         let (lost, late) = (self.faults.lost_calls, self.faults.late_calls);
         let wait = match &order {
-            WorldOrder::Look(look) | WorldOrder::LookNow(look) => look.wait,
+            SimRequest::Poll(look) | SimRequest::ExtraPoll(look) => look.wait,
             _ => Duration::ZERO,
         };
-        let gives_up = now + wait + ORDER_TIMEOUT;
-        let soon = now + Duration::from_millis(self.dice.random_range(1..60));
+        let times_out = now + wait + ORDER_TIMEOUT;
+        let soon = now + Duration::from_millis(self.rng.random_range(1..60));
         let (arrives, answers) = if draw < lost / 2.0 {
             (BootTime::MAX, None)
         } else if draw < lost {
             (soon, None)
         } else if draw < lost + late {
             (
-                now + Duration::from_millis(self.dice.random_range(2000..12_000)),
+                now + Duration::from_millis(self.rng.random_range(2000..12_000)),
                 None,
             )
         } else {
@@ -166,21 +168,21 @@
             } else {
                 arrives
             };
-            state.disturbed = state.disturbed.max(until.max(gives_up));
+            state.disturbed_until = state.disturbed_until.max(until.max(times_out));
         }
-        let born = self
+        let target_started_at = self
             .targets
             .get(&name)
-            .map(|state| state.born)
+            .map(|state| state.started_at)
             .unwrap_or_default();
-        self.calls.push(WorldCall {
+        self.calls.push(SimCall {
             owner,
             target: name,
-            born,
+            target_started_at,
             sent: now,
             arrives,
             answers,
-            gives_up,
+            times_out,
             order,
             done: None,
             settled: false,
@@ -189,10 +191,10 @@
 
     /// How much later than others an answer comes; within the time that it is waited for.
     fn draw_delay(&mut self) -> Duration {
-        if !self.faults.lists || !self.more.random_bool(SLOW_ANSWERS) {
+        if !self.faults.lists || !self.extra_rng.random_bool(SLOW_RESPONSES) {
             return Duration::ZERO;
         }
-        Duration::from_millis(self.more.random_range(20..300))
+        Duration::from_millis(self.extra_rng.random_range(20..300))
     }
 
     pub(super) fn deliver_calls(&mut self) {
@@ -202,29 +204,29 @@
             .iter_mut()
             .filter(|call| call.done.is_none() && call.arrives <= now)
         {
-            if self.lives_elsewise(&call.target) {
-                call.done = Some(call.order.answer_of_other_life());
+            if self.has_moved_incarnation(&call.target) {
+                call.done = Some(call.order.other_incarnation_response());
                 continue;
             }
             let Some(state) = self.targets.get_mut(&call.target) else {
                 continue;
             };
             // What a target holds back, to answer it late, dies with that life of the target.
-            let held = call.arrives > call.gives_up;
-            let outlived = held && call.born != state.born;
-            if !state.up || state.cut || outlived {
+            let held = call.arrives > call.times_out;
+            let outlived = held && call.target_started_at != state.started_at;
+            if !state.up || state.partitioned || outlived {
                 call.arrives = BootTime::MAX;
                 call.answers = None;
                 continue;
             }
             call.done = Some(match &call.order {
-                WorldOrder::Start(order) => {
-                    let length = Duration::from_millis(self.dice.random_range(200..2500));
-                    let long = self.long.contains(order.task.job.as_str());
+                SimRequest::Start(order) => {
+                    let length = Duration::from_millis(self.rng.random_range(200..2500));
+                    let long = self.long_jobs.contains(order.task.job.as_str());
                     let length = if long { length * 8 } else { length };
                     let answer = state.start(order, now, now + length);
                     let started = matches!(answer, StartAnswer::Started { .. });
-                    state.started_at.insert(order.task.clone(), now);
+                    state.task_starts.insert(order.task.clone(), now);
                     let task = order.task.clone();
                     let told = self.history.entry(task.clone()).or_default();
                     told.push(format!(
@@ -234,30 +236,30 @@
                     if started {
                         self.check_start(&call.target, &task);
                     }
-                    WorldAnswer::Start(answer)
+                    SimResponse::Start(answer)
                 }
-                WorldOrder::Stop(order) => WorldAnswer::Stop(state.stop(order, now)),
-                WorldOrder::Look(order) | WorldOrder::LookNow(order) => {
-                    let noted = state.look(order, now);
+                SimRequest::Stop(order) => SimResponse::Stop(state.stop(order, now)),
+                SimRequest::Poll(order) | SimRequest::ExtraPoll(order) => {
+                    let noted = state.poll(order, now);
                     let answer = noted.0;
                     for task in noted.1 {
                         let told = self.history.entry(task.clone()).or_default();
                         told.push(format!("{now:?} observed on {}", call.target));
-                        self.noted.insert(task);
+                        self.acked_tasks.insert(task);
                     }
-                    WorldAnswer::Look(answer)
+                    SimResponse::Poll(answer)
                 }
             });
         }
         self.calls = calls;
     }
 
-    pub(super) fn return_answers(&mut self) {
+    pub(super) fn deliver_responses(&mut self) {
         let now = self.now;
         let mut calls = std::mem::take(&mut self.calls);
         for call in calls.iter_mut().filter(|call| !call.settled) {
             let answered = call.answers.is_some_and(|at| at <= now.boot) && call.done.is_some();
-            if !answered && now.boot < call.gives_up {
+            if !answered && now.boot < call.times_out {
                 continue;
             }
             call.settled = true;
@@ -271,12 +273,12 @@
                 continue;
             };
             match (&call.order, answer) {
-                (WorldOrder::Start(order), answer) => {
+                (SimRequest::Start(order), answer) => {
                     let answer = match answer {
-                        Some(WorldAnswer::Start(answer)) => answer,
+                        Some(SimResponse::Start(answer)) => answer,
                         _ => StartAnswer::Unanswered(lost()),
                     };
-                    owner.desk.handle_start_answer(
+                    owner.scheduler.handle_start_answer(
                         &call.target,
                         &order.task,
                         order.attempt,
@@ -284,13 +286,13 @@
                         now,
                     );
                 }
-                (WorldOrder::Stop(order), answer) => {
+                (SimRequest::Stop(order), answer) => {
                     let answer = match answer {
-                        Some(WorldAnswer::Stop(answer)) => answer,
+                        Some(SimResponse::Stop(answer)) => answer,
                         _ => OrderAnswer::Unanswered(lost()),
                     };
                     let (task, attempt) = (&order.task, order.attempt);
-                    owner.desk.handle_stop_answer(
+                    owner.scheduler.handle_stop_answer(
                         &call.target,
                         task,
                         attempt,
@@ -299,21 +301,25 @@
                         now,
                     );
                 }
-                (WorldOrder::Look(order) | WorldOrder::LookNow(order), answer) => {
-                    if let WorldOrder::Look(_) = &call.order {
-                        owner.looking.remove(&call.target);
+                (SimRequest::Poll(order) | SimRequest::ExtraPoll(order), answer) => {
+                    if let SimRequest::Poll(_) = &call.order {
+                        owner.polling.remove(&call.target);
                         if self.faults.lists && answer.is_none() {
-                            let until = now.boot + LOOK_PAUSE;
-                            owner.look_after.insert(call.target.clone(), until);
+                            let until = now.boot + POLL_RETRY_DELAY;
+                            owner.next_poll_at.insert(call.target.clone(), until);
                         }
                     }
                     let answer = match answer {
-                        Some(WorldAnswer::Look(answer)) => answer,
+                        Some(SimResponse::Poll(answer)) => answer,
                         _ => PollAnswer::Unanswered(lost()),
                     };
-                    owner
-                        .desk
-                        .apply_report(&call.target, call.sent, order.acked_end, &answer, now);
+                    owner.scheduler.apply_report(
+                        &call.target,
+                        call.sent,
+                        order.acked_end,
+                        &answer,
+                        now,
+                    );
                 }
             }
             if answered {
@@ -329,25 +335,25 @@
     }
 }
 
-impl WorldOrder {
-    fn answer_of_other_life(&self) -> WorldAnswer {
+impl SimRequest {
+    fn other_incarnation_response(&self) -> SimResponse {
         match self {
-            Self::Start(_) => WorldAnswer::Start(StartAnswer::Refused(StartRefusal::OtherLife)),
-            Self::Stop(_) => WorldAnswer::Stop(OrderAnswer::OtherLife),
-            Self::Look(_) | Self::LookNow(_) => WorldAnswer::Look(PollAnswer::OtherLife),
+            Self::Start(_) => SimResponse::Start(StartAnswer::Refused(StartRefusal::OtherLife)),
+            Self::Stop(_) => SimResponse::Stop(OrderAnswer::OtherLife),
+            Self::Poll(_) | Self::ExtraPoll(_) => SimResponse::Poll(PollAnswer::OtherLife),
         }
     }
 }
 
 /// True if the desk still takes a start to be under way.
-fn is_wanted(owner: &WorldOwner, name: &HostId, start: &StartOrder) -> bool {
+fn is_start_pending(owner: &SimOwner, name: &HostId, start: &StartOrder) -> bool {
     let TaskKey {
         job,
         occurrence,
         step,
         index,
     } = &start.task;
-    let job = owner.desk.job_table.jobs.get(job);
+    let job = owner.scheduler.job_table.jobs.get(job);
     let task = job.and_then(|job| job.task(*occurrence, *step, *index));
     let place = task.and_then(|task| task.placement.as_ref());
     place.is_some_and(|place| {
--- a/crates/decide/tests/desk/world_cancel.rs
+++ b/crates/decide/tests/harness/sim_check_cancels.rs
@@ -3,29 +3,29 @@
 use decide::work::WorkJob;
 use model::{BootTime, HostId, work::TaskKey};
 
-use super::world::{DeskWorld, WorldOwner};
+use super::simulation::{SimOwner, Simulation};
 
 /// Longest time after the answer to a cancellation in which its tasks still start.
-const CANCEL: Duration = Duration::from_millis(3000);
+const MAX_START_AFTER_CANCEL: Duration = Duration::from_millis(3000);
 /// Longest time that a target takes for a stop.
-const STOP: Duration = Duration::from_millis(200);
+const MAX_STOP: Duration = Duration::from_millis(200);
 /// Time without a disturbance after which all bounds hold.
-const STABLE: Duration = Duration::from_millis(4000);
+const SETTLE: Duration = Duration::from_millis(4000);
 
-impl DeskWorld {
+impl Simulation {
     /// Holds a start that an owner sends against the cancellations that callers were told of, and
     /// against what the owner knows.
-    pub(super) fn check_start_sent(&mut self, owner: &WorldOwner, key: &TaskKey) {
+    pub(super) fn check_start_sent(&mut self, owner: &SimOwner, key: &TaskKey) {
         let job = key.job.as_str();
         let at = self.cancelled.get(job).copied();
-        if let Some(at) = at.filter(|at| self.now.boot > *at + CANCEL) {
+        if let Some(at) = at.filter(|at| self.now.boot > *at + MAX_START_AFTER_CANCEL) {
             let late = self.now.boot.saturating_sub(at);
-            self.found(&format!("{key} is started {late:?} after its cancellation"));
+            self.violation(&format!("{key} is started {late:?} after its cancellation"));
         }
-        let known = owner.desk.job_table.jobs.get(job);
+        let known = owner.scheduler.job_table.jobs.get(job);
         if known.is_some_and(WorkJob::is_cancelled) {
             let token = owner.token;
-            self.found(&format!(
+            self.violation(&format!(
                 "{key} is started by {token}, which knows it cancelled"
             ));
         }
@@ -37,13 +37,13 @@
             return;
         };
         let open = self.cancels_stored.keys().filter(|job| {
-            let job = owner.desk.job_table.jobs.get(job.as_str());
+            let job = owner.scheduler.job_table.jobs.get(job.as_str());
             job.is_some_and(WorkJob::is_open)
         });
         let open: Vec<String> = open.cloned().collect();
         for job in open {
-            let token = self.token;
-            self.found(&format!(
+            let token = self.current_token;
+            self.violation(&format!(
                 "{job} was cancelled and is open again for {token}"
             ));
         }
@@ -54,28 +54,32 @@
         let now = self.now.boot;
         let mut left: Vec<(HostId, TaskKey)> = Vec::new();
         for (name, state) in self.targets.iter().filter(|(_, state)| state.up) {
-            if state.cut {
+            if state.partitioned {
                 continue;
             }
-            let calm = [self.core_disturbed, state.disturbed, state.back_at]
-                .into_iter()
-                .filter(|at| *at < BootTime::MAX)
-                .max();
+            let calm = [
+                self.last_core_disturbance,
+                state.disturbed_until,
+                state.back_at,
+            ]
+            .into_iter()
+            .filter(|at| *at < BootTime::MAX)
+            .max();
             for (task, _) in state.runs.keys() {
                 let Some(at) = self.cancelled.get(task.job.as_str()) else {
                     continue;
                 };
-                let started = state.started_at.get(task).copied().unwrap_or_default();
-                let due = (*at + CANCEL)
-                    .max(started + STABLE)
-                    .max(calm.unwrap_or_default() + STABLE);
-                if now > due + STOP {
+                let started = state.task_starts.get(task).copied().unwrap_or_default();
+                let due = (*at + MAX_START_AFTER_CANCEL)
+                    .max(started + SETTLE)
+                    .max(calm.unwrap_or_default() + SETTLE);
+                if now > due + MAX_STOP {
                     left.push((name.clone(), task.clone()));
                 }
             }
         }
         for (name, task) in left {
-            self.found(&format!("{task} runs on {name} though it is cancelled"));
+            self.violation(&format!("{task} runs on {name} though it is cancelled"));
             self.cancelled.remove(task.job.as_str());
         }
     }
--- a/crates/decide/tests/desk/world_check.rs
+++ b/crates/decide/tests/harness/sim_checks.rs
@@ -1,9 +1,9 @@
 use model::{HostId, work::TaskKey};
 use wire::work::JobPhase;
 
-use super::world::{CAPACITY, DeskWorld, LIMIT, WorldOwner};
+use super::simulation::{CAPACITY, LIMIT, SimOwner, Simulation};
 
-impl DeskWorld {
+impl Simulation {
     /// Holds a start against what callers were promised.
     pub(super) fn check_start(&mut self, on: &HostId, key: &TaskKey) {
         let running = self
@@ -14,14 +14,14 @@
             .flat_map(|(name, state)| state.runs.keys().map(move |run| (name, run)))
             .find(|(_, run)| run.0 == *key);
         if let Some((name, run)) = twice {
-            self.found(&format!(
+            self.violation(&format!(
                 "{key} starts on {on} while {run:?} runs on {name}"
             ));
         }
-        if self.noted.contains(key) {
-            self.found(&format!("{key} starts on {on} after its end was observed"));
+        if self.acked_tasks.contains(key) {
+            self.violation(&format!("{key} starts on {on} after its end was observed"));
         }
-        self.check_order(on, key);
+        self.check_step_order(on, key);
         let room: u64 = self.targets[on]
             .runs
             .keys()
@@ -31,7 +31,7 @@
             let runs: Vec<_> = self.targets[on].runs.keys().cloned().collect();
             let told = runs.iter().map(|run| (run, self.history.get(&run.0)));
             let told = format!("{on} has {room} running: {:#?}", told.collect::<Vec<_>>());
-            self.found(&told);
+            self.violation(&told);
         }
         let up = self.targets.values().filter(|state| state.up);
         let all: u64 = up
@@ -39,17 +39,17 @@
             .map(|run| self.cpu(&run.0))
             .sum();
         if all > LIMIT {
-            self.found(&format!("the workspace has {all} running"));
+            self.violation(&format!("the workspace has {all} running"));
         }
     }
 
-    fn check_order(&mut self, on: &HostId, key: &TaskKey) {
+    fn check_step_order(&mut self, on: &HostId, key: &TaskKey) {
         let plan = &self.jobs[key.job.as_str()];
         let before = plan.steps[key.step as usize].after.clone();
         for earlier in before {
             let gang = plan.steps[earlier as usize].gang;
             let done = |index: u32| {
-                self.done.contains(&TaskKey {
+                self.done_tasks.contains(&TaskKey {
                     step: earlier,
                     index,
                     ..key.clone()
@@ -62,7 +62,7 @@
                 (0..count).all(done)
             };
             if !complete {
-                self.faults_found.push(format!(
+                self.violations.push(format!(
                     "{key} starts on {on} before step {earlier} is done"
                 ));
                 return;
@@ -71,14 +71,17 @@
     }
 
     pub(super) fn is_done(&self) -> bool {
-        let owner = self.owners.iter().find(|owner| owner.token == self.token);
-        let ended = |owner: &WorldOwner| self.jobs.keys().all(|job| self.has_ended(owner, job));
-        self.asks.is_empty() && owner.is_some_and(ended)
+        let owner = self
+            .owners
+            .iter()
+            .find(|owner| owner.token == self.current_token);
+        let ended = |owner: &SimOwner| self.jobs.keys().all(|job| self.has_ended(owner, job));
+        self.client_requests.is_empty() && owner.is_some_and(ended)
     }
 
     /// True if an owner shows the end that a job should have.
-    fn has_ended(&self, owner: &WorldOwner, job: &str) -> bool {
-        match owner.desk.job_phase(job) {
+    fn has_ended(&self, owner: &SimOwner, job: &str) -> bool {
+        match owner.scheduler.job_phase(job) {
             Some(JobPhase::Completed) => true,
             Some(JobPhase::Cancelled) => self.cancels_stored.contains_key(job),
             _ => false,
@@ -86,14 +89,18 @@
     }
 
     pub(super) fn check_done(&mut self) {
-        let Some(owner) = self.owners.iter().find(|owner| owner.token == self.token) else {
-            self.faults_found.push("nobody owns the cell".to_owned());
+        let Some(owner) = self
+            .owners
+            .iter()
+            .find(|owner| owner.token == self.current_token)
+        else {
+            self.violations.push("nobody owns the cell".to_owned());
             return;
         };
         for job in self.jobs.keys() {
             if !self.has_ended(owner, job) {
-                let phase = owner.desk.job_phase(job);
-                self.faults_found
+                let phase = owner.scheduler.job_phase(job);
+                self.violations
                     .push(format!("{job} is {phase:?} in the end"));
             }
         }
@@ -105,19 +112,19 @@
             .cpu
     }
 
-    pub(super) fn found(&mut self, fault: &str) {
+    pub(super) fn violation(&mut self, fault: &str) {
         let at = self.now.boot;
         let key = fault
             .split(' ')
             .next()
             .and_then(|key| key.parse::<TaskKey>().ok());
         let history = key.and_then(|key| self.history.get(&key)).cloned();
-        self.faults_found.push(format!(
+        self.violations.push(format!(
             "{at:?}: {fault}: {:#?}",
             history.unwrap_or_default(),
         ));
-        if self.faults_found.len() == 1 {
-            self.faults_found.extend(self.notes.iter().cloned());
+        if self.violations.len() == 1 {
+            self.violations.extend(self.recent_events.iter().cloned());
         }
     }
 }
--- a/crates/decide/tests/desk/world_faults.rs
+++ b/crates/decide/tests/harness/sim_faults.rs
@@ -4,8 +4,8 @@
 use rand::Rng;
 
 use super::{
-    world::{DeskWorld, OWNER_LEASE},
-    world_list::FRESH_ID,
+    sim_host_list::NEW_ID,
+    simulation::{OWNER_LEASE, Simulation},
 };
 
 /// What goes wrong in a world, each as a chance a second unless something else is said.
@@ -25,7 +25,7 @@
     /// Part of the jobs that their callers cancel.
     pub cancels: f64,
     /// The store answers nobody for some time.
-    pub store_away: f64,
+    pub store_outage: f64,
     /// Part of the writes to the store whose request or answer is lost.
     pub lost_writes: f64,
     /// Whether the log is often replaced by a shorter one.
@@ -47,7 +47,7 @@
         late_calls: 0.0,
         late_lists: 0.0,
         cancels: 0.0,
-        store_away: 0.0,
+        store_outage: 0.0,
         lost_writes: 0.0,
         short_log: false,
         lanes: false,
@@ -55,7 +55,7 @@
     };
 
     /// Some of everything that happens to targets, owners and calls.
-    pub const SOME: Self = Self {
+    pub const BASIC: Self = Self {
         target_crash: 0.03,
         target_cut: 0.03,
         owner_kill: 0.06,
@@ -68,18 +68,18 @@
     /// Callers cancel besides.
     pub const CANCELS: Self = Self {
         cancels: 0.4,
-        ..Self::SOME
+        ..Self::BASIC
     };
 
     /// The store fails besides.
     pub const LOG: Self = Self {
-        store_away: 0.06,
+        store_outage: 0.06,
         lost_writes: 0.1,
         ..Self::CANCELS
     };
 
     /// The same world without faults to come.
-    pub(super) fn calmed(self) -> Self {
+    pub(super) fn without_new_faults(self) -> Self {
         Self {
             short_log: self.short_log,
             lanes: self.lanes,
@@ -91,31 +91,32 @@
 
 impl Default for WorldFaults {
     fn default() -> Self {
-        Self::SOME
+        Self::BASIC
     }
 }
 
-impl DeskWorld {
+impl Simulation {
     pub(super) fn draw_faults(&mut self) {
-        if self.chance(self.faults.owner_kill) && self.next_owner.is_none() {
-            self.owners.retain(|owner| owner.alone_since.is_some());
-            self.next_owner = Some(self.now.boot + OWNER_LEASE);
-            self.note_core("the owner is killed");
+        if self.draw_event(self.faults.owner_kill) && self.next_election.is_none() {
+            self.owners
+                .retain(|owner| owner.partitioned_since.is_some());
+            self.next_election = Some(self.now.boot + OWNER_LEASE);
+            self.record_core_event("the owner is killed");
         }
-        if self.chance(self.faults.owner_cut) && self.next_owner.is_none() {
+        if self.draw_event(self.faults.owner_cut) && self.next_election.is_none() {
             let now = self.now.boot;
             for owner in &mut self.owners {
-                owner.alone_since.get_or_insert(now);
+                owner.partitioned_since.get_or_insert(now);
             }
-            self.next_owner = Some(now + OWNER_LEASE);
-            self.note_core("the owner is cut off");
+            self.next_election = Some(now + OWNER_LEASE);
+            self.record_core_event("the owner is cut off");
         }
         self.draw_target_faults();
-        let part = self.faults.store_away * super::world::TICK.as_secs_f64();
-        if self.store_away.is_none() && self.more.random::<f64>() < part {
-            let length = Duration::from_millis(self.more.random_range(300..6000));
-            self.store_away = Some((self.now.boot, self.now.boot + length));
-            self.note_core("the store goes away");
+        let part = self.faults.store_outage * super::simulation::TICK.as_secs_f64();
+        if self.store_outage.is_none() && self.extra_rng.random::<f64>() < part {
+            let length = Duration::from_millis(self.extra_rng.random_range(300..6000));
+            self.store_outage = Some((self.now.boot, self.now.boot + length));
+            self.record_core_event("the store goes away");
         }
     }
 
@@ -123,56 +124,56 @@
         let names: Vec<HostId> = self.targets.keys().cloned().collect();
         for name in names {
             let (crash, cut) = (self.faults.target_crash, self.faults.target_cut);
-            let (crash, cut) = (self.chance(crash), self.chance(cut));
-            let away = Duration::from_millis(self.dice.random_range(300..9000));
+            let (crash, cut) = (self.draw_event(crash), self.draw_event(cut));
+            let away = Duration::from_millis(self.rng.random_range(300..9000));
             let now = self.now.boot;
             let Some(state) = self.targets.get_mut(&name) else {
                 continue;
             };
-            if !state.up || state.cut {
+            if !state.up || state.partitioned {
                 continue;
             }
             if crash {
                 state.up = false;
                 state.runs.clear();
             }
-            state.cut |= cut;
+            state.partitioned |= cut;
             state.down_since = now;
             state.back_at = now + away;
             if crash && self.faults.lists {
                 // Many come back at once, before anybody has missed them.
-                let soon = self.more.random_bool(0.5);
-                let wait = Duration::from_millis(self.more.random_range(20..400));
+                let soon = self.extra_rng.random_bool(0.5);
+                let wait = Duration::from_millis(self.extra_rng.random_range(20..400));
                 state.back_at = if soon { now + wait } else { state.back_at };
-                state.hidden = self.more.random_bool(0.5);
-                state.replaced = self.more.random_bool(FRESH_ID);
+                state.hidden_while_down = self.extra_rng.random_bool(0.5);
+                state.returns_with_new_id = self.extra_rng.random_bool(NEW_ID);
             }
             if crash || cut {
                 let what = if crash { "crashes" } else { "is cut off" };
-                self.note(&format!("{name} {what}"));
+                self.record_event(&format!("{name} {what}"));
             }
         }
     }
 
     /// The store is back: leases have been paused, or have lapsed meanwhile.
-    pub(super) fn return_store(&mut self) {
+    pub(super) fn end_store_outage(&mut self) {
         let now = self.now.boot;
-        if self.store_away.is_none_or(|(_, until)| now < until) {
+        if self.store_outage.is_none_or(|(_, until)| now < until) {
             return;
         }
-        self.store_away = None;
-        self.store_back = now;
-        self.note_core("the store is back");
-        if self.more.random_bool(0.5) {
-            self.lapse_entries();
+        self.store_outage = None;
+        self.store_restored_at = now;
+        self.record_core_event("the store is back");
+        if self.extra_rng.random_bool(0.5) {
+            self.expire_entries();
         }
-        if self.more.random_bool(0.4) && self.next_owner.is_none() {
+        if self.extra_rng.random_bool(0.4) && self.next_election.is_none() {
             for owner in &mut self.owners {
-                let heard = Duration::from_millis(self.more.random_range(0..300));
-                owner.over_at.get_or_insert(now + heard);
+                let heard = Duration::from_millis(self.extra_rng.random_range(0..300));
+                owner.lease_loss_seen_at.get_or_insert(now + heard);
             }
-            let wait = Duration::from_millis(self.more.random_range(0..600));
-            self.next_owner = Some(now + wait);
+            let wait = Duration::from_millis(self.extra_rng.random_range(0..600));
+            self.next_election = Some(now + wait);
         }
     }
 }
--- /dev/null
+++ b/crates/decide/tests/harness/sim_host_list.rs
@@ -0,0 +1,245 @@
+use std::{
+    collections::{BTreeMap, BTreeSet},
+    time::Duration,
+};
+
+use model::{BootTime, HostId, work::TargetEntry};
+use rand::Rng;
+
+use super::{
+    simulation::{CAPACITY, LIST_TTL, SimOwner, Simulation},
+    target,
+};
+
+/// Part of the crashed targets whose host comes back under another id.
+pub(super) const NEW_ID: f64 = 0.4;
+/// Part of the entries that lapse while the store is away.
+const LAPSED_ENTRIES: f64 = 0.4;
+/// How often an owner reads the whole list anew, as a chance a second.
+const REREADS: f64 = 0.1;
+/// How often hosts are listed.
+const INCARNATION_POLL: Duration = Duration::from_millis(500);
+
+/// The host list in the store.
+#[derive(Default)]
+pub(super) struct HostList {
+    revision: u64,
+    entries: BTreeMap<HostId, TargetEntry>,
+    events: Vec<ListEvent>,
+}
+
+struct ListEvent {
+    revision: u64,
+    at: BootTime,
+    id: HostId,
+    /// `None` where the entry was removed.
+    entry: Option<TargetEntry>,
+}
+
+/// How far an owner has followed the host list.
+#[derive(Default)]
+pub(super) struct ListWatch {
+    started: bool,
+    revision: u64,
+    /// How old an event is when it is heard of.
+    lag: Duration,
+    pending_read: Option<ListRead>,
+    incarnations: Vec<(BootTime, BTreeSet<HostId>)>,
+    next_incarnation_poll: BootTime,
+}
+
+/// A list that is read in two pages, which are no snapshot.
+struct ListRead {
+    first: BTreeMap<HostId, TargetEntry>,
+    split: HostId,
+    revision: u64,
+    second_at: BootTime,
+}
+
+impl HostList {
+    fn write(&mut self, id: &HostId, entry: Option<TargetEntry>, at: BootTime) {
+        self.revision += 1;
+        match &entry {
+            Some(entry) => self.entries.insert(id.clone(), entry.clone()),
+            None => self.entries.remove(id),
+        };
+        self.events.push(ListEvent {
+            revision: self.revision,
+            at,
+            id: id.clone(),
+            entry,
+        });
+    }
+}
+
+impl Simulation {
+    /// Lets targets write their entries, and the store remove those that have lapsed.
+    pub(super) fn update_host_list(&mut self) {
+        if !self.faults.lists || self.store_outage.is_some() {
+            return;
+        }
+        let now = self.now.boot;
+        let back = now.saturating_sub(self.store_restored_at) < Duration::from_secs(2);
+        let mut told = Vec::new();
+        for (name, state) in &mut self.targets {
+            let known = self
+                .host_list
+                .entries
+                .get(name)
+                .map(|entry| entry.started_at);
+            if !state.up || state.partitioned {
+                state.entry_write_at = None;
+                if known.is_some() && now >= state.down_since + LIST_TTL {
+                    self.host_list.write(name, None, now);
+                    told.push(format!("{name} leaves the list"));
+                }
+                continue;
+            }
+            if known == Some(state.started_at) {
+                state.entry_write_at = None;
+                continue;
+            }
+            let longest = if back { 1900 } else { 800 };
+            let first = now <= Duration::from_millis(1_000_100);
+            let wait = match first {
+                true => Duration::ZERO,
+                false => Duration::from_millis(self.extra_rng.random_range(20..longest)),
+            };
+            let at = *state.entry_write_at.get_or_insert(now + wait);
+            if now >= at {
+                let entry = TargetEntry {
+                    address: state.address.as_str().into(),
+                    started_at: state.started_at,
+                    ..target(name, CAPACITY)
+                };
+                self.host_list.write(name, Some(entry), now);
+                told.push(format!("{name} of {:?} is listed", state.started_at));
+            }
+        }
+        told.into_iter().for_each(|what| self.record_event(&what));
+    }
+
+    /// Entries lapse with the store; targets that live write them anew.
+    pub(super) fn expire_entries(&mut self) {
+        let names: Vec<HostId> = self.host_list.entries.keys().cloned().collect();
+        for name in names {
+            if self.extra_rng.random_bool(LAPSED_ENTRIES) {
+                self.host_list.write(&name, None, self.now.boot);
+                self.record_event(&format!("the entry of {name} lapses"));
+            }
+        }
+    }
+
+    /// Tells an owner what it hears of the host list.
+    pub(super) fn deliver_list_events(&mut self, owner: &mut SimOwner) {
+        if self.store_outage.is_some() || owner.partitioned_since.is_some() {
+            owner.list_watch.pending_read = None;
+            return;
+        }
+        let now = self.now.boot;
+        let part = REREADS * super::simulation::TICK.as_secs_f64();
+        let anew = !owner.list_watch.started || self.extra_rng.random_bool(part);
+        if anew && owner.list_watch.pending_read.is_none() {
+            self.begin_read(owner);
+        }
+        let list_read = owner
+            .list_watch
+            .pending_read
+            .take_if(|read| now >= read.second_at);
+        if let Some(list_read) = list_read {
+            self.finish_read(owner, list_read);
+        }
+        if owner.list_watch.pending_read.is_some() {
+            return;
+        }
+        let (from, lag) = (owner.list_watch.revision, owner.list_watch.lag);
+        let heard = |event: &&ListEvent| event.revision > from && event.at + lag <= now;
+        let events: Vec<&ListEvent> = self.host_list.events.iter().filter(heard).collect();
+        if let Some(last) = events.last() {
+            owner.list_watch.revision = last.revision;
+        }
+        for event in &events {
+            match &event.entry {
+                Some(entry) => owner.scheduler.upsert_target(entry.clone(), self.now),
+                None => owner.scheduler.mark_target_unlisted(&event.id),
+            }
+        }
+        if !events.is_empty() {
+            let slow = self.extra_rng.random_bool(0.2);
+            let longest = if slow { 500 } else { 60 };
+            owner.list_watch.lag = Duration::from_millis(self.extra_rng.random_range(0..longest));
+        }
+    }
+
+    fn begin_read(&mut self, owner: &mut SimOwner) {
+        let names: Vec<&HostId> = self.host_list.entries.keys().collect();
+        let split = self.extra_rng.random_range(0..=names.len());
+        let split = names.get(split).copied().cloned().unwrap_or_default();
+        let first = self.host_list.entries.range(..split.clone());
+        let first = first.map(|(id, entry)| (id.clone(), entry.clone()));
+        let wait = Duration::from_millis(self.extra_rng.random_range(0..400));
+        owner.list_watch.started = true;
+        owner.list_watch.pending_read = Some(ListRead {
+            first: first.collect(),
+            split,
+            revision: self.host_list.revision,
+            second_at: self.now.boot + wait,
+        });
+    }
+
+    fn finish_read(&mut self, owner: &mut SimOwner, list_read: ListRead) {
+        let mut read = list_read.first;
+        let second = self.host_list.entries.range(list_read.split..);
+        read.extend(second.map(|(id, entry)| (id.clone(), entry.clone())));
+        let missing = owner.scheduler.listed_targets();
+        for id in missing.iter().filter(|id| !read.contains_key(*id)) {
+            owner.scheduler.mark_target_unlisted(id);
+        }
+        for entry in read.into_values() {
+            owner.scheduler.upsert_target(entry, self.now);
+        }
+        owner.list_watch.revision = list_read.revision;
+    }
+
+    /// Tells an owner which lives the control of hosts lists.
+    pub(super) fn poll_incarnations(&mut self, owner: &mut SimOwner) {
+        let now = self.now.boot;
+        let (due, kept) = std::mem::take(&mut owner.list_watch.incarnations)
+            .into_iter()
+            .partition(|(at, _)| *at <= now);
+        owner.list_watch.incarnations = kept;
+        let due: Vec<(BootTime, BTreeSet<HostId>)> = due;
+        let asked = owner
+            .list_watch
+            .next_incarnation_poll
+            .saturating_sub(INCARNATION_POLL);
+        for (_, lives) in due {
+            owner.scheduler.update_incarnations(&lives, asked, self.now);
+        }
+        let certain = !self.is_lease_lapsed(owner) && owner.partitioned_since.is_none();
+        // One list is asked for at a time.
+        let requests = certain
+            && owner.list_watch.incarnations.is_empty()
+            && now >= owner.list_watch.next_incarnation_poll;
+        if !requests {
+            return;
+        }
+        owner.list_watch.next_incarnation_poll = now + INCARNATION_POLL;
+        let lives = self.targets.iter().filter(|(_, state)| {
+            let down = state.hidden_while_down || state.returns_with_new_id;
+            state.up || !down
+        });
+        let lives = lives.map(|(id, _)| id.clone()).collect();
+        let wait = Duration::from_millis(self.extra_rng.random_range(20..400));
+        owner.list_watch.incarnations.push((now + wait, lives));
+    }
+
+    /// True if another life of its host answers where a target was.
+    pub(super) fn has_moved_incarnation(&self, name: &HostId) -> bool {
+        let Some(state) = self.targets.get(name).filter(|state| !state.up) else {
+            return false;
+        };
+        let mut others = self.targets.iter().filter(|(other, _)| *other != name);
+        others.any(|(_, other)| other.up && !other.partitioned && other.address == state.address)
+    }
+}
--- a/crates/decide/tests/desk/world_log.rs
+++ b/crates/decide/tests/harness/sim_log.rs
@@ -9,29 +9,29 @@
 use wire::work::{LogEntry, log_entry::Event};
 
 use super::{
-    world::{DeskWorld, WorldOwner},
-    world_faults::WorldFaults,
+    sim_faults::WorldFaults,
+    simulation::{SimOwner, Simulation},
 };
 
 /// Pages after which the log is replaced by a shorter one.
-const LONG_LOG: u64 = 12;
+const COMPACT_AFTER: u64 = 12;
 /// Entries of a page of the shorter one.
-const PAGE_ENTRIES: usize = 6;
+const ENTRIES_PER_PAGE: usize = 6;
 /// Replaced pages that go with each page that is written.
-const REMOVED_AT_ONCE: usize = 2;
+const MAX_REMOVED_PAGES: usize = 2;
 /// How long an owner waits for the store's answer.
 const STORE_TIMEOUT: Duration = Duration::from_millis(200);
 /// How long an entry that a caller waits for is tried while the store refuses.
-const PATIENCE: Duration = Duration::from_millis(150);
+const CLIENT_WRITE_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// The pages that the store holds.
 #[derive(Default)]
-pub(super) struct WorldLog {
+pub(super) struct StoredLog {
     pages: BTreeMap<u64, Vec<LogEntry>>,
 }
 
 /// A page whose request the store carries out late.
-pub(super) struct LatePage {
+pub(super) struct DelayedWrite {
     at: BootTime,
     token: u64,
     change: PageChange,
@@ -46,16 +46,16 @@
 
 /// The log as its owner writes it.
 #[derive(Default)]
-pub(super) struct OwnerLog {
+pub(super) struct LogWriter {
     pending: VecDeque<(BootTime, LogAppend)>,
     write: Option<PageWrite>,
     first: u64,
     next: u64,
     replaced: VecDeque<u64>,
     /// What is left to write of a shorter log, and the page that it begins with.
-    shorter: VecDeque<Vec<LogEntry>>,
-    shorter_from: u64,
-    /// Pages that it had when it was last made shorter.
+    compacted: VecDeque<Vec<LogEntry>>,
+    compacted_from: u64,
+    /// Pages that it had when it was last made compacted.
     base: u64,
 }
 
@@ -63,14 +63,14 @@
     change: PageChange,
     records: Vec<(BootTime, LogAppend)>,
     /// Whether an attempt may have been carried out.
-    unsure: bool,
-    again: BootTime,
+    unconfirmed: bool,
+    retry_at: BootTime,
     failed: bool,
 }
 
 /// What became of one attempt to write a page.
 #[derive(PartialEq, Eq)]
-enum Attempt {
+enum WriteOutcome {
     Done,
     Succeeded,
     Refused,
@@ -79,11 +79,11 @@
 
 impl WorldFaults {
     pub(super) fn has_store_faults(&self) -> bool {
-        self.store_away > 0.0 || self.lost_writes > 0.0 || self.short_log
+        self.store_outage > 0.0 || self.lost_writes > 0.0 || self.short_log
     }
 }
 
-impl WorldLog {
+impl StoredLog {
     pub(super) fn entries(&self) -> impl Iterator<Item = &LogEntry> {
         self.pages.values().flatten()
     }
@@ -99,8 +99,8 @@
     }
 }
 
-impl OwnerLog {
-    pub(super) fn found(log: &WorldLog) -> Self {
+impl LogWriter {
+    pub(super) fn open(log: &StoredLog) -> Self {
         Self {
             first: log.pages.keys().next().copied().unwrap_or_default(),
             next: log.next(),
@@ -109,11 +109,11 @@
     }
 
     /// Takes in that a page was written beside.
-    pub(super) fn skip_page(&mut self, log: &WorldLog) {
+    pub(super) fn skip_external_page(&mut self, log: &StoredLog) {
         self.next = log.next();
     }
 
-    pub(super) fn add(&mut self, record: LogAppend, due: BootTime) {
+    pub(super) fn push(&mut self, record: LogAppend, due: BootTime) {
         self.pending.push_back((due, record));
     }
 
@@ -122,7 +122,7 @@
     }
 
     fn change(&self, entries: Vec<LogEntry>) -> PageChange {
-        let removes = self.replaced.iter().take(REMOVED_AT_ONCE);
+        let removes = self.replaced.iter().take(MAX_REMOVED_PAGES);
         PageChange {
             page: self.next,
             entries,
@@ -135,7 +135,7 @@
         if self.write.is_some() {
             return;
         }
-        let (entries, records) = if let Some(part) = self.shorter.pop_front() {
+        let (entries, records) = if let Some(part) = self.compacted.pop_front() {
             (part, Vec::new())
         } else {
             let due = self.pending.iter().take_while(|(at, _)| *at <= now).count();
@@ -146,119 +146,119 @@
             self.write = Some(PageWrite {
                 change: self.change(entries),
                 records,
-                unsure: false,
-                again: now,
+                unconfirmed: false,
+                retry_at: now,
                 failed: false,
             });
         }
     }
 
-    fn wrote(&mut self) {
+    fn finish_write(&mut self) {
         self.next += 1;
-        let removed = self.replaced.len().min(REMOVED_AT_ONCE);
+        let removed = self.replaced.len().min(MAX_REMOVED_PAGES);
         self.replaced.drain(..removed);
     }
 }
 
-impl DeskWorld {
+impl Simulation {
     /// Writes what an owner has to write; false once it knows that it has been succeeded.
-    pub(super) fn write_log(&mut self, owner: &mut WorldOwner) -> bool {
+    pub(super) fn write_log(&mut self, owner: &mut SimOwner) -> bool {
         let now = self.now.boot;
         loop {
-            owner.log.begin(now);
-            let due = owner.log.write.take_if(|write| write.again <= now);
+            owner.writer.begin(now);
+            let due = owner.writer.write.take_if(|write| write.retry_at <= now);
             let Some(mut write) = due else {
                 return true;
             };
-            self.refuse_old(owner, &mut write);
+            self.reject_timed_out(owner, &mut write);
             if write.change.entries.is_empty() {
                 continue;
             }
             match self.try_write(owner, &write) {
-                Attempt::Done => {
-                    owner.log.wrote();
-                    self.settle(owner, write.records);
-                    self.shorten(owner);
+                WriteOutcome::Done => {
+                    owner.writer.finish_write();
+                    self.acknowledge_stored(owner, write.records);
+                    self.compact_log(owner);
                 }
-                Attempt::Succeeded => return false,
+                WriteOutcome::Succeeded => return false,
                 failed => {
                     write.failed = true;
-                    write.unsure |= failed == Attempt::Unanswered;
+                    write.unconfirmed |= failed == WriteOutcome::Unanswered;
                     let wait = match failed {
-                        Attempt::Unanswered => STORE_TIMEOUT,
-                        _ => super::world::TICK,
+                        WriteOutcome::Unanswered => STORE_TIMEOUT,
+                        _ => super::simulation::TICK,
                     };
-                    write.again = now + wait;
-                    owner.log.write = Some(write);
+                    write.retry_at = now + wait;
+                    owner.writer.write = Some(write);
                     return true;
                 }
             }
         }
     }
 
-    fn try_write(&mut self, owner: &WorldOwner, write: &PageWrite) -> Attempt {
-        if owner.alone_since.is_some() {
-            return Attempt::Unanswered;
+    fn try_write(&mut self, owner: &SimOwner, write: &PageWrite) -> WriteOutcome {
+        if owner.partitioned_since.is_some() {
+            return WriteOutcome::Unanswered;
         }
-        let draw: f64 = self.more.random();
-        if self.store_away.is_some() {
+        let draw: f64 = self.extra_rng.random();
+        if self.store_outage.is_some() {
             if draw < 0.5 {
-                return Attempt::Refused;
+                return WriteOutcome::Refused;
             }
-            self.hold_page(owner.token, &write.change);
-            return Attempt::Unanswered;
+            self.delay_write(owner.token, &write.change);
+            return WriteOutcome::Unanswered;
         }
         let lost = self.faults.lost_writes;
         if draw < lost / 2.0 {
-            self.hold_page(owner.token, &write.change);
-            return Attempt::Unanswered;
+            self.delay_write(owner.token, &write.change);
+            return WriteOutcome::Unanswered;
         }
-        let stands = owner.token == self.token;
-        let landed = stands && self.land(&write.change);
+        let stands = owner.token == self.current_token;
+        let landed = stands && self.apply_change(&write.change);
         if draw < lost {
-            return Attempt::Unanswered;
+            return WriteOutcome::Unanswered;
         }
         if !stands {
-            return Attempt::Succeeded;
+            return WriteOutcome::Succeeded;
         }
-        if !landed && !write.unsure {
-            self.found(&format!("page {} is taken", write.change.page));
+        if !landed && !write.unconfirmed {
+            self.violation(&format!("page {} is taken", write.change.page));
         }
-        Attempt::Done
+        WriteOutcome::Done
     }
 
     /// The store may carry a request out that nobody waits for any more.
-    fn hold_page(&mut self, token: u64, change: &PageChange) {
-        if self.more.random_bool(0.5) {
+    fn delay_write(&mut self, token: u64, change: &PageChange) {
+        if self.extra_rng.random_bool(0.5) {
             return;
         }
-        let wait = Duration::from_millis(self.more.random_range(100..3000));
-        self.late_pages.push(LatePage {
+        let wait = Duration::from_millis(self.extra_rng.random_range(100..3000));
+        self.delayed_writes.push(DelayedWrite {
             at: self.now.boot + wait,
             token,
             change: change.clone(),
         });
     }
 
-    pub(super) fn land_late_pages(&mut self) {
-        if self.store_away.is_some() || self.late_pages.is_empty() {
+    pub(super) fn apply_delayed_writes(&mut self) {
+        if self.store_outage.is_some() || self.delayed_writes.is_empty() {
             return;
         }
         let now = self.now.boot;
-        let (due, kept) = std::mem::take(&mut self.late_pages)
+        let (due, kept) = std::mem::take(&mut self.delayed_writes)
             .into_iter()
             .partition(|late| late.at <= now);
-        self.late_pages = kept;
-        let due: Vec<LatePage> = due;
+        self.delayed_writes = kept;
+        let due: Vec<DelayedWrite> = due;
         for late in due {
-            if late.token == self.token {
-                self.land(&late.change);
+            if late.token == self.current_token {
+                self.apply_change(&late.change);
             }
         }
     }
 
     /// Makes a change unless its page is there; true if it was made.
-    fn land(&mut self, change: &PageChange) -> bool {
+    fn apply_change(&mut self, change: &PageChange) -> bool {
         if self.log.pages.contains_key(&change.page) {
             return false;
         }
@@ -276,22 +276,23 @@
     }
 
     /// Gives up what callers wait for and the store has surely not taken.
-    fn refuse_old(&mut self, owner: &mut WorldOwner, write: &mut PageWrite) {
-        if write.unsure || write.records.is_empty() {
+    fn reject_timed_out(&mut self, owner: &mut SimOwner, write: &mut PageWrite) {
+        if write.unconfirmed || write.records.is_empty() {
             return;
         }
         let now = self.now.boot;
-        let due = owner.log.pending.iter().take_while(|(at, _)| *at <= now);
+        let due = owner.writer.pending.iter().take_while(|(at, _)| *at <= now);
         let due = due.count();
-        write.records.extend(owner.log.pending.drain(..due));
+        write.records.extend(owner.writer.pending.drain(..due));
         let mut kept = Vec::new();
         for (since, record) in std::mem::take(&mut write.records) {
             let event = record.entry.event.as_ref();
             let awaited = event.filter(|event| {
-                now >= since + PATIENCE && matches!(event, Event::Accepted(_) | Event::Cancelled(_))
+                now >= since + CLIENT_WRITE_TIMEOUT
+                    && matches!(event, Event::Accepted(_) | Event::Cancelled(_))
             });
             match awaited {
-                Some(event) => self.answer_ask(owner.token, event, false),
+                Some(event) => self.complete_request(owner.token, event, false),
                 None => kept.push((since, record)),
             }
         }
@@ -299,40 +300,43 @@
         write.records = kept;
     }
 
-    fn settle(&mut self, owner: &mut WorldOwner, records: Vec<(BootTime, LogAppend)>) {
+    fn acknowledge_stored(&mut self, owner: &mut SimOwner, records: Vec<(BootTime, LogAppend)>) {
         for (_, record) in records {
             match &record.entry.event {
-                Some(Event::Accepted(job)) => owner.desk.accept_job(job, self.now),
-                Some(Event::Cancelled(job)) => owner.desk.cancel(&job.as_str().into(), self.now),
+                Some(Event::Accepted(job)) => owner.scheduler.accept_job(job, self.now),
+                Some(Event::Cancelled(id)) => owner.scheduler.cancel(&id.as_str().into(), self.now),
                 _ => {}
             }
-            owner.desk.handle_stored_entry(&record, self.now);
+            owner.scheduler.handle_stored_entry(&record, self.now);
             if let Some(event) = &record.entry.event {
-                self.answer_ask(owner.token, event, true);
+                self.complete_request(owner.token, event, true);
             }
         }
     }
 
     /// Begins a shorter log where it has become long; its old pages go once it is written.
-    fn shorten(&mut self, owner: &mut WorldOwner) {
+    fn compact_log(&mut self, owner: &mut SimOwner) {
         if !self.faults.short_log {
             return;
         }
-        let log = &mut owner.log;
-        if log.shorter_from > log.first {
-            if log.shorter.is_empty() {
-                log.replaced.extend(log.first..log.shorter_from);
-                log.first = log.shorter_from;
+        let log = &mut owner.writer;
+        if log.compacted_from > log.first {
+            if log.compacted.is_empty() {
+                log.replaced.extend(log.first..log.compacted_from);
+                log.first = log.compacted_from;
                 log.base = log.next - log.first;
             }
             return;
         }
-        if log.next - log.first < LONG_LOG + log.base {
+        if log.next - log.first < COMPACT_AFTER + log.base {
             return;
         }
-        let entries = owner.desk.job_table.compacted_entries();
-        log.shorter = entries.chunks(PAGE_ENTRIES).map(<[_]>::to_vec).collect();
-        log.shorter_from = if entries.is_empty() {
+        let entries = owner.scheduler.job_table.compacted_entries();
+        log.compacted = entries
+            .chunks(ENTRIES_PER_PAGE)
+            .map(<[_]>::to_vec)
+            .collect();
+        log.compacted_from = if entries.is_empty() {
             log.first
         } else {
             log.next
--- a/crates/decide/tests/desk/world_target.rs
+++ b/crates/decide/tests/harness/sim_target.rs
@@ -11,44 +11,44 @@
 
 /// A target of the model, with what it runs and has seen in its present life.
 #[derive(Default)]
-pub struct WorldTarget {
-    pub born: Duration,
+pub struct SimTarget {
+    pub started_at: Duration,
     /// The life that the host list tells of, which may be the one before.
-    pub shown: Duration,
-    pub shown_until: BootTime,
+    pub listed_start: Duration,
+    pub listing_stale_until: BootTime,
     pub address: String,
     pub up: bool,
-    pub cut: bool,
+    pub partitioned: bool,
     pub listed: bool,
     /// Its host begins its next life under another id.
-    pub replaced: bool,
+    pub returns_with_new_id: bool,
     /// Whether the list of hosts lacks it while it is down.
-    pub hidden: bool,
+    pub hidden_while_down: bool,
     /// When it writes its entry into the host list.
-    pub writes_at: Option<BootTime>,
+    pub entry_write_at: Option<BootTime>,
     /// Until when calls to it went wrong.
-    pub disturbed: BootTime,
+    pub disturbed_until: BootTime,
     /// When each task was last started.
-    pub started_at: BTreeMap<TaskKey, BootTime>,
+    pub task_starts: BTreeMap<TaskKey, BootTime>,
     pub down_since: BootTime,
     pub back_at: BootTime,
     pub token: u64,
     /// When its clock began, which starts anew with each life.
-    pub zero: BootTime,
-    pub until: BootTime,
+    pub clock_start: BootTime,
+    pub lease_until: BootTime,
     pub runs: BTreeMap<(TaskKey, u64), BootTime>,
-    pub closed: BTreeMap<TaskKey, u64>,
+    pub fenced_attempts: BTreeMap<TaskKey, u64>,
     pub ended: Vec<EndReport>,
-    pub ends: u64,
+    pub last_end_number: u64,
 }
 
-impl WorldTarget {
+impl SimTarget {
     /// The next life of its host, under an id of its own.
     pub fn successor(&self, name: &HostId, now: SchedulerTime) -> (HostId, Self) {
         let state = Self {
-            born: now.unix,
-            shown: now.unix,
-            zero: now.boot,
+            started_at: now.unix,
+            listed_start: now.unix,
+            clock_start: now.boot,
             address: self.address.clone(),
             up: true,
             ..Self::default()
@@ -57,7 +57,7 @@
     }
 
     /// Ends what has been done, and everything once its time has lapsed.
-    pub fn finish(&mut self, now: BootTime) {
+    pub fn end_due_runs(&mut self, now: BootTime) {
         if !self.up {
             return;
         }
@@ -68,23 +68,23 @@
             .map(|(run, _)| run.clone())
             .collect();
         for run in over {
-            self.end(run, EndKind::Done);
+            self.end_run(run, EndKind::Done);
         }
-        if now > self.until {
+        if now > self.lease_until {
             let lapsed: Vec<(TaskKey, u64)> = self.runs.keys().cloned().collect();
             for run in lapsed {
-                self.end(run, EndKind::LeaseExpired);
+                self.end_run(run, EndKind::LeaseExpired);
             }
         }
     }
 
-    fn end(&mut self, run: (TaskKey, u64), kind: EndKind) {
+    fn end_run(&mut self, run: (TaskKey, u64), kind: EndKind) {
         self.runs.remove(&run);
-        self.ends += 1;
+        self.last_end_number += 1;
         let (task, attempt) = run;
-        self.close(&task, attempt);
+        self.fence_attempt(&task, attempt);
         self.ended.push(EndReport {
-            number: self.ends,
+            number: self.last_end_number,
             task,
             attempt,
             kind,
@@ -92,34 +92,36 @@
         });
     }
 
-    fn close(&mut self, task: &TaskKey, attempt: u64) {
-        let closed = self.closed.entry(task.clone()).or_default();
+    fn fence_attempt(&mut self, task: &TaskKey, attempt: u64) {
+        let closed = self.fenced_attempts.entry(task.clone()).or_default();
         *closed = (*closed).max(attempt);
     }
 
-    fn fenced(&mut self, token: u64) -> bool {
+    fn observe_token(&mut self, token: u64) -> bool {
         let fenced = token < self.token;
         self.token = self.token.max(token);
         fenced
     }
 
-    fn extend(&mut self, until: Duration, now: BootTime) {
-        let until = self.zero + until;
-        self.until = self.until.max(until.min(now + Duration::from_secs(6)));
+    fn extend_lease(&mut self, until: Duration, now: BootTime) {
+        let until = self.clock_start + until;
+        self.lease_until = self
+            .lease_until
+            .max(until.min(now + Duration::from_secs(6)));
     }
 
     fn clock(&self, now: BootTime) -> Duration {
-        now.saturating_sub(self.zero)
+        now.saturating_sub(self.clock_start)
     }
 
     pub fn start(&mut self, order: &StartOrder, now: BootTime, end: BootTime) -> StartAnswer {
-        if self.fenced(order.token) {
+        if self.observe_token(order.token) {
             return StartAnswer::Refused(StartRefusal::Fenced);
         }
-        if self.zero + order.lease_until < now {
+        if self.clock_start + order.lease_until < now {
             return StartAnswer::Refused(StartRefusal::Late);
         }
-        self.extend(order.lease_until, now);
+        self.extend_lease(order.lease_until, now);
         let run = (order.task.clone(), order.attempt);
         if self.runs.contains_key(&run) {
             return StartAnswer::Started {
@@ -127,7 +129,7 @@
             };
         }
         if self
-            .closed
+            .fenced_attempts
             .get(&order.task)
             .is_some_and(|closed| order.attempt <= *closed)
         {
@@ -140,25 +142,25 @@
     }
 
     pub fn stop(&mut self, order: &StopOrder, now: BootTime) -> OrderAnswer {
-        if self.fenced(order.token) {
+        if self.observe_token(order.token) {
             return OrderAnswer::Fenced;
         }
         let run = (order.task.clone(), order.attempt);
         if self.runs.contains_key(&run) {
-            self.end(run, EndKind::Stopped);
+            self.end_run(run, EndKind::Stopped);
         }
-        self.close(&order.task, order.attempt);
-        self.finish(now);
+        self.fence_attempt(&order.task, order.attempt);
+        self.end_due_runs(now);
         OrderAnswer::Done
     }
 
     /// Answers a look; also tells which done tasks it lets the target forget.
-    pub fn look(&mut self, order: &PollOrder, now: BootTime) -> (PollAnswer, Vec<TaskKey>) {
-        if self.fenced(order.token) {
+    pub fn poll(&mut self, order: &PollOrder, now: BootTime) -> (PollAnswer, Vec<TaskKey>) {
+        if self.observe_token(order.token) {
             return (PollAnswer::Fenced, Vec::new());
         }
         if let Some(until) = order.lease_until {
-            self.extend(until, now);
+            self.extend_lease(until, now);
         }
         let noted = self
             .ended
@@ -178,7 +180,7 @@
         });
         let sight = TargetReport {
             clock: self.clock(now),
-            started_at: self.born,
+            started_at: self.started_at,
             running: running.collect(),
             ended: self.ended.clone(),
         };
--- a/crates/decide/tests/wave.rs
+++ b/crates/decide/tests/wave.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use common::{FleetWorld, GuardFault, WorldOptions};
+use common::{FleetSimulation, GuardFault, SimulationOptions};
 use rstest::rstest;
 
 const SEEDS: u64 = 16;
@@ -15,12 +15,12 @@
 fn first_violation(fault: GuardFault) -> Option<(u64, u32, String)> {
     let runs = (0..SEEDS).flat_map(|seed| [(seed, 5), (seed, 7)]);
     runs.into_iter().find_map(|(seed, budget)| {
-        let options = WorldOptions {
+        let options = SimulationOptions {
             fault,
             budget,
-            ..WorldOptions::default()
+            ..SimulationOptions::default()
         };
-        let mut world = FleetWorld::new(options, seed);
+        let mut world = FleetSimulation::new(options, seed);
         world.run(RUN);
         let violation = world.violations.first()?;
         Some((seed, budget, violation.clone()))
@@ -49,12 +49,12 @@
 
 #[test]
 fn plan_maintains_every_host() {
-    let options = WorldOptions {
+    let options = SimulationOptions {
         losses_per_hour: 0.0,
         store_outages: false,
-        ..WorldOptions::default()
+        ..SimulationOptions::default()
     };
-    let mut world = FleetWorld::new(options, 7);
+    let mut world = FleetSimulation::new(options, 7);
     world.run(RUN);
     let reboots = world.reboots();
     assert!(reboots.iter().all(|count| *count >= 1), "{reboots:?}");
@@ -65,15 +65,15 @@
 fn plan_halts_when_hosts_fail_to_return() {
     // Guards against a bad image that takes down all pools: every rebooted host stays down, and
     // only the first two hosts of the fleet may be lost to it.
-    let options = WorldOptions {
+    let options = SimulationOptions {
         pools: 12,
         losses_per_hour: 0.0,
         store_outages: false,
         never_returns: 1.0,
         at_once: 1,
-        ..WorldOptions::default()
+        ..SimulationOptions::default()
     };
-    let mut world = FleetWorld::new(options, 3);
+    let mut world = FleetSimulation::new(options, 3);
     world.run(RUN * 4);
     let rebooted: u32 = world.reboots().iter().sum();
     assert_eq!(rebooted, 2, "more hosts than the first were rebooted");
--- a/crates/decide/tests/work_admit.rs
+++ b/crates/decide/tests/work_admit.rs
@@ -1,6 +1,6 @@
 //! Rejection of jobs while a pool has more demand than it can start.
 
-mod desk;
+mod harness;
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -9,7 +9,9 @@
 };
 
 use decide::work::{StartForecast, record_of_plan};
-use desk::{DeskScene, POOL, QUEUE, SPACE, ended, plan, running, step, terms_with_limit};
+use harness::{
+    POOL, QUEUE, SchedulerFixture, WORKSPACE, end_report, plan, policy_with_limit, run_report, step,
+};
 use model::{
     BootTime, HostId, PoolId,
     work::{EndKind, FleetPolicy, JobPlan, ResourceVector, StartOrder, WorkspacePolicy},
@@ -25,7 +27,7 @@
 
 /// A pool that starts two tasks a second: it runs two at once, for one second each.
 struct BusyPool {
-    scene: DeskScene,
+    scene: SchedulerFixture,
     running: VecDeque<(BootTime, HostId, StartOrder)>,
     ends: u64,
     submitted: usize,
@@ -34,16 +36,16 @@
 
 impl BusyPool {
     fn new() -> Self {
-        let mut scene = DeskScene::new(1);
-        let mut policy: FleetPolicy = terms_with_limit(0);
+        let mut scene = SchedulerFixture::new(1);
+        let mut policy: FleetPolicy = policy_with_limit(0);
         policy.workspaces.push(WorkspacePolicy {
             name: OTHER.into(),
             limit: ResourceVector::default(),
             ..policy.workspaces[0].clone()
         });
-        scene.desk.set_policy(Arc::new(policy));
-        scene.weigh(1);
-        scene.add("t1", 2000);
+        scene.scheduler.set_policy(Arc::new(policy));
+        scene.set_workspace_weight(1);
+        scene.add_target("t1", 2000);
         Self {
             scene,
             running: VecDeque::new(),
@@ -59,7 +61,7 @@
         let now = self.scene.now;
         let excess = self
             .scene
-            .desk
+            .scheduler
             .predict_lateness(&plan, QUEUE, workspace, now);
         if excess.is_none() {
             self.submitted += 1;
@@ -71,25 +73,25 @@
                 accepted_unix_ms: u64::try_from(now.unix.as_millis()).unwrap_or_default(),
                 ..record_of_plan(&plan)
             };
-            self.scene.desk.accept_job(&record, now);
-            self.scene.run();
+            self.scene.scheduler.accept_job(&record, now);
+            self.scene.run_planning();
         }
         excess
     }
 
     fn pass(&mut self) {
-        self.scene.pass(STEP);
+        self.scene.advance(STEP);
         let now = self.scene.now.boot;
         while self.running.front().is_some_and(|(end, ..)| *end <= now) {
             let Some((_, id, start)) = self.running.pop_front() else {
                 return;
             };
             self.ends += 1;
-            let remaining = self.running.iter().map(|(_, _, start)| running(start));
-            let end = ended(self.ends, &start.task, start.attempt, EndKind::Done);
-            self.scene.see(&id, remaining.collect(), vec![end]);
+            let remaining = self.running.iter().map(|(_, _, start)| run_report(start));
+            let end = end_report(self.ends, &start.task, start.attempt, EndKind::Done);
+            self.scene.report(&id, remaining.collect(), vec![end]);
         }
-        for (id, start) in self.scene.start_all() {
+        for (id, start) in self.scene.confirm_starts() {
             self.begun += 1;
             self.running.push_back((now + RUN, id, start));
         }
@@ -111,7 +113,7 @@
     let mut pool = BusyPool::new();
     let mut rejected = 0;
     for _ in 0..200 {
-        rejected += usize::from(pool.submit(SPACE).is_some());
+        rejected += usize::from(pool.submit(WORKSPACE).is_some());
         pool.pass();
         // The starts of ten seconds, plus the jobs that were accepted before the start rate was
         // known.
@@ -130,7 +132,7 @@
     let mut pool = BusyPool::new();
     let mut excess = None;
     for _ in 0..100 {
-        excess = pool.submit(SPACE).or(excess);
+        excess = pool.submit(WORKSPACE).or(excess);
         pool.pass();
     }
     let wait = excess.unwrap_or_default();
@@ -139,7 +141,7 @@
     for _ in 0..steps {
         pool.pass();
     }
-    assert_eq!(pool.submit(SPACE), None, "after {wait:?}");
+    assert_eq!(pool.submit(WORKSPACE), None, "after {wait:?}");
 }
 
 /// Guards against rejecting the jobs of other workspaces because one workspace submits many times
@@ -148,7 +150,7 @@
 fn admit_keeps_share_of_others() {
     let mut pool = BusyPool::new();
     for number in 0..200 {
-        pool.submit(SPACE);
+        pool.submit(WORKSPACE);
         if number % 20 == 0 {
             assert_eq!(pool.submit(OTHER), None, "at step {number}");
         }
@@ -161,8 +163,10 @@
 #[test]
 fn admit_bounds_first_second() {
     let mut pool = BusyPool::new();
-    pool.scene.desk.set_max_start_rate(20.0);
-    let accepted = (0..500).filter(|_| pool.submit(SPACE).is_none()).count();
+    pool.scene.scheduler.set_max_start_rate(20.0);
+    let accepted = (0..500)
+        .filter(|_| pool.submit(WORKSPACE).is_none())
+        .count();
     // The objective allows a wait of five seconds to be on time and of eight seconds to count.
     assert!((100..=180).contains(&accepted), "{accepted} accepted");
 }
@@ -172,12 +176,12 @@
 fn admit_jobs_with_long_or_no_objective() {
     for (slack_factor, slack_time) in [(0.0, Duration::ZERO), (2.0, Duration::from_secs(3600))] {
         let mut pool = BusyPool::new();
-        let mut policy = FleetPolicy::clone(&pool.scene.desk.policy);
+        let mut policy = FleetPolicy::clone(&pool.scene.scheduler.policy);
         policy.queues[0].slack_factor = slack_factor;
         policy.queues[0].slack_time = slack_time;
-        pool.scene.desk.set_policy(Arc::new(policy));
+        pool.scene.scheduler.set_policy(Arc::new(policy));
         for _ in 0..200 {
-            assert_eq!(pool.submit(SPACE), None);
+            assert_eq!(pool.submit(WORKSPACE), None);
             pool.pass();
         }
     }
--- a/crates/decide/tests/work_board.rs
+++ b/crates/decide/tests/work_board.rs
@@ -1,11 +1,11 @@
 //! The job table, and the compacted log that replays to the same table.
 
-mod desk;
+mod harness;
 
 use std::time::Duration;
 
 use decide::work::{JobTable, WorkPhase};
-use desk::{DeskScene, ended, plan, step};
+use harness::{SchedulerFixture, end_report, plan, step};
 use model::work::{EndKind, RepeatPlan, StepPlan};
 use rstest::rstest;
 use wire::work::LogEntry;
@@ -58,8 +58,8 @@
 }
 
 fn mixed_log() -> Vec<LogEntry> {
-    let mut scene = DeskScene::new(1);
-    scene.add("t1", 4000);
+    let mut scene = SchedulerFixture::new(1);
+    scene.add_target("t1", 4000);
     scene.submit("done", &plan(vec![step(1, 500)]));
     scene.submit(
         "half",
@@ -79,10 +79,10 @@
         period: Duration::from_secs(60),
     });
     scene.submit("timed", &repeated);
-    let starts = scene.start_all();
+    let starts = scene.confirm_starts();
     let end = |number, job: &str, kind| {
         let found = starts.iter().find(|(_, start)| start.task.job == job);
-        found.map(|(_, start)| ended(number, &start.task, start.attempt, kind))
+        found.map(|(_, start)| end_report(number, &start.task, start.attempt, kind))
     };
     let ends = [
         end(1, "done", EndKind::Done),
@@ -90,7 +90,7 @@
         end(3, "failed", EndKind::Failed),
         end(4, "timed", EndKind::Done),
     ];
-    scene.see("t1", Vec::new(), ends.into_iter().flatten().collect());
+    scene.report("t1", Vec::new(), ends.into_iter().flatten().collect());
     scene.stored
 }
 
@@ -121,15 +121,15 @@
 /// Guards against running a job whose submission was stored after its cancellation.
 #[test]
 fn cancel_before_accept_prevents_start() {
-    let mut scene = DeskScene::new(1);
-    scene.add("t1", 4000);
+    let mut scene = SchedulerFixture::new(1);
+    scene.add_target("t1", 4000);
     scene.cancel("a");
     scene.submit("a", &plan(vec![step(2, 500)]));
     assert!(scene.starts.is_empty());
-    assert_eq!(scene.desk.pending_jobs(desk::QUEUE, scene.now), 0);
-    scene.compact();
+    assert_eq!(scene.scheduler.pending_jobs(harness::QUEUE, scene.now), 0);
+    scene.compact_log();
     let mut successor = scene.successor(9);
-    successor.add("t1", 4000);
+    successor.add_target("t1", 4000);
     successor.submit("a", &plan(vec![step(2, 500)]));
     assert!(successor.starts.is_empty());
 }
@@ -139,11 +139,11 @@
 /// still existed.
 #[test]
 fn apply_job_end_after_cancel_without_acceptance() {
-    let (mut scene, starts) = DeskScene::started(4000, vec![step(1, 500)]);
-    scene.end("t1", &starts[0].1, EndKind::Done);
+    let (mut scene, starts) = SchedulerFixture::with_running_job(4000, vec![step(1, 500)]);
+    scene.report_end("t1", &starts[0].1, EndKind::Done);
     scene.cancel("a");
     let cancelled = scene.stored.last().cloned();
-    scene.compact();
+    scene.compact_log();
     let remaining: Vec<LogEntry> = cancelled.into_iter().chain(scene.stored.clone()).collect();
     let table = replay(&remaining);
     assert_eq!(table.jobs["a"].phase, WorkPhase::Completed);
@@ -160,12 +160,15 @@
 /// the later submission still existed.
 #[test]
 fn apply_job_end_after_cancel_before_acceptance() {
-    let mut scene = DeskScene::new(1);
+    let mut scene = SchedulerFixture::new(1);
     scene.cancel("a");
     scene.submit("a", &plan(vec![step(1, 500)]));
     let accepted = scene.stored.last().cloned();
-    assert_eq!(scene.desk.job_phase("a"), None);
-    scene.compact();
+    assert_eq!(scene.scheduler.job_phase("a"), None);
+    scene.compact_log();
     let remaining: Vec<LogEntry> = accepted.into_iter().chain(scene.stored.clone()).collect();
-    assert_eq!(summary(&replay(&remaining)), summary(&scene.desk.job_table));
+    assert_eq!(
+        summary(&replay(&remaining)),
+        summary(&scene.scheduler.job_table)
+    );
 }
--- a/crates/decide/tests/work_hosts.rs
+++ b/crates/decide/tests/work_hosts.rs
@@ -1,12 +1,12 @@
 //! Maintenance and moves of hosts: which orders are sent when, and what must have left the host
 //! first.
 
-mod desk;
+mod harness;
 
 use std::{collections::BTreeSet, time::Duration};
 
 use decide::work::{HostOrder, HostPlanner};
-use desk::{DeskScene, POOL, ended, lasting_pair, plan, running, step};
+use harness::{POOL, SchedulerFixture, end_report, long_running_pair, plan, run_report, step};
 use model::{
     BootTime,
     work::{
@@ -32,14 +32,14 @@
     }
 }
 
-fn add_standby_pool(scene: &mut DeskScene) {
-    let policy = FleetPolicy::clone(&scene.desk.policy);
+fn add_standby_pool(scene: &mut SchedulerFixture) {
+    let policy = FleetPolicy::clone(&scene.scheduler.policy);
     let standby = PoolPolicy {
         name: STANDBY.into(),
         standby: true,
     };
     let pools = policy.pools.iter().cloned().chain([standby]).collect();
-    scene.desk.set_policy(std::sync::Arc::new(FleetPolicy {
+    scene.scheduler.set_policy(std::sync::Arc::new(FleetPolicy {
         revision: policy.revision + 1,
         pools,
         ..policy
@@ -58,7 +58,7 @@
 fn at_work(start: &StartOrder) -> RunReport {
     RunReport {
         percent: 100,
-        ..running(start)
+        ..run_report(start)
     }
 }
 
@@ -67,36 +67,36 @@
 /// maintenance.
 #[test]
 fn drain_waits_for_unresponsive_sibling() {
-    let mut scene = DeskScene::new(1);
+    let mut scene = SchedulerFixture::new(1);
     for target in ["t1", "t2", "t3"] {
-        scene.add(target, 2000);
+        scene.add_target(target, 2000);
     }
-    scene.submit("a", &plan(vec![lasting_pair()]));
-    let starts = scene.start_all();
+    scene.submit("a", &plan(vec![long_running_pair()]));
+    let starts = scene.confirm_starts();
     assert_eq!(starts.len(), 2);
     for (target, start) in &starts {
-        scene.see(target, vec![at_work(start)], Vec::new());
+        scene.report(target, vec![at_work(start)], Vec::new());
     }
     let (drained, start) = &starts[0];
     let mut planner = HostPlanner::default();
     planner.apply_host_list(vec![host("h1", POOL, drained)], scene.now.boot);
     planner.apply_waves(&[wave(&["h1"], 1)], &BTreeSet::new(), scene.now.boot);
 
-    scene.pass(Duration::from_millis(1400));
-    scene.see(drained, vec![at_work(start)], Vec::new());
-    planner.plan(&mut scene.desk, scene.now.boot);
-    scene.pass(Duration::from_millis(50));
+    scene.advance(Duration::from_millis(1400));
+    scene.report(drained, vec![at_work(start)], Vec::new());
+    planner.plan(&mut scene.scheduler, scene.now.boot);
+    scene.advance(Duration::from_millis(50));
     assert_eq!(
-        scene.stops(),
+        scene.stop_count(),
         0,
         "the sibling's target has not answered for 1.4 s"
     );
 
     let (other, sibling) = &starts[1];
-    scene.see(other, vec![at_work(sibling)], Vec::new());
-    planner.plan(&mut scene.desk, scene.now.boot);
-    scene.pass(Duration::from_millis(50));
-    assert_eq!(scene.stops(), 1);
+    scene.report(other, vec![at_work(sibling)], Vec::new());
+    planner.plan(&mut scene.scheduler, scene.now.boot);
+    scene.advance(Duration::from_millis(50));
+    assert_eq!(scene.stop_count(), 1);
 }
 
 /// Two hosts of a wave are not maintained in time: each has a task of a service whose siblings run
@@ -105,12 +105,12 @@
 /// unavailable.
 #[test]
 fn drain_trusts_long_polls() {
-    let mut scene = DeskScene::new(1);
+    let mut scene = SchedulerFixture::new(1);
     for target in ["t1", "t2", "t3"] {
-        scene.add(target, 2000);
+        scene.add_target(target, 2000);
     }
-    scene.submit("a", &plan(vec![lasting_pair()]));
-    let starts = scene.start_all();
+    scene.submit("a", &plan(vec![long_running_pair()]));
+    let starts = scene.confirm_starts();
     let mut planner = HostPlanner::default();
     planner.apply_host_list(vec![host("h1", POOL, &starts[0].0)], scene.now.boot);
     planner.apply_waves(&[wave(&["h1"], 1)], &BTreeSet::new(), scene.now.boot);
@@ -123,32 +123,36 @@
             ended: Vec::new(),
         };
         scene
-            .desk
+            .scheduler
             .apply_report(target, sent, 0, &PollAnswer::Seen(report), scene.now);
     }
     scene.now.boot += Duration::from_millis(600);
-    planner.plan(&mut scene.desk, scene.now.boot);
-    scene.pass(Duration::from_millis(50));
-    assert_eq!(scene.stops(), 1);
+    planner.plan(&mut scene.scheduler, scene.now.boot);
+    scene.advance(Duration::from_millis(50));
+    assert_eq!(scene.stop_count(), 1);
 }
 
 /// Maintenance must not interrupt tasks. A host with a running task is drained and only ordered
 /// once the task has ended.
 #[test]
 fn maintenance_waits_for_running_task() {
-    let mut scene = DeskScene::new(1);
-    scene.add("t1", 2000);
+    let mut scene = SchedulerFixture::new(1);
+    scene.add_target("t1", 2000);
     scene.submit("a", &plan(vec![step(1, 1000)]));
-    let starts = scene.start_all();
+    let starts = scene.confirm_starts();
     let (_, start) = &starts[0];
     let mut planner = HostPlanner::default();
     planner.apply_host_list(vec![host("h1", POOL, "t1")], scene.now.boot);
     planner.apply_waves(&[wave(&["h1"], 1)], &BTreeSet::new(), scene.now.boot);
-    assert!(planner.plan(&mut scene.desk, scene.now.boot).is_empty());
+    assert!(
+        planner
+            .plan(&mut scene.scheduler, scene.now.boot)
+            .is_empty()
+    );
     scene.submit("b", &plan(vec![step(1, 1000)]));
     assert!(scene.starts.is_empty(), "the host is draining");
-    scene.end("t1", start, EndKind::Done);
-    let orders = planner.plan(&mut scene.desk, scene.now.boot);
+    scene.report_end("t1", start, EndKind::Done);
+    let orders = planner.plan(&mut scene.scheduler, scene.now.boot);
     assert_eq!(orders, [HostOrder::Maintain("h1".into(), 1)]);
 }
 
@@ -156,7 +160,7 @@
 /// answered, since it may be carried out.
 #[test]
 fn wave_respects_max_down() {
-    let mut scene = DeskScene::new(1);
+    let mut scene = SchedulerFixture::new(1);
     let mut planner = HostPlanner::default();
     let names = ["h1", "h2", "h3"];
     let list = || {
@@ -167,27 +171,31 @@
     };
     planner.apply_host_list(list(), scene.now.boot);
     planner.apply_waves(&[wave(&names, 2)], &BTreeSet::new(), scene.now.boot);
-    let orders = planner.plan(&mut scene.desk, scene.now.boot);
+    let orders = planner.plan(&mut scene.scheduler, scene.now.boot);
     assert_eq!(orders.len(), 2);
     let unanswered = HostOrderAnswer::Unanswered("timed out".to_owned());
     for order in &orders {
         assert!(!planner.apply_answer(order, &unanswered, scene.now.boot));
     }
-    scene.pass(Duration::from_millis(500));
-    let again = planner.plan(&mut scene.desk, scene.now.boot);
+    scene.advance(Duration::from_millis(500));
+    let again = planner.plan(&mut scene.scheduler, scene.now.boot);
     assert_eq!(again, orders, "the same orders, and no third host");
     for order in &again {
         assert!(planner.apply_answer(order, &HostOrderAnswer::Done, scene.now.boot));
     }
-    assert!(planner.plan(&mut scene.desk, scene.now.boot).is_empty());
+    assert!(
+        planner
+            .plan(&mut scene.scheduler, scene.now.boot)
+            .is_empty()
+    );
     assert_eq!(planner.changed_waves(), [(1, false)]);
-    scene.pass(Duration::from_millis(2500));
+    scene.advance(Duration::from_millis(2500));
     let back: Vec<FleetHost> = names
         .iter()
         .map(|name| host(name, POOL, &format!("{name}-again")))
         .collect();
     planner.apply_host_list(back, scene.now.boot);
-    let last = planner.plan(&mut scene.desk, scene.now.boot);
+    let last = planner.plan(&mut scene.scheduler, scene.now.boot);
     assert_eq!(last, [HostOrder::Maintain("h3".into(), 1)]);
     assert!(planner.apply_answer(&last[0], &HostOrderAnswer::Done, scene.now.boot));
     assert_eq!(planner.changed_waves(), [(1, true)]);
@@ -197,7 +205,7 @@
 /// that are switched off are ordered ahead of the need, while there is still capacity.
 #[test]
 fn plan_rising_arrivals_adds_hosts() {
-    let mut scene = DeskScene::new(1);
+    let mut scene = SchedulerFixture::new(1);
     add_standby_pool(&mut scene);
     let mut planner = HostPlanner::default();
     let mut list = vec![host("h1", POOL, "t1"), host("h2", POOL, "t2")];
@@ -205,13 +213,13 @@
     planner.apply_host_list(list, scene.now.boot);
     let mut ordered = 0;
     for _ in 0..5 {
-        scene.pass(Duration::from_millis(200));
+        scene.advance(Duration::from_millis(200));
         for _ in 0..2 {
             planner
                 .meter
                 .record_arrival(&POOL.into(), 1.0, scene.now.boot);
         }
-        ordered += planner.plan(&mut scene.desk, scene.now.boot).len();
+        ordered += planner.plan(&mut scene.scheduler, scene.now.boot).len();
     }
     assert!(
         ordered >= 4,
@@ -223,28 +231,28 @@
 /// predecessor would have, without first measuring the rise of the arrival rate for a second.
 #[test]
 fn replay_arrivals_successor_adds_hosts() {
-    let mut first = DeskScene::new(1);
-    first.add("t1", 4000);
+    let mut first = SchedulerFixture::new(1);
+    first.add_target("t1", 4000);
     for number in 1..=10 {
-        first.pass(Duration::from_millis(100));
+        first.advance(Duration::from_millis(100));
         first.submit(&format!("a{number}"), &plan(vec![step(1, 1000)]));
-        let starts = first.start_all();
-        let end = ended(
+        let starts = first.confirm_starts();
+        let end = end_report(
             number,
             &starts[0].1.task,
             starts[0].1.attempt,
             EndKind::Done,
         );
-        first.see("t1", Vec::new(), vec![end]);
+        first.report("t1", Vec::new(), vec![end]);
     }
     let mut second = first.successor(9);
     add_standby_pool(&mut second);
     let mut planner = HostPlanner::default();
-    planner.replay_arrivals(&second.desk.job_table, second.now.boot);
+    planner.replay_arrivals(&second.scheduler.job_table, second.now.boot);
     let mut list = vec![host("h1", POOL, "t1"), host("h2", POOL, "t2")];
     list.extend((3..9).map(|number| host(&format!("h{number}"), STANDBY, "")));
     planner.apply_host_list(list, second.now.boot);
-    let orders = planner.plan(&mut second.desk, second.now.boot);
+    let orders = planner.plan(&mut second.scheduler, second.now.boot);
     assert!(
         orders.len() >= 4,
         "ten core-seconds a second need twelve cores, the pool has four: {orders:?}"
@@ -255,7 +263,7 @@
 /// first tasks of a burst need.
 #[test]
 fn plan_switches_idle_hosts_off() {
-    let mut scene = DeskScene::new(1);
+    let mut scene = SchedulerFixture::new(1);
     add_standby_pool(&mut scene);
     let mut planner = HostPlanner::default();
     let list: Vec<FleetHost> = (0..6)
@@ -263,11 +271,13 @@
         .collect();
     planner.apply_host_list(list, scene.now.boot);
     assert!(
-        planner.plan(&mut scene.desk, scene.now.boot).is_empty(),
+        planner
+            .plan(&mut scene.scheduler, scene.now.boot)
+            .is_empty(),
         "no host is switched off at once"
     );
-    scene.pass(Duration::from_secs(3));
-    let orders = planner.plan(&mut scene.desk, scene.now.boot);
+    scene.advance(Duration::from_secs(3));
+    let orders = planner.plan(&mut scene.scheduler, scene.now.boot);
     assert_eq!(orders.len(), 4);
     assert!(
         orders
@@ -280,22 +290,22 @@
 /// jobs. An idle pool of a fleet of 18 hosts keeps a third of its share of nine.
 #[test]
 fn plan_idle_pool_keeps_third_of_share() {
-    let mut scene = DeskScene::new(1);
+    let mut scene = SchedulerFixture::new(1);
     add_standby_pool(&mut scene);
-    let policy = FleetPolicy::clone(&scene.desk.policy);
+    let policy = FleetPolicy::clone(&scene.scheduler.policy);
     let other = PoolPolicy {
         name: "other".into(),
         standby: false,
     };
     let pools = policy.pools.iter().cloned().chain([other]).collect();
     let policy = FleetPolicy { pools, ..policy };
-    scene.desk.set_policy(std::sync::Arc::new(policy));
+    scene.scheduler.set_policy(std::sync::Arc::new(policy));
     let mut planner = HostPlanner::default();
     let list = (0..18).map(|number| host(&format!("h{number:02}"), POOL, &format!("t{number}")));
     planner.apply_host_list(list.collect(), scene.now.boot);
-    planner.plan(&mut scene.desk, scene.now.boot);
-    scene.pass(Duration::from_secs(3));
-    let orders = planner.plan(&mut scene.desk, scene.now.boot);
+    planner.plan(&mut scene.scheduler, scene.now.boot);
+    scene.advance(Duration::from_secs(3));
+    let orders = planner.plan(&mut scene.scheduler, scene.now.boot);
     let to = |pool: &str| {
         let moved = |order: &&HostOrder| matches!(order, HostOrder::Move(_, to) if to == pool);
         orders.iter().filter(moved).count()
@@ -307,17 +317,17 @@
 /// seconds old: the host gets no order for one more second, and other hosts are ordered at once.
 #[test]
 fn earlier_order_delays_host() {
-    let mut scene = DeskScene::new(1);
+    let mut scene = SchedulerFixture::new(1);
     add_standby_pool(&mut scene);
     let mut planner = HostPlanner::default();
     let list = (0..4).map(|number| host(&format!("h{number}"), POOL, &format!("t{number}")));
     planner.apply_host_list(list.collect(), scene.now.boot);
     let ordered = [("h0".to_owned(), scene.now.unix)].into();
     let pause = Duration::from_secs(3);
-    planner.plan(&mut scene.desk, scene.now.boot);
-    scene.pass(Duration::from_secs(2));
+    planner.plan(&mut scene.scheduler, scene.now.boot);
+    scene.advance(Duration::from_secs(2));
     planner.apply_earlier_orders(&ordered, pause, Duration::ZERO, scene.now);
-    let orders = planner.plan(&mut scene.desk, scene.now.boot);
+    let orders = planner.plan(&mut scene.scheduler, scene.now.boot);
     assert_eq!(orders.len(), 2);
     assert!(orders.iter().all(|order| order.host() != "h0"));
 }
@@ -326,17 +336,17 @@
 /// they are. These hosts must not be ordered yet; other hosts are ordered at once.
 #[test]
 fn earlier_order_with_slow_clock_delays_host() {
-    let mut scene = DeskScene::new(1);
+    let mut scene = SchedulerFixture::new(1);
     add_standby_pool(&mut scene);
     let mut planner = HostPlanner::default();
     let list = (0..4).map(|number| host(&format!("h{number}"), POOL, &format!("t{number}")));
     planner.apply_host_list(list.collect(), scene.now.boot);
     let ordered = [("h0".to_owned(), scene.now.unix - Duration::from_secs(4))].into();
-    planner.plan(&mut scene.desk, scene.now.boot);
-    scene.pass(Duration::from_secs(2));
+    planner.plan(&mut scene.scheduler, scene.now.boot);
+    scene.advance(Duration::from_secs(2));
     let (pause, min_pause) = (Duration::from_secs(3), Duration::from_millis(1700));
     planner.apply_earlier_orders(&ordered, pause, min_pause, scene.now);
-    let orders = planner.plan(&mut scene.desk, scene.now.boot);
+    let orders = planner.plan(&mut scene.scheduler, scene.now.boot);
     assert_eq!(orders.len(), 2);
     assert!(orders.iter().all(|order| order.host() != "h0"));
 }
@@ -345,7 +355,7 @@
 /// list does not show yet; its successor must not order another one.
 #[test]
 fn wave_counts_earlier_order() {
-    let mut scene = DeskScene::new(1);
+    let mut scene = SchedulerFixture::new(1);
     let mut planner = HostPlanner::default();
     let list = (0..2).map(|number| host(&format!("h{number}"), POOL, &format!("t{number}")));
     planner.apply_host_list(list.collect(), scene.now.boot);
@@ -353,9 +363,13 @@
     let ordered = [("h0".to_owned(), scene.now.unix)].into();
     let pause = Duration::from_secs(3);
     planner.apply_earlier_orders(&ordered, pause, pause, scene.now);
-    assert!(planner.plan(&mut scene.desk, scene.now.boot).is_empty());
-    scene.pass(pause);
-    assert_eq!(planner.plan(&mut scene.desk, scene.now.boot).len(), 1);
+    assert!(
+        planner
+            .plan(&mut scene.scheduler, scene.now.boot)
+            .is_empty()
+    );
+    scene.advance(pause);
+    assert_eq!(planner.plan(&mut scene.scheduler, scene.now.boot).len(), 1);
 }
 
 /// A service loses a task for twenty seconds: its host was maintained, each other host of the pool
@@ -363,12 +377,12 @@
 /// have one host more than its tasks with anti-affinity need.
 #[test]
 fn anti_affinity_adds_replacement_host() {
-    let mut scene = DeskScene::new(1);
+    let mut scene = SchedulerFixture::new(1);
     add_standby_pool(&mut scene);
     let mut list = Vec::new();
     for number in 0..3 {
         let target = format!("t{number}");
-        scene.add(&target, 2000);
+        scene.add_target(&target, 2000);
         list.push(host(&format!("h{number}"), POOL, &target));
     }
     list.push(host("h9", STANDBY, ""));
@@ -378,10 +392,10 @@
         ..step(3, 100)
     };
     scene.submit("a", &plan(vec![with_anti_affinity]));
-    assert_eq!(scene.start_all().len(), 3);
+    assert_eq!(scene.confirm_starts().len(), 3);
     let mut planner = HostPlanner::default();
     planner.apply_host_list(list, scene.now.boot);
-    let orders = planner.plan(&mut scene.desk, scene.now.boot);
+    let orders = planner.plan(&mut scene.scheduler, scene.now.boot);
     assert_eq!(orders, [HostOrder::Move("h9".into(), POOL.into())]);
 }
 
@@ -390,39 +404,47 @@
 /// and ordered its maintenance, which ended the task that ran there.
 #[test]
 fn plan_successor_orders_no_host_before_poll() {
-    let mut first = DeskScene::new(1);
-    first.add("t1", 2000);
+    let mut first = SchedulerFixture::new(1);
+    first.add_target("t1", 2000);
     let long_running = StepPlan {
         long_running: true,
         ..step(1, 1000)
     };
     first.submit("a", &plan(vec![long_running]));
-    let starts = first.start_all();
+    let starts = first.confirm_starts();
 
     let mut second = first.successor(9);
-    second.list("t1", 2000);
+    second.list_target("t1", 2000);
     let mut planner = HostPlanner::default();
     planner.apply_host_list(vec![host("h1", POOL, "t1")], second.now.boot);
     planner.apply_waves(&[wave(&["h1"], 1)], &BTreeSet::new(), second.now.boot);
-    assert!(planner.plan(&mut second.desk, second.now.boot).is_empty());
+    assert!(
+        planner
+            .plan(&mut second.scheduler, second.now.boot)
+            .is_empty()
+    );
 
-    second.see("t1", vec![at_work(&starts[0].1)], Vec::new());
-    assert!(planner.plan(&mut second.desk, second.now.boot).is_empty());
-    let end = ended(1, &starts[0].1.task, starts[0].1.attempt, EndKind::Stopped);
-    second.see("t1", Vec::new(), vec![end]);
-    let orders = planner.plan(&mut second.desk, second.now.boot);
+    second.report("t1", vec![at_work(&starts[0].1)], Vec::new());
+    assert!(
+        planner
+            .plan(&mut second.scheduler, second.now.boot)
+            .is_empty()
+    );
+    let end = end_report(1, &starts[0].1.task, starts[0].1.attempt, EndKind::Stopped);
+    second.report("t1", Vec::new(), vec![end]);
+    let orders = planner.plan(&mut second.scheduler, second.now.boot);
     assert_eq!(orders, [HostOrder::Maintain("h1".into(), 1)]);
 }
 
 /// An unanswered poll marks the target as unresponsive; the first test depends on it.
 #[test]
 fn unanswered_poll_marks_target_unresponsive() {
-    let mut scene = DeskScene::new(1);
-    scene.add("t1", 2000);
+    let mut scene = SchedulerFixture::new(1);
+    scene.add_target("t1", 2000);
     scene.now.boot += BootTime::from_secs(2);
     let unanswered = PollAnswer::Unanswered("timed out".to_owned());
     scene
-        .desk
+        .scheduler
         .apply_report(&"t1".into(), scene.now.boot, 0, &unanswered, scene.now);
     scene.submit("a", &plan(vec![step(1, 1000)]));
     assert!(
@@ -436,20 +458,20 @@
 /// ended then, although the order had been carried out earlier and had ended nothing.
 #[test]
 fn ordered_target_gets_no_tasks_once_listed() {
-    let mut scene = DeskScene::new(1);
+    let mut scene = SchedulerFixture::new(1);
     let mut planner = HostPlanner::default();
     planner.apply_host_list(vec![host("h1", POOL, "t1")], scene.now.boot);
     planner.apply_waves(&[wave(&["h1"], 1)], &BTreeSet::new(), scene.now.boot);
-    let orders = planner.plan(&mut scene.desk, scene.now.boot);
+    let orders = planner.plan(&mut scene.scheduler, scene.now.boot);
     assert_eq!(orders.len(), 1, "nothing can be running there");
-    scene.add("t1", 2000);
+    scene.add_target("t1", 2000);
     scene.submit("a", &plan(vec![step(1, 1000)]));
     assert!(
         scene.starts.is_empty(),
         "the maintenance of its host may have begun"
     );
     planner.apply_answer(&orders[0], &HostOrderAnswer::Busy, scene.now.boot);
-    planner.plan(&mut scene.desk, scene.now.boot);
-    scene.run();
+    planner.plan(&mut scene.scheduler, scene.now.boot);
+    scene.run_planning();
     assert_eq!(scene.starts.len(), 1, "the host is not maintained");
 }
--- a/crates/decide/tests/work_lives.rs
+++ b/crates/decide/tests/work_lives.rs
@@ -1,31 +1,31 @@
 //! When a target's incarnation counts as ended, and what happens to its tasks then.
 
-mod desk;
+mod harness;
 
 use std::time::Duration;
 
-use desk::{DeskScene, LATER, plan, reborn, running, step, target};
+use harness::{RESTARTED_AT, SchedulerFixture, plan, restarted_target, run_report, step, target};
 use model::{
     HostId,
     work::{EndKind, EndReport, PollAnswer, RunReport, TargetEntry, TargetMode, TargetReport},
 };
 
 /// Reports the later incarnation of `t1`.
-fn report_restarted(scene: &mut DeskScene, running: Vec<RunReport>, ended: Vec<EndReport>) {
+fn report_restarted(scene: &mut SchedulerFixture, running: Vec<RunReport>, ended: Vec<EndReport>) {
     scene.now.boot += Duration::from_millis(1);
     let sent = scene.now.boot;
     scene.now.boot += Duration::from_millis(1);
     let report = TargetReport {
         clock: Duration::from_secs(1),
-        started_at: LATER,
+        started_at: RESTARTED_AT,
         running,
         ended,
     };
     let seen = PollAnswer::Seen(report);
     scene
-        .desk
+        .scheduler
         .apply_report(&"t1".into(), sent, 0, &seen, scene.now);
-    scene.run();
+    scene.run_planning();
 }
 
 /// Guards against running a task twice: an idle target had restarted under its id unnoticed,
@@ -33,13 +33,15 @@
 /// entry arrived they were taken for ended with the previous incarnation.
 #[test]
 fn upsert_target_restarted_keeps_unreported_runs() {
-    let (mut scene, starts) = DeskScene::started(2000, vec![step(2, 1000)]);
-    scene.add("t2", 2000);
-    scene.desk.upsert_target(reborn(2000), scene.now);
-    scene.run();
+    let (mut scene, starts) = SchedulerFixture::with_running_job(2000, vec![step(2, 1000)]);
+    scene.add_target("t2", 2000);
+    scene
+        .scheduler
+        .upsert_target(restarted_target(2000), scene.now);
+    scene.run_planning();
     assert!(scene.starts.is_empty(), "the new incarnation may run them");
-    report_restarted(&mut scene, vec![running(&starts[0].1)], Vec::new());
-    assert_eq!(scene.stops(), 0);
+    report_restarted(&mut scene, vec![run_report(&starts[0].1)], Vec::new());
+    assert_eq!(scene.stop_count(), 0);
     assert_eq!(
         scene.starts.len(),
         1,
@@ -53,20 +55,22 @@
 /// first.
 #[test]
 fn give_up_restarted_waits_for_lease() {
-    let mut scene = DeskScene::submitted(2000, vec![step(1, 1000)]);
+    let mut scene = SchedulerFixture::with_job(2000, vec![step(1, 1000)]);
     let (id, start) = scene.starts.remove(0);
-    scene.add("t2", 2000);
-    scene.leave_unanswered(&id, &start);
-    scene.desk.upsert_target(reborn(2000), scene.now);
-    scene.run();
+    scene.add_target("t2", 2000);
+    scene.time_out_start(&id, &start);
+    scene
+        .scheduler
+        .upsert_target(restarted_target(2000), scene.now);
+    scene.run_planning();
     for _ in 0..25 {
-        scene.pass(Duration::from_millis(200));
-        scene.miss("t1");
-        scene.desk.mark_target_unlisted(&"t1".into());
-        scene.run();
+        scene.advance(Duration::from_millis(200));
+        scene.time_out_poll("t1");
+        scene.scheduler.mark_target_unlisted(&"t1".into());
+        scene.run_planning();
         assert!(scene.starts.is_empty(), "the lease is five seconds");
     }
-    scene.pass(Duration::from_millis(1600));
+    scene.advance(Duration::from_millis(1600));
     assert_eq!(scene.starts.len(), 1);
 }
 
@@ -74,14 +78,14 @@
 /// start in flight to the previous incarnation was taken for lost. It may still reach the new one.
 #[test]
 fn apply_report_restarted_unlisted_fences_start() {
-    let mut scene = DeskScene::submitted(2000, vec![step(1, 1000)]);
+    let mut scene = SchedulerFixture::with_job(2000, vec![step(1, 1000)]);
     assert_eq!(scene.starts.len(), 1);
     scene.starts.clear();
-    scene.add("t2", 2000);
-    scene.desk.mark_target_unlisted(&"t1".into());
+    scene.add_target("t2", 2000);
+    scene.scheduler.mark_target_unlisted(&"t1".into());
     report_restarted(&mut scene, Vec::new(), Vec::new());
     assert!(scene.starts.is_empty(), "it may still arrive");
-    assert_eq!(scene.stops(), 1);
+    assert_eq!(scene.stop_count(), 1);
 }
 
 /// Guards against running a finished task again: a target restarted unnoticed, ran the task, and
@@ -89,9 +93,9 @@
 /// pause, a target is first polled without acknowledging ends.
 #[test]
 fn poll_order_after_pause_acks_no_ends() {
-    let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 1000)]);
-    scene.end("t1", &starts[0].1, EndKind::Done);
-    let order = scene.desk.poll_order(&"t1".into(), scene.now);
+    let (mut scene, starts) = SchedulerFixture::with_running_job(2000, vec![step(1, 1000)]);
+    scene.report_end("t1", &starts[0].1, EndKind::Done);
+    let order = scene.scheduler.poll_order(&"t1".into(), scene.now);
     assert_eq!(order.map(|order| order.acked_end), Some(1));
     let seen = PollAnswer::Seen(TargetReport {
         clock: scene.now.boot,
@@ -100,15 +104,15 @@
     });
     let sent = scene.now.boot;
     scene
-        .desk
+        .scheduler
         .apply_report(&"t1".into(), sent, 1, &seen, scene.now);
-    scene.pass(Duration::from_secs(5));
+    scene.advance(Duration::from_secs(5));
     scene.submit("b", &plan(vec![step(1, 1000)]));
-    assert_eq!(scene.start_all().len(), 1);
-    let order = scene.desk.poll_order(&"t1".into(), scene.now);
+    assert_eq!(scene.confirm_starts().len(), 1);
+    let order = scene.scheduler.poll_order(&"t1".into(), scene.now);
     assert_eq!(order.map(|order| order.acked_end), Some(0));
-    scene.raise("t1");
-    let order = scene.desk.poll_order(&"t1".into(), scene.now);
+    scene.report_idle("t1");
+    let order = scene.scheduler.poll_order(&"t1".into(), scene.now);
     assert_eq!(order.map(|order| order.acked_end), Some(1));
 }
 
@@ -117,17 +121,17 @@
 /// that ran the task.
 #[test]
 fn upsert_target_older_keeps_unlisted() {
-    let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 2000)]);
-    scene.see("t1", vec![running(&starts[0].1)], Vec::new());
-    scene.add("t2", 2000);
-    scene.desk.mark_target_unlisted(&"t1".into());
+    let (mut scene, starts) = SchedulerFixture::with_running_job(2000, vec![step(1, 2000)]);
+    scene.report("t1", vec![run_report(&starts[0].1)], Vec::new());
+    scene.add_target("t2", 2000);
+    scene.scheduler.mark_target_unlisted(&"t1".into());
     let older = TargetEntry {
         started_at: Duration::from_millis(1),
         address: "t1:80".into(),
         ..target("t0", 2000)
     };
-    scene.desk.upsert_target(older, scene.now);
-    scene.run();
+    scene.scheduler.upsert_target(older, scene.now);
+    scene.run_planning();
     assert!(scene.starts.is_empty(), "it runs on t1");
 }
 
@@ -145,18 +149,18 @@
     };
     let unknown_pool = TargetEntry {
         pool: "nowhere".into(),
-        started_at: LATER,
+        started_at: RESTARTED_AT,
         ..foreign
     };
     for entry in [without_start_time, unknown_pool] {
-        let mut scene = DeskScene::new(1);
-        scene.add("t1", 2000);
+        let mut scene = SchedulerFixture::new(1);
+        scene.add_target("t1", 2000);
         scene.submit("a", &plan(vec![step(1, 2000)]));
-        let starts = scene.start_all();
-        scene.see("t1", vec![running(&starts[0].1)], Vec::new());
-        scene.add("t2", 2000);
-        scene.desk.upsert_target(entry, scene.now);
-        scene.run();
+        let starts = scene.confirm_starts();
+        scene.report("t1", vec![run_report(&starts[0].1)], Vec::new());
+        scene.add_target("t2", 2000);
+        scene.scheduler.upsert_target(entry, scene.now);
+        scene.run_planning();
         assert!(scene.starts.is_empty(), "it runs on t1");
     }
 }
@@ -166,31 +170,33 @@
 /// for ended.
 #[test]
 fn upsert_target_older_keeps_inherited() {
-    let mut first = DeskScene::new(1);
-    first.add("t1", 2000);
+    let mut first = SchedulerFixture::new(1);
+    first.add_target("t1", 2000);
     let mut second = first.successor(9);
-    second.list("t1", 2000);
+    second.list_target("t1", 2000);
     let older = TargetEntry {
         started_at: Duration::from_millis(1),
         address: "t1:80".into(),
         ..target("t0", 2000)
     };
-    second.desk.upsert_target(older, second.now);
-    assert_eq!(second.desk.listed_targets(), [HostId::from("t1")]);
+    second.scheduler.upsert_target(older, second.now);
+    assert_eq!(second.scheduler.listed_targets(), [HostId::from("t1")]);
 }
 
 /// Guards against overcommitting a target: it had restarted with a smaller capacity under its id,
 /// and a store event of the previous incarnation arrived after the new entry.
 #[test]
 fn upsert_target_older_changes_nothing() {
-    let mut scene = DeskScene::new(1);
-    scene.add("t1", 4000);
-    scene.desk.upsert_target(reborn(1000), scene.now);
+    let mut scene = SchedulerFixture::new(1);
+    scene.add_target("t1", 4000);
+    scene
+        .scheduler
+        .upsert_target(restarted_target(1000), scene.now);
     let older = TargetEntry {
         mode: TargetMode::Draining,
         ..target("t1", 4000)
     };
-    scene.desk.upsert_target(older, scene.now);
+    scene.scheduler.upsert_target(older, scene.now);
     report_restarted(&mut scene, Vec::new(), Vec::new());
     scene.submit("a", &plan(vec![step(2, 1000)]));
     assert_eq!(scene.starts.len(), 1);
@@ -200,31 +206,31 @@
 /// unavailable, and two host lists lacked its incarnation although it answered every poll.
 #[test]
 fn update_incarnations_answering_kept() {
-    let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 1000)]);
-    scene.add("t2", 2000);
-    scene.desk.mark_target_unlisted(&"t1".into());
+    let (mut scene, starts) = SchedulerFixture::with_running_job(2000, vec![step(1, 1000)]);
+    scene.add_target("t2", 2000);
+    scene.scheduler.mark_target_unlisted(&"t1".into());
     let listed_incarnations = ["t2".into()].into();
     for _ in 0..6 {
-        scene.see("t1", vec![running(&starts[0].1)], Vec::new());
-        scene.pass(Duration::from_millis(500));
+        scene.report("t1", vec![run_report(&starts[0].1)], Vec::new());
+        scene.advance(Duration::from_millis(500));
         scene
-            .desk
+            .scheduler
             .update_incarnations(&listed_incarnations, scene.now.boot, scene.now);
-        scene.pass(Duration::from_millis(450));
+        scene.advance(Duration::from_millis(450));
         scene
-            .desk
+            .scheduler
             .update_incarnations(&listed_incarnations, scene.now.boot, scene.now);
-        scene.run();
+        scene.run_planning();
         assert!(scene.starts.is_empty(), "it runs on t1");
     }
-    scene.pass(Duration::from_millis(1000));
+    scene.advance(Duration::from_millis(1000));
     scene
-        .desk
+        .scheduler
         .update_incarnations(&listed_incarnations, scene.now.boot, scene.now);
     scene
-        .desk
+        .scheduler
         .update_incarnations(&listed_incarnations, scene.now.boot, scene.now);
-    scene.run();
+    scene.run_planning();
     assert_eq!(scene.starts.len(), 1, "it no longer answers");
 }
 
@@ -232,20 +238,22 @@
 /// the answer to an earlier call named another incarnation at its address.
 #[test]
 fn apply_report_late_answer_keeps_later_incarnation() {
-    let mut scene = DeskScene::new(1);
-    scene.add("t1", 2000);
+    let mut scene = SchedulerFixture::new(1);
+    scene.add_target("t1", 2000);
     let sent = scene.now.boot;
-    scene.pass(Duration::from_millis(100));
-    scene.desk.upsert_target(reborn(2000), scene.now);
+    scene.advance(Duration::from_millis(100));
+    scene
+        .scheduler
+        .upsert_target(restarted_target(2000), scene.now);
     let other = PollAnswer::OtherLife;
     scene
-        .desk
+        .scheduler
         .apply_report(&"t1".into(), sent, 0, &other, scene.now);
-    assert_eq!(scene.desk.listed_targets(), [HostId::from("t1")]);
+    assert_eq!(scene.scheduler.listed_targets(), [HostId::from("t1")]);
     scene
-        .desk
+        .scheduler
         .apply_report(&"t1".into(), scene.now.boot, 0, &other, scene.now);
-    assert!(scene.desk.listed_targets().is_empty());
+    assert!(scene.scheduler.listed_targets().is_empty());
 }
 
 /// Guards against a task of a cancelled job that keeps running: its start was unanswered and
@@ -253,41 +261,45 @@
 /// stop, and idle targets are not polled.
 #[test]
 fn stopped_start_fenced_in_next_incarnation() {
-    let mut scene = DeskScene::submitted(2000, vec![step(1, 1000)]);
+    let mut scene = SchedulerFixture::with_job(2000, vec![step(1, 1000)]);
     let (id, start) = scene.starts.remove(0);
     scene.cancel("a");
-    assert_eq!(scene.stops(), 1);
-    scene.leave_unanswered(&id, &start);
-    scene.answer_stop(&id, &start, scene.now.boot);
-    scene.raise("t1");
-    scene.desk.upsert_target(reborn(2000), scene.now);
-    scene.run();
-    assert_eq!(scene.stops(), 2, "one in each incarnation");
+    assert_eq!(scene.stop_count(), 1);
+    scene.time_out_start(&id, &start);
+    scene.confirm_stop(&id, &start, scene.now.boot);
+    scene.report_idle("t1");
+    scene
+        .scheduler
+        .upsert_target(restarted_target(2000), scene.now);
+    scene.run_planning();
+    assert_eq!(scene.stop_count(), 2, "one in each incarnation");
 }
 
 /// Guards against running a task twice: the answer to a stop in the previous incarnation arrived
 /// after the next one had started, and was taken for the answer to the stop there.
 #[test]
 fn stop_answer_counts_for_own_incarnation() {
-    let mut scene = DeskScene::submitted(2000, vec![step(1, 1000)]);
+    let mut scene = SchedulerFixture::with_job(2000, vec![step(1, 1000)]);
     let (id, start) = scene.starts.remove(0);
-    scene.add("t2", 2000);
-    scene.leave_unanswered(&id, &start);
-    scene.raise("t1");
-    assert_eq!(scene.stops(), 1);
+    scene.add_target("t2", 2000);
+    scene.time_out_start(&id, &start);
+    scene.report_idle("t1");
+    assert_eq!(scene.stop_count(), 1);
     let sent = scene.now.boot;
-    scene.pass(Duration::from_millis(100));
-    scene.desk.upsert_target(reborn(2000), scene.now);
-    scene.run();
+    scene.advance(Duration::from_millis(100));
+    scene
+        .scheduler
+        .upsert_target(restarted_target(2000), scene.now);
+    scene.run_planning();
     assert!(
-        scene.stops() > 1,
+        scene.stop_count() > 1,
         "the new incarnation does not know of the first"
     );
-    scene.answer_stop(&id, &start, sent);
+    scene.confirm_stop(&id, &start, sent);
     report_restarted(&mut scene, Vec::new(), Vec::new());
     assert!(scene.starts.is_empty(), "the second stop is unanswered");
     let sent = scene.now.boot;
-    scene.answer_stop(&id, &start, sent);
+    scene.confirm_stop(&id, &start, sent);
     report_restarted(&mut scene, Vec::new(), Vec::new());
     assert_eq!(scene.starts.len(), 1);
 }
--- a/crates/decide/tests/work_load.rs
+++ b/crates/decide/tests/work_load.rs
@@ -1,16 +1,16 @@
 //! Planning while a pool is full and many jobs wait.
 
-mod desk;
+mod harness;
 
 use std::sync::Arc;
 
-use desk::{DeskScene, ended, plan, running, step, terms_with_limit};
+use harness::{SchedulerFixture, end_report, plan, policy_with_limit, run_report, step};
 use model::work::EndKind;
 
 /// Creates a scene whose workspace has no limit.
-fn scene() -> DeskScene {
-    let mut scene = DeskScene::new(1);
-    scene.desk.set_policy(Arc::new(terms_with_limit(0)));
+fn scene() -> SchedulerFixture {
+    let mut scene = SchedulerFixture::new(1);
+    scene.scheduler.set_policy(Arc::new(policy_with_limit(0)));
     scene
 }
 
@@ -19,21 +19,21 @@
 #[test]
 fn plan_full_pool_starts_one_task_per_end() {
     let mut scene = scene();
-    scene.add("t1", 2000);
+    scene.add_target("t1", 2000);
     for job in 0..300 {
         scene.submit(&format!("job{job:03}"), &plan(vec![step(1, 1000)]));
     }
-    let mut running_tasks = scene.start_all();
+    let mut running_tasks = scene.confirm_starts();
     assert_eq!(running_tasks.len(), 2);
     for number in 1..=20 {
         let (_, first) = running_tasks.remove(0);
         let remaining = running_tasks
             .iter()
-            .map(|(_, start)| running(start))
+            .map(|(_, start)| run_report(start))
             .collect();
-        let end = ended(number, &first.task, first.attempt, EndKind::Done);
-        scene.see("t1", remaining, vec![end]);
-        let started = scene.start_all();
+        let end = end_report(number, &first.task, first.attempt, EndKind::Done);
+        scene.report("t1", remaining, vec![end]);
+        let started = scene.confirm_starts();
         assert_eq!(started.len(), 1);
         running_tasks.extend(started);
     }
@@ -44,12 +44,12 @@
 #[test]
 fn plan_full_pool_fits_smaller() {
     let mut scene = scene();
-    scene.add("t1", 1500);
+    scene.add_target("t1", 1500);
     scene.submit("first", &plan(vec![step(1, 1000)]));
-    assert_eq!(scene.start_all().len(), 1);
+    assert_eq!(scene.confirm_starts().len(), 1);
     scene.submit("large", &plan(vec![step(1, 1000)]));
     scene.submit("small", &plan(vec![step(2, 300)]));
-    let started = scene.start_all();
+    let started = scene.confirm_starts();
     let jobs: Vec<&str> = started
         .iter()
         .map(|(_, start)| start.task.job.as_str())
@@ -62,10 +62,10 @@
 #[test]
 fn plan_full_pool_checks_each_target() {
     let mut scene = scene();
-    scene.add("t1", 2000);
-    scene.add("t2", 2000);
+    scene.add_target("t1", 2000);
+    scene.add_target("t2", 2000);
     scene.submit("wide", &plan(vec![step(2, 1500)]));
-    assert_eq!(scene.start_all().len(), 2);
+    assert_eq!(scene.confirm_starts().len(), 2);
     scene.submit("next", &plan(vec![step(1, 600)]));
-    assert!(scene.start_all().is_empty());
+    assert!(scene.confirm_starts().is_empty());
 }
--- a/crates/decide/tests/work_miss.rs
+++ b/crates/decide/tests/work_miss.rs
@@ -1,24 +1,24 @@
 //! Records of unreachable targets in the job log, and what a successor does with them.
 
-mod desk;
+mod harness;
 
 use std::time::Duration;
 
 use decide::work::SchedulerAction;
-use desk::{DeskScene, plan, running, step};
+use harness::{SchedulerFixture, plan, run_report, step};
 use model::work::StartOrder;
 
 /// Lease, the margins after it, and one tick.
 const LEASE_EXPIRY: Duration = Duration::from_millis(8500);
 
 /// Job `a` runs on `t1`, job `b` waits for capacity, and `t1` has become unreachable.
-fn with_unreachable_target() -> (DeskScene, StartOrder) {
-    let (mut scene, mut starts) = DeskScene::started(1000, vec![step(1, 1000)]);
+fn with_unreachable_target() -> (SchedulerFixture, StartOrder) {
+    let (mut scene, mut starts) = SchedulerFixture::with_running_job(1000, vec![step(1, 1000)]);
     let (_, start) = starts.remove(0);
-    scene.see("t1", vec![running(&start)], Vec::new());
+    scene.report("t1", vec![run_report(&start)], Vec::new());
     scene.submit("b", &plan(vec![step(1, 1000)]));
-    scene.miss("t1");
-    scene.run();
+    scene.time_out_poll("t1");
+    scene.run_planning();
     (scene, start)
 }
 
@@ -33,8 +33,8 @@
 fn successor_unreachable_target_starts_others() {
     let (scene, _) = with_unreachable_target();
     let mut next = scene.successor(2);
-    next.add("t2", 2000);
-    assert_eq!(jobs_of(&next.start_all()), ["b"]);
+    next.add_target("t2", 2000);
+    assert_eq!(jobs_of(&next.confirm_starts()), ["b"]);
 }
 
 /// Guards against running a task twice: it may still run on its unreachable target.
@@ -42,12 +42,12 @@
 fn successor_unreachable_run_waits_for_lease() {
     let (scene, _) = with_unreachable_target();
     let mut next = scene.successor(2);
-    next.add("t2", 2000);
-    next.start_all();
-    next.pass(Duration::from_secs(5));
+    next.add_target("t2", 2000);
+    next.confirm_starts();
+    next.advance(Duration::from_secs(5));
     assert!(next.starts.is_empty());
-    next.pass(LEASE_EXPIRY.saturating_sub(Duration::from_secs(5)));
-    next.pass(Duration::from_millis(50));
+    next.advance(LEASE_EXPIRY.saturating_sub(Duration::from_secs(5)));
+    next.advance(Duration::from_millis(50));
     assert_eq!(jobs_of(&next.starts), ["a"]);
 }
 
@@ -56,10 +56,10 @@
 fn successor_reachable_again_adopts_run() {
     let (scene, start) = with_unreachable_target();
     let mut next = scene.successor(2);
-    next.list("t1", 1000);
-    next.see("t1", vec![running(&start)], Vec::new());
-    next.pass(LEASE_EXPIRY);
-    assert_eq!(next.stops(), 0);
+    next.list_target("t1", 1000);
+    next.report("t1", vec![run_report(&start)], Vec::new());
+    next.advance(LEASE_EXPIRY);
+    assert_eq!(next.stop_count(), 0);
     assert!(next.starts.is_empty());
 }
 
@@ -67,37 +67,37 @@
 #[test]
 fn successor_later_run_elsewhere_kept() {
     let (mut scene, _) = with_unreachable_target();
-    scene.add("t2", 2000);
-    scene.start_all();
-    scene.pass(Duration::from_secs(2));
-    scene.miss("t1");
-    scene.pass(LEASE_EXPIRY);
-    let later = scene.start_all();
+    scene.add_target("t2", 2000);
+    scene.confirm_starts();
+    scene.advance(Duration::from_secs(2));
+    scene.time_out_poll("t1");
+    scene.advance(LEASE_EXPIRY);
+    let later = scene.confirm_starts();
     assert_eq!(jobs_of(&later), ["a"]);
     let mut next = scene.successor(2);
-    next.list("t2", 2000);
-    next.see("t2", vec![running(&later[0].1)], Vec::new());
-    assert_eq!(next.stops(), 0);
+    next.list_target("t2", 2000);
+    next.report("t2", vec![run_report(&later[0].1)], Vec::new());
+    assert_eq!(next.stop_count(), 0);
 }
 
 /// Guards against a start on an unreachable target that the log does not show as used.
 #[test]
 fn start_unreachable_target_waits_for_record() {
     let (mut scene, start) = with_unreachable_target();
-    scene.see("t1", vec![running(&start)], Vec::new());
+    scene.report("t1", vec![run_report(&start)], Vec::new());
     scene.cancel("a");
     assert!(
         !scene
-            .start_all()
+            .confirm_starts()
             .iter()
             .any(|(_, start)| start.task.job == "b")
     );
-    scene.store_away = true;
-    scene.miss("t1");
-    scene.run();
+    scene.store_down = true;
+    scene.time_out_poll("t1");
+    scene.run_planning();
     let recorded = |order: &SchedulerAction| matches!(order, SchedulerAction::AppendLog(_));
-    assert!(scene.others.iter().any(recorded));
-    scene.see("t1", Vec::new(), Vec::new());
-    scene.pass(Duration::from_millis(100));
+    assert!(scene.other_actions.iter().any(recorded));
+    scene.report("t1", Vec::new(), Vec::new());
+    scene.advance(Duration::from_millis(100));
     assert!(scene.starts.is_empty());
 }
--- a/crates/decide/tests/work_rebirth.rs
+++ b/crates/decide/tests/work_rebirth.rs
@@ -1,34 +1,38 @@
 //! Tasks of a target that restarts under the same id.
 
-mod desk;
+mod harness;
 
 use std::time::Duration;
 
-use desk::{DeskScene, plan, running, step, target};
+use harness::{SchedulerFixture, plan, run_report, step, target};
 use model::work::{EndKind, PollAnswer, StartOrder, TargetEntry, TargetReport};
 
 const NEXT_STARTED_AT: Duration = Duration::from_secs(900);
 
 /// One task that was started on a target and that no report has shown since, and a second target.
-fn started_unreported() -> (DeskScene, StartOrder) {
-    let (mut scene, starts) = DeskScene::started(4000, vec![step(1, 1000)]);
-    scene.add("t2", 4000);
+fn started_unreported() -> (SchedulerFixture, StartOrder) {
+    let (mut scene, starts) = SchedulerFixture::with_running_job(4000, vec![step(1, 1000)]);
+    scene.add_target("t2", 4000);
     (scene, starts[0].1.clone())
 }
 
 /// Reports the next incarnation in the answer to a poll that was sent `sent_before` ago.
-fn report_next_incarnation(scene: &mut DeskScene, runs: Vec<&StartOrder>, sent_before: Duration) {
+fn report_next_incarnation(
+    scene: &mut SchedulerFixture,
+    runs: Vec<&StartOrder>,
+    sent_before: Duration,
+) {
     let report = TargetReport {
         clock: Duration::from_millis(100),
         started_at: NEXT_STARTED_AT,
-        running: runs.into_iter().map(running).collect(),
+        running: runs.into_iter().map(run_report).collect(),
         ended: Vec::new(),
     };
     let (sent, answer) = (scene.now.boot - sent_before, PollAnswer::Seen(report));
     scene
-        .desk
+        .scheduler
         .apply_report(&"t1".into(), sent, 0, &answer, scene.now);
-    scene.run();
+    scene.run_planning();
 }
 
 /// Guards against running a task on two targets: its own had restarted just before the start, and
@@ -40,13 +44,13 @@
         started_at: NEXT_STARTED_AT,
         ..target("t1", 4000)
     };
-    scene.desk.upsert_target(next, scene.now);
-    scene.pass(Duration::from_millis(50));
+    scene.scheduler.upsert_target(next, scene.now);
+    scene.advance(Duration::from_millis(50));
     assert!(scene.starts.is_empty(), "{:?}", scene.starts);
     report_next_incarnation(&mut scene, vec![&start], Duration::ZERO);
-    scene.pass(Duration::from_millis(50));
+    scene.advance(Duration::from_millis(50));
     assert!(scene.starts.is_empty(), "{:?}", scene.starts);
-    assert_eq!(scene.stops(), 0);
+    assert_eq!(scene.stop_count(), 0);
 }
 
 /// Guards against running a task on two targets: a poll sent before its start reported that the
@@ -55,7 +59,7 @@
 fn start_next_incarnation_reported_later_kept() {
     let (mut scene, _) = started_unreported();
     report_next_incarnation(&mut scene, Vec::new(), Duration::from_millis(20));
-    scene.pass(Duration::from_millis(50));
+    scene.advance(Duration::from_millis(50));
     assert!(scene.starts.is_empty(), "{:?}", scene.starts);
 }
 
@@ -64,9 +68,9 @@
 #[test]
 fn reported_run_ends_with_incarnation() {
     let (mut scene, start) = started_unreported();
-    scene.see("t1", vec![running(&start)], Vec::new());
+    scene.report("t1", vec![run_report(&start)], Vec::new());
     report_next_incarnation(&mut scene, Vec::new(), Duration::ZERO);
-    scene.pass(Duration::from_millis(50));
+    scene.advance(Duration::from_millis(50));
     assert_eq!(scene.starts.len(), 1);
 }
 
@@ -79,11 +83,11 @@
         started_at: NEXT_STARTED_AT,
         ..target("t1", 4000)
     };
-    scene.desk.upsert_target(next, scene.now);
-    scene.pass(Duration::from_millis(50));
+    scene.scheduler.upsert_target(next, scene.now);
+    scene.advance(Duration::from_millis(50));
     assert!(scene.starts.is_empty(), "the next incarnation may run it");
     report_next_incarnation(&mut scene, Vec::new(), Duration::ZERO);
-    scene.pass(Duration::from_millis(50));
+    scene.advance(Duration::from_millis(50));
     assert_eq!(scene.starts.len(), 1);
 }
 
@@ -92,9 +96,9 @@
 #[test]
 fn poll_order_acks_own_incarnation_only() {
     let (mut scene, start) = started_unreported();
-    scene.end("t1", &start, EndKind::Done);
-    let acked_end = |scene: &mut DeskScene| {
-        let order = scene.desk.poll_order(&"t1".into(), scene.now);
+    scene.report_end("t1", &start, EndKind::Done);
+    let acked_end = |scene: &mut SchedulerFixture| {
+        let order = scene.scheduler.poll_order(&"t1".into(), scene.now);
         order.map(|order| order.acked_end)
     };
     assert_eq!(acked_end(&mut scene), Some(1));
@@ -102,14 +106,14 @@
     scene.now.boot += Duration::from_millis(10);
     let sent = scene.now.boot;
     scene
-        .desk
+        .scheduler
         .apply_report(&"t1".into(), sent, 1, &unanswered, scene.now);
     assert_eq!(
         acked_end(&mut scene),
         Some(0),
         "another incarnation may answer"
     );
-    scene.end("t1", &start, EndKind::Done);
+    scene.report_end("t1", &start, EndKind::Done);
     assert_eq!(acked_end(&mut scene), Some(1));
     scene.now.boot += Duration::from_secs(2);
     assert_eq!(acked_end(&mut scene), Some(0), "the last poll is too old");
@@ -117,7 +121,7 @@
 
 /// A successor with a target that runs a predecessor's `start`, and the entry of an older
 /// incarnation at its address.
-fn successor_with_older_entry() -> (DeskScene, StartOrder, TargetEntry) {
+fn successor_with_older_entry() -> (SchedulerFixture, StartOrder, TargetEntry) {
     let older = TargetEntry {
         address: "t1:80".into(),
         ..target("t0", 4000)
@@ -126,15 +130,15 @@
         started_at: NEXT_STARTED_AT,
         ..target("t1", 4000)
     };
-    let mut first = DeskScene::new(1);
-    first.desk.upsert_target(newer, first.now);
-    first.run();
+    let mut first = SchedulerFixture::new(1);
+    first.scheduler.upsert_target(newer, first.now);
+    first.run_planning();
     report_next_incarnation(&mut first, Vec::new(), Duration::ZERO);
     first.submit("a", &plan(vec![step(1, 1000)]));
-    let starts = first.start_all();
+    let starts = first.confirm_starts();
     assert_eq!(starts[0].0, "t1");
     let mut second = first.successor(9);
-    second.add("t2", 4000);
+    second.add_target("t2", 4000);
     (second, starts[0].1.clone(), older)
 }
 
@@ -145,8 +149,8 @@
 fn older_entry_polled_target_kept() {
     let (mut scene, start, older) = successor_with_older_entry();
     report_next_incarnation(&mut scene, vec![&start], Duration::ZERO);
-    scene.desk.upsert_target(older, scene.now);
-    scene.pass(Duration::from_millis(50));
+    scene.scheduler.upsert_target(older, scene.now);
+    scene.advance(Duration::from_millis(50));
     assert!(scene.starts.is_empty(), "{:?}", scene.starts);
 }
 
@@ -154,8 +158,8 @@
 #[test]
 fn older_entry_unpolled_target_kept() {
     let (mut scene, _, older) = successor_with_older_entry();
-    scene.desk.upsert_target(older, scene.now);
-    scene.pass(Duration::from_millis(50));
-    scene.pass(Duration::from_millis(50));
+    scene.scheduler.upsert_target(older, scene.now);
+    scene.advance(Duration::from_millis(50));
+    scene.advance(Duration::from_millis(50));
     assert!(scene.starts.is_empty(), "{:?}", scene.starts);
 }
--- a/crates/decide/tests/work_schedule.rs
+++ b/crates/decide/tests/work_schedule.rs
@@ -1,10 +1,10 @@
 //! Owners, targets and the log under seeded faults. A failing case prints its seed.
 
-mod desk;
+mod harness;
 
 use std::time::Duration;
 
-use desk::{DeskWorld, WorldFaults};
+use harness::{Simulation, WorldFaults};
 use rstest::rstest;
 
 const BUSY: Duration = Duration::from_secs(40);
@@ -14,13 +14,13 @@
 fn run_seeds(seeds: std::ops::Range<u64>, faults: WorldFaults) {
     let mut jobs = 0;
     for seed in seeds {
-        let mut world = DeskWorld::new(seed, 5, faults);
+        let mut world = Simulation::new(seed, 5, faults);
         world.run(BUSY, CALM);
         jobs += world.jobs();
         assert!(
-            world.faults_found.is_empty(),
+            world.violations.is_empty(),
             "seed {seed}: {:#?}",
-            world.faults_found
+            world.violations
         );
     }
     assert!(jobs > 0);
--- a/crates/decide/tests/work_services.rs
+++ b/crates/decide/tests/work_services.rs
@@ -1,7 +1,7 @@
 //! Long-running tasks under seeded faults: hosts are drained in waves, targets crash or become
 //! unreachable, and starts and stops are lost or carried out late. A failing case prints its seed.
 
-mod desk;
+mod harness;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,7 +13,7 @@
     HostOrder, HostPlanner, SchedulerAction, SchedulerTime, SchedulerTuning, WorkScheduler,
     record_of_plan,
 };
-use desk::{POOL, QUEUE, SPACE, WorldTarget, plan, step, target, terms_with_limit};
+use harness::{POOL, QUEUE, SimTarget, WORKSPACE, plan, policy_with_limit, step, target};
 use model::{
     BootTime, HostId,
     work::{
@@ -86,7 +86,7 @@
     now: SchedulerTime,
     scheduler: WorkScheduler,
     planner: HostPlanner,
-    targets: BTreeMap<HostId, WorldTarget>,
+    targets: BTreeMap<HostId, SimTarget>,
     calls: Vec<Call>,
     unavailable: BTreeMap<TaskKey, Unavailable>,
     violations: Vec<String>,
@@ -102,13 +102,13 @@
             unix: Duration::from_secs(1_000_000),
         };
         let mut scheduler = WorkScheduler::new(SchedulerTuning::default(), 7);
-        scheduler.set_policy(Arc::new(terms_with_limit(100_000)));
+        scheduler.set_policy(Arc::new(policy_with_limit(100_000)));
         let names = (0..TARGETS).map(|number| HostId::from(format!("t{number}")));
         let new_target = |name: HostId| {
-            let state = WorldTarget {
-                born: Duration::from_secs(1),
+            let state = SimTarget {
+                started_at: Duration::from_secs(1),
                 up: true,
-                ..WorldTarget::default()
+                ..SimTarget::default()
             };
             (name, state)
         };
@@ -135,7 +135,7 @@
             job: "a".to_owned(),
             queue: QUEUE.to_owned(),
             pool: POOL.to_owned(),
-            workspace: SPACE.to_owned(),
+            workspace: WORKSPACE.to_owned(),
             ..record_of_plan(&plan(vec![service]))
         };
         world.scheduler.accept_job(&record, now);
@@ -208,7 +208,7 @@
             if let Some(state) = self.targets.get_mut(&name)
                 && state.up
             {
-                state.cut = true;
+                state.partitioned = true;
                 state.back_at = now + length;
             }
         }
@@ -254,18 +254,18 @@
         let mut expired = Vec::new();
         for state in self.targets.values_mut() {
             if now.boot >= state.back_at {
-                state.cut = false;
+                state.partitioned = false;
                 if !state.up {
-                    *state = WorldTarget {
-                        born: now.unix,
-                        zero: now.boot,
+                    *state = SimTarget {
+                        started_at: now.unix,
+                        clock_start: now.boot,
                         up: true,
-                        ..WorldTarget::default()
+                        ..SimTarget::default()
                     };
                 }
             }
             let before: Vec<TaskKey> = state.runs.keys().map(|run| run.0.clone()).collect();
-            state.finish(now.boot);
+            state.end_due_runs(now.boot);
             if state.runs.is_empty() {
                 expired.extend(before);
             }
@@ -282,9 +282,9 @@
             let started_at = known
                 .filter(|known| known.listed)
                 .map(|known| known.incarnation.started_at);
-            if state.up && started_at != Some(state.born) {
+            if state.up && started_at != Some(state.started_at) {
                 let mut entry = target(name, CAPACITY);
-                entry.started_at = state.born;
+                entry.started_at = state.started_at;
                 self.scheduler.upsert_target(entry, now);
             } else if !state.up && now.boot >= state.down_since + MISSING_AFTER {
                 self.scheduler.mark_target_unlisted(name);
@@ -314,7 +314,7 @@
 
     fn manage_hosts(&mut self) {
         let now = self.now.boot;
-        let host = |(name, state): (&HostId, &WorldTarget)| FleetHost {
+        let host = |(name, state): (&HostId, &SimTarget)| FleetHost {
             host: name.replace('t', "h").into(),
             pool: POOL.into(),
             condition: if state.up {
@@ -383,7 +383,7 @@
         };
         let state = self.targets.get(&target);
         self.calls.push(Call {
-            target_started_at: state.map(|state| state.born).unwrap_or_default(),
+            target_started_at: state.map(|state| state.started_at).unwrap_or_default(),
             target,
             order,
             sent: now,
@@ -407,7 +407,10 @@
             let Some(state) = self.targets.get_mut(&call.target) else {
                 continue;
             };
-            if !state.up || state.cut || (is_held_up && call.target_started_at != state.born) {
+            if !state.up
+                || state.partitioned
+                || (is_held_up && call.target_started_at != state.started_at)
+            {
                 call.answers = false;
                 continue;
             }
@@ -424,7 +427,7 @@
                     let answer = state.start(order, now, BootTime::MAX);
                     if matches!(answer, StartAnswer::Started { .. }) {
                         self.unavailable.remove(&order.task);
-                        state.started_at.entry(order.task.clone()).or_insert(now);
+                        state.task_starts.entry(order.task.clone()).or_insert(now);
                     }
                     Answer::Start(answer)
                 }
@@ -433,7 +436,7 @@
                     let run = (order.task.clone(), order.attempt);
                     let ends = state.runs.contains_key(&run);
                     let answer = state.stop(order, now);
-                    let began = state.started_at.remove(&run.0).unwrap_or_default();
+                    let began = state.task_starts.remove(&run.0).unwrap_or_default();
                     if ends {
                         self.stops += 1;
                         if !is_held_up && now >= began + IN_FLIGHT {
@@ -443,7 +446,7 @@
                     }
                     Answer::Stop(answer)
                 }
-                Order::Poll(order) => Answer::Poll(state.look(order, now).0),
+                Order::Poll(order) => Answer::Poll(state.poll(order, now).0),
             });
         }
         self.calls = calls;
