--- a/crates/decide/tests/work_stops.rs
+++ b/crates/decide/tests/work_stops.rs
@@ -1,11 +1,11 @@
 //! Stops of long-running tasks: each send of a stop checks again whether the step may lose a task.
 
-mod desk;
+mod harness;
 
 use std::{collections::BTreeSet, time::Duration};
 
 use decide::work::{HostPlanner, SchedulerAction};
-use desk::{DeskScene, POOL, plan, running, step, target};
+use harness::{POOL, SchedulerFixture, plan, run_report, step, target};
 use model::{
     HostId,
     work::{
@@ -24,10 +24,10 @@
 
 /// A service of two tasks, of which one may be unavailable, on two of three targets. The start of
 /// the first is unanswered.
-fn with_unconfirmed_start() -> (DeskScene, Started, Started) {
-    let mut scene = DeskScene::new(1);
+fn with_unconfirmed_start() -> (SchedulerFixture, Started, Started) {
+    let mut scene = SchedulerFixture::new(1);
     for name in ["t1", "t2", "t3"] {
-        scene.add(name, 2000);
+        scene.add_target(name, 2000);
     }
     scene.submit("a", &plan(vec![service()]));
     let mut starts = std::mem::take(&mut scene.starts);
@@ -35,23 +35,23 @@
     let (id, start) = &first;
     let unanswered = StartAnswer::Unanswered("timed out".to_owned());
     scene
-        .desk
+        .scheduler
         .handle_start_answer(id, &start.task, start.attempt, &unanswered, scene.now);
     let answer = StartAnswer::Started {
         clock: scene.now.boot,
     };
     let (id, start) = &second;
     scene
-        .desk
+        .scheduler
         .handle_start_answer(id, &start.task, start.attempt, &answer, scene.now);
-    scene.see(id, vec![ready_run(start)], Vec::new());
+    scene.report(id, vec![ready_run(start)], Vec::new());
     (scene, first, second)
 }
 
 /// The same with both tasks running and ready.
-fn with_both_ready() -> (DeskScene, Started, Started) {
+fn with_both_ready() -> (SchedulerFixture, Started, Started) {
     let (mut scene, first, second) = with_unconfirmed_start();
-    scene.see(&first.0, vec![ready_run(&first.1)], Vec::new());
+    scene.report(&first.0, vec![ready_run(&first.1)], Vec::new());
     (scene, first, second)
 }
 
@@ -67,12 +67,12 @@
 fn ready_run(start: &StartOrder) -> RunReport {
     RunReport {
         percent: 100,
-        ..running(start)
+        ..run_report(start)
     }
 }
 
 /// Drains the host of a target for its maintenance.
-fn drain_host(scene: &mut DeskScene, id: &HostId) {
+fn drain_host(scene: &mut SchedulerFixture, id: &HostId) {
     let host = FleetHost {
         host: "h1".into(),
         pool: POOL.into(),
@@ -89,29 +89,29 @@
     let mut planner = HostPlanner::default();
     planner.apply_host_list(vec![host], scene.now.boot);
     planner.apply_waves(&[wave], &BTreeSet::new(), scene.now.boot);
-    planner.plan(&mut scene.desk, scene.now.boot);
-    scene.pass(Duration::from_millis(50));
+    planner.plan(&mut scene.scheduler, scene.now.boot);
+    scene.advance(Duration::from_millis(50));
 }
 
 /// Ordered stops that still have to be sent.
-fn stops_to_send(scene: &mut DeskScene) -> Vec<(HostId, StopOrder)> {
-    let others = std::mem::take(&mut scene.others);
+fn stops_to_send(scene: &mut SchedulerFixture) -> Vec<(HostId, StopOrder)> {
+    let others = std::mem::take(&mut scene.other_actions);
     let stops = others.into_iter().filter_map(|order| match order {
         SchedulerAction::Stop(id, stop) => Some((id, stop)),
         _ => None,
     });
     let now = scene.now;
-    let desk = &mut scene.desk;
+    let desk = &mut scene.scheduler;
     stops
         .filter(|(id, stop)| desk.should_send_stop(id, &stop.task, stop.attempt, now))
         .collect()
 }
 
-fn lose_stop_answer(scene: &mut DeskScene, (id, stop): &(HostId, StopOrder)) {
+fn lose_stop_answer(scene: &mut SchedulerFixture, (id, stop): &(HostId, StopOrder)) {
     let lost = OrderAnswer::Unanswered("timed out".to_owned());
     let sent = scene.now.boot;
     scene
-        .desk
+        .scheduler
         .handle_stop_answer(id, &stop.task, stop.attempt, sent, &lost, scene.now);
 }
 
@@ -121,16 +121,16 @@
 #[test]
 fn retry_stop_late_start_kept() {
     let (mut scene, (id, start), _) = with_unconfirmed_start();
-    scene.raise(&id);
+    scene.report_idle(&id);
     let stops = stops_to_send(&mut scene);
     assert_eq!(stops.len(), 1, "the start is fenced");
     lose_stop_answer(&mut scene, &stops[0]);
     for _ in 0..5 {
-        scene.pass(RETRY_STOP);
-        scene.see(&id, vec![ready_run(&start)], Vec::new());
+        scene.advance(RETRY_STOP);
+        scene.report(&id, vec![ready_run(&start)], Vec::new());
         stops_to_send(&mut scene);
     }
-    scene.pass(RETRY_STOP);
+    scene.advance(RETRY_STOP);
     assert!(
         stops_to_send(&mut scene).is_empty(),
         "the other is unavailable"
@@ -143,8 +143,8 @@
 #[test]
 fn fence_start_next_incarnation_late_start_kept() {
     let (mut scene, (id, start), _) = with_unconfirmed_start();
-    scene.pass(UNAVAILABLE);
-    scene.others.clear();
+    scene.advance(UNAVAILABLE);
+    scene.other_actions.clear();
     let report = TargetReport {
         clock: scene.now.boot,
         started_at: RESTARTED_AT,
@@ -153,9 +153,9 @@
     };
     let sent = scene.now.boot;
     scene
-        .desk
+        .scheduler
         .apply_report(&id, sent, 0, &PollAnswer::Seen(report), scene.now);
-    scene.run();
+    scene.run_planning();
     assert!(
         stops_to_send(&mut scene).is_empty(),
         "the other is unavailable"
@@ -167,17 +167,17 @@
 #[test]
 fn adopt_run_not_stopped() {
     let (mut scene, (id, start), _) = with_unconfirmed_start();
-    scene.see(&id, vec![ready_run(&start)], Vec::new());
+    scene.report(&id, vec![ready_run(&start)], Vec::new());
     let restarted = TargetEntry {
         started_at: RESTARTED_AT,
         ..target(&id, 2000)
     };
     // No other target can run the task meanwhile.
     for other in ["t2", "t3"] {
-        scene.desk.mark_target_unlisted(&other.into());
+        scene.scheduler.mark_target_unlisted(&other.into());
     }
-    scene.desk.upsert_target(restarted, scene.now);
-    scene.run();
+    scene.scheduler.upsert_target(restarted, scene.now);
+    scene.run_planning();
     scene.starts.clear();
     stops_to_send(&mut scene);
     let report = TargetReport {
@@ -188,10 +188,10 @@
     };
     let sent = scene.now.boot;
     scene
-        .desk
+        .scheduler
         .apply_report(&id, sent, 0, &PollAnswer::Seen(report), scene.now);
-    scene.run();
-    scene.pass(UNAVAILABLE);
+    scene.run_planning();
+    scene.advance(UNAVAILABLE);
     assert!(
         stops_to_send(&mut scene).is_empty(),
         "the other is unavailable"
@@ -207,17 +207,17 @@
     let stops = stops_to_send(&mut scene);
     assert_eq!(stops.len(), 1);
     lose_stop_answer(&mut scene, &stops[0]);
-    scene.pass(UNAVAILABLE);
-    scene.see(&id, vec![ready_run(&start)], Vec::new());
+    scene.advance(UNAVAILABLE);
+    scene.report(&id, vec![ready_run(&start)], Vec::new());
     stops_to_send(&mut scene);
-    scene.pass(RETRY_STOP);
+    scene.advance(RETRY_STOP);
     assert!(
         stops_to_send(&mut scene).is_empty(),
         "the other is unavailable"
     );
-    scene.see(&other, vec![ready_run(&sibling)], Vec::new());
-    scene.see(&id, vec![ready_run(&start)], Vec::new());
-    scene.pass(RETRY_STOP);
+    scene.report(&other, vec![ready_run(&sibling)], Vec::new());
+    scene.report(&id, vec![ready_run(&start)], Vec::new());
+    scene.advance(RETRY_STOP);
     assert_eq!(stops_to_send(&mut scene).len(), 1, "it is back");
 }
 
@@ -227,15 +227,15 @@
 fn should_send_stop_checks_again() {
     let (mut scene, (id, start), (other, sibling)) = with_both_ready();
     drain_host(&mut scene, &id);
-    assert_eq!(scene.stops(), 1);
+    assert_eq!(scene.stop_count(), 1);
     scene.now.boot += UNAVAILABLE;
     assert!(
         stops_to_send(&mut scene).is_empty(),
         "the other is unavailable"
     );
-    scene.see(&other, vec![ready_run(&sibling)], Vec::new());
-    scene.see(&id, vec![ready_run(&start)], Vec::new());
-    scene.pass(Duration::from_millis(50));
+    scene.report(&other, vec![ready_run(&sibling)], Vec::new());
+    scene.report(&id, vec![ready_run(&start)], Vec::new());
+    scene.advance(Duration::from_millis(50));
     assert_eq!(stops_to_send(&mut scene).len(), 1, "it is back");
 }
 
@@ -244,12 +244,12 @@
 #[test]
 fn unconfirmed_stop_counts_as_unavailable() {
     let (mut scene, (id, start), (other, sibling)) = with_unconfirmed_start();
-    scene.raise(&id);
+    scene.report_idle(&id);
     let stops = stops_to_send(&mut scene);
     lose_stop_answer(&mut scene, &stops[0]);
-    let report_running = |scene: &mut DeskScene| {
-        scene.see(&id, vec![ready_run(&start)], Vec::new());
-        scene.see(&other, vec![ready_run(&sibling)], Vec::new());
+    let report_running = |scene: &mut SchedulerFixture| {
+        scene.report(&id, vec![ready_run(&start)], Vec::new());
+        scene.report(&other, vec![ready_run(&sibling)], Vec::new());
     };
     report_running(&mut scene);
     drain_host(&mut scene, &other);
@@ -259,7 +259,7 @@
     );
     scene.now.boot += Duration::from_secs(14);
     report_running(&mut scene);
-    scene.pass(Duration::from_millis(50));
+    scene.advance(Duration::from_millis(50));
     assert_eq!(stops_to_send(&mut scene).len(), 1);
 }
 
@@ -268,13 +268,13 @@
 #[test]
 fn evacuate_uncertain_owner_stops_nothing() {
     let (mut scene, (id, start), (other, sibling)) = with_both_ready();
-    scene.desk.set_ownership_uncertain(true);
+    scene.scheduler.set_ownership_uncertain(true);
     drain_host(&mut scene, &id);
     assert!(stops_to_send(&mut scene).is_empty());
-    scene.desk.set_ownership_uncertain(false);
-    scene.see(&id, vec![ready_run(&start)], Vec::new());
-    scene.see(&other, vec![ready_run(&sibling)], Vec::new());
-    scene.pass(Duration::from_millis(50));
+    scene.scheduler.set_ownership_uncertain(false);
+    scene.report(&id, vec![ready_run(&start)], Vec::new());
+    scene.report(&other, vec![ready_run(&sibling)], Vec::new());
+    scene.advance(Duration::from_millis(50));
     assert_eq!(stops_to_send(&mut scene).len(), 1);
 }
 
@@ -283,22 +283,26 @@
 #[test]
 fn fence_start_waits_for_poll() {
     let (mut scene, (id, start), _) = with_unconfirmed_start();
-    scene.raise(&id);
+    scene.report_idle(&id);
     let stops = stops_to_send(&mut scene);
     assert_eq!(stops.len(), 1, "a poll has just shown that it is not there");
     lose_stop_answer(&mut scene, &stops[0]);
-    scene.pass(UNAVAILABLE);
-    assert!(scene.others.contains(&SchedulerAction::Poll(id.clone())));
+    scene.advance(UNAVAILABLE);
+    assert!(
+        scene
+            .other_actions
+            .contains(&SchedulerAction::Poll(id.clone()))
+    );
     assert!(
         stops_to_send(&mut scene).is_empty(),
         "the start may have been executed by now"
     );
-    scene.raise(&id);
+    scene.report_idle(&id);
     assert_eq!(stops_to_send(&mut scene).len(), 1, "it is not there");
     lose_stop_answer(&mut scene, &stops[0]);
-    scene.pass(UNAVAILABLE);
-    scene.see(&id, vec![ready_run(&start)], Vec::new());
-    scene.pass(RETRY_STOP);
+    scene.advance(UNAVAILABLE);
+    scene.report(&id, vec![ready_run(&start)], Vec::new());
+    scene.advance(RETRY_STOP);
     assert!(stops_to_send(&mut scene).is_empty(), "it is ready");
 }
 
@@ -307,20 +311,24 @@
 #[test]
 fn fence_start_next_incarnation_polled_first() {
     let (mut scene, (id, start), _) = with_unconfirmed_start();
-    scene.pass(UNAVAILABLE);
-    scene.others.clear();
+    scene.advance(UNAVAILABLE);
+    scene.other_actions.clear();
     let restarted = TargetEntry {
         started_at: RESTARTED_AT,
         ..target(&id, 2000)
     };
-    scene.desk.upsert_target(restarted, scene.now);
-    scene.run();
-    assert!(scene.others.contains(&SchedulerAction::Poll(id.clone())));
+    scene.scheduler.upsert_target(restarted, scene.now);
+    scene.run_planning();
+    assert!(
+        scene
+            .other_actions
+            .contains(&SchedulerAction::Poll(id.clone()))
+    );
     assert!(
         stops_to_send(&mut scene).is_empty(),
         "the start may have been executed by now"
     );
-    let report_running = |scene: &mut DeskScene, running| {
+    let report_running = |scene: &mut SchedulerFixture, running| {
         let report = TargetReport {
             clock: scene.now.boot,
             started_at: RESTARTED_AT,
@@ -329,13 +337,13 @@
         };
         let sent = scene.now.boot;
         scene
-            .desk
+            .scheduler
             .apply_report(&id, sent, 0, &PollAnswer::Seen(report), scene.now);
-        scene.run();
+        scene.run_planning();
     };
     report_running(&mut scene, Vec::new());
     assert_eq!(stops_to_send(&mut scene).len(), 1, "it is not there");
     report_running(&mut scene, vec![ready_run(&start)]);
-    scene.pass(RETRY_STOP);
+    scene.advance(RETRY_STOP);
     assert!(stops_to_send(&mut scene).is_empty(), "it is ready");
 }
--- a/crates/decide/tests/work_takeover.rs
+++ b/crates/decide/tests/work_takeover.rs
@@ -1,11 +1,11 @@
 //! A successor takes over the work of its predecessor.
 
-mod desk;
+mod harness;
 
 use std::time::Duration;
 
 use decide::call_budget::CallClass;
-use desk::{DeskScene, ended, lasting_pair, plan, running, step};
+use harness::{SchedulerFixture, end_report, long_running_pair, plan, run_report, step};
 use model::work::{EndKind, PollAnswer};
 
 /// Guards against restarting running tasks after an owner was killed: the successor replays the
@@ -13,18 +13,18 @@
 /// them again.
 #[test]
 fn successor_adopts_runs() {
-    let (first, starts) = DeskScene::started(4000, vec![step(2, 1000)]);
+    let (first, starts) = SchedulerFixture::with_running_job(4000, vec![step(2, 1000)]);
     assert_eq!(starts.len(), 2);
 
     let mut second = first.successor(9);
-    second.list("t1", 4000);
-    second.see(
+    second.list_target("t1", 4000);
+    second.report(
         "t1",
-        starts.iter().map(|(_, start)| running(start)).collect(),
+        starts.iter().map(|(_, start)| run_report(start)).collect(),
         Vec::new(),
     );
-    second.pass(Duration::from_millis(50));
-    assert_eq!(second.stops(), 0);
+    second.advance(Duration::from_millis(50));
+    assert_eq!(second.stop_count(), 0);
     assert!(second.starts.is_empty());
 }
 
@@ -32,14 +32,15 @@
 /// would expire, and ended tasks would be started again.
 #[test]
 fn successor_polls_unpolled_before_starts() {
-    let (first, _) = DeskScene::started(4000, vec![step(2, 1000)]);
+    let (first, _) = SchedulerFixture::with_running_job(4000, vec![step(2, 1000)]);
     let mut second = first.successor(9);
-    second.list("t1", 4000);
-    second.list("new", 4000);
-    let class = |scene: &DeskScene, id: &str| scene.desk.poll_class(&id.into(), scene.now);
+    second.list_target("t1", 4000);
+    second.list_target("new", 4000);
+    let class =
+        |scene: &SchedulerFixture, id: &str| scene.scheduler.poll_class(&id.into(), scene.now);
     assert!(class(&second, "t1").is_some_and(|class| class < CallClass::Start));
     assert_eq!(class(&second, "new"), Some(CallClass::Poll));
-    second.miss("t1");
+    second.time_out_poll("t1");
     assert_eq!(class(&second, "t1"), Some(CallClass::Probe));
 }
 
@@ -49,26 +50,25 @@
 /// its resources.
 #[test]
 fn successor_counts_stopping_runs() {
-    let (mut first, starts) = DeskScene::started(4000, vec![step(2, 1500)]);
+    let (mut first, starts) = SchedulerFixture::with_running_job(4000, vec![step(2, 1500)]);
     first.cancel("a");
-    first.compact();
+    first.compact_log();
 
     let mut second = first.successor(9);
-    second.list("t1", 4000);
-    second.see(
+    second.list_target("t1", 4000);
+    second.report(
         "t1",
-        starts.iter().map(|(_, start)| running(start)).collect(),
+        starts.iter().map(|(_, start)| run_report(start)).collect(),
         Vec::new(),
     );
     second.submit("b", &plan(vec![step(1, 2000)]));
-    second.pass(Duration::from_millis(50));
+    second.advance(Duration::from_millis(50));
     assert!(second.starts.is_empty(), "1000 of 4000 are free");
-    let ends = starts
-        .iter()
-        .zip(1..)
-        .map(|((_, start), number)| ended(number, &start.task, start.attempt, EndKind::Stopped));
-    second.see("t1", Vec::new(), ends.collect());
-    second.pass(Duration::from_millis(50));
+    let ends = starts.iter().zip(1..).map(|((_, start), number)| {
+        end_report(number, &start.task, start.attempt, EndKind::Stopped)
+    });
+    second.report("t1", Vec::new(), ends.collect());
+    second.advance(Duration::from_millis(50));
     assert_eq!(second.starts.len(), 1);
 }
 
@@ -77,14 +77,14 @@
 /// lease expires before it starts the task elsewhere.
 #[test]
 fn successor_waits_for_unreachable_target() {
-    let (first, starts) = DeskScene::started(4000, vec![step(1, 1000)]);
+    let (first, starts) = SchedulerFixture::with_running_job(4000, vec![step(1, 1000)]);
     assert_eq!(starts.len(), 1);
 
     let mut second = first.successor(9);
-    second.add("t2", 4000);
-    second.pass(Duration::from_secs(5));
+    second.add_target("t2", 4000);
+    second.advance(Duration::from_secs(5));
     assert!(second.starts.is_empty(), "it may still run on t1");
-    second.pass(Duration::from_secs(12));
+    second.advance(Duration::from_secs(12));
     assert_eq!(second.starts.len(), 1);
     assert_eq!(second.starts[0].0, "t2");
 }
@@ -94,16 +94,16 @@
 /// moved since. They say nothing about whether the predecessor still sends orders.
 #[test]
 fn successor_does_not_count_gone_targets() {
-    let mut first = DeskScene::new(1);
+    let mut first = SchedulerFixture::new(1);
     for target in ["t1", "t2", "t3", "t4", "t5"] {
-        first.add(target, 4000);
+        first.add_target(target, 4000);
     }
     first.submit("a", &plan(vec![step(1, 1000)]));
-    assert_eq!(first.start_all().len(), 1);
+    assert_eq!(first.confirm_starts().len(), 1);
 
     let mut second = first.successor(9);
-    second.add("t6", 4000);
-    second.pass(Duration::from_secs(9));
+    second.add_target("t6", 4000);
+    second.advance(Duration::from_secs(9));
     assert_eq!(
         second.starts.len(),
         1,
@@ -116,24 +116,24 @@
 /// over. The target was an incarnation of a host that had been moved long before.
 #[test]
 fn successor_frees_incarnations_without_host() {
-    let (first, starts) = DeskScene::started(4000, vec![step(1, 1000)]);
+    let (first, starts) = SchedulerFixture::with_running_job(4000, vec![step(1, 1000)]);
     assert_eq!(starts.len(), 1);
 
     let mut second = first.successor(9);
-    second.add("t2", 4000);
+    second.add_target("t2", 4000);
     let listed_incarnations = ["t2".into(), "t3".into()].into();
     second
-        .desk
+        .scheduler
         .update_incarnations(&listed_incarnations, second.now.boot, second.now);
-    second.pass(Duration::from_millis(500));
+    second.advance(Duration::from_millis(500));
     assert!(
         second.starts.is_empty(),
         "one list may have omitted its host"
     );
     second
-        .desk
+        .scheduler
         .update_incarnations(&listed_incarnations, second.now.boot, second.now);
-    second.pass(Duration::from_millis(50));
+    second.advance(Duration::from_millis(50));
     assert_eq!(second.starts.len(), 1);
     let released = |entry: &wire::work::LogEntry| {
         entry.event == Some(wire::work::log_entry::Event::Released("t1".to_owned()))
@@ -145,21 +145,21 @@
 /// list while its tasks run, and its host still has that incarnation. Its lease has to expire.
 #[test]
 fn successor_keeps_incarnations_with_host() {
-    let (first, starts) = DeskScene::started(4000, vec![step(1, 1000)]);
+    let (first, starts) = SchedulerFixture::with_running_job(4000, vec![step(1, 1000)]);
     assert_eq!(starts.len(), 1);
 
     let mut second = first.successor(9);
-    second.add("t2", 4000);
+    second.add_target("t2", 4000);
     for _ in 0..8 {
-        second.desk.update_incarnations(
+        second.scheduler.update_incarnations(
             &["t1".into(), "t2".into()].into(),
             second.now.boot,
             second.now,
         );
         second
-            .desk
+            .scheduler
             .update_incarnations(&Default::default(), second.now.boot, second.now);
-        second.pass(Duration::from_millis(500));
+        second.advance(Duration::from_millis(500));
     }
     assert!(second.starts.is_empty(), "it may still run on t1");
 }
@@ -169,43 +169,43 @@
 /// ready and stopped another.
 #[test]
 fn successor_waits_before_stopping() {
-    let mut first = DeskScene::new(1);
+    let mut first = SchedulerFixture::new(1);
     for target in ["t1", "t2", "t3"] {
-        first.add(target, 4000);
+        first.add_target(target, 4000);
     }
-    first.submit("a", &plan(vec![lasting_pair()]));
-    let starts = first.start_all();
+    first.submit("a", &plan(vec![long_running_pair()]));
+    let starts = first.confirm_starts();
 
     let mut second = first.successor(9);
     for target in ["t1", "t2", "t3"] {
-        second.list(target, 4000);
+        second.list_target(target, 4000);
     }
     let at_work = |index: usize| model::work::RunReport {
         percent: 100,
-        ..running(&starts[index].1)
+        ..run_report(&starts[index].1)
     };
-    second.see(&starts[0].0, vec![at_work(0)], Vec::new());
-    second.see(&starts[1].0, vec![at_work(1)], Vec::new());
-    second.raise("t3");
-    second.empty(&starts[0].0);
-    second.pass(Duration::from_millis(100));
-    assert_eq!(second.stops(), 0);
-    second.pass(Duration::from_millis(1300));
-    second.see(&starts[0].0, vec![at_work(0)], Vec::new());
-    second.see(&starts[1].0, vec![at_work(1)], Vec::new());
-    second.pass(Duration::from_millis(50));
-    assert_eq!(second.stops(), 1);
+    second.report(&starts[0].0, vec![at_work(0)], Vec::new());
+    second.report(&starts[1].0, vec![at_work(1)], Vec::new());
+    second.report_idle("t3");
+    second.start_draining(&starts[0].0);
+    second.advance(Duration::from_millis(100));
+    assert_eq!(second.stop_count(), 0);
+    second.advance(Duration::from_millis(1300));
+    second.report(&starts[0].0, vec![at_work(0)], Vec::new());
+    second.report(&starts[1].0, vec![at_work(1)], Vec::new());
+    second.advance(Duration::from_millis(50));
+    assert_eq!(second.stop_count(), 1);
 }
 
 /// A job accepted by the successor can't run anywhere yet, so it must not wait for a target that
 /// has not been polled.
 #[test]
 fn successor_starts_new_jobs() {
-    let mut first = DeskScene::new(1);
-    first.add("t1", 4000);
+    let mut first = SchedulerFixture::new(1);
+    first.add_target("t1", 4000);
 
     let mut second = first.successor(9);
-    second.add("t2", 4000);
+    second.add_target("t2", 4000);
     second.submit("b", &plan(vec![step(1, 1000)]));
     assert_eq!(second.starts.len(), 1);
 }
@@ -214,15 +214,15 @@
 /// it. Counting it twice would fail a job that has an attempt left.
 #[test]
 fn successor_counts_failure_once() {
-    let (mut first, starts) = DeskScene::started(4000, vec![step(1, 1000)]);
+    let (mut first, starts) = SchedulerFixture::with_running_job(4000, vec![step(1, 1000)]);
     let (_, start) = &starts[0];
-    let end = ended(1, &start.task, start.attempt, EndKind::Failed);
-    first.see("t1", Vec::new(), vec![end.clone()]);
+    let end = end_report(1, &start.task, start.attempt, EndKind::Failed);
+    first.report("t1", Vec::new(), vec![end.clone()]);
 
     let mut second = first.successor(9);
-    second.list("t1", 4000);
-    second.see("t1", Vec::new(), vec![end]);
-    second.pass(Duration::from_millis(50));
+    second.list_target("t1", 4000);
+    second.report("t1", Vec::new(), vec![end]);
+    second.advance(Duration::from_millis(50));
     assert_eq!(second.starts.len(), 1, "one attempt is left");
 }
 
@@ -230,17 +230,17 @@
 /// the end of a task. Its successor finds the end in the target's first report and has to count it.
 #[test]
 fn successor_counts_unstored_end() {
-    let (first, starts) = DeskScene::started(4000, vec![step(1, 1000)]);
+    let (first, starts) = SchedulerFixture::with_running_job(4000, vec![step(1, 1000)]);
     let (_, start) = &starts[0];
 
     let mut second = first.successor(9);
-    second.list("t1", 4000);
-    let end = ended(1, &start.task, start.attempt, EndKind::Done);
-    second.see("t1", Vec::new(), vec![end]);
-    second.pass(Duration::from_millis(50));
+    second.list_target("t1", 4000);
+    let end = end_report(1, &start.task, start.attempt, EndKind::Done);
+    second.report("t1", Vec::new(), vec![end]);
+    second.advance(Duration::from_millis(50));
     assert!(second.starts.is_empty());
     assert_eq!(
-        second.desk.job_phase("a"),
+        second.scheduler.job_phase("a"),
         Some(wire::work::JobPhase::Completed)
     );
 }
@@ -250,13 +250,13 @@
 /// the job instead of starting it.
 #[test]
 fn successor_fails_job_without_attempts() {
-    let mut first = DeskScene::submitted(4000, vec![step(1, 1000)]);
+    let mut first = SchedulerFixture::with_job(4000, vec![step(1, 1000)]);
     for number in 1..3 {
-        first.pass(Duration::from_secs(4));
-        let starts = first.start_all();
+        first.advance(Duration::from_secs(4));
+        let starts = first.confirm_starts();
         let (_, start) = &starts[0];
-        let end = ended(number, &start.task, start.attempt, EndKind::Failed);
-        first.see("t1", Vec::new(), vec![end]);
+        let end = end_report(number, &start.task, start.attempt, EndKind::Failed);
+        first.report("t1", Vec::new(), vec![end]);
     }
     let failed = |entry: &wire::work::LogEntry| {
         matches!(entry.event, Some(wire::work::log_entry::Event::Failed(_)))
@@ -265,11 +265,11 @@
     first.stored.retain(|entry| !failed(entry));
 
     let mut second = first.successor(9);
-    second.add("t1", 4000);
-    second.pass(Duration::from_secs(4));
+    second.add_target("t1", 4000);
+    second.advance(Duration::from_secs(4));
     assert!(second.starts.is_empty(), "two attempts are allowed");
     assert_eq!(
-        second.desk.job_phase("a"),
+        second.scheduler.job_phase("a"),
         Some(wire::work::JobPhase::Failed)
     );
     assert!(second.stored.iter().any(failed));
@@ -279,34 +279,34 @@
 /// target that the new owner had not polled, and other tasks were started as well.
 #[test]
 fn successor_counts_cancelled_job_on_unpolled_target() {
-    let (first, starts) = DeskScene::started(8000, vec![step(4, 2000)]);
+    let (first, starts) = SchedulerFixture::with_running_job(8000, vec![step(4, 2000)]);
     assert_eq!(starts.len(), 4);
 
     let mut second = first.successor(9);
-    second.add("t2", 8000);
+    second.add_target("t2", 8000);
     second.cancel("a");
     second.submit("b", &plan(vec![step(1, 1000)]));
-    second.pass(Duration::from_millis(50));
+    second.advance(Duration::from_millis(50));
     assert!(second.starts.is_empty(), "a may still run on t1");
-    second.raise("t1");
-    second.pass(Duration::from_millis(50));
+    second.report_idle("t1");
+    second.advance(Duration::from_millis(50));
     assert_eq!(second.starts.len(), 1);
 }
 
 /// The same when the predecessor recorded the cancellation and was killed.
 #[test]
 fn successor_counts_job_cancelled_before_on_unpolled_target() {
-    let (mut first, starts) = DeskScene::started(8000, vec![step(4, 2000)]);
+    let (mut first, starts) = SchedulerFixture::with_running_job(8000, vec![step(4, 2000)]);
     assert_eq!(starts.len(), 4);
     first.cancel("a");
 
     let mut second = first.successor(9);
-    second.add("t2", 8000);
+    second.add_target("t2", 8000);
     second.submit("b", &plan(vec![step(1, 1000)]));
-    second.pass(Duration::from_millis(50));
+    second.advance(Duration::from_millis(50));
     assert!(second.starts.is_empty(), "a may still run on t1");
-    second.raise("t1");
-    second.pass(Duration::from_millis(50));
+    second.report_idle("t1");
+    second.advance(Duration::from_millis(50));
     assert_eq!(second.starts.len(), 1);
 }
 
@@ -314,23 +314,23 @@
 /// pass.
 #[test]
 fn successor_starts_no_step_of_failed_job() {
-    let mut first = DeskScene::submitted(4000, vec![step(1, 1000), step(1, 1000)]);
+    let mut first = SchedulerFixture::with_job(4000, vec![step(1, 1000), step(1, 1000)]);
     for number in 1..3 {
-        first.pass(Duration::from_secs(4));
-        let starts = first.start_all();
+        first.advance(Duration::from_secs(4));
+        let starts = first.confirm_starts();
         let (_, start) = starts
             .iter()
             .find(|(_, start)| start.task.step == 0)
             .unwrap_or(&starts[0]);
-        let end = ended(number, &start.task, start.attempt, EndKind::Failed);
-        first.see("t1", Vec::new(), vec![end]);
+        let end = end_report(number, &start.task, start.attempt, EndKind::Failed);
+        first.report("t1", Vec::new(), vec![end]);
     }
     first
         .stored
         .retain(|entry| !matches!(entry.event, Some(wire::work::log_entry::Event::Failed(_))));
     let mut second = first.successor(9);
-    second.add("t1", 4000);
-    second.pass(Duration::from_secs(4));
+    second.add_target("t1", 4000);
+    second.advance(Duration::from_secs(4));
     assert!(second.starts.is_empty(), "{:?}", second.starts);
 }
 
@@ -338,18 +338,18 @@
 /// although the target answered that another incarnation is at its address.
 #[test]
 fn successor_frees_pool_of_replaced_target() {
-    let (first, starts) = DeskScene::started(4000, vec![step(1, 1000)]);
+    let (first, starts) = SchedulerFixture::with_running_job(4000, vec![step(1, 1000)]);
     assert_eq!(starts.len(), 1);
 
     let mut second = first.successor(9);
-    second.add("t2", 4000);
-    second.pass(Duration::from_millis(50));
+    second.add_target("t2", 4000);
+    second.advance(Duration::from_millis(50));
     assert!(second.starts.is_empty(), "it may run on t1");
     let sent = second.now.boot;
     let other = PollAnswer::OtherLife;
     second
-        .desk
+        .scheduler
         .apply_report(&"t1".into(), sent, 0, &other, second.now);
-    second.pass(Duration::from_millis(100));
+    second.advance(Duration::from_millis(100));
     assert_eq!(second.starts.len(), 1);
 }
--- a/crates/decide/tests/work_targets.rs
+++ b/crates/decide/tests/work_targets.rs
@@ -1,10 +1,12 @@
 //! Tasks of targets that leave, become unresponsive or restart.
 
-mod desk;
+mod harness;
 
 use std::time::Duration;
 
-use desk::{DeskScene, LATER, ended, plan, reborn, running, step, target};
+use harness::{
+    RESTARTED_AT, SchedulerFixture, end_report, plan, restarted_target, run_report, step, target,
+};
 use model::work::{EndKind, PollAnswer, StepPlan, TargetEntry, TargetMode, TargetReport};
 use rstest::rstest;
 
@@ -20,17 +22,17 @@
 /// to be stopped at once, and starts elsewhere when its end is reported.
 #[test]
 fn evacuate_draining_long_running_task_moves() {
-    let (mut scene, starts) = DeskScene::started(2000, vec![long_running(1)]);
+    let (mut scene, starts) = SchedulerFixture::with_running_job(2000, vec![long_running(1)]);
     let (_, start) = &starts[0];
-    scene.add("t2", 2000);
+    scene.add_target("t2", 2000);
     let leaving = TargetEntry {
         mode: TargetMode::Draining,
         ..target("t1", 2000)
     };
-    scene.desk.upsert_target(leaving, scene.now);
-    scene.pass(Duration::from_millis(50));
-    assert_eq!(scene.stops(), 1);
-    scene.end("t1", start, EndKind::Stopped);
+    scene.scheduler.upsert_target(leaving, scene.now);
+    scene.advance(Duration::from_millis(50));
+    assert_eq!(scene.stop_count(), 1);
+    scene.report_end("t1", start, EndKind::Stopped);
     assert_eq!(scene.starts.len(), 1);
     assert_eq!(scene.starts[0].0, "t2");
 }
@@ -39,24 +41,24 @@
 /// it, and waited for another host of its pool, on which it can't run.
 #[test]
 fn failed_task_waits_for_suitable_target_only() {
-    let mut scene = DeskScene::new(1);
-    scene.add("t1", 2000);
+    let mut scene = SchedulerFixture::new(1);
+    scene.add_target("t1", 2000);
     let other = TargetEntry {
         labels: vec!["another".into(), "rack".into()],
         ..target("t2", 2000)
     };
-    scene.desk.upsert_target(other, scene.now);
-    scene.raise("t2");
+    scene.scheduler.upsert_target(other, scene.now);
+    scene.report_idle("t2");
     let labelled = StepPlan {
         required_label: "kind".into(),
         ..step(1, 1000)
     };
     scene.submit("a", &plan(vec![labelled]));
-    let starts = scene.start_all();
+    let starts = scene.confirm_starts();
     let (_, start) = &starts[0];
-    let failed = ended(1, &start.task, start.attempt, EndKind::Failed);
-    scene.see("t1", Vec::new(), vec![failed]);
-    scene.pass(Duration::from_millis(50));
+    let failed = end_report(1, &start.task, start.attempt, EndKind::Failed);
+    scene.report("t1", Vec::new(), vec![failed]);
+    scene.advance(Duration::from_millis(50));
     assert_eq!(scene.starts.len(), 1);
     assert_eq!(scene.starts[0].0, "t1");
 }
@@ -65,20 +67,20 @@
 /// host, and the others are full for long. After a while it accepts the host on which it failed.
 #[test]
 fn failed_task_waits_for_bounded_time() {
-    let mut scene = DeskScene::new(1);
-    scene.add("t2", 2000);
+    let mut scene = SchedulerFixture::new(1);
+    scene.add_target("t2", 2000);
     scene.submit("full", &plan(vec![long_running(1)]));
     scene.submit("full-too", &plan(vec![long_running(1)]));
-    assert_eq!(scene.start_all().len(), 2);
-    scene.add("t1", 2000);
+    assert_eq!(scene.confirm_starts().len(), 2);
+    scene.add_target("t1", 2000);
     scene.submit("a", &plan(vec![step(1, 1000)]));
-    let starts = scene.start_all();
+    let starts = scene.confirm_starts();
     let (_, start) = &starts[0];
-    let failed = ended(1, &start.task, start.attempt, EndKind::Failed);
-    scene.see("t1", Vec::new(), vec![failed]);
-    scene.pass(Duration::from_millis(500));
+    let failed = end_report(1, &start.task, start.attempt, EndKind::Failed);
+    scene.report("t1", Vec::new(), vec![failed]);
+    scene.advance(Duration::from_millis(500));
     assert!(scene.starts.is_empty(), "another host may become free");
-    scene.pass(Duration::from_millis(2000));
+    scene.advance(Duration::from_millis(2000));
     assert_eq!(scene.starts.len(), 1);
     assert_eq!(scene.starts[0].0, "t1");
 }
@@ -88,34 +90,34 @@
 /// host list again and ended the incarnation that ran the task.
 #[test]
 fn upsert_target_older_at_address_ends_nothing() {
-    let mut scene = DeskScene::new(1);
+    let mut scene = SchedulerFixture::new(1);
     let older = target("t1", 2000);
     let newer = TargetEntry {
         address: older.address.clone(),
         started_at: Duration::from_secs(500),
         ..target("t2", 2000)
     };
-    scene.desk.upsert_target(older.clone(), scene.now);
+    scene.scheduler.upsert_target(older.clone(), scene.now);
     let report = model::work::TargetReport {
         clock: scene.now.boot,
         started_at: newer.started_at,
         ..model::work::TargetReport::default()
     };
-    scene.desk.upsert_target(newer, scene.now);
-    scene.run();
+    scene.scheduler.upsert_target(newer, scene.now);
+    scene.run_planning();
     let seen = PollAnswer::Seen(report);
     let sent = scene.now.boot;
     scene
-        .desk
+        .scheduler
         .apply_report(&"t2".into(), sent, 0, &seen, scene.now);
     scene.submit("a", &plan(vec![step(1, 2000)]));
-    let starts = scene.start_all();
+    let starts = scene.confirm_starts();
     assert_eq!(starts[0].0, "t2");
-    scene.add("t3", 2000);
-    scene.desk.upsert_target(older, scene.now);
-    scene.pass(Duration::from_millis(50));
+    scene.add_target("t3", 2000);
+    scene.scheduler.upsert_target(older, scene.now);
+    scene.advance(Duration::from_millis(50));
     assert!(scene.starts.is_empty(), "it still runs on t2");
-    let listed = scene.desk.listed_targets();
+    let listed = scene.scheduler.listed_targets();
     assert!(!listed.contains(&"t1".into()) && listed.contains(&"t2".into()));
 }
 
@@ -123,18 +125,18 @@
 /// running. Nothing is started elsewhere before the target's lease expires.
 #[test]
 fn give_up_unresponsive_waits_for_lease() {
-    let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 1000)]);
-    scene.see("t1", vec![running(&starts[0].1)], Vec::new());
-    scene.add("t2", 2000);
-    let order = scene.desk.poll_order(&"t1".into(), scene.now);
+    let (mut scene, starts) = SchedulerFixture::with_running_job(2000, vec![step(1, 1000)]);
+    scene.report("t1", vec![run_report(&starts[0].1)], Vec::new());
+    scene.add_target("t2", 2000);
+    let order = scene.scheduler.poll_order(&"t1".into(), scene.now);
     assert!(order.is_some_and(|order| order.lease_until.is_some()));
-    scene.desk.mark_target_unlisted(&"t1".into());
+    scene.scheduler.mark_target_unlisted(&"t1".into());
     for _ in 0..30 {
-        scene.pass(Duration::from_millis(200));
-        scene.miss("t1");
+        scene.advance(Duration::from_millis(200));
+        scene.time_out_poll("t1");
         assert!(scene.starts.is_empty(), "the lease is 6 s");
     }
-    scene.pass(Duration::from_millis(600));
+    scene.advance(Duration::from_millis(600));
     assert_eq!(scene.starts.len(), 1);
 }
 
@@ -142,25 +144,27 @@
 /// again at once, without waiting for a lease.
 #[test]
 fn upsert_target_restarted_frees_tasks() {
-    let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 1000)]);
-    scene.see("t1", vec![running(&starts[0].1)], Vec::new());
-    scene.desk.upsert_target(reborn(2000), scene.now);
-    scene.run();
+    let (mut scene, starts) = SchedulerFixture::with_running_job(2000, vec![step(1, 1000)]);
+    scene.report("t1", vec![run_report(&starts[0].1)], Vec::new());
+    scene
+        .scheduler
+        .upsert_target(restarted_target(2000), scene.now);
+    scene.run_planning();
     assert!(
         scene.starts.is_empty(),
         "the new incarnation has not seen the token"
     );
-    let order = scene.desk.poll_order(&"t1".into(), scene.now);
+    let order = scene.scheduler.poll_order(&"t1".into(), scene.now);
     assert!(order.is_some());
     let report = TargetReport {
-        started_at: LATER,
+        started_at: RESTARTED_AT,
         ..TargetReport::default()
     };
     let seen = PollAnswer::Seen(report);
     scene
-        .desk
+        .scheduler
         .apply_report(&"t1".into(), scene.now.boot, 0, &seen, scene.now);
-    scene.run();
+    scene.run_planning();
     assert_eq!(scene.starts.len(), 1);
 }
 
@@ -169,32 +173,34 @@
 /// that fenced the start in the old one, so it is stopped again.
 #[test]
 fn unconfirmed_start_fenced_in_next_incarnation() {
-    let mut scene = DeskScene::submitted(2000, vec![step(1, 1000)]);
+    let mut scene = SchedulerFixture::with_job(2000, vec![step(1, 1000)]);
     let (id, start) = scene.starts.remove(0);
-    scene.leave_unanswered(&id, &start);
-    scene.see("t1", Vec::new(), Vec::new());
-    scene.answer_stop(&id, &start, scene.now.boot);
-    scene.see("t1", Vec::new(), Vec::new());
-    assert_eq!(scene.stops(), 1);
-    scene.desk.upsert_target(reborn(2000), scene.now);
-    scene.run();
-    assert_eq!(scene.stops(), 2);
+    scene.time_out_start(&id, &start);
+    scene.report("t1", Vec::new(), Vec::new());
+    scene.confirm_stop(&id, &start, scene.now.boot);
+    scene.report("t1", Vec::new(), Vec::new());
+    assert_eq!(scene.stop_count(), 1);
+    scene
+        .scheduler
+        .upsert_target(restarted_target(2000), scene.now);
+    scene.run_planning();
+    assert_eq!(scene.stop_count(), 2);
 }
 
 /// A start is unanswered and arrives seconds later. It is polled for, fenced by a stop, and the
 /// task starts elsewhere only when the stop was answered and the run is not there.
 #[test]
 fn unanswered_start_fenced_first() {
-    let mut scene = DeskScene::submitted(2000, vec![step(1, 1000)]);
+    let mut scene = SchedulerFixture::with_job(2000, vec![step(1, 1000)]);
     let (id, start) = scene.starts.remove(0);
-    scene.add("t2", 2000);
-    scene.leave_unanswered(&id, &start);
-    scene.run();
-    scene.see("t1", Vec::new(), Vec::new());
-    assert_eq!(scene.stops(), 1);
+    scene.add_target("t2", 2000);
+    scene.time_out_start(&id, &start);
+    scene.run_planning();
+    scene.report("t1", Vec::new(), Vec::new());
+    assert_eq!(scene.stop_count(), 1);
     assert!(scene.starts.is_empty());
-    scene.answer_stop(&id, &start, scene.now.boot);
-    scene.see("t1", Vec::new(), Vec::new());
+    scene.confirm_stop(&id, &start, scene.now.boot);
+    scene.report("t1", Vec::new(), Vec::new());
     assert_eq!(scene.starts.len(), 1);
 }
 
@@ -203,13 +209,13 @@
 /// end. After a short while the service takes precedence.
 #[test]
 fn starved_long_running_task_takes_draining_host() {
-    let mut scene = DeskScene::new(1);
-    scene.add("t1", 2000);
-    scene.empty("t1");
+    let mut scene = SchedulerFixture::new(1);
+    scene.add_target("t1", 2000);
+    scene.start_draining("t1");
     scene.submit("a", &plan(vec![long_running(1)]));
     assert!(scene.starts.is_empty());
     for _ in 0..20 {
-        scene.pass(Duration::from_millis(50));
+        scene.advance(Duration::from_millis(50));
     }
     assert_eq!(scene.starts.len(), 1);
 }
@@ -218,16 +224,16 @@
 /// there at once because the other target was full, and failed for the last time.
 #[test]
 fn failed_task_waits_for_another_target() {
-    let (mut scene, starts) = DeskScene::started(1000, vec![step(1, 1000)]);
+    let (mut scene, starts) = SchedulerFixture::with_running_job(1000, vec![step(1, 1000)]);
     let (_, start) = &starts[0];
-    scene.add("t2", 1000);
+    scene.add_target("t2", 1000);
     scene.submit("b", &plan(vec![step(1, 1000)]));
-    let other = scene.start_all();
-    scene.end("t1", start, EndKind::Failed);
-    scene.pass(Duration::from_secs(2));
+    let other = scene.confirm_starts();
+    scene.report_end("t1", start, EndKind::Failed);
+    scene.advance(Duration::from_secs(2));
     assert!(scene.starts.is_empty());
     let (_, busy) = &other[0];
-    scene.end("t2", busy, EndKind::Done);
+    scene.report_end("t2", busy, EndKind::Done);
     assert_eq!(scene.starts.len(), 1);
     assert_eq!(scene.starts[0].0, "t2");
 }
@@ -236,19 +242,19 @@
 /// it, which takes a moment after the stop was answered.
 #[test]
 fn unwanted_run_stopped_once() {
-    let (mut scene, starts) = DeskScene::started(1000, vec![step(1, 1000)]);
+    let (mut scene, starts) = SchedulerFixture::with_running_job(1000, vec![step(1, 1000)]);
     let (id, start) = &starts[0];
-    scene.desk.cancel(&"a".into(), scene.now);
-    scene.run();
-    assert_eq!(scene.stops(), 1);
-    scene.answer_stop(id, start, scene.now.boot);
+    scene.scheduler.cancel(&"a".into(), scene.now);
+    scene.run_planning();
+    assert_eq!(scene.stop_count(), 1);
+    scene.confirm_stop(id, start, scene.now.boot);
     for _ in 0..5 {
-        scene.see("t1", vec![running(start)], Vec::new());
+        scene.report("t1", vec![run_report(start)], Vec::new());
     }
-    assert_eq!(scene.stops(), 1);
-    scene.pass(Duration::from_millis(600));
-    scene.see("t1", vec![running(start)], Vec::new());
-    assert_eq!(scene.stops(), 2, "a stop without effect is repeated");
+    assert_eq!(scene.stop_count(), 1);
+    scene.advance(Duration::from_millis(600));
+    scene.report("t1", vec![run_report(start)], Vec::new());
+    assert_eq!(scene.stop_count(), 2, "a stop without effect is repeated");
 }
 
 /// Guards against running a task twice: the store was unavailable when the task ended, the target
@@ -259,16 +265,16 @@
 #[case::job_goes_on(vec![step(1, 1000), step(1, 1000)])]
 #[case::job_completed(vec![step(1, 1000)])]
 fn known_end_waits_for_store(#[case] steps: Vec<StepPlan>) {
-    let (mut scene, starts) = DeskScene::started(2000, steps);
+    let (mut scene, starts) = SchedulerFixture::with_running_job(2000, steps);
     let (_, start) = &starts[0];
-    scene.store_away = true;
-    let end = ended(1, &start.task, start.attempt, EndKind::Done);
-    scene.see("t1", Vec::new(), vec![end.clone()]);
-    scene.pass(Duration::from_secs(3));
-    scene.miss("t1");
-    scene.pass(Duration::from_secs(7));
-    scene.see("t1", Vec::new(), vec![end]);
-    let order = scene.desk.poll_order(&"t1".into(), scene.now);
+    scene.store_down = true;
+    let end = end_report(1, &start.task, start.attempt, EndKind::Done);
+    scene.report("t1", Vec::new(), vec![end.clone()]);
+    scene.advance(Duration::from_secs(3));
+    scene.time_out_poll("t1");
+    scene.advance(Duration::from_secs(7));
+    scene.report("t1", Vec::new(), vec![end]);
+    let order = scene.scheduler.poll_order(&"t1".into(), scene.now);
     assert_eq!(order.map_or(0, |order| order.acked_end), 0);
 }
 
@@ -277,9 +283,9 @@
 /// seconds later. The start is fenced by a stop, and the capacity stays reserved until then.
 #[test]
 fn done_gang_fences_unconfirmed_member() {
-    let mut scene = DeskScene::new(1);
+    let mut scene = SchedulerFixture::new(1);
     for target in ["t1", "t2"] {
-        scene.add(target, 1000);
+        scene.add_target(target, 1000);
     }
     let gang = StepPlan {
         gang: true,
@@ -290,10 +296,10 @@
     let [(first, done), (second, lost)] = starts.as_slice() else {
         panic!("{starts:?}");
     };
-    scene.leave_unanswered(second, lost);
-    scene.end(first, done, EndKind::Done);
-    assert_eq!(scene.stops(), 1);
-    scene.see(second, Vec::new(), Vec::new());
+    scene.time_out_start(second, lost);
+    scene.report_end(first, done, EndKind::Done);
+    assert_eq!(scene.stop_count(), 1);
+    scene.report(second, Vec::new(), Vec::new());
     scene.submit("b", &plan(vec![step(2, 1000)]));
     assert_eq!(
         scene.starts.len(),
@@ -307,21 +313,26 @@
 /// and the old owner must not be the first to send it orders.
 #[test]
 fn uncertain_owner_leaves_new_incarnation() {
-    let (mut scene, starts) = DeskScene::started(2000, vec![step(1, 1000)]);
-    scene.see("t1", vec![running(&starts[0].1)], Vec::new());
-    scene.desk.set_ownership_uncertain(true);
+    let (mut scene, starts) = SchedulerFixture::with_running_job(2000, vec![step(1, 1000)]);
+    scene.report("t1", vec![run_report(&starts[0].1)], Vec::new());
+    scene.scheduler.set_ownership_uncertain(true);
     let report = TargetReport {
-        started_at: LATER,
+        started_at: RESTARTED_AT,
         ..TargetReport::default()
     };
     scene.now.boot += Duration::from_millis(100);
     let seen = PollAnswer::Seen(report);
     scene
-        .desk
+        .scheduler
         .apply_report(&"t1".into(), scene.now.boot, 0, &seen, scene.now);
-    scene.pass(Duration::from_millis(100));
+    scene.advance(Duration::from_millis(100));
     assert!(scene.starts.is_empty());
-    assert!(scene.desk.poll_order(&"t1".into(), scene.now).is_none());
+    assert!(
+        scene
+            .scheduler
+            .poll_order(&"t1".into(), scene.now)
+            .is_none()
+    );
 }
 
 /// Guards against a job that is late by seconds: its target answers polls, but none of its tasks
@@ -329,20 +340,20 @@
 /// left alone.
 #[test]
 fn stalled_task_moves() {
-    let (mut scene, starts) = DeskScene::started(2000, vec![step(2, 1000)]);
-    scene.add("t2", 2000);
+    let (mut scene, starts) = SchedulerFixture::with_running_job(2000, vec![step(2, 1000)]);
+    scene.add_target("t2", 2000);
     let (stuck, slow) = (&starts[0].1, &starts[1].1);
     for percent in 0..4 {
         let slow = model::work::RunReport {
             percent: 10 + percent,
-            ..running(slow)
+            ..run_report(slow)
         };
-        scene.see("t1", vec![running(stuck), slow], Vec::new());
-        scene.pass(Duration::from_millis(900));
+        scene.report("t1", vec![run_report(stuck), slow], Vec::new());
+        scene.advance(Duration::from_millis(900));
     }
-    assert_eq!(scene.stops(), 1);
-    let end = ended(1, &stuck.task, stuck.attempt, EndKind::Stopped);
-    scene.see("t1", vec![running(slow)], vec![end]);
+    assert_eq!(scene.stop_count(), 1);
+    let end = end_report(1, &stuck.task, stuck.attempt, EndKind::Stopped);
+    scene.report("t1", vec![run_report(slow)], vec![end]);
     assert_eq!(scene.starts.len(), 1);
     assert_eq!(scene.starts[0].0, "t2");
 }
@@ -351,33 +362,33 @@
 /// wait behind the jobs of others, including later ones.
 #[test]
 fn beyond_share_jobs_go_last() {
-    let mut scene = DeskScene::new(1);
-    scene.weigh(2);
-    scene.add("t1", 1000);
+    let mut scene = SchedulerFixture::new(1);
+    scene.set_workspace_weight(2);
+    scene.add_target("t1", 1000);
     for job in ["a", "b", "c", "d"] {
         scene.submit(job, &plan(vec![step(1, 1000)]));
     }
     let order: Vec<bool> = scene
-        .desk
+        .scheduler
         .job_table
         .jobs
         .values()
         .map(|job| job.beyond_share)
         .collect();
     assert_eq!(order, [false, false, true, true]);
-    scene.pass(Duration::from_millis(500));
+    scene.advance(Duration::from_millis(500));
     scene.submit("e", &plan(vec![step(1, 1000)]));
-    let starts = scene.start_all();
+    let starts = scene.confirm_starts();
     let (_, first) = &starts[0];
     let mut next = (first.task.clone(), first.attempt);
     let mut ran = vec![next.0.job.clone()];
     for number in 1..3 {
-        scene.see(
+        scene.report(
             "t1",
             Vec::new(),
-            vec![ended(number, &next.0, next.1, EndKind::Done)],
+            vec![end_report(number, &next.0, next.1, EndKind::Done)],
         );
-        let started = scene.start_all();
+        let started = scene.confirm_starts();
         next = (started[0].1.task.clone(), started[0].1.attempt);
         ran.push(next.0.job.clone());
     }
@@ -388,31 +399,31 @@
 /// a refused start does not count as one.
 #[test]
 fn refused_start_leaves_job_pending() {
-    let mut scene = DeskScene::submitted(2000, vec![step(1, 1000)]);
+    let mut scene = SchedulerFixture::with_job(2000, vec![step(1, 1000)]);
     let (id, start) = scene.starts.remove(0);
     let refused = model::work::StartAnswer::Refused(model::work::StartRefusal::NoRoom);
     scene
-        .desk
+        .scheduler
         .handle_start_answer(&id, &start.task, start.attempt, &refused, scene.now);
-    scene.run();
-    assert_eq!(scene.desk.pending_jobs(desk::QUEUE, scene.now), 1);
-    scene.pass(Duration::from_millis(600));
-    scene.start_all();
-    assert_eq!(scene.desk.pending_jobs(desk::QUEUE, scene.now), 0);
+    scene.run_planning();
+    assert_eq!(scene.scheduler.pending_jobs(harness::QUEUE, scene.now), 1);
+    scene.advance(Duration::from_millis(600));
+    scene.confirm_starts();
+    assert_eq!(scene.scheduler.pending_jobs(harness::QUEUE, scene.now), 0);
 }
 
 /// Guards against blocking a target because of a start that this process did not send while its
 /// lease was uncertain.
 #[test]
 fn withdrawn_start_keeps_target_usable() {
-    let mut scene = DeskScene::submitted(2000, vec![step(1, 1000)]);
+    let mut scene = SchedulerFixture::with_job(2000, vec![step(1, 1000)]);
     let (id, start) = scene.starts.remove(0);
     scene
-        .desk
+        .scheduler
         .withdraw_unsent_start(&id, &start.task, start.attempt);
-    scene.run();
-    assert_eq!(scene.start_all().len(), 1);
-    let target = &scene.desk.targets[&id];
+    scene.run_planning();
+    assert_eq!(scene.confirm_starts().len(), 1);
+    let target = &scene.scheduler.targets[&id];
     assert!(target.accepts_tasks(scene.now.boot) && !target.unreachable_recorded);
 }
 
@@ -420,15 +431,17 @@
 /// lease granted with its decision has expired.
 #[test]
 fn renew_start_deadline_extends_lease() {
-    let mut scene = DeskScene::new(1);
-    scene.add("t1", 2000);
+    let mut scene = SchedulerFixture::new(1);
+    scene.add_target("t1", 2000);
     scene.submit("a", &plan(vec![step(1, 1000)]));
     let (id, mut start) = scene.starts.remove(0);
     let before = start.lease_until;
     let waited = Duration::from_secs(6);
     scene.now.boot += waited;
-    scene.desk.renew_start_deadline(&id, &mut start, scene.now);
+    scene
+        .scheduler
+        .renew_start_deadline(&id, &mut start, scene.now);
     // The target's clock may be 2 % slow.
     assert!(start.lease_until >= before + waited * 97 / 100);
-    assert_eq!(scene.desk.targets[&id].last_grant, scene.now.boot);
+    assert_eq!(scene.scheduler.targets[&id].last_grant, scene.now.boot);
 }
--- a/crates/decide/tests/work_turn.rs
+++ b/crates/decide/tests/work_turn.rs
@@ -1,11 +1,11 @@
 //! Number of items that the scheduler visits under the load of a burst. The cost of an event must
 //! depend on what the event changes, and not on the size of the state.
 
-mod desk;
+mod harness;
 
 use std::time::Duration;
 
-use desk::turn::{TurnLoad, TurnSize};
+use harness::queue_load::{QueueLoad, TurnSize};
 use rstest::rstest;
 
 const ENDS: u64 = 200;
@@ -23,9 +23,9 @@
     entries: u64,
 }
 
-fn mean_effort(load: &mut TurnLoad, mut once: impl FnMut(&mut TurnLoad)) -> EffortPerEnd {
-    let read = |load: &TurnLoad| {
-        let effort = &load.desk.counters;
+fn mean_effort(load: &mut QueueLoad, mut once: impl FnMut(&mut QueueLoad)) -> EffortPerEnd {
+    let read = |load: &QueueLoad| {
+        let effort = &load.scheduler.counters;
         [&effort.candidates, &effort.steps, &effort.index_updates].map(std::cell::Cell::get)
     };
     let before = read(load);
@@ -34,7 +34,7 @@
     }
     let after = read(load);
     let mean = |at: usize| (after[at] - before[at]).div_ceil(ENDS);
-    let mismatches = load.desk.index_mismatches(load.now.boot);
+    let mismatches = load.scheduler.index_mismatches(load.now.boot);
     assert!(mismatches.is_empty(), "indexes that differ: {mismatches:?}");
     EffortPerEnd {
         candidates: mean(0),
@@ -60,9 +60,9 @@
 #[case::large(TurnSize { targets: 1100, waiting: 100, workspaces: 20 })]
 #[case::large_backlog(TurnSize { targets: 1100, waiting: 10_000, workspaces: 120 })]
 fn end_full_pool_visits_few(#[case] size: TurnSize) {
-    let mut load = TurnLoad::new(size);
+    let mut load = QueueLoad::new(size);
     let started = load.started;
-    let effort = mean_effort(&mut load, TurnLoad::end_one);
+    let effort = mean_effort(&mut load, QueueLoad::end_next_task);
     check_effort(&effort, size);
     assert_eq!(load.started, started + ENDS);
 }
@@ -76,12 +76,12 @@
         waiting: 100,
         workspaces: 20,
     };
-    let mut load = TurnLoad::with_limit(size, 20_000);
+    let mut load = QueueLoad::with_limit(size, 20_000);
     for job in 0..1000 {
         load.submit_to(job % 4, 0);
     }
-    load.run();
-    let effort = mean_effort(&mut load, TurnLoad::end_one);
+    load.run_planning();
+    let effort = mean_effort(&mut load, QueueLoad::end_next_task);
     check_effort(
         &effort,
         TurnSize {
@@ -99,10 +99,10 @@
         waiting: 10_000,
         workspaces: 20,
     };
-    let mut load = TurnLoad::new(size);
+    let mut load = QueueLoad::new(size);
     let effort = mean_effort(&mut load, |load| {
         load.submit();
-        load.run();
+        load.run_planning();
     });
     check_effort(&effort, size);
 }
@@ -115,14 +115,14 @@
         waiting: 1000,
         workspaces: 20,
     };
-    let mut load = TurnLoad::new(size);
-    load.desk.tick(load.now);
-    load.run();
-    let before = load.desk.counters.index_updates.get();
+    let mut load = QueueLoad::new(size);
+    load.scheduler.tick(load.now);
+    load.run_planning();
+    let before = load.scheduler.counters.index_updates.get();
     for _ in 0..10 {
         load.now.boot += Duration::from_millis(1);
-        load.desk.tick(load.now);
-        load.run();
+        load.scheduler.tick(load.now);
+        load.run_planning();
     }
-    assert_eq!(load.desk.counters.index_updates.get(), before);
+    assert_eq!(load.scheduler.counters.index_updates.get(), before);
 }
--- a/crates/decide/tests/work_unheard.rs
+++ b/crates/decide/tests/work_unheard.rs
@@ -1,12 +1,12 @@
 //! Unresponsive targets: when the owner waits for them and when it gives up their runs. If many are
 //! unresponsive at once, the owner's own link may be saturated.
 
-mod desk;
+mod harness;
 
 use std::time::Duration;
 
 use decide::work::SchedulerEvent;
-use desk::{DeskScene, ended, plan, step};
+use harness::{SchedulerFixture, end_report, plan, step};
 use model::work::{EndKind, PollAnswer, StartOrder};
 use rstest::rstest;
 
@@ -20,33 +20,37 @@
 }
 
 /// A fleet with one task that runs on its first target.
-fn busy_fleet() -> (DeskScene, StartOrder) {
-    let mut scene = DeskScene::new(1);
-    scene.add(&name(0), 4000);
+fn busy_fleet() -> (SchedulerFixture, StartOrder) {
+    let mut scene = SchedulerFixture::new(1);
+    scene.add_target(&name(0), 4000);
     scene.submit("a", &plan(vec![step(1, 1000)]));
-    let mut starts = scene.start_all();
+    let mut starts = scene.confirm_starts();
     for target in 1..TARGETS {
-        scene.add(&name(target), 4000);
+        scene.add_target(&name(target), 4000);
     }
     (scene, starts.remove(0).1)
 }
 
 /// Lets time pass while the first `unresponsive` targets don't answer polls and all others do.
-fn pass(scene: &mut DeskScene, time: Duration, unresponsive: usize) {
+fn pass(scene: &mut SchedulerFixture, time: Duration, unresponsive: usize) {
     let end = scene.now.boot + time;
     while scene.now.boot < end {
-        scene.pass(ROUND);
+        scene.advance(ROUND);
         for target in 0..TARGETS {
             if target >= unresponsive {
-                scene.raise(&name(target));
+                scene.report_idle(&name(target));
                 continue;
             }
             let answer = PollAnswer::Unanswered("timed out".to_owned());
             let sent = scene.now.boot;
-            scene
-                .desk
-                .apply_report(&name(target).as_str().into(), sent, 0, &answer, scene.now);
-            scene.run();
+            scene.scheduler.apply_report(
+                &name(target).as_str().into(),
+                sent,
+                0,
+                &answer,
+                scene.now,
+            );
+            scene.run_planning();
         }
     }
 }
@@ -58,7 +62,7 @@
     let (mut scene, start) = busy_fleet();
     pass(&mut scene, LONG_OUTAGE, TARGETS / 2);
     assert!(scene.starts.is_empty(), "its end may have been reported");
-    scene.end(&name(0), &start, EndKind::Done);
+    scene.report_end(&name(0), &start, EndKind::Done);
     pass(&mut scene, LONG_OUTAGE, 0);
     assert!(scene.starts.is_empty(), "it has ended");
 }
@@ -69,13 +73,13 @@
 #[case::full_link(TARGETS / 4, false)]
 fn record_unreachable_unless_link_full(#[case] unresponsive: usize, #[case] recorded: bool) {
     let (mut scene, _) = busy_fleet();
-    scene.desk.take_events();
+    scene.scheduler.take_events();
     for _ in 0..3 {
         pass(&mut scene, ROUND, unresponsive);
     }
     let is_unreachable =
         |event: &SchedulerEvent| matches!(event, SchedulerEvent::TargetUnreachable(..));
-    let events = scene.desk.take_events();
+    let events = scene.scheduler.take_events();
     let count = events.iter().filter(|event| is_unreachable(event)).count();
     assert_eq!(count == unresponsive, recorded);
     assert!(count < 8);
@@ -85,11 +89,11 @@
 #[test]
 fn mass_unresponsive_logged_once() {
     let (mut scene, _) = busy_fleet();
-    scene.desk.take_events();
+    scene.scheduler.take_events();
     pass(&mut scene, LONG_OUTAGE, TARGETS / 2);
     let is_logged =
         |event: &SchedulerEvent| matches!(event, SchedulerEvent::MassUnresponsive(TARGETS));
-    let events = scene.desk.take_events();
+    let events = scene.scheduler.take_events();
     assert_eq!(events.iter().filter(|event| is_logged(event)).count(), 1);
 }
 
@@ -108,13 +112,13 @@
 fn give_up_some_with_late_store_keeps_runs() {
     let (mut scene, start) = busy_fleet();
     for _ in 0..10 {
-        scene.desk.set_ownership_uncertain(true);
+        scene.scheduler.set_ownership_uncertain(true);
         pass(&mut scene, ROUND, 9);
-        scene.desk.set_ownership_uncertain(false);
+        scene.scheduler.set_ownership_uncertain(false);
         pass(&mut scene, ROUND * 3, 9);
     }
     assert!(scene.starts.is_empty(), "its end may have been reported");
-    scene.end(&name(0), &start, EndKind::Done);
+    scene.report_end(&name(0), &start, EndKind::Done);
     pass(&mut scene, LONG_OUTAGE, 0);
     assert!(scene.starts.is_empty(), "it has ended");
 }
@@ -129,7 +133,7 @@
         pass(&mut scene, ROUND, 1);
     }
     assert!(scene.starts.is_empty(), "its end may have been reported");
-    scene.end(&name(0), &start, EndKind::Done);
+    scene.report_end(&name(0), &start, EndKind::Done);
     pass(&mut scene, LONG_OUTAGE, 0);
     assert!(scene.starts.is_empty(), "it has ended");
 }
@@ -157,7 +161,7 @@
     let (mut scene, _) = busy_fleet();
     for target in 0..TARGETS / 2 {
         scene
-            .desk
+            .scheduler
             .mark_target_unlisted(&name(target).as_str().into());
     }
     pass(&mut scene, LONG_OUTAGE, TARGETS / 2);
@@ -172,7 +176,7 @@
     pass(&mut scene, LONG_OUTAGE, TARGETS / 2);
     pass(&mut scene, ROUND * 2, 1);
     assert!(scene.starts.is_empty(), "the others only answer now");
-    scene.end(&name(0), &start, EndKind::Done);
+    scene.report_end(&name(0), &start, EndKind::Done);
     pass(&mut scene, LONG_OUTAGE, 0);
     assert!(scene.starts.is_empty(), "it has ended");
 }
@@ -184,12 +188,12 @@
     let (first, start) = busy_fleet();
     let mut second = first.successor(9);
     for target in 0..TARGETS {
-        second.list(&name(target), 4000);
+        second.list_target(&name(target), 4000);
     }
     pass(&mut second, LONG_OUTAGE, TARGETS / 2);
     assert!(second.starts.is_empty(), "it may have ended there");
-    let end = ended(1, &start.task, start.attempt, EndKind::Done);
-    second.see(&name(0), Vec::new(), vec![end]);
+    let end = end_report(1, &start.task, start.attempt, EndKind::Done);
+    second.report(&name(0), Vec::new(), vec![end]);
     pass(&mut second, LONG_OUTAGE, 0);
     assert!(second.starts.is_empty(), "it has ended");
 }
