--- a/crates/fleet/examples/job_calls.rs
+++ b/crates/fleet/examples/job_calls.rs
@@ -114,7 +114,7 @@
         })
     }
 
-    fn look(&self, address: &str, tasks: &[String]) -> Result<WorkerReport, StepError> {
+    fn poll(&self, address: &str, tasks: &[String]) -> Result<WorkerReport, StepError> {
         self.renew(address, tasks, Duration::ZERO)
     }
 
--- a/crates/fleet/src/fleet_audit.rs
+++ b/crates/fleet/src/fleet_audit.rs
@@ -20,8 +20,8 @@
             continue;
         }
         if change.author == own_id {
-            for note in notes_of(&map, change) {
-                audit.record(note);
+            for record in audit_records(&map, change) {
+                audit.record(record);
             }
         }
         let mut upto = newer.head.clone();
@@ -33,7 +33,7 @@
     }
 }
 
-fn notes_of(before: &FleetMap, change: &FleetChange) -> Vec<AuditRecord> {
+fn audit_records(before: &FleetMap, change: &FleetChange) -> Vec<AuditRecord> {
     let moved = change.hosts.iter().map(|record| {
         let next = HostState::from_record(record);
         let was = before.hosts.get(record.host.as_str());
--- a/crates/fleet/src/fleet_service.rs
+++ b/crates/fleet/src/fleet_service.rs
@@ -21,11 +21,11 @@
     fleet_shared::FleetShared,
     host_watch::run_list_watch,
     job_call::run_caller,
-    job_desk::JobDesk,
     job_keeper::JobKeeper,
+    job_service::JobService,
     list_view::ListView,
     planner::Planner,
-    probe_pool::{ProbeBook, run_prober},
+    probe_pool::{ProbeTable, run_prober},
     target_view::TargetView,
 };
 
@@ -152,7 +152,7 @@
 /// Pools, hosts and jobs of this entry host. Its threads end when it is dropped.
 pub struct FleetService {
     shared: Arc<FleetShared>,
-    desk: Arc<JobDesk>,
+    job_service: Arc<JobService>,
 }
 
 impl FleetService {
@@ -163,9 +163,9 @@
     pub fn start(options: FleetOptions) -> Result<Arc<Self>, StepError> {
         let workers = options.workers.clone();
         let workers = workers.unwrap_or_else(|| Arc::new(HttpWorker::new()));
-        let shared = Arc::new(share_options(options));
+        let shared = Arc::new(into_shared(options));
         let service = Self {
-            desk: Arc::new(JobDesk::new(Arc::clone(&shared))),
+            job_service: Arc::new(JobService::new(Arc::clone(&shared))),
             shared,
         };
         service.start_watches()?;
@@ -187,18 +187,20 @@
     }
 
     fn start_planner(&self) -> Result<(), StepError> {
-        let book = Arc::new(ProbeBook::default());
+        let probe_table = Arc::new(ProbeTable::default());
         let (sender, receiver) = crossbeam_channel::bounded(PROBE_QUEUE);
         for _ in 0..PROBERS {
-            let (shared, book, queue) = (
+            let (shared, probe_table, queue) = (
                 Arc::clone(&self.shared),
-                Arc::clone(&book),
+                Arc::clone(&probe_table),
                 receiver.clone(),
             );
-            spawn("fleet-probe", move || run_prober(&shared, &book, &queue))?;
+            spawn("fleet-probe", move || {
+                run_prober(&shared, &probe_table, &queue)
+            })?;
         }
         let map_store = MapStore::new(Arc::clone(&self.shared.store), SHARD);
-        let planner = Planner::new(Arc::clone(&self.shared), map_store, book, sender);
+        let planner = Planner::new(Arc::clone(&self.shared), map_store, probe_table, sender);
         spawn("fleet-plan", move || planner.run())
     }
 }
@@ -215,13 +217,13 @@
             })?;
         }
         let keeper = || {
-            let (shared, desk) = (Arc::clone(&self.shared), Arc::clone(&self.desk));
-            JobKeeper::new(shared, desk, sender.clone())
+            let (shared, job_service) = (Arc::clone(&self.shared), Arc::clone(&self.job_service));
+            JobKeeper::new(shared, job_service, sender.clone())
         };
         let (own, takeovers) = (keeper(), keeper());
-        let desk = Arc::clone(&self.desk);
-        spawn("fleet-cancel", move || desk.run_cancels())?;
-        spawn("fleet-jobs", move || own.run_own())?;
+        let job_service = Arc::clone(&self.job_service);
+        spawn("fleet-cancel", move || job_service.run_cancels())?;
+        spawn("fleet-jobs", move || own.run_own_logs())?;
         spawn("fleet-takeover", move || takeovers.run_takeovers())
     }
 }
@@ -254,23 +256,23 @@
 
 impl JobSink for FleetService {
     fn submit(&self, request: JobRequest) -> Result<JobView, JobError> {
-        self.desk.submit(request)
+        self.job_service.submit(request)
     }
 
     fn find(&self, team: &TeamId, request: &RequestId) -> Option<JobView> {
-        self.desk.find(team, request)
+        self.job_service.find(team, request)
     }
 
     fn view(&self, team: &TeamId, job: &JobId) -> Result<JobView, JobError> {
-        self.desk.view(team, job)
+        self.job_service.view(team, job)
     }
 
     fn cancel(&self, team: &TeamId, job: &JobId) -> Result<JobView, JobError> {
-        self.desk.cancel(team, job)
+        self.job_service.cancel(team, job)
     }
 }
 
-fn share_options(options: FleetOptions) -> FleetShared {
+fn into_shared(options: FleetOptions) -> FleetShared {
     let port = options.port.unwrap_or_else(|| Arc::new(HttpPort::new()));
     FleetShared {
         store: options.store,
@@ -284,7 +286,7 @@
         job_timing: options.job_timing,
         job_policy: options.job_policy,
         own_log: Mutex::default(),
-        late_permits: Mutex::default(),
+        delayed_permits: Mutex::default(),
         finished_logs: Mutex::default(),
         timing: options.timing,
         limits: options.limits,
@@ -300,7 +302,7 @@
     let map_store = MapStore::new(Arc::clone(&shared.store), SHARD);
     while !shared.is_stopping() {
         let known = shared.snapshot.lock().clone();
-        match map_store.watch(&known, shared.timing.watch_patience) {
+        match map_store.watch(&known, shared.timing.watch_timeout) {
             Ok(Some(snapshot)) => shared.adopt(snapshot),
             Ok(None) => {}
             Err(e) => {
--- a/crates/fleet/src/fleet_shared.rs
+++ b/crates/fleet/src/fleet_shared.rs
@@ -30,7 +30,7 @@
     /// Time between two reads of the host list.
     pub list_interval: Duration,
     /// How long one watch on the pool map waits; each counts as a call to the store.
-    pub watch_patience: Duration,
+    pub watch_timeout: Duration,
     /// Time between two planning rounds.
     pub round_interval: Duration,
     /// Age at which an answer of a health endpoint no longer counts.
@@ -45,7 +45,7 @@
     fn default() -> Self {
         Self {
             list_interval: Duration::from_secs(1),
-            watch_patience: Duration::from_secs(5),
+            watch_timeout: Duration::from_secs(5),
             round_interval: Duration::from_millis(500),
             health_age: Duration::from_secs(4),
             takeover: Duration::from_secs(3),
@@ -69,7 +69,7 @@
     /// Log into which jobs are accepted here; empty before there is one.
     pub(crate) own_log: Mutex<String>,
     /// Units of team limits that are free only after a time.
-    pub(crate) late_permits: Mutex<Vec<(BootTime, QuotaPermit)>>,
+    pub(crate) delayed_permits: Mutex<Vec<(BootTime, QuotaPermit)>>,
     /// Logs taken over here that hold no jobs any more.
     pub(crate) finished_logs: Mutex<BTreeSet<String>>,
     pub(crate) timing: FleetTiming,
@@ -107,11 +107,11 @@
             }
             *held = snapshot;
         }
-        self.renew_targets();
+        self.rebuild_targets();
     }
 
     /// Computes the targets of all pools from the map and the host list.
-    pub(crate) fn renew_targets(&self) {
+    pub(crate) fn rebuild_targets(&self) {
         let held = self.snapshot.lock();
         let list = self.list.load();
         let view = TargetView::build(&held.map, &list, &self.limits, self.clock.boot_now());
@@ -119,9 +119,11 @@
     }
 
     /// Gives back units of team limits whose time has come.
-    pub(crate) fn free_permits(&self) {
+    pub(crate) fn release_due_permits(&self) {
         let now = self.clock.boot_now();
-        self.late_permits.lock().retain(|(until, _)| now < *until);
+        self.delayed_permits
+            .lock()
+            .retain(|(until, _)| now < *until);
     }
 
     /// True if the host list was read lately.
--- a/crates/fleet/src/held_job.rs
+++ b/crates/fleet/src/held_job.rs
@@ -15,9 +15,9 @@
     /// Attempt that was sent by this holder, 0 for none.
     pub(crate) sent_attempt: u32,
     /// True for one taken over: its start may have been sent by the holder before.
-    pub(crate) inherited: bool,
+    pub(crate) adopted: bool,
     /// Since when its worker has not answered.
-    pub(crate) silent_since: Option<BootTime>,
+    pub(crate) unresponsive_since: Option<BootTime>,
     /// When its worker was last asked.
     pub(crate) asked_at: BootTime,
 }
@@ -29,17 +29,17 @@
             permit: None,
             recorded_attempt: 0,
             sent_attempt: 0,
-            inherited: false,
-            silent_since: None,
+            adopted: false,
+            unresponsive_since: None,
             asked_at: BootTime::ZERO,
         }
     }
 
-    pub(crate) fn inherited(state: JobState) -> Self {
+    pub(crate) fn adopted(state: JobState) -> Self {
         Self {
             recorded_attempt: state.attempt,
             sent_attempt: state.attempt,
-            inherited: true,
+            adopted: true,
             ..Self::new(state)
         }
     }
--- a/crates/fleet/src/host_watch.rs
+++ b/crates/fleet/src/host_watch.rs
@@ -10,7 +10,7 @@
 pub(crate) fn run_list_watch(shared: &Arc<FleetShared>) {
     loop {
         read_list(shared);
-        shared.free_permits();
+        shared.release_due_permits();
         if !shared.pause(shared.timing.list_interval) {
             return;
         }
@@ -26,7 +26,7 @@
             let known: Vec<HostId> = shared.snapshot.lock().map.hosts.keys().cloned().collect();
             let view = shared.list.load().after_read(entries, &known, asked_at);
             shared.list.store(Arc::new(view));
-            shared.renew_targets();
+            shared.rebuild_targets();
         }
         Err(e) => {
             metrics::counter!("lws_fleet_list_errors").increment(1);
@@ -53,7 +53,7 @@
         let unread = self
             .read_at
             .map_or(Duration::ZERO, |read_at| asked_at.saturating_sub(read_at));
-        let gap = unread.saturating_sub(Self::LONGEST_GAP);
+        let gap = unread.saturating_sub(Self::MAX_COUNTED_GAP);
         let missing = known
             .iter()
             .filter(|host| !entries.contains_key(*host))
@@ -93,7 +93,7 @@
     }
 
     /// Time between two reads that counts in full towards an absence.
-    const LONGEST_GAP: Duration = Duration::from_secs(3);
+    const MAX_COUNTED_GAP: Duration = Duration::from_secs(3);
 }
 
 fn facts_of(entry: &HostEntry) -> HostFacts {
--- a/crates/fleet/src/job_call.rs
+++ b/crates/fleet/src/job_call.rs
@@ -22,7 +22,7 @@
 pub(crate) enum CallKind {
     Start { job: Box<JobState>, first: bool },
     Renew { tasks: Vec<String> },
-    Look { tasks: Vec<String> },
+    Poll { tasks: Vec<String> },
     Stop { task: String },
     Usage,
 }
@@ -83,9 +83,9 @@
             tasks: tasks.clone(),
             report: port.renew(&call.address, tasks, lease).ok(),
         },
-        CallKind::Look { tasks } => ReplyKind::Renewed {
+        CallKind::Poll { tasks } => ReplyKind::Renewed {
             tasks: tasks.clone(),
-            report: port.look(&call.address, tasks).ok(),
+            report: port.poll(&call.address, tasks).ok(),
         },
         CallKind::Stop { task } => ReplyKind::Task {
             task: task.clone(),
--- a/crates/fleet/src/job_flush.rs
+++ b/crates/fleet/src/job_flush.rs
@@ -9,11 +9,11 @@
 };
 
 /// Most bytes of records in one page; the store takes a megabyte.
-const MOST_BYTES: usize = 700 * 1024;
+const MAX_PAGE_BYTES: usize = 700 * 1024;
 /// Time between two tries while the store takes no writes.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// How long a submission waits for a write whose answer is lost.
-const PATIENCE: Duration = Duration::from_secs(5);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl JobHolder {
     /// Records what changed, in one write for all of it.
@@ -28,7 +28,7 @@
         };
         let work = self.pending.is_some() || !self.dirty.is_empty();
         if !work || since < wait {
-            self.answer_unchanged();
+            self.reply_unchanged();
             return;
         }
         self.flushed_at = self.shared.clock.boot_now();
@@ -55,7 +55,7 @@
                 self.dirty.remove(&job);
                 continue;
             };
-            if bytes >= MOST_BYTES {
+            if bytes >= MAX_PAGE_BYTES {
                 break;
             }
             let record = held.state.to_record();
@@ -75,7 +75,7 @@
     fn write(&mut self, mut flush: PendingFlush) {
         metrics::counter!("lws_job_page_writes").increment(1);
         match self.log.append(flush.records.clone()) {
-            AppendOutcome::Done => self.settle_flush(flush),
+            AppendOutcome::Done => self.complete_flush(flush),
             AppendOutcome::Fenced => {
                 model::event::warn(
                     &event::JOB_LOG_LOST,
@@ -87,44 +87,46 @@
                     let _ = reply.send(Err(lost));
                 }
             }
-            AppendOutcome::Failed(e) if !flush.unsettled => self.undo_flush(flush, &e.to_string()),
+            AppendOutcome::Failed(e) if !flush.unsettled => {
+                self.revert_flush(flush, &e.to_string())
+            }
             AppendOutcome::Failed(e) | AppendOutcome::Unsettled(e) => {
                 model::event::warn(&event::JOB_PAGE_UNSETTLED, format_args!("cause={e}"));
                 flush.unsettled = true;
-                self.give_up_waiting(&mut flush);
+                self.fail_waiting_replies(&mut flush);
                 self.pending = Some(flush);
             }
         }
     }
 
-    fn settle_flush(&mut self, flush: PendingFlush) {
-        let mut board = self.board.lock();
+    fn complete_flush(&mut self, flush: PendingFlush) {
+        let mut job_table = self.job_table.lock();
         for (job, attempt) in &flush.states {
             let Some(held) = self.jobs.get_mut(job) else {
                 continue;
             };
-            board.insert(job.clone(), held.state.clone());
+            job_table.insert(job.clone(), held.state.clone());
             held.recorded_attempt = *attempt;
             if held.state.phase == JobPhase::Starting && held.sent_attempt != held.state.attempt {
                 self.unsent.insert(job.clone());
             }
         }
         for (job, reply) in flush.answers {
-            let view = board.get(&job).map(view_of);
+            let view = job_table.get(&job).map(view_of);
             let _ = reply.send(view.ok_or(JobError::NotFound));
         }
-        drop(board);
+        drop(job_table);
         self.log.drop_oldest();
     }
 
     /// After a write that certainly took no effect: new jobs are refused, and all other
     /// changes wait for the next write.
-    fn undo_flush(&mut self, flush: PendingFlush, cause: &str) {
+    fn revert_flush(&mut self, flush: PendingFlush, cause: &str) {
         model::event::warn(&event::JOB_PAGE_UNWRITTEN, format_args!("cause={cause}"));
         for (job, reply) in flush.answers {
             let _ = reply.send(Err(JobError::StoreDown(cause.to_owned())));
-            if !self.board.lock().contains_key(&job) {
-                self.withdraw(&job);
+            if !self.job_table.lock().contains_key(&job) {
+                self.remove_unrecorded(&job);
             }
         }
         for (job, _) in flush.states {
@@ -134,8 +136,8 @@
         }
     }
 
-    fn give_up_waiting(&self, flush: &mut PendingFlush) {
-        if self.shared.clock.boot_now().saturating_sub(flush.began) < PATIENCE {
+    fn fail_waiting_replies(&self, flush: &mut PendingFlush) {
+        if self.shared.clock.boot_now().saturating_sub(flush.began) < REPLY_TIMEOUT {
             return;
         }
         for (_, reply) in flush.answers.drain(..) {
@@ -146,7 +148,7 @@
     }
 
     /// Answers those whose job needs no write, such as one that had ended already.
-    fn answer_unchanged(&mut self) {
+    fn reply_unchanged(&mut self) {
         if self.answers.is_empty() {
             return;
         }
@@ -156,7 +158,7 @@
                 self.answers.push((job, reply));
                 continue;
             }
-            let view = self.board.lock().get(&job).map(view_of);
+            let view = self.job_table.lock().get(&job).map(view_of);
             let _ = reply.send(view.ok_or(JobError::NotFound));
         }
     }
--- a/crates/fleet/src/job_holder.rs
+++ b/crates/fleet/src/job_holder.rs
@@ -24,7 +24,7 @@
 /// Answers of workers that may wait; callers wait beyond that.
 const REPLY_QUEUE: usize = 1024;
 /// Jobs that ended and can still be looked up, however lately they ended.
-const MOST_ENDED: usize = 5_000;
+const MAX_ENDED: usize = 5_000;
 
 /// Intervals of a job holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,10 +37,10 @@
     pub usage_interval: Duration,
     /// Time between two looks at cancellations and at other holders' logs.
     pub watch_interval: Duration,
-    /// How long a holder must be unheard before its jobs are taken over.
+    /// How long a holder must be unreachable before its jobs are taken over.
     pub takeover_after: Duration,
     /// How long a job that ended can be looked up.
-    pub keep_ended: Duration,
+    pub ended_retention: Duration,
 }
 
 impl Default for JobTiming {
@@ -51,7 +51,7 @@
             usage_interval: Duration::from_secs(3),
             watch_interval: Duration::from_secs(2),
             takeover_after: Duration::from_secs(5),
-            keep_ended: Duration::from_secs(600),
+            ended_retention: Duration::from_secs(600),
         }
     }
 }
@@ -62,7 +62,7 @@
     pub(crate) timing: JobTiming,
     pub(crate) policy: JobPolicy,
     pub(crate) log: JobLog,
-    pub(crate) board: JobTable,
+    pub(crate) job_table: JobTable,
     pub(crate) jobs: BTreeMap<JobId, HeldJob>,
     /// Waiting jobs by team, in order of acceptance.
     pub(crate) queues: BTreeMap<TeamId, BTreeSet<(Duration, JobId)>>,
@@ -75,7 +75,7 @@
     pub(crate) answers: Vec<(JobId, ReplySender)>,
     pub(crate) pending: Option<PendingFlush>,
     pub(crate) flushed_at: BootTime,
-    pub(crate) books: BTreeMap<PoolId, WorkerTable>,
+    pub(crate) worker_tables: BTreeMap<PoolId, WorkerTable>,
     pub(crate) sizes: SizeEstimates,
     pub(crate) calls: Sender<WorkerCall>,
     pub(crate) reply_sender: Sender<CallReply>,
@@ -94,7 +94,7 @@
     pub(crate) fn new(
         shared: Arc<FleetShared>,
         log: JobLog,
-        board: JobTable,
+        job_table: JobTable,
         calls: Sender<WorkerCall>,
     ) -> Self {
         let (reply_sender, replies) = crossbeam_channel::bounded(REPLY_QUEUE);
@@ -103,7 +103,7 @@
             policy: shared.job_policy,
             shared,
             log,
-            board,
+            job_table,
             jobs: BTreeMap::new(),
             queues: BTreeMap::new(),
             placed: BTreeSet::new(),
@@ -113,7 +113,7 @@
             answers: Vec::new(),
             pending: None,
             flushed_at: BootTime::ZERO,
-            books: BTreeMap::new(),
+            worker_tables: BTreeMap::new(),
             sizes: SizeEstimates::default(),
             calls,
             reply_sender,
@@ -130,14 +130,14 @@
     }
 
     /// Takes over jobs that another holder recorded.
-    pub(crate) fn inherit(&mut self, states: Vec<JobState>) {
+    pub(crate) fn adopt_jobs(&mut self, states: Vec<JobState>) {
         for state in states {
             let job = state.spec.job.clone();
             self.payload += state.spec.payload.len();
-            self.note_request(&state);
-            self.board.lock().insert(job.clone(), state.clone());
+            self.index_request(&state);
+            self.job_table.lock().insert(job.clone(), state.clone());
             self.index(&job, &state);
-            self.jobs.insert(job, HeldJob::inherited(state));
+            self.jobs.insert(job, HeldJob::adopted(state));
         }
     }
 
@@ -145,15 +145,15 @@
     /// closed and all jobs ended long ago.
     pub(crate) fn run(mut self, inbox: &Receiver<JobOrder>) {
         while !self.shared.is_stopping() && !self.fenced {
-            self.take_orders(inbox);
-            self.take_replies();
-            self.watch_surroundings();
+            self.process_orders(inbox);
+            self.process_replies();
+            self.refresh_inputs();
             self.renew_leases();
             self.start_jobs();
             self.flush_if_due();
             self.send_recorded();
             self.forget_ended();
-            if self.is_idle() && inbox.is_empty() && self.is_orphan() {
+            if self.is_idle() && inbox.is_empty() && self.is_taken_over() {
                 break;
             }
         }
@@ -171,8 +171,8 @@
         let placed = held.state.kind() == PhaseKind::Placed;
         if !placed {
             held.permit = None;
-            held.silent_since = None;
-            held.inherited = false;
+            held.unresponsive_since = None;
+            held.adopted = false;
         }
         let state = held.state.clone();
         if was.kind() == PhaseKind::Placed && !placed {
@@ -182,20 +182,20 @@
         self.index(job, &state);
         if record {
             self.dirty.insert(job.clone());
-        } else if let Some(shown) = self.board.lock().get_mut(job) {
+        } else if let Some(shown) = self.job_table.lock().get_mut(job) {
             // Running is not worth a write of its own: whoever takes over asks the worker.
             shown.phase = state.phase;
         }
     }
 
     pub(crate) fn release(&mut self, was: &JobState) {
-        if let Some(book) = self.books.get_mut(&was.spec.pool) {
-            book.record_released(&was.worker, &was.spec.job);
+        if let Some(worker_table) = self.worker_tables.get_mut(&was.spec.pool) {
+            worker_table.record_released(&was.worker, &was.spec.job);
         }
     }
 
     /// True for a log that was taken over from another holder.
-    pub(crate) fn is_orphan(&self) -> bool {
+    pub(crate) fn is_taken_over(&self) -> bool {
         !self.shared.is_own_log(self.log.name())
     }
 
@@ -237,31 +237,31 @@
     fn forget_ended(&mut self) {
         let now = self.shared.clock.unix_now();
         while let Some((at, job)) = self.ended.first().cloned() {
-            let kept = now < at + self.timing.keep_ended && self.ended.len() <= MOST_ENDED;
+            let kept = now < at + self.timing.ended_retention && self.ended.len() <= MAX_ENDED;
             if kept || self.dirty.contains(&job) {
                 return;
             }
             self.ended.remove(&(at, job.clone()));
             if let Some(held) = self.jobs.remove(&job) {
-                self.drop_request(&held.state);
+                self.unindex_request(&held.state);
             }
-            self.board.lock().remove(&job);
+            self.job_table.lock().remove(&job);
             self.log.forget(&job);
         }
     }
 
-    /// Answers whoever still waits, and leaves nothing behind on the board.
+    /// Answers whoever still waits, and removes its jobs from the job table.
     fn close(mut self) {
         for (_, reply) in self.answers.drain(..) {
             let _ = reply.send(Err(JobError::Unknown("the holder stopped".to_owned())));
         }
-        let mut board = self.board.lock();
+        let mut job_table = self.job_table.lock();
         for job in self.jobs.keys() {
-            board.remove(job);
+            job_table.remove(job);
         }
-        drop(board);
-        self.keep_permits();
-        if self.is_orphan() && self.jobs.is_empty() && !self.fenced {
+        drop(job_table);
+        self.delay_permits();
+        if self.is_taken_over() && self.jobs.is_empty() && !self.fenced {
             self.log.clear();
             self.shared
                 .finished_logs
@@ -274,10 +274,10 @@
     ///
     /// Whoever took the log over asks for units of its own. Were these free at once, the
     /// team could start as many again while its tasks still run.
-    fn keep_permits(&mut self) {
+    fn delay_permits(&mut self) {
         let until = self.shared.clock.boot_now() + self.policy.lease + self.policy.lease_guard;
         let permits = self.jobs.values_mut().filter_map(|held| held.permit.take());
-        let mut late = self.shared.late_permits.lock();
+        let mut late = self.shared.delayed_permits.lock();
         late.extend(permits.map(|permit| (until, permit)));
     }
 }
--- a/crates/fleet/src/job_keeper.rs
+++ b/crates/fleet/src/job_keeper.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     JobLog, event, fleet_shared::FleetShared, holder_order::JobOrder, job_call::WorkerCall,
-    job_desk::JobDesk, job_holder::JobHolder,
+    job_holder::JobHolder, job_service::JobService,
 };
 
 /// Key of the index of job logs.
@@ -26,32 +26,32 @@
 /// still find them.
 pub(crate) struct JobKeeper {
     pub(crate) shared: Arc<FleetShared>,
-    pub(crate) desk: Arc<JobDesk>,
+    pub(crate) job_service: Arc<JobService>,
     pub(crate) calls: Sender<WorkerCall>,
-    unheard: BTreeMap<String, BootTime>,
+    unreachable_since: BTreeMap<String, BootTime>,
 }
 
 impl JobKeeper {
     pub(crate) fn new(
         shared: Arc<FleetShared>,
-        desk: Arc<JobDesk>,
+        job_service: Arc<JobService>,
         calls: Sender<WorkerCall>,
     ) -> Self {
         Self {
             shared,
-            desk,
+            job_service,
             calls,
-            unheard: BTreeMap::new(),
+            unreachable_since: BTreeMap::new(),
         }
     }
 
     /// Holds own logs, a new one whenever the one before was taken over.
-    pub(crate) fn run_own(&self) {
+    pub(crate) fn run_own_logs(&self) {
         let mut generation = 0;
         while !self.shared.is_stopping() {
             let own = self.holder_name();
             let name = format!("{}.{generation}", own.replace('@', "."));
-            if let Err(e) = self.enter_index(&name, &own) {
+            if let Err(e) = self.register_log(&name, &own) {
                 model::event::debug(&event::JOB_INDEX_UNREAD, format_args!("cause={e}"));
                 self.shared.pause(self.shared.timing.list_interval / 2);
                 continue;
@@ -60,7 +60,7 @@
             let inbox = self.open_route(&name);
             self.shared.own_log.lock().clone_from(&name);
             self.holder(log).run(&inbox);
-            self.desk.routes.lock().remove(&name);
+            self.job_service.routes.lock().remove(&name);
             generation += 1;
         }
     }
@@ -68,7 +68,7 @@
     /// Looks again and again for logs whose holder is gone.
     pub(crate) fn run_takeovers(mut self) {
         while self.shared.pause(self.shared.job_timing.watch_interval) {
-            if let Err(e) = self.take_over_lost() {
+            if let Err(e) = self.take_over_unreachable() {
                 model::event::debug(&event::JOB_INDEX_UNREAD, format_args!("cause={e}"));
             }
         }
@@ -76,16 +76,21 @@
 }
 
 impl JobKeeper {
-    fn take_over_lost(&mut self) -> Result<(), StepError> {
-        self.leave_index()?;
+    fn take_over_unreachable(&mut self) -> Result<(), StepError> {
+        self.unregister_finished()?;
         let (_, index) = self.read_index()?;
         let now = self.shared.clock.boot_now();
         for entry in index.logs {
-            if self.is_heard(&entry.holder) || self.desk.routes.lock().contains_key(&entry.log) {
-                self.unheard.remove(&entry.log);
+            if self.is_holder_reachable(&entry.holder)
+                || self.job_service.routes.lock().contains_key(&entry.log)
+            {
+                self.unreachable_since.remove(&entry.log);
                 continue;
             }
-            let since = *self.unheard.entry(entry.log.clone()).or_insert(now);
+            let since = *self
+                .unreachable_since
+                .entry(entry.log.clone())
+                .or_insert(now);
             let long = now.saturating_sub(since) >= self.shared.job_timing.takeover_after;
             if long && self.has_duty(&entry.log) {
                 self.take_over(&entry.log)?;
@@ -96,10 +101,10 @@
 
     /// Takes one log over and holds its jobs on a thread of its own.
     ///
-    /// The holder may be alive and only unheard. Its next write fails, and it stops.
+    /// The holder may be alive and only unreachable. Its next write fails, and it stops.
     fn take_over(&self, name: &str) -> Result<(), StepError> {
         let own = self.holder_name();
-        self.enter_index(name, &own)?;
+        self.register_log(name, &own)?;
         let (log, records) = JobLog::take_over(Arc::clone(&self.shared.store), name, &own)?;
         let states: Vec<JobState> = records.into_iter().map(JobState::from_record).collect();
         model::event::info(
@@ -109,14 +114,14 @@
         metrics::counter!("lws_job_takeovers").increment(1);
         let inbox = self.open_route(name);
         let mut holder = self.holder(log);
-        let (desk, log_name) = (Arc::clone(&self.desk), name.to_owned());
+        let (job_service, log_name) = (Arc::clone(&self.job_service), name.to_owned());
         thread::Builder::new()
             .name("fleet-adopted".to_owned())
             .stack_size(STACK_SIZE)
             .spawn(move || {
-                holder.inherit(states);
+                holder.adopt_jobs(states);
                 holder.run(&inbox);
-                desk.routes.lock().remove(&log_name);
+                job_service.routes.lock().remove(&log_name);
             })
             .map(|_| ())
             .map_err(|e| StepError::new("start thread", name, e))
@@ -126,14 +131,17 @@
         JobHolder::new(
             Arc::clone(&self.shared),
             log,
-            Arc::clone(&self.desk.board),
+            Arc::clone(&self.job_service.job_table),
             self.calls.clone(),
         )
     }
 
     fn open_route(&self, name: &str) -> Receiver<JobOrder> {
         let (sender, receiver) = crossbeam_channel::bounded(ORDER_QUEUE);
-        self.desk.routes.lock().insert(name.to_owned(), sender);
+        self.job_service
+            .routes
+            .lock()
+            .insert(name.to_owned(), sender);
         receiver
     }
 
@@ -142,7 +150,7 @@
         format!("{}@{}", members.own_id(), members.own_incarnation())
     }
 
-    fn is_heard(&self, holder: &str) -> bool {
+    fn is_holder_reachable(&self, holder: &str) -> bool {
         let members = self.shared.members.members();
         let name = |id: &MemberId, incarnation| format!("{id}@{incarnation}");
         holder == self.holder_name()
@@ -153,11 +161,11 @@
 
     fn has_duty(&self, log: &str) -> bool {
         let members = self.shared.members.members();
-        let heard = members
+        let reachable = members
             .iter()
             .filter(|info| info.reachable && !info.leaving);
         let duty = format!("job-log/{log}");
-        let holder = rendezvous::duty_holder(&duty, heard.map(|info| &info.member));
+        let holder = rendezvous::duty_holder(&duty, reachable.map(|info| &info.member));
         holder == Some(&self.shared.members.own_id())
     }
 
@@ -176,8 +184,8 @@
     }
 
     /// Writes down that `holder` holds the log `name`, before anything is written to it.
-    fn enter_index(&self, name: &str, holder: &str) -> Result<(), StepError> {
-        self.change_index(|logs| {
+    fn register_log(&self, name: &str, holder: &str) -> Result<(), StepError> {
+        self.update_index(|logs| {
             logs.retain(|entry| entry.log != name);
             logs.push(JobLogEntry {
                 log: name.to_owned(),
@@ -187,12 +195,12 @@
     }
 
     /// Takes logs out of the index that hold no jobs any more.
-    fn leave_index(&self) -> Result<(), StepError> {
+    fn unregister_finished(&self) -> Result<(), StepError> {
         let finished = self.shared.finished_logs.lock().clone();
         if finished.is_empty() {
             return Ok(());
         }
-        self.change_index(|logs| logs.retain(|entry| !finished.contains(&entry.log)))?;
+        self.update_index(|logs| logs.retain(|entry| !finished.contains(&entry.log)))?;
         self.shared
             .finished_logs
             .lock()
@@ -200,7 +208,7 @@
         Ok(())
     }
 
-    fn change_index(&self, change: impl FnOnce(&mut Vec<JobLogEntry>)) -> Result<(), StepError> {
+    fn update_index(&self, change: impl FnOnce(&mut Vec<JobLogEntry>)) -> Result<(), StepError> {
         let (version, mut index) = self.read_index()?;
         change(&mut index.logs);
         self.shared
--- a/crates/fleet/src/job_log.rs
+++ b/crates/fleet/src/job_log.rs
@@ -9,7 +9,7 @@
 ///
 /// Most jobs have ended, and been forgotten, before their page is the oldest; fewer pages
 /// would have each record written several times.
-const MOST_PAGES: usize = 256;
+const MAX_PAGES: usize = 256;
 
 /// What became of a write to a job log.
 #[derive(Debug)]
@@ -99,7 +99,7 @@
     /// Jobs whose newest record would be lost with the oldest page, if it is time to
     /// remove that.
     pub fn oldest_jobs(&self) -> Option<Vec<JobId>> {
-        if self.pages.len() <= MOST_PAGES {
+        if self.pages.len() <= MAX_PAGES {
             return None;
         }
         let (page, jobs) = self.pages.first_key_value()?;
@@ -162,7 +162,7 @@
         let bytes = page.encode_to_vec();
         match self.store.swap(&key, 0, &bytes) {
             Ok(_) => {}
-            Err(StoreError::Conflict { .. }) => match self.is_own(&key, &bytes) {
+            Err(StoreError::Conflict { .. }) => match self.is_own_page(&key, &bytes) {
                 Ok(true) => {}
                 Ok(false) => return AppendOutcome::Fenced,
                 Err(e) => return AppendOutcome::Unsettled(e),
@@ -184,7 +184,7 @@
     }
 
     /// True if the page is the one that this holder wrote; its answer was lost then.
-    fn is_own(&self, key: &str, bytes: &[u8]) -> Result<bool, StepError> {
+    fn is_own_page(&self, key: &str, bytes: &[u8]) -> Result<bool, StepError> {
         let found = self
             .store
             .read(key)
--- a/crates/fleet/src/job_order.rs
+++ b/crates/fleet/src/job_order.rs
@@ -16,12 +16,12 @@
 /// Orders taken in one go.
 const ORDERS_AT_ONCE: usize = 1024;
 /// Jobs held at once, beyond which submissions are refused.
-const MOST_JOBS: usize = 20_000;
+const MAX_JOBS: usize = 20_000;
 /// Payload bytes held at once, beyond which submissions are refused.
-const MOST_PAYLOAD: usize = 24 * 1024 * 1024;
+const MAX_PAYLOAD: usize = 24 * 1024 * 1024;
 
 impl JobHolder {
-    pub(crate) fn take_orders(&mut self, inbox: &Receiver<JobOrder>) {
+    pub(crate) fn process_orders(&mut self, inbox: &Receiver<JobOrder>) {
         let Ok(first) = inbox.recv_timeout(TICK) else {
             return;
         };
@@ -45,8 +45,8 @@
             self.answer_repeat(&job.clone(), reply);
             return;
         }
-        if self.jobs.len().saturating_sub(self.ended.len()) >= MOST_JOBS
-            || self.payload >= MOST_PAYLOAD
+        if self.jobs.len().saturating_sub(self.ended.len()) >= MAX_JOBS
+            || self.payload >= MAX_PAYLOAD
         {
             let _ = reply.send(Err(JobError::QueueFull));
             return;
@@ -68,7 +68,7 @@
             accepted: self.shared.clock.unix_now(),
         });
         self.payload += state.spec.payload.len();
-        self.note_request(&state);
+        self.index_request(&state);
         self.index(&job, &state);
         self.jobs.insert(job.clone(), HeldJob::new(state));
         self.dirty.insert(job.clone());
@@ -77,7 +77,7 @@
 
     /// Answers a repeated submission, once the first is recorded.
     fn answer_repeat(&mut self, job: &JobId, reply: ReplySender) {
-        let recorded = self.board.lock().get(job).map(view_of);
+        let recorded = self.job_table.lock().get(job).map(view_of);
         match recorded {
             Some(view) => {
                 let _ = reply.send(Ok(view));
@@ -106,23 +106,23 @@
         self.set_state(job, next, true);
     }
 
-    pub(crate) fn note_request(&mut self, state: &JobState) {
+    pub(crate) fn index_request(&mut self, state: &JobState) {
         let key = (state.spec.team.clone(), state.spec.request.to_string());
         self.requests.insert(key, state.spec.job.clone());
     }
 
     /// Takes back a job that could not be recorded.
-    pub(crate) fn withdraw(&mut self, job: &JobId) {
+    pub(crate) fn remove_unrecorded(&mut self, job: &JobId) {
         let Some(held) = self.jobs.remove(job) else {
             return;
         };
         self.unindex(job, &held.state);
         self.release(&held.state);
         self.dirty.remove(job);
-        self.drop_request(&held.state);
+        self.unindex_request(&held.state);
     }
 
-    pub(crate) fn drop_request(&mut self, state: &JobState) {
+    pub(crate) fn unindex_request(&mut self, state: &JobState) {
         self.payload = self.payload.saturating_sub(state.spec.payload.len());
         let key = (state.spec.team.clone(), state.spec.request.to_string());
         self.requests.remove(&key);
--- a/crates/fleet/src/job_desk.rs
+++ b/crates/fleet/src/job_service.rs
@@ -20,13 +20,13 @@
 };
 
 /// Largest payload of a job, in bytes; one page of records holds several.
-const MOST_PAYLOAD: usize = 256 * 1024;
+const MAX_PAYLOAD: usize = 256 * 1024;
 /// Longest wait for a holder's answer.
-const ANSWER_TIME: Duration = Duration::from_secs(8);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
 /// How long what was read of another holder's log is shown.
-const FOREIGN_AGE: Duration = Duration::from_secs(1);
+const FOREIGN_MAX_AGE: Duration = Duration::from_secs(1);
 /// Most cancellations that wait for one holder.
-const MOST_CANCELS: usize = 20_000;
+const MAX_CANCELS: usize = 20_000;
 /// Shortest time between two writes of cancellations.
 const CANCEL_INTERVAL: Duration = Duration::from_millis(100);
 /// Tries at writing cancellations while others write too.
@@ -36,12 +36,12 @@
 pub(crate) type HolderRoutes = Mutex<BTreeMap<String, Sender<JobOrder>>>;
 
 /// Where callers' operations on jobs arrive.
-pub(crate) struct JobDesk {
+pub(crate) struct JobService {
     pub(crate) shared: Arc<FleetShared>,
     pub(crate) routes: HolderRoutes,
-    pub(crate) board: JobTable,
+    pub(crate) job_table: JobTable,
     foreign: Mutex<BTreeMap<String, ForeignLog>>,
-    cancels: Mutex<BTreeMap<String, CancelWave>>,
+    cancels: Mutex<BTreeMap<String, CancelBatch>>,
 }
 
 struct ForeignLog {
@@ -50,14 +50,14 @@
 }
 
 /// Cancellations for one log, each with whoever waits for it.
-type CancelWave = Vec<(JobId, Sender<Result<(), JobError>>)>;
+type CancelBatch = Vec<(JobId, Sender<Result<(), JobError>>)>;
 
-impl JobDesk {
+impl JobService {
     pub(crate) fn new(shared: Arc<FleetShared>) -> Self {
         Self {
             shared,
             routes: Mutex::default(),
-            board: JobTable::default(),
+            job_table: JobTable::default(),
             foreign: Mutex::default(),
             cancels: Mutex::default(),
         }
@@ -83,7 +83,7 @@
                 return Err(JobError::StoreDown("the job log was lost".to_owned()));
             }
         }
-        match answer.recv_timeout(ANSWER_TIME) {
+        match answer.recv_timeout(ANSWER_TIMEOUT) {
             Ok(outcome) => outcome,
             Err(_) => Err(JobError::Unknown("no answer in time".to_owned())),
         }
@@ -93,7 +93,7 @@
     fn foreign_job(&self, team: &TeamId, job: &JobId) -> Result<JobState, JobError> {
         let log = log_of(job).ok_or(JobError::NotFound)?;
         let mut foreign = self.foreign.lock();
-        foreign.retain(|_, log| log.read_at.elapsed() < FOREIGN_AGE);
+        foreign.retain(|_, log| log.read_at.elapsed() < FOREIGN_MAX_AGE);
         if !foreign.contains_key(log) {
             let records = JobLog::peek(Arc::clone(&self.shared.store), log)
                 .map_err(|e| JobError::StoreDown(e.to_string()))?;
@@ -119,13 +119,13 @@
         let (reply, answer) = crossbeam_channel::bounded(1);
         {
             let mut cancels = self.cancels.lock();
-            let wave = cancels.entry(log).or_default();
-            if wave.len() >= MOST_CANCELS {
+            let batch = cancels.entry(log).or_default();
+            if batch.len() >= MAX_CANCELS {
                 return Err(JobError::QueueFull);
             }
-            wave.push((job.clone(), reply));
+            batch.push((job.clone(), reply));
         }
-        match answer.recv_timeout(ANSWER_TIME) {
+        match answer.recv_timeout(ANSWER_TIMEOUT) {
             Ok(outcome) => outcome,
             Err(_) => Err(JobError::Unknown("no answer in time".to_owned())),
         }
@@ -134,11 +134,11 @@
     /// Writes the cancellations that wait, all for one log in one write.
     pub(crate) fn run_cancels(&self) {
         while self.shared.pause(CANCEL_INTERVAL) {
-            let waves = std::mem::take(&mut *self.cancels.lock());
-            for (log, wave) in waves {
-                let jobs: Vec<JobId> = wave.iter().map(|(job, _)| job.clone()).collect();
+            let batches = std::mem::take(&mut *self.cancels.lock());
+            for (log, batch) in batches {
+                let jobs: Vec<JobId> = batch.iter().map(|(job, _)| job.clone()).collect();
                 let outcome = self.write_cancels(&log, &jobs);
-                for (_, reply) in wave {
+                for (_, reply) in batch {
                     // Whoever gave up waiting asks again.
                     let _ = reply.send(outcome.clone());
                 }
@@ -156,7 +156,7 @@
             let bytes = found.map_or_else(Vec::new, |found| found.value);
             let mut cancels = JobCancels::decode(bytes.as_slice()).unwrap_or_default();
             cancels.jobs.extend(waiting.iter().map(ToString::to_string));
-            if cancels.jobs.len() > MOST_CANCELS {
+            if cancels.jobs.len() > MAX_CANCELS {
                 return Err(JobError::QueueFull);
             }
             match store.swap(&key, version, &cancels.encode_to_vec()) {
@@ -172,11 +172,11 @@
     }
 }
 
-impl JobSink for JobDesk {
+impl JobSink for JobService {
     fn submit(&self, request: JobRequest) -> Result<JobView, JobError> {
-        if request.payload.len() > MOST_PAYLOAD {
+        if request.payload.len() > MAX_PAYLOAD {
             let text = format!("the payload has {} bytes", request.payload.len());
-            return Err(JobError::Invalid(format!("{text}, at most {MOST_PAYLOAD}")));
+            return Err(JobError::Invalid(format!("{text}, at most {MAX_PAYLOAD}")));
         }
         let config = self.shared.config.current();
         let service = config.manifest.services.get(&request.service);
@@ -194,14 +194,14 @@
     }
 
     fn find(&self, team: &TeamId, request: &RequestId) -> Option<JobView> {
-        let board = self.board.lock();
+        let job_table = self.job_table.lock();
         let is_wanted =
             |state: &&JobState| state.spec.team == *team && state.spec.request == *request;
-        board.values().find(is_wanted).map(view_of)
+        job_table.values().find(is_wanted).map(view_of)
     }
 
     fn view(&self, team: &TeamId, job: &JobId) -> Result<JobView, JobError> {
-        if let Some(state) = self.board.lock().get(job) {
+        if let Some(state) = self.job_table.lock().get(job) {
             if state.spec.team == *team {
                 return Ok(view_of(state));
             }
--- a/crates/fleet/src/job_settle.rs
+++ b/crates/fleet/src/job_settle.rs
@@ -15,7 +15,7 @@
 const REPLIES_AT_ONCE: usize = 512;
 
 impl JobHolder {
-    pub(crate) fn take_replies(&mut self) {
+    pub(crate) fn process_replies(&mut self) {
         for _ in 0..REPLIES_AT_ONCE {
             let Ok(reply) = self.replies.try_recv() else {
                 return;
@@ -30,14 +30,14 @@
                     task,
                     attempt_report,
                 } => {
-                    self.settle(&worker, &task, &attempt_report, "", asked_at);
+                    self.apply_attempt_report(&worker, &task, &attempt_report, "", asked_at);
                 }
                 ReplyKind::Renewed { tasks, report } => {
-                    self.settle_report(&worker, &tasks, report, asked_at);
+                    self.apply_worker_report(&worker, &tasks, report, asked_at);
                 }
                 ReplyKind::Usage(Some(usage)) => {
-                    for book in self.books.values_mut() {
-                        book.record_usage(&worker, usage.clone());
+                    for worker_table in self.worker_tables.values_mut() {
+                        worker_table.record_usage(&worker, usage.clone());
                     }
                 }
                 ReplyKind::Usage(None) => {}
@@ -45,7 +45,7 @@
         }
     }
 
-    fn settle_report(
+    fn apply_worker_report(
         &mut self,
         worker: &HostId,
         tasks: &[String],
@@ -54,18 +54,18 @@
     ) {
         let Some(report) = report else {
             for task in tasks {
-                self.settle(worker, task, &AttemptReport::Unresponsive, "", asked_at);
+                self.apply_attempt_report(worker, task, &AttemptReport::Unresponsive, "", asked_at);
             }
             return;
         };
         for (task, attempt_report) in &report.tasks {
-            self.settle(worker, task, attempt_report, &report.boot, asked_at);
+            self.apply_attempt_report(worker, task, attempt_report, &report.boot, asked_at);
         }
     }
 
     /// Moves a job on by what its worker said of the current attempt; answers for other
     /// attempts come late and are dropped.
-    fn settle(
+    fn apply_attempt_report(
         &mut self,
         worker: &HostId,
         task: &str,
@@ -88,16 +88,16 @@
             return;
         }
         if *attempt_report == AttemptReport::Unresponsive {
-            held.silent_since.get_or_insert(asked_at);
+            held.unresponsive_since.get_or_insert(asked_at);
         } else {
-            held.silent_since = None;
+            held.unresponsive_since = None;
         }
-        let attempt_report = self.gone_or(worker, attempt_report);
+        let attempt_report = self.check_host_retired(worker, attempt_report);
         self.apply(&job, &attempt_report, boot);
     }
 
     /// Silence of a worker that is not in the pool map any more is for good.
-    fn gone_or(&self, worker: &HostId, attempt_report: &AttemptReport) -> AttemptReport {
+    fn check_host_retired(&self, worker: &HostId, attempt_report: &AttemptReport) -> AttemptReport {
         if *attempt_report != AttemptReport::Unresponsive {
             return attempt_report.clone();
         }
@@ -112,9 +112,9 @@
             return;
         };
         let before = held.state.clone();
-        let facts = self.sight_facts(job, &before, boot);
+        let facts = self.report_context(job, &before, boot);
         let (next, action) = before.after_report(attempt_report, &facts, &self.policy);
-        self.note_outcome(&before, &next, attempt_report);
+        self.record_outcome(&before, &next, attempt_report);
         if next != before {
             let record = next.phase != JobPhase::Running;
             self.set_state(job, next.clone(), record);
@@ -140,37 +140,43 @@
         }
     }
 
-    fn sight_facts(&mut self, job: &JobId, state: &JobState, boot: &str) -> ReportContext {
+    fn report_context(&mut self, job: &JobId, state: &JobState, boot: &str) -> ReportContext {
         self.jitter = self
             .jitter
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1);
         let now = self.shared.clock.boot_now();
-        let silent_since = self.jobs.get(job).and_then(|held| held.silent_since);
-        let book = self.books.get(&state.spec.pool);
+        let unresponsive_since = self.jobs.get(job).and_then(|held| held.unresponsive_since);
+        let worker_table = self.worker_tables.get(&state.spec.pool);
         ReportContext {
             now: self.shared.clock.unix_now(),
             boot: boot.to_owned(),
-            unresponsive_for: silent_since
+            unresponsive_for: unresponsive_since
                 .map_or_else(Default::default, |at| now.saturating_sub(at)),
-            worker_suspect: book.is_some_and(|book| book.is_suspect(&state.worker)),
+            worker_suspect: worker_table
+                .is_some_and(|worker_table| worker_table.is_suspect(&state.worker)),
             jitter: self.jitter >> 33,
         }
     }
 
     /// Learns about workers from how an attempt ended.
-    fn note_outcome(&mut self, before: &JobState, next: &JobState, attempt_report: &AttemptReport) {
+    fn record_outcome(
+        &mut self,
+        before: &JobState,
+        next: &JobState,
+        attempt_report: &AttemptReport,
+    ) {
         let now = self.shared.clock.boot_now();
-        let Some(book) = self.books.get_mut(&before.spec.pool) else {
+        let Some(worker_table) = self.worker_tables.get_mut(&before.spec.pool) else {
             return;
         };
         match attempt_report {
-            AttemptReport::Done => book.record_success(&before.worker),
+            AttemptReport::Done => worker_table.record_success(&before.worker),
             AttemptReport::Failed(_) => {
-                let was_suspect = book.is_suspect(&before.worker);
+                let was_suspect = worker_table.is_suspect(&before.worker);
                 let job = &before.spec.job;
-                book.record_failure(&before.worker, job, &before.failed_on, now);
-                if !was_suspect && book.is_suspect(&before.worker) {
+                worker_table.record_failure(&before.worker, job, &before.failed_on, now);
+                if !was_suspect && worker_table.is_suspect(&before.worker) {
                     model::event::warn(
                         &event::WORKER_SUSPECT,
                         format_args!("worker={}", before.worker),
@@ -212,7 +218,7 @@
                 let kind = if renewed {
                     CallKind::Renew { tasks }
                 } else {
-                    CallKind::Look { tasks }
+                    CallKind::Poll { tasks }
                 };
                 self.queue_call(&worker, kind);
             }
--- a/crates/fleet/src/job_start.rs
+++ b/crates/fleet/src/job_start.rs
@@ -16,7 +16,7 @@
 };
 
 /// Jobs of one team looked at in one pass.
-const LOOKED_AT: usize = 64;
+const MAX_CANDIDATES: usize = 64;
 
 impl JobHolder {
     /// Places waiting jobs, each team as many as its share in turn.
@@ -47,13 +47,13 @@
         let Some(queue) = self.queues.get(team) else {
             return;
         };
-        let looked_at: Vec<JobId> = queue
+        let candidates: Vec<JobId> = queue
             .iter()
-            .take(LOOKED_AT)
+            .take(MAX_CANDIDATES)
             .map(|(_, job)| job.clone())
             .collect();
         let mut started = 0;
-        for job in looked_at {
+        for job in candidates {
             let Some(held) = self.jobs.get(&job) else {
                 continue;
             };
@@ -87,15 +87,15 @@
     }
 
     fn choose_worker(&self, state: &JobState) -> Result<HostId, PlacementRefusal> {
-        let Some(book) = self.books.get(&state.spec.pool) else {
+        let Some(worker_table) = self.worker_tables.get(&state.spec.pool) else {
             return Err(PlacementRefusal::NoRoom);
         };
         let now = self.shared.clock.boot_now();
         // The declared size decides whether it can ever fit, the corrected one where.
         let corrected = self.corrected_size(state);
-        match book.choose_worker(corrected, &state.failed_on, now) {
+        match worker_table.choose_worker(corrected, &state.failed_on, now) {
             Err(PlacementRefusal::NeverFits) => {
-                book.choose_worker(declared_size(state), &state.failed_on, now)
+                worker_table.choose_worker(declared_size(state), &state.failed_on, now)
             }
             other => other,
         }
@@ -110,11 +110,11 @@
     fn place(&mut self, job: &JobId, state: &JobState, worker: &HostId) {
         let now = self.shared.clock.boot_now();
         let size = self.corrected_size(state);
-        let Some(book) = self.books.get_mut(&state.spec.pool) else {
+        let Some(worker_table) = self.worker_tables.get_mut(&state.spec.pool) else {
             return;
         };
-        book.record_placed(worker, job, size, now);
-        let boot = book.boot_of(worker).unwrap_or_default().to_owned();
+        worker_table.record_placed(worker, job, size, now);
+        let boot = worker_table.boot_of(worker).unwrap_or_default().to_owned();
         self.set_state(job, state.next_attempt(worker, &boot), true);
     }
 
@@ -184,24 +184,26 @@
     }
 
     /// Looks at workers, their use, and cancellations that other members wrote down.
-    pub(crate) fn watch_surroundings(&mut self) {
+    pub(crate) fn refresh_inputs(&mut self) {
         let now = self.shared.clock.boot_now();
-        if now.saturating_sub(self.usage_at) >= self.timing.usage_interval || self.lacks_books() {
+        if now.saturating_sub(self.usage_at) >= self.timing.usage_interval
+            || self.lacks_worker_table()
+        {
             self.usage_at = now;
             self.refresh_workers();
         }
         if now.saturating_sub(self.watched_at) >= self.timing.watch_interval {
             self.watched_at = now;
-            self.read_cancels();
+            self.apply_cancels();
         }
     }
 
-    fn lacks_books(&self) -> bool {
+    fn lacks_worker_table(&self) -> bool {
         let first = |queue: &BTreeSet<(Duration, JobId)>| queue.first().map(|(_, job)| job.clone());
         let mut jobs = self.queues.values().filter_map(first);
         jobs.any(|job| {
             let held = self.jobs.get(&job);
-            held.is_some_and(|held| !self.books.contains_key(&held.state.spec.pool))
+            held.is_some_and(|held| !self.worker_tables.contains_key(&held.state.spec.pool))
         })
     }
 
@@ -218,13 +220,13 @@
                     self.queue_call(host, CallKind::Usage);
                 }
             }
-            let book = self.books.entry(pool).or_default();
-            book.set_workers(workers);
+            let worker_table = self.worker_tables.entry(pool).or_default();
+            worker_table.set_workers(workers);
         }
     }
 
     /// Applies cancellations that other members wrote down, and empties the list.
-    fn read_cancels(&mut self) {
+    fn apply_cancels(&mut self) {
         let key = format!("job-cancels/{}", self.log.name());
         let Ok(Some(found)) = self.shared.store.read(&key) else {
             return;
--- a/crates/fleet/src/map_store.rs
+++ b/crates/fleet/src/map_store.rs
@@ -65,18 +65,18 @@
         self.open(known, found.version, &found.value)
     }
 
-    /// Waits up to `patience` for a newer map; `None` if there was none.
+    /// Waits up to `timeout` for a newer map; `None` if there was none.
     ///
     /// # Errors
     /// As for [`MapStore::read`].
     pub fn watch(
         &self,
         known: &MapSnapshot,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Option<MapSnapshot>, StepError> {
         let found = self
             .store
-            .watch(&self.head_key, known.version, patience)
+            .watch(&self.head_key, known.version, timeout)
             .map_err(|e| self.step(e))?;
         let Some(found) = found else {
             return Ok(None);
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -15,7 +15,7 @@
     fleet_audit::audit_changes,
     fleet_shared::FleetShared,
     map_store::{CommitOutcome, MapSnapshot, MapStore},
-    probe_pool::{ProbeBook, ProbeTask},
+    probe_pool::{ProbeTable, ProbeTask},
 };
 
 /// Name of the planning duty, for choosing its owner.
@@ -25,7 +25,7 @@
 pub(crate) struct Planner {
     shared: Arc<FleetShared>,
     map_store: MapStore,
-    book: Arc<ProbeBook>,
+    probe_table: Arc<ProbeTable>,
     probes: Sender<ProbeTask>,
     owned_since: Option<BootTime>,
     must_read: bool,
@@ -37,13 +37,13 @@
     pub(crate) fn new(
         shared: Arc<FleetShared>,
         map_store: MapStore,
-        book: Arc<ProbeBook>,
+        probe_table: Arc<ProbeTable>,
         probes: Sender<ProbeTask>,
     ) -> Self {
         Self {
             shared,
             map_store,
-            book,
+            probe_table,
             probes,
             owned_since: None,
             must_read: true,
@@ -74,7 +74,7 @@
             self.owned_since = Some(now);
             self.must_read = true;
             self.audited = None;
-            self.book.clear();
+            self.probe_table.clear();
             return false;
         };
         now.saturating_sub(since) >= self.shared.timing.takeover
@@ -115,7 +115,8 @@
         let mut observations = self.shared.observations();
         for (host, observation) in &mut observations {
             let health_age = self.shared.timing.health_age;
-            (observation.health, observation.probed_in) = self.book.health(host, now, health_age);
+            (observation.health, observation.probed_in) =
+                self.probe_table.health(host, now, health_age);
         }
         observations
     }
@@ -125,7 +126,7 @@
         let known = self.shared.snapshot.lock().clone();
         match self.map_store.read(&known) {
             Ok(snapshot) => {
-                self.take_over(snapshot);
+                self.apply_snapshot(snapshot);
                 self.must_read = false;
                 true
             }
@@ -149,7 +150,7 @@
                     snapshot.map.revision,
                     change.hosts.len() + change.removed.len()
                 );
-                self.take_over(snapshot);
+                self.apply_snapshot(snapshot);
             }
             Ok(CommitOutcome::Conflict | CommitOutcome::Unknown) => self.must_read = true,
             Err(e) => {
@@ -159,7 +160,7 @@
         }
     }
 
-    fn take_over(&mut self, snapshot: MapSnapshot) {
+    fn apply_snapshot(&mut self, snapshot: MapSnapshot) {
         if let Some(audited) = &self.audited {
             audit_changes(&self.shared, audited, &snapshot);
         }
@@ -171,7 +172,7 @@
     fn probe_hosts(&self, wanted: Vec<HostId>) {
         let held = self.shared.snapshot.lock().map.clone();
         let known: BTreeSet<HostId> = held.hosts.keys().cloned().collect();
-        self.book.retain(&known);
+        self.probe_table.retain(&known);
         let wanted: BTreeSet<HostId> = wanted.into_iter().collect();
         let tasks = held
             .hosts
@@ -180,6 +181,6 @@
             .map(|(host, state)| ProbeTask { host, state })
             .collect();
         let now = self.shared.clock.boot_now();
-        self.book.queue_due(tasks, &self.probes, now);
+        self.probe_table.queue_due(tasks, &self.probes, now);
     }
 }
--- a/crates/fleet/src/probe_pool.rs
+++ b/crates/fleet/src/probe_pool.rs
@@ -38,14 +38,14 @@
 
 /// What probes found, by host.
 #[derive(Default)]
-pub(crate) struct ProbeBook {
-    notes: Mutex<BTreeMap<HostId, ProbeNote>>,
+pub(crate) struct ProbeTable {
+    probe_states: Mutex<BTreeMap<HostId, ProbeState>>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct ProbeNote {
+struct ProbeState {
     asked_at: BootTime,
-    asked_in: PhaseEntry,
+    asked_phase: PhaseEntry,
     report: Option<HealthReport>,
     failures: u32,
     queued: bool,
@@ -53,7 +53,7 @@
     rebooted_at: BootTime,
 }
 
-impl ProbeBook {
+impl ProbeTable {
     /// What is known of a host's health, unless that is older than `age`, and the stay in
     /// which the host was asked.
     pub(crate) fn health(
@@ -62,21 +62,23 @@
         now: BootTime,
         age: Duration,
     ) -> (HealthStatus, PhaseEntry) {
-        let notes = self.notes.lock();
-        let Some(note) = notes.get(host) else {
+        let probe_states = self.probe_states.lock();
+        let Some(probe_state) = probe_states.get(host) else {
             return Default::default();
         };
-        (note.health(now, age), note.asked_in)
+        (probe_state.health(now, age), probe_state.asked_phase)
     }
 
     /// Forgets hosts that are not in `hosts`.
     pub(crate) fn retain(&self, hosts: &BTreeSet<HostId>) {
-        self.notes.lock().retain(|host, _| hosts.contains(host));
+        self.probe_states
+            .lock()
+            .retain(|host, _| hosts.contains(host));
     }
 
     /// Forgets everything, so that a new planner judges by its own probes.
     pub(crate) fn clear(&self) {
-        self.notes.lock().clear();
+        self.probe_states.lock().clear();
     }
 
     /// Queues those of `tasks` whose turn it is, the longest overdue first.
@@ -86,58 +88,61 @@
         sender: &Sender<ProbeTask>,
         now: BootTime,
     ) {
-        let mut notes = self.notes.lock();
-        let overdue = |notes: &BTreeMap<HostId, ProbeNote>, task: &ProbeTask| {
-            let note = notes.get(&task.host).copied().unwrap_or_default();
-            let due_at = note.asked_at + probe_interval(task.state.phase);
-            (!note.queued).then(|| now.checked_sub(due_at)).flatten()
+        let mut probe_states = self.probe_states.lock();
+        let overdue = |probe_states: &BTreeMap<HostId, ProbeState>, task: &ProbeTask| {
+            let probe_state = probe_states.get(&task.host).copied().unwrap_or_default();
+            let due_at = probe_state.asked_at + probe_interval(task.state.phase);
+            (!probe_state.queued)
+                .then(|| now.checked_sub(due_at))
+                .flatten()
         };
-        tasks.retain(|task| overdue(&notes, task).is_some());
-        tasks.sort_by_key(|task| std::cmp::Reverse(overdue(&notes, task)));
+        tasks.retain(|task| overdue(&probe_states, task).is_some());
+        tasks.sort_by_key(|task| std::cmp::Reverse(overdue(&probe_states, task)));
         for task in tasks {
             let host = task.host.clone();
             match sender.try_send(task) {
-                Ok(()) => notes.entry(host).or_default().queued = true,
+                Ok(()) => probe_states.entry(host).or_default().queued = true,
                 Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => return,
             }
         }
     }
 
-    fn note_answer(&self, task: &ProbeTask, asked_at: BootTime, report: Option<HealthReport>) {
-        let mut notes = self.notes.lock();
-        let note = notes.entry(task.host.clone()).or_default();
+    fn record_answer(&self, task: &ProbeTask, asked_at: BootTime, report: Option<HealthReport>) {
+        let mut probe_states = self.probe_states.lock();
+        let probe_state = probe_states.entry(task.host.clone()).or_default();
         let stay = task.state.phase_entry();
-        if note.asked_in != stay {
-            note.failures = 0;
+        if probe_state.asked_phase != stay {
+            probe_state.failures = 0;
         }
-        note.queued = false;
-        note.asked_at = asked_at;
-        note.asked_in = stay;
-        note.report = report;
-        note.failures = match report {
+        probe_state.queued = false;
+        probe_state.asked_at = asked_at;
+        probe_state.asked_phase = stay;
+        probe_state.report = report;
+        probe_state.failures = match report {
             Some(_) => 0,
-            None => note.failures.saturating_add(1),
+            None => probe_state.failures.saturating_add(1),
         };
     }
 
     /// True if a host may be told to reboot now; counts the call.
     fn claim_reboot(&self, host: &HostId, began: BootTime, now: BootTime) -> bool {
-        let mut notes = self.notes.lock();
-        let note = notes.entry(host.clone()).or_default();
-        if note.rebooted_at < began {
-            note.reboots = 0;
+        let mut probe_states = self.probe_states.lock();
+        let probe_state = probe_states.entry(host.clone()).or_default();
+        if probe_state.rebooted_at < began {
+            probe_state.reboots = 0;
         }
-        let spacing = REBOOT_SPACING * 2_u32.saturating_pow(note.reboots.saturating_sub(1).min(6));
-        if note.reboots > 0 && now < note.rebooted_at + spacing {
+        let spacing =
+            REBOOT_SPACING * 2_u32.saturating_pow(probe_state.reboots.saturating_sub(1).min(6));
+        if probe_state.reboots > 0 && now < probe_state.rebooted_at + spacing {
             return false;
         }
-        note.reboots += 1;
-        note.rebooted_at = now;
+        probe_state.reboots += 1;
+        probe_state.rebooted_at = now;
         true
     }
 }
 
-impl ProbeNote {
+impl ProbeState {
     fn health(&self, now: BootTime, age: Duration) -> HealthStatus {
         if self.failures >= FAILING_AFTER {
             return HealthStatus::Failing;
@@ -156,35 +161,35 @@
 /// Probes hosts from the queue until it closes.
 pub(crate) fn run_prober(
     shared: &Arc<FleetShared>,
-    book: &Arc<ProbeBook>,
+    probe_table: &Arc<ProbeTable>,
     queue: &Receiver<ProbeTask>,
 ) {
     while let Ok(task) = queue.recv() {
         if shared.is_stopping() {
             return;
         }
-        probe(shared, book, &task);
+        probe(shared, probe_table, &task);
     }
 }
 
-fn probe(shared: &FleetShared, book: &ProbeBook, task: &ProbeTask) {
+fn probe(shared: &FleetShared, probe_table: &ProbeTable, task: &ProbeTask) {
     let asked_at = shared.clock.boot_now();
     let answer = shared.port.health(&task.state.facts.address);
     if let Err(e) = &answer {
         log::debug!(target: "E0603", "health-unread host={} cause={e}", task.host);
     }
     let report = answer.ok();
-    book.note_answer(task, asked_at, report);
+    probe_table.record_answer(task, asked_at, report);
     let Some(report) = report else {
         return;
     };
-    push_on(shared, book, task, report, asked_at);
+    advance_phase(shared, probe_table, task, report, asked_at);
 }
 
 /// Makes the call that brings a host on in its phase, as far as its answer shows the need.
-fn push_on(
+fn advance_phase(
     shared: &FleetShared,
-    book: &ProbeBook,
+    probe_table: &ProbeTable,
     task: &ProbeTask,
     report: HealthReport,
     asked_at: BootTime,
@@ -194,7 +199,7 @@
         HostPhase::Draining if !report.draining => shared.port.drain(address),
         HostPhase::Checking if report.draining => shared.port.undrain(address),
         HostPhase::Rebooting if report.draining && report.running == 0 => {
-            reboot(shared, book, task, asked_at);
+            reboot(shared, probe_table, task, asked_at);
             return;
         }
         _ => return,
@@ -210,7 +215,7 @@
 /// that is back at work and cut off what it runs. So the call goes out only while the
 /// answer is young and the map still says that the host is to be rebooted; a host that
 /// came back is not offered work until it has settled, which is longer than that.
-fn reboot(shared: &FleetShared, book: &ProbeBook, task: &ProbeTask, asked_at: BootTime) {
+fn reboot(shared: &FleetShared, probe_table: &ProbeTable, task: &ProbeTask, asked_at: BootTime) {
     let now = shared.clock.boot_now();
     if now.saturating_sub(asked_at) > REBOOT_WINDOW || !still_rebooting(shared, task) {
         return;
@@ -219,7 +224,7 @@
     if task.state.facts.role == HostRole::Worker && in_phase < OUTCOME_WAIT {
         return;
     }
-    if !book.claim_reboot(&task.host, now.saturating_sub(in_phase), now) {
+    if !probe_table.claim_reboot(&task.host, now.saturating_sub(in_phase), now) {
         return;
     }
     log::info!(target: "E0605", "host-rebooted host={} pool={}", task.host, task.state.pool);
--- a/crates/fleet/src/worker_port.rs
+++ b/crates/fleet/src/worker_port.rs
@@ -38,7 +38,7 @@
     ///
     /// # Errors
     /// As for [`WorkerPort::renew`].
-    fn look(&self, address: &str, tasks: &[String]) -> Result<WorkerReport, StepError>;
+    fn poll(&self, address: &str, tasks: &[String]) -> Result<WorkerReport, StepError>;
     /// Stops a task, and keeps it from starting later.
     ///
     /// # Errors
@@ -122,7 +122,7 @@
         path: &str,
         body: &B,
     ) -> Result<(u16, bool, String), CallError> {
-        let text = serde_json::to_string(body).map_err(|e| CallError::Silent(e.to_string()))?;
+        let text = serde_json::to_string(body).map_err(|e| CallError::NoAnswer(e.to_string()))?;
         let answer = self
             .agent
             .post(format!("http://{address}{path}"))
@@ -210,7 +210,7 @@
         })
     }
 
-    fn look(&self, address: &str, tasks: &[String]) -> Result<WorkerReport, StepError> {
+    fn poll(&self, address: &str, tasks: &[String]) -> Result<WorkerReport, StepError> {
         let wrap = |e: ureq::Error| StepError::new("read tasks", address, e);
         let url = format!("http://{address}/v1/tasks");
         let mut answer = self.agent.get(url).call().map_err(wrap)?;
@@ -269,14 +269,14 @@
     /// No connection was made.
     Refused,
     /// Anything else: the worker may have handled the call.
-    Silent(String),
+    NoAnswer(String),
 }
 
 impl CallError {
     fn text(self) -> String {
         match self {
             Self::Refused => "connection refused".to_owned(),
-            Self::Silent(text) => text,
+            Self::NoAnswer(text) => text,
         }
     }
 }
@@ -285,7 +285,7 @@
     fn from(error: ureq::Error) -> Self {
         match &error {
             ureq::Error::Io(e) if e.kind() == ErrorKind::ConnectionRefused => Self::Refused,
-            _ => Self::Silent(error.to_string()),
+            _ => Self::NoAnswer(error.to_string()),
         }
     }
 }
--- a/crates/fleet/tests/common/fleet_scene.rs
+++ b/crates/fleet/tests/common/fleet_scene.rs
@@ -44,7 +44,7 @@
 fn timing() -> FleetTiming {
     FleetTiming {
         list_interval: Duration::from_millis(50),
-        watch_patience: Duration::from_millis(500),
+        watch_timeout: Duration::from_millis(500),
         round_interval: Duration::from_millis(20),
         takeover: Duration::from_millis(50),
         ..FleetTiming::default()
--- a/crates/fleet/tests/common/job_scene.rs
+++ b/crates/fleet/tests/common/job_scene.rs
@@ -51,7 +51,7 @@
         usage_interval: Duration::from_millis(200),
         watch_interval: Duration::from_millis(100),
         takeover_after: Duration::from_millis(300),
-        keep_ended: Duration::from_secs(120),
+        ended_retention: Duration::from_secs(120),
     }
 }
 
@@ -104,7 +104,7 @@
         )
         .with_timing(FleetTiming {
             list_interval: Duration::from_millis(100),
-            watch_patience: Duration::from_millis(500),
+            watch_timeout: Duration::from_millis(500),
             round_interval: Duration::from_millis(20),
             takeover: Duration::from_millis(50),
             ..FleetTiming::default()
