--- a/crates/fleet/src/fleet_service.rs
+++ b/crates/fleet/src/fleet_service.rs
@@ -187,20 +187,18 @@
     }
 
     fn start_planner(&self) -> Result<(), StepError> {
-        let probe_table = Arc::new(ProbeTable::default());
+        let probes = Arc::new(ProbeTable::default());
         let (sender, receiver) = crossbeam_channel::bounded(PROBE_QUEUE);
         for _ in 0..PROBERS {
-            let (shared, probe_table, queue) = (
+            let (shared, probes, queue) = (
                 Arc::clone(&self.shared),
-                Arc::clone(&probe_table),
+                Arc::clone(&probes),
                 receiver.clone(),
             );
-            spawn("fleet-probe", move || {
-                run_prober(&shared, &probe_table, &queue)
-            })?;
+            spawn("fleet-probe", move || run_prober(&shared, &probes, &queue))?;
         }
         let map_store = MapStore::new(Arc::clone(&self.shared.store), SHARD);
-        let planner = Planner::new(Arc::clone(&self.shared), map_store, probe_table, sender);
+        let planner = Planner::new(Arc::clone(&self.shared), map_store, probes, sender);
         spawn("fleet-plan", move || planner.run())
     }
 }
--- a/crates/fleet/src/job_flush.rs
+++ b/crates/fleet/src/job_flush.rs
@@ -87,9 +87,7 @@
                     let _ = reply.send(Err(lost));
                 }
             }
-            AppendOutcome::Failed(e) if !flush.unsettled => {
-                self.revert_flush(flush, &e.to_string())
-            }
+            AppendOutcome::Failed(e) if !flush.unsettled => self.undo_flush(flush, &e.to_string()),
             AppendOutcome::Failed(e) | AppendOutcome::Unsettled(e) => {
                 model::event::warn(&event::JOB_PAGE_UNSETTLED, format_args!("cause={e}"));
                 flush.unsettled = true;
@@ -121,7 +119,7 @@
 
     /// After a write that certainly took no effect: new jobs are refused, and all other
     /// changes wait for the next write.
-    fn revert_flush(&mut self, flush: PendingFlush, cause: &str) {
+    fn undo_flush(&mut self, flush: PendingFlush, cause: &str) {
         model::event::warn(&event::JOB_PAGE_UNWRITTEN, format_args!("cause={cause}"));
         for (job, reply) in flush.answers {
             let _ = reply.send(Err(JobError::StoreDown(cause.to_owned())));
