--- a/crates/fleet/src/job_service.rs
+++ b/crates/fleet/src/job_service.rs
@@ -20,7 +20,7 @@
 };
 
 /// Largest payload of a job, in bytes; one page of records holds several.
-const MAX_PAYLOAD: usize = 256 * 1024;
+const MOST_PAYLOAD: usize = 256 * 1024;
 /// Longest wait for a holder's answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
 /// How long what was read of another holder's log is shown.
@@ -174,9 +174,9 @@
 
 impl JobSink for JobService {
     fn submit(&self, request: JobRequest) -> Result<JobView, JobError> {
-        if request.payload.len() > MAX_PAYLOAD {
+        if request.payload.len() > MOST_PAYLOAD {
             let text = format!("the payload has {} bytes", request.payload.len());
-            return Err(JobError::Invalid(format!("{text}, at most {MAX_PAYLOAD}")));
+            return Err(JobError::Invalid(format!("{text}, at most {MOST_PAYLOAD}")));
         }
         let config = self.shared.config.current();
         let service = config.manifest.services.get(&request.service);
