--- a/crates/member/src/change_submission.rs
+++ b/crates/member/src/change_submission.rs
@@ -16,22 +16,22 @@
     store_key::{CONFIG, CONFIG_BASES, MEMBERS, config_base, read_record},
 };
 
-/// How long a change is tried before the operator is told that it is pending.
+/// Timeout of a submission; a change that is not accepted by then is reported as pending.
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Pause before a store that did not answer is asked again.
+/// Pause before a store call is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Distance of looks at who holds the revision.
+/// Interval at which the acknowledgements of the revision are checked.
 const ACK_POLL: Duration = Duration::from_millis(3);
 
-/// Takes one change from an operator through the store until it is accepted.
+/// Writes one change of an operator to the store and waits until it is accepted.
 pub(crate) struct ChangeSubmission<'a> {
     shared: &'a SharedState,
     request: &'a ChangeRequest,
     deadline: BootTime,
-    /// True once a write was sent whose outcome is not known: from then on the operator
-    /// must not be told that nothing was recorded.
+    /// True once the outcome of a write is unknown. From then on, no error may claim that
+    /// nothing was recorded.
     outcome_unknown: bool,
 }
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Records the change and waits until it is accepted.
+    /// Writes the change and waits until it is accepted.
     pub(crate) fn run(mut self) -> Result<ChangeOutcome, ChangeError> {
         if self.request.change_id.is_empty() {
             return Err(ChangeError::Invalid("the change has no id".to_owned()));
@@ -61,7 +61,7 @@
         }
     }
 
-    /// One read and one write. `None` asks for another attempt on what the store then holds.
+    /// Makes one read and one write. `None` means that another attempt is needed.
     fn attempt(&mut self) -> Result<Option<ChangeOutcome>, ChangeError> {
         let (version, record, state) = match self.read_newest() {
             Ok(newest) => newest,
@@ -92,11 +92,11 @@
         }
     }
 
-    /// The newest record, with the state that it makes.
+    /// Reads the newest record and the configuration that results from it.
     ///
-    /// A peer may tell of a newer change between the read and the comparison. The record
-    /// is then read again; taking that for a fault of the store would tell the loser of a
-    /// race that the store is unavailable, where a conflict is what happened.
+    /// A peer may deliver a newer change between the read and the comparison; the record is then
+    /// read again. If this counted as a store failure, the loser of a race would get
+    /// "unavailable" instead of a conflict.
     fn read_newest(&self) -> Result<(StoreVersion, ConfigRecord, ConfigState), StoreError> {
         loop {
             let (version, record) = read_record::<ConfigRecord>(self.shared.store(), CONFIG)?;
@@ -124,7 +124,7 @@
             let suffix = format!("{}-{:x}", self.shared.own, self.shared.now().as_nanos());
             let key = config_base(base.revision, &suffix);
             let outcome = self.shared.store().swap(&key, 0, &base.encode_to_vec());
-            // An unanswered base is abandoned: no record names it.
+            // A base whose write failed is abandoned; no record refers to it.
             if let Err(error) = outcome {
                 return Err(self.to_error(&error.to_string()));
             }
@@ -147,8 +147,8 @@
             }
             Err(StoreError::Conflict { .. }) => Ok(None),
             Err(StoreError::Unknown(error)) => {
-                // The write may land later than a read that misses it. The next attempt
-                // writes on the same version again, so that at most one of the two lands.
+                // The write may take effect after a read that does not show it. The next attempt
+                // expects the same version, so at most one of the two writes takes effect.
                 log_event::info(
                     &event::CHANGE_OUTCOME_UNKNOWN,
                     format_args!("change={} cause={error}", self.request.change_id),
@@ -161,10 +161,11 @@
         }
     }
 
-    /// Waits until a majority of the member list holds the revision.
+    /// Waits until a majority of the member list has confirmed the revision.
     ///
-    /// The list is read after the change was recorded: a list that is written later carries
-    /// the change in its floor, or is one step from this one and shares its majorities.
+    /// The list is read after the change was recorded. A list that is written later either
+    /// includes the change in its configuration floor, or differs from this one by one step, so
+    /// that their majorities overlap.
     fn await_acceptance(&self, revision: Revision) -> Result<(), ChangeError> {
         let pending = |cause: &str| ChangeError::Pending(format!("revision {revision}: {cause}"));
         let list = loop {
@@ -186,15 +187,15 @@
     }
 
     fn is_accepted(&self, list: &MemberList, revision: Revision) -> bool {
-        let living = list.without_ended(&self.shared.acks.lock());
+        let not_ended = list.without_ended(&self.shared.acks.lock());
         self.shared
             .lease
             .lock()
-            .quorum_holds_config(&living, revision)
+            .quorum_holds_config(&not_ended, revision)
     }
 
-    /// Removes bases older than the one now named. Newer ones may belong to an operator who
-    /// is about to name them.
+    /// Removes bases older than the one that the record refers to. Newer ones may belong to a
+    /// change whose record is not written yet.
     fn remove_old_bases(&self, record: &ConfigRecord) {
         let store = self.shared.store();
         let Ok(bases) = store.list(CONFIG_BASES) else {
--- a/crates/member/src/config_holder.rs
+++ b/crates/member/src/config_holder.rs
@@ -20,11 +20,11 @@
     store_key::{decode_record, read_record},
 };
 
-/// Changes kept for peers that are behind; longer than the store's tail, so that a host
-/// which missed the last minutes before a store outage can still be helped.
+/// Number of recent changes kept for peers that are behind. It exceeds the tail in the store, so
+/// that a host that missed the last minutes before a store outage can still catch up.
 const TAIL_LENGTH: usize = 256;
 
-/// Holds the configuration in force and only ever moves it forward.
+/// Holds the configuration in config; its revision never decreases.
 pub(crate) struct ConfigHolder {
     held: Mutex<HeldConfig>,
     active_config: ArcSwap<ActiveConfig>,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The configuration in force.
+    /// The configuration in config.
     pub(crate) fn active_config(&self) -> Arc<ActiveConfig> {
         self.active_config.load_full()
     }
@@ -57,8 +57,8 @@
     /// The limits of the teams, and the revision of the configuration that holds them.
     pub(crate) fn limits(&self) -> (Revision, BTreeMap<TeamId, TeamLimit>) {
         let held = self.held.lock();
-        let force = self.active_config();
-        let teams = force.manifest.teams.iter().map(|(team, spec)| {
+        let config = self.active_config();
+        let teams = config.manifest.teams.iter().map(|(team, spec)| {
             let limit = TeamLimit {
                 limit: spec.limit,
                 since: held.state.section_revision(&format!("team.{team}")),
@@ -68,7 +68,7 @@
         (held.state.revision, teams.collect())
     }
 
-    /// Follows a record that the store delivered; true if it was newer.
+    /// Applies a record read from the store; true if it was newer.
     pub(crate) fn apply_record(
         &self,
         store: &dyn KeyStore,
@@ -93,7 +93,7 @@
                 );
                 Ok(false)
             }
-            // The base went away between the two reads: a newer record names another.
+            // The base was removed between the two reads; a newer record refers to another one.
             Err(ConfigError::BaseNeeded(key)) => {
                 Err(StoreError::Unavailable(format!("the base {key} is gone")))
             }
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Follows what a peer sent; true if it was newer.
+    /// Applies changes sent by a peer; true if they were newer.
     pub(crate) fn apply_peer_tail(&self, tail: &ChangeTail) -> Result<bool, StoreError> {
         let mut changes = Vec::new();
         for bytes in &tail.changes {
@@ -123,14 +123,14 @@
         Ok(next.revision > held && self.activate(next, &changes))
     }
 
-    /// What a peer that holds `revision` lacks.
+    /// The changes after `revision`, or a whole base if they are no longer kept.
     pub(crate) fn tail_since(&self, revision: Revision) -> ChangeTail {
         let held = self.held.lock();
-        let reaches = held
+        let covers_revision = held
             .tail
             .first()
             .is_some_and(|c| c.revision <= revision + 1);
-        if !reaches {
+        if !covers_revision {
             return ChangeTail {
                 base: held.state.to_base().encode_to_vec(),
                 ..ChangeTail::default()
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Puts a newer configuration in force; false if another thread was ahead.
+    /// Puts a newer configuration in config; false if another thread did so first.
     fn activate(&self, next: ConfigState, tail: &[Change]) -> bool {
         let mut held = self.held.lock();
         if next.revision <= held.state.revision {
@@ -165,7 +165,8 @@
         true
     }
 
-    /// Sections that this version can't read leave its manifest as it was; keys still follow.
+    /// Builds the active configuration. If this version can't parse the sections, the previous
+    /// manifest is kept; keys are updated in any case.
     fn to_active(&self, state: &ConfigState) -> ActiveConfig {
         let read = match state.sections.is_empty() {
             true => Ok(Manifest::default()),
--- a/crates/member/src/heartbeat_loop.rs
+++ b/crates/member/src/heartbeat_loop.rs
@@ -12,17 +12,16 @@
 
 use crate::{event, shared_state::SharedState, store_key::decode_record};
 
-/// Beats that are sent out of turn keep this distance, so that a burst of changes does not
-/// multiply them.
+/// Minimum time between early heartbeats, so that a burst of changes does not multiply them.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long the store gets to deliver what a peer already has, before the peer is asked.
+/// Time for the store to deliver what a peer already has, before this host asks the peer.
 const STORE_GRACE: Duration = Duration::from_millis(150);
 
-/// Distance of questions to peers for what this host lacks.
+/// Minimum time between requests to peers for missing changes.
 const TAIL_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Sends and hears heartbeats, and helps peers that are behind.
+/// Sends and handles heartbeats, and exchanges missing changes with peers.
 pub(crate) struct HeartbeatLoop {
     shared: Arc<SharedState>,
     beats: Receiver<InboundMessage>,
@@ -88,13 +87,14 @@
             .collect();
         drop(lease);
         for (peer, beat) in beats {
-            // A beat that can't be queued is as good as lost, and the lease allows for that.
+            // An unsent heartbeat counts as lost; the lease tolerates lost heartbeats.
             let _ = self.shared.options.node.send(&peer, Body::Beat(beat));
         }
         self.shared.publish_members();
     }
 
-    /// The peers to beat to: none before this life is listed, since it can't vouch yet.
+    /// The peers that get heartbeats. There are none until this incarnation is in the member list,
+    /// because its acknowledgements don't count before.
     fn heartbeat_peers(&self, lease: &decide::lease::LeaseMachine) -> Vec<MemberId> {
         if !lease.is_listed() {
             return Vec::new();
@@ -129,17 +129,17 @@
         self.request_missing_changes(&message.from, beat, list_revision, now);
     }
 
-    /// Two configurations of one revision can't both come from the store's single key. The
-    /// hash of the newest change rides on each beat, so that a corrupt host or store shows.
+    /// The store has a single configuration key, so there is one configuration per revision.
+    /// Heartbeats carry its hash; a mismatch reveals a corrupt host or store.
     fn check_config_hash(&self, message: &InboundMessage, beat: &Beat) {
-        let force = self.shared.holder.active_config();
-        if beat.config_revision == force.revision && beat.config_hash != force.hash {
+        let config = self.shared.holder.active_config();
+        if beat.config_revision == config.revision && beat.config_hash != config.hash {
             metrics::counter!("lws_config_faults").increment(1);
             log_event::error(
                 &event::CONFIG_DIVERGED,
                 format_args!(
                     "peer={} revision={} own_hash={:016x} peer_hash={:016x}",
-                    message.from, force.revision, force.hash, beat.config_hash
+                    message.from, config.revision, config.hash, beat.config_hash
                 ),
             );
         }
@@ -157,15 +157,15 @@
         let config_revision = self.shared.holder.active_config().revision;
         let peer_is_ahead =
             beat.config_revision > config_revision || beat.member_revision > list_revision;
-        let store_had_time = now.saturating_sub(since) >= STORE_GRACE;
-        let asked_lately = self
+        let grace_elapsed = now.saturating_sub(since) >= STORE_GRACE;
+        let requested_recently = self
             .last_tail_request
             .is_some_and(|at| now.saturating_sub(at) < TAIL_REQUEST_INTERVAL);
-        if !peer_is_ahead || !store_had_time || asked_lately {
+        if !peer_is_ahead || !grace_elapsed || requested_recently {
             return;
         }
         self.last_tail_request = Some(now);
-        let question = ChangeTail {
+        let request = ChangeTail {
             base_revision: config_revision,
             member_revision: list_revision,
             request: true,
@@ -175,7 +175,7 @@
             .shared
             .options
             .node
-            .send(from, Body::ChangeTail(question));
+            .send(from, Body::ChangeTail(request));
     }
 
     fn handle_tail(&mut self, message: &InboundMessage) {
@@ -204,13 +204,13 @@
         }
     }
 
-    fn send_tail(&self, to: &MemberId, question: &ChangeTail) {
+    fn send_tail(&self, to: &MemberId, request: &ChangeTail) {
         let mut answer = ChangeTail::default();
-        if question.base_revision < self.shared.holder.active_config().revision {
-            answer = self.shared.holder.tail_since(question.base_revision);
+        if request.base_revision < self.shared.holder.active_config().revision {
+            answer = self.shared.holder.tail_since(request.base_revision);
         }
         let lease = self.shared.lease.lock();
-        if question.member_revision < lease.list().revision() {
+        if request.member_revision < lease.list().revision() {
             answer.members = lease.list().record().encode_to_vec();
         }
         drop(lease);
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,8 +1,8 @@
 //! Member list, serving lease, configuration in force and team quotas of an entry host.
 //!
-//! Start with [`MemberService`]: it runs the duties and offers the traits of `ports`. What
-//! it decides is in the crate `decide`; here are only the threads, the store calls and the
-//! messages. The reasons are in `docs/design/01-membership.md`,
+//! Start with [`MemberService`]: it runs the threads and implements the traits of `ports`. The
+//! decisions are made in the crate `decide`; this crate has the threads, the store calls and the
+//! messages. The design is explained in `docs/design/01-membership.md`,
 //! `docs/design/02-configuration.md` and `docs/design/05-quotas.md`.
 
 pub mod event;
--- a/crates/member/src/local_quota.rs
+++ b/crates/member/src/local_quota.rs
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 use ports::{ActiveConfig, QuotaPermit, TeamStatus};
 
-/// Hands out units of the grants that this host holds.
+/// Hands out units of the team limits that are granted to this host.
 pub(crate) struct LocalQuota {
     machine: Arc<Mutex<QuotaMachine>>,
     wake: (Sender<()>, Receiver<()>),
@@ -68,10 +68,10 @@
         }
     }
 
-    /// What operators see of the teams of `force`.
-    pub(crate) fn status(&self, force: &ActiveConfig) -> Vec<TeamStatus> {
+    /// Status of the teams of `config` for operators.
+    pub(crate) fn status(&self, config: &ActiveConfig) -> Vec<TeamStatus> {
         let machine = self.machine.lock();
-        let teams = force.manifest.teams.iter().map(|(team, spec)| {
+        let teams = config.manifest.teams.iter().map(|(team, spec)| {
             let (running, granted) = machine.usage(team);
             TeamStatus {
                 team: team.clone(),
@@ -84,7 +84,7 @@
         teams.collect()
     }
 
-    /// Wakes whoever waits at [`LocalQuota::wakes`].
+    /// Wakes the receiver of [`LocalQuota::wakes`].
     pub(crate) fn wake(&self) {
         let _ = self.wake.0.try_send(());
     }
--- a/crates/member/src/member_options.rs
+++ b/crates/member/src/member_options.rs
@@ -5,21 +5,21 @@
 use ports::AuditSink;
 use store::{Clock, KeyStore};
 
-/// What a [`crate::MemberService`] is given.
+/// Dependencies and settings of a [`crate::MemberService`].
 #[derive(Clone)]
 pub struct MemberOptions {
     /// Settings of the process.
     pub settings: ServeSettings,
-    /// Address at which callers reach this host, as bound.
+    /// Bound address at which callers reach this host.
     pub caller_address: String,
-    /// Links to the other entry hosts. It carries the incarnation that
-    /// [`crate::claim_incarnation`] gave.
+    /// Links to the other entry hosts. Its incarnation must come from
+    /// [`crate::claim_incarnation`].
     pub node: Arc<PeerNode>,
     /// The platform's store.
     pub store: Arc<dyn KeyStore>,
-    /// The clocks.
+    /// Source of boot time and wall-clock time.
     pub clock: Arc<dyn Clock>,
-    /// Where changes of members and grants are noted; `None` notes nothing.
+    /// Receives audit records of changes of members and grants; `None` records nothing.
     pub audit: Option<Arc<dyn AuditSink>>,
 }
 
--- a/crates/member/src/member_service.rs
+++ b/crates/member/src/member_service.rs
@@ -28,12 +28,12 @@
     watch_loop::WatchLoop,
 };
 
-/// Calls of the store that may wait for the quotas' turn.
+/// Maximum number of queued store calls for quotas.
 const STORE_CALL_QUEUE: usize = 256;
 
 const THREAD_STACK: usize = 512 * 1024;
 
-/// Runs the duties that keep member list, lease, configuration and quotas of one entry host.
+/// Runs the threads that maintain member list, lease, configuration and quotas of one entry host.
 ///
 /// It offers [`MemberSource`], [`ServingGate`], [`ConfigSource`], [`QuotaSource`],
 /// [`ChangeSink`] and [`StatusSource`].
@@ -43,8 +43,8 @@
 }
 
 impl MemberService {
-    /// Starts the duties and returns at once; [`ServingGate::check`] says when the host has
-    /// joined and serves.
+    /// Starts the threads and returns immediately; [`ServingGate::check`] succeeds once the host
+    /// has joined and serves.
     ///
     /// # Errors
     /// If a thread can't be started.
@@ -76,8 +76,8 @@
         }))
     }
 
-    /// Takes this host out of the member list and ends the duties. Call it once nothing runs
-    /// any more; with the store down the host stays listed, and others remove it later.
+    /// Removes this host from the member list and stops the threads. Call it once no work runs
+    /// any more. If the store is down, the host stays listed and other hosts remove it later.
     pub fn stop(&self) {
         self.shared.set_leaving();
         if !self.threads.lock().is_empty() {
@@ -85,7 +85,7 @@
         }
         self.shared.set_stopping();
         for thread in std::mem::take(&mut *self.threads.lock()) {
-            // The watch ends with its patience; nothing depends on it any more.
+            // The watch thread ends with its timeout; nothing depends on it any more.
             if thread.thread().name() == Some("member-watch") {
                 continue;
             }
@@ -185,11 +185,11 @@
 
 fn spawn(
     name: &'static str,
-    duty: impl FnOnce() + Send + 'static,
+    body: impl FnOnce() + Send + 'static,
 ) -> Result<JoinHandle<()>, StepError> {
     thread::Builder::new()
         .name(name.to_owned())
         .stack_size(THREAD_STACK)
-        .spawn(duty)
+        .spawn(body)
         .map_err(|error| StepError::new("start thread", name, error))
 }
--- a/crates/member/src/probe_loop.rs
+++ b/crates/member/src/probe_loop.rs
@@ -12,22 +12,23 @@
 
 use crate::{event, shared_state::SharedState};
 
-/// Distance of the rounds.
+/// Time between two rounds of probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a connection may take.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Refusals in a row that prove a member gone; together they span most of a lease.
+/// Consecutive refused connections after which a member counts as ended; together they span
+/// most of a lease.
 const REQUIRED_REFUSALS: u32 = 3;
 
-/// Finds out whether members that are silent have ended.
+/// Finds out whether the processes of unresponsive members have ended.
 ///
-/// The failure this guards against: most entry hosts end at once, and those left can't know
-/// whether the others are gone or go on serving behind a cut. No quorum forms, and no change
-/// is accepted for ever. A host that is up refuses connections to a port that nobody holds;
-/// a process that serves always holds its port. So a refusal from the address in the member
-/// list proves that the process ended. Silence alone proves nothing and is not used here.
+/// If most entry hosts end at the same time, the remaining ones can't tell whether the others
+/// ended or still serve behind a network partition. Without a quorum, no change would ever be
+/// accepted again. A running host refuses connections to a port that no process listens on, and
+/// a serving process always listens on its port. So a refused connection to the address in the
+/// member list proves that the process ended. A missing response proves nothing and is ignored.
 pub(crate) struct ProbeLoop {
     shared: Arc<SharedState>,
     refusals: BTreeMap<(MemberId, Incarnation), u32>,
@@ -45,21 +46,21 @@
     pub(crate) fn run(mut self) {
         while !self.shared.is_stopping() {
             thread::sleep(PROBE_INTERVAL);
-            let silent = self.shared.unresponsive_members();
-            self.refusals.retain(|(id, life), _| {
-                silent
+            let unresponsive = self.shared.unresponsive_members();
+            self.refusals.retain(|(id, key), _| {
+                unresponsive
                     .iter()
-                    .any(|m| m.id == id.as_str() && m.incarnation == *life)
+                    .any(|m| m.id == id.as_str() && m.incarnation == *key)
             });
-            for member in silent {
+            for member in unresponsive {
                 self.probe(&member);
             }
         }
     }
 
     fn probe(&mut self, member: &Member) {
-        let life = (MemberId::from(member.id.as_str()), member.incarnation);
-        let count = self.refusals.entry(life.clone()).or_default();
+        let key = (MemberId::from(member.id.as_str()), member.incarnation);
+        let count = self.refusals.entry(key.clone()).or_default();
         if !is_refused(&member.peer_address) {
             *count = 0;
             return;
@@ -70,7 +71,7 @@
                 &event::MEMBER_GONE,
                 format_args!("member={} incarnation={}", member.id, member.incarnation),
             );
-            self.shared.acks.lock().record_ended(&life.0, life.1);
+            self.shared.acks.lock().record_ended(&key.0, key.1);
             self.shared.wake_store();
         }
     }
@@ -81,7 +82,7 @@
         return false;
     };
     if address.ip().is_unspecified() {
-        // A wildcard address would be dialled on this very host.
+        // Connecting to a wildcard address would reach this host itself.
         return false;
     }
     let refused = |error: std::io::Error| error.kind() == ErrorKind::ConnectionRefused;
--- a/crates/member/src/quota_call.rs
+++ b/crates/member/src/quota_call.rs
@@ -7,7 +7,7 @@
 
 use crate::shared_state::SharedState;
 
-/// A call of the store that the quotas need.
+/// A store call for a team's quota record.
 #[derive(Debug)]
 pub(crate) enum QuotaCall {
     /// Read the record of a team.
@@ -16,7 +16,7 @@
     Write(QuotaWrite),
 }
 
-/// Sorts messages by their receiver; a call of the store is returned.
+/// Adds a message to the batch of its receiver; returns a store call if the action is one.
 pub(crate) fn route_action(
     action: QuotaAction,
     talks: &mut BTreeMap<MemberId, QuotaTalk>,
@@ -34,8 +34,8 @@
     None
 }
 
-/// Sends one message to each receiver. A lost one costs time: questions are repeated, and
-/// units put aside in vain are fenced off by the next write.
+/// Sends one message to each receiver. A lost message only causes a delay: requests are
+/// repeated, and the next write fences off units that were reserved without use.
 pub(crate) fn send_talks(shared: &SharedState, talks: BTreeMap<MemberId, QuotaTalk>) {
     for (to, talk) in talks {
         let _ = shared.options.node.send(&to, Body::QuotaTalk(talk));
--- a/crates/member/src/quota_loop.rs
+++ b/crates/member/src/quota_loop.rs
@@ -14,18 +14,18 @@
     shared_state::SharedState,
 };
 
-/// Distance of the rounds in which units are moved.
+/// Interval of the rounds that move units between hosts.
 const ROUND_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Rounds out of turn keep this distance, so that each refused start does not cost one.
+/// Minimum time between early rounds, so that not every refused start triggers one.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Moves units of team limits: talks with the other hosts and has the records written.
+/// Moves units of team limits between hosts: exchanges messages and requests record writes.
 pub(crate) struct QuotaLoop {
     shared: Arc<SharedState>,
     talks: Receiver<InboundMessage>,
     calls: Sender<QuotaCall>,
-    ticked_at: Instant,
+    last_tick: Instant,
 }
 
 impl QuotaLoop {
@@ -38,7 +38,7 @@
             shared,
             talks,
             calls,
-            ticked_at: Instant::now(),
+            last_tick: Instant::now(),
         }
     }
 
@@ -50,7 +50,7 @@
             select! {
                 recv(rounds) -> _ => self.tick(),
                 recv(wakes) -> _ => {
-                    std::thread::sleep(MIN_ROUND_INTERVAL.saturating_sub(self.ticked_at.elapsed()));
+                    std::thread::sleep(MIN_ROUND_INTERVAL.saturating_sub(self.last_tick.elapsed()));
                     self.tick();
                 },
                 recv(self.talks) -> message => if let Ok(message) = message {
@@ -61,7 +61,7 @@
     }
 
     fn tick(&mut self) {
-        self.ticked_at = Instant::now();
+        self.last_tick = Instant::now();
         let now = self.shared.now();
         let actions = self.shared.quota.machine().lock().tick(now);
         self.perform(actions);
@@ -102,8 +102,8 @@
         send_talks(&self.shared, talks);
     }
 
-    /// Hands a call to the duty that talks to the store. While that is stuck in a slow store
-    /// and its queue is full, the call counts as not done, which it is.
+    /// Queues a call for the store loop of the quotas. If the store is slow and the queue is full,
+    /// the write is reported as not done.
     fn call_store(&self, call: QuotaCall) {
         let Err(refused) = self.calls.try_send(call) else {
             return;
--- a/crates/member/src/quota_store_loop.rs
+++ b/crates/member/src/quota_store_loop.rs
@@ -15,13 +15,13 @@
     store_key::{quota_key, read_record},
 };
 
-/// How often the duty looks whether it should stop.
+/// Interval at which the loop checks whether the service is stopping.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long handing back may hold up the end of the process.
+/// Maximum time that releasing grants may delay the end of the process.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reads and writes the records of the teams, one call after the other.
+/// Reads and writes the quota records of teams, one call at a time.
 pub(crate) struct QuotaStoreLoop {
     shared: Arc<SharedState>,
     calls: Receiver<QuotaCall>,
@@ -44,14 +44,14 @@
     }
 }
 
-/// Gives back what this host does not use, when it stops.
+/// Releases the unused units of this host when it stops.
 pub(crate) fn release_grants(shared: &SharedState) {
     shared.quota.machine().lock().set_leaving();
     let now = shared.now();
     let actions = shared.quota.machine().lock().tick(now);
     for action in actions {
-        // With the store down or slow the grants stay as they are; others take them over
-        // once nothing of this host can run any more.
+        // If the store is down or slow, the grants stay recorded. Other hosts take them over
+        // once no work of this host can be running.
         if shared.now().saturating_sub(now) > RELEASE_TIMEOUT {
             return;
         }
--- a/crates/member/src/shared_state.rs
+++ b/crates/member/src/shared_state.rs
@@ -20,7 +20,7 @@
 
 use crate::{MemberOptions, config_holder::ConfigHolder, event, local_quota::LocalQuota};
 
-/// What the duties of the service share.
+/// State shared by the threads of the service.
 pub(crate) struct SharedState {
     pub options: MemberOptions,
     pub own: MemberId,
@@ -90,12 +90,12 @@
         self.wake_beats();
     }
 
-    /// Sends beats at once, so that peers learn of a change before the next interval.
+    /// Triggers heartbeats immediately, so that peers learn of a change before the next interval.
     pub(crate) fn wake_beats(&self) {
         let _ = self.beat_wake.0.try_send(());
     }
 
-    /// Has the store read at once.
+    /// Triggers a read of the store.
     pub(crate) fn wake_store(&self) {
         let _ = self.store_wake.0.try_send(());
     }
@@ -104,9 +104,9 @@
         self.beat_wake.1.clone()
     }
 
-    /// Waits for a reason to read the store, at most `patience`.
-    pub(crate) fn await_store_wake(&self, patience: Duration) {
-        let _ = self.store_wake.1.recv_timeout(patience);
+    /// Waits for a trigger to read the store, at most `timeout`.
+    pub(crate) fn await_store_wake(&self, timeout: Duration) {
+        let _ = self.store_wake.1.recv_timeout(timeout);
     }
 
     /// Whether new work may start now.
@@ -125,15 +125,14 @@
             })
     }
 
-    /// True if the message comes from a listed life of a member. What others say of records
-    /// is not followed: a life that was replaced may be behind, and a stray process may say
-    /// anything.
+    /// True if the message comes from an incarnation in the member list. Records from others are
+    /// ignored: a replaced incarnation may be behind, and a foreign process may send anything.
     pub(crate) fn is_listed(&self, message: &InboundMessage) -> bool {
         let lease = self.lease.lock();
         lease.list().contains(&message.from, message.incarnation)
     }
 
-    /// Follows a configuration record from the store and tells the peers.
+    /// Applies a configuration record from the store and informs the peers.
     pub(crate) fn apply_config(&self, record: &ConfigRecord) -> Result<(), StoreError> {
         if self.holder.apply_record(self.store(), record)? {
             self.publish_config();
@@ -141,16 +140,16 @@
         Ok(())
     }
 
-    /// Has the lease and the quotas use the configuration now in force.
+    /// Passes the configuration in config to the lease and the quotas.
     pub(crate) fn publish_config(&self) {
-        let force = self.holder.active_config();
-        self.lease.lock().set_config(force.revision, force.hash);
+        let config = self.holder.active_config();
+        self.lease.lock().set_config(config.revision, config.hash);
         let (revision, limits) = self.holder.limits();
         self.quota.set_limits(revision, &limits);
         self.wake_beats();
     }
 
-    /// Takes a newer member list, once the configuration that it asks for is held.
+    /// Applies a newer member list, if this host has the configuration that it requires.
     pub(crate) fn apply_list(&self, list: &MemberList) {
         if list.config_floor() > self.holder.active_config().revision {
             return;
@@ -176,7 +175,7 @@
         self.wake_beats();
     }
 
-    /// Rebuilds what other areas see of the members.
+    /// Updates the member information that other crates read.
     pub(crate) fn publish_members(&self) {
         let now = self.now();
         let length = self.options.settings.lease_length;
@@ -184,14 +183,14 @@
         let infos = lease.list().members().iter().map(|member| {
             let view = lease.peers().get(member.id.as_str());
             let view = view.filter(|view| view.incarnation == member.incarnation);
-            let heard_at = view.and_then(|view| view.last_beat_at);
+            let received_at = view.and_then(|view| view.last_beat_at);
             let is_own = member.id == self.own.as_str();
             MemberInfo {
                 member: MemberId::from(member.id.as_str()),
                 incarnation: member.incarnation,
                 caller_address: member.caller_address.clone(),
                 data_centre: member.data_centre.as_str().into(),
-                reachable: is_own || heard_at.is_some_and(|at| now.saturating_sub(at) < length),
+                reachable: is_own || received_at.is_some_and(|at| now.saturating_sub(at) < length),
                 leaving: if is_own {
                     self.is_leaving()
                 } else {
@@ -205,34 +204,34 @@
         }
     }
 
-    /// Lives in the list, or in the settled one, that were not heard for longer than a lease
-    /// and are not known to have ended.
+    /// Incarnations in the current or the settled list that sent no heartbeat for longer than a
+    /// lease and are not known to have ended.
     pub(crate) fn unresponsive_members(&self) -> Vec<Member> {
         let now = self.now();
         let length = self.options.settings.lease_length;
         let lease = self.lease.lock();
         let acks = self.acks.lock();
         let record = lease.list().record();
-        let lives = record.members.iter().chain(&record.settled);
-        let silent = lives.filter(|member| {
+        let incarnations = record.members.iter().chain(&record.settled);
+        let unresponsive = incarnations.filter(|member| {
             let view = lease.peers().get(member.id.as_str());
             let view = view.filter(|view| view.incarnation == member.incarnation);
-            let heard_at = view.and_then(|view| view.last_beat_at).unwrap_or_default();
+            let received_at = view.and_then(|view| view.last_beat_at).unwrap_or_default();
             member.id != self.own.as_str()
-                && now.saturating_sub(heard_at) > length
+                && now.saturating_sub(received_at) > length
                 && !acks.has_ended(member)
         });
-        silent.cloned().collect()
+        unresponsive.cloned().collect()
     }
 
-    /// Notes something for the audit trail.
-    pub(crate) fn audit(&self, note: AuditRecord) {
+    /// Writes a record to the audit trail.
+    pub(crate) fn audit(&self, record: AuditRecord) {
         if let Some(sink) = &self.options.audit {
-            sink.record(note);
+            sink.record(record);
         }
     }
 
-    /// This host as the member list should name it.
+    /// This host's entry for the member list.
     pub(crate) fn own_member(&self) -> Member {
         Member {
             id: self.own.to_string(),
--- a/crates/member/src/store_key.rs
+++ b/crates/member/src/store_key.rs
@@ -1,4 +1,4 @@
-//! Names of the keys that this crate keeps in the store, and how their values are read.
+//! Keys of this crate in the store, and functions to read their values.
 
 use model::{Revision, StepError, TeamId, event as log_event};
 use prost::Message;
@@ -10,21 +10,21 @@
 pub(crate) const MEMBERS: &str = "members";
 /// Key of the newest configuration.
 pub(crate) const CONFIG: &str = "config";
-/// Prefix of the bases that the configuration builds on.
+/// Prefix of the keys of configuration bases.
 pub(crate) const CONFIG_BASES: &str = "config/base/";
 
-/// The key of a new base. The suffix keeps two operators who race for the same revision
-/// from writing the same key.
+/// Key of a new base. The suffix keeps two concurrent changes for the same revision from writing
+/// the same key.
 pub(crate) fn config_base(revision: Revision, suffix: &str) -> String {
     format!("{CONFIG_BASES}{revision:020}-{suffix}")
 }
 
-/// The key of a team's quota record.
+/// Key of a team's quota record.
 pub(crate) fn quota_key(team: &TeamId) -> String {
     format!("quota/{team}")
 }
 
-/// Reads a record; an absent key is an empty record at version 0.
+/// Reads a record; an absent key yields an empty record at version 0.
 pub(crate) fn read_record<M: Message + Default>(
     store: &dyn KeyStore,
     key: &str,
@@ -35,8 +35,8 @@
     Ok((stored.version, decode_record(key, &stored.value)?))
 }
 
-/// Decodes a record. One that can't be decoded is never followed: the host goes on with
-/// what it holds, and the fault is loud.
+/// Decodes a record. If that fails, the host keeps the state that it has, and the error is
+/// logged.
 pub(crate) fn decode_record<M: Message + Default>(
     key: &str,
     bytes: &[u8],
@@ -50,7 +50,7 @@
     })
 }
 
-/// Wraps a fault of the store with the step at which it arose.
+/// Adds the failed step to a store error.
 pub(crate) fn store_step_error(step: &'static str, error: StoreError) -> StepError {
     StepError::new(step, "store", error)
 }
--- a/crates/member/src/store_loop.rs
+++ b/crates/member/src/store_loop.rs
@@ -20,17 +20,17 @@
     store_key::{CONFIG, MEMBERS, read_record, store_step_error},
 };
 
-/// How often the duty looks whether there is something to do.
+/// Interval at which the loop checks whether a read is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How often the store is read although nothing asks for it, so that a lost hint heals.
+/// Interval of reads without a hint, which make up for lost hints.
 const IDLE_READ_INTERVAL: Duration = Duration::from_secs(15);
 
-/// Distance of reads that only hints ask for.
+/// Minimum time between reads.
 const MIN_READ_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Reads list and configuration from the store when the lease or a hint asks for it, and
-/// keeps the member list: joins, rejoins, removes members that are gone.
+/// Reads member list and configuration from the store when the lease or a hint requires it, and
+/// maintains the member list: joins, rejoins and removes members that are gone.
 pub(crate) struct StoreLoop {
     shared: Arc<SharedState>,
     read_at: Option<BootTime>,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Runs until the service stops, then takes this host out of the list.
+    /// Runs until the service stops, then removes this host from the list.
     pub(crate) fn run(mut self) {
         while !self.shared.is_stopping() {
             if self.is_due() {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Reads are due while a majority does not renew the lease, after hints, and rarely.
+    /// Reads are due while no majority renews the lease, after hints, and at long intervals.
     fn is_due(&self) -> bool {
         let now = self.shared.now();
         let since_read = self.read_at.map(|at| now.saturating_sub(at));
@@ -88,15 +88,15 @@
             || lease.list().members().iter().any(|m| acks.has_ended(m))
     }
 
-    /// How long this host waits between attempts to settle the list: its place in the list
-    /// decides, so that one host mostly does it.
+    /// Interval between this host's attempts to settle the list. It grows with the host's
+    /// position in the list, so that usually a single host writes.
     fn settle_interval(&self, lease: &LeaseMachine) -> Duration {
         let members = lease.list().members();
-        let place = members
+        let position = members
             .iter()
             .position(|m| m.id == self.shared.own.as_str());
-        let place = u32::try_from(place.unwrap_or(members.len())).unwrap_or(u32::MAX);
-        CHECK_INTERVAL.saturating_mul(1 + 4 * place)
+        let position = u32::try_from(position.unwrap_or(members.len())).unwrap_or(u32::MAX);
+        CHECK_INTERVAL.saturating_mul(1 + 4 * position)
     }
 
     fn run_round(&mut self) -> Result<(), StepError> {
@@ -113,8 +113,8 @@
         self.settle_list(version, &list)
     }
 
-    /// Reads the list and then the configuration, in this order: the configuration read is
-    /// at least that of the list's floor, and a list written from here may name it as floor.
+    /// Reads the list before the configuration. So the configuration is at least at the revision
+    /// of the list's floor, and a list written by this host may use it as floor.
     fn read_all(&self, sent: BootTime) -> Result<(StoreVersion, MemberList), StepError> {
         let store = self.shared.store();
         let (version, record) = read_record::<MemberRecord>(store, MEMBERS)
@@ -126,7 +126,7 @@
             .map_err(|error| store_step_error("follow configuration", error))?;
         let held = self.shared.lease.lock().list().revision();
         if config.revision < self.shared.holder.active_config().revision || record.revision < held {
-            // A store that went back proves nothing fresh.
+            // The store may have been restored from an old copy: this read must not renew the lease.
             let error = StoreError::Rejected(format!(
                 "old revisions: configuration {}, members {}",
                 config.revision, record.revision
@@ -151,9 +151,9 @@
             .record_held(&self.shared.own, self.shared.incarnation(), revision);
     }
 
-    /// Joins the list. A listed newer life means that another process has this id; an older
-    /// one is this host before its restart. A host that was listed and is no more begins a
-    /// new life, because the grants of the old one may have been given away.
+    /// Joins the list. A newer incarnation in the list means that another process uses this id;
+    /// an older one is this host before its restart. A host that was removed from the list starts
+    /// a new incarnation, because the grants of the old one may have been reassigned.
     fn join(&self, version: StoreVersion, list: &MemberList) -> Result<(), StepError> {
         if self.shared.is_leaving() {
             return Ok(());
@@ -204,7 +204,7 @@
         Ok(())
     }
 
-    /// Removes one member that is lost; true if there was one.
+    /// Removes one lost member; true if there was one.
     fn remove_lost(&self, version: StoreVersion, list: &MemberList) -> Result<bool, StepError> {
         let now = self.shared.now();
         let lost = self.shared.lease.lock().lost_members(now);
@@ -218,8 +218,8 @@
         Ok(true)
     }
 
-    /// Settles the list. Any member may; the first of the list goes ahead, the others only
-    /// step in when it does not, so that they do not write all at once.
+    /// Settles the list. Any member may do so. The first in the list does it first, and the
+    /// others only after longer intervals, so that they don't all write at the same time.
     fn settle_list(&self, version: StoreVersion, list: &MemberList) -> Result<(), StepError> {
         let acks = self.shared.acks.lock().clone();
         let floor = self.shared.holder.active_config().revision;
@@ -230,7 +230,7 @@
         Ok(())
     }
 
-    /// Takes this host out of the list: it has stopped serving, so it needs no majority.
+    /// Removes this host from the list. It has stopped serving, so this needs no majority.
     fn leave_list(&self) -> Result<(), StepError> {
         let own = &self.shared.own;
         let incarnation = self.shared.incarnation();
@@ -253,7 +253,7 @@
         Ok(())
     }
 
-    /// A last beat tells the others that the list changed; after it none comes from here.
+    /// Sends a last heartbeat, so that the other members learn of the changed list.
     fn send_last_beats(&self, list: &MemberList) {
         let now = self.shared.now();
         let own = self.shared.own.as_str();
@@ -290,8 +290,8 @@
         Ok(())
     }
 
-    /// Writes the list; false if another host was first. What a lost answer left is found by
-    /// the next read.
+    /// Writes the list; false if another host wrote first. After a lost response, the next read
+    /// shows whether the write took effect.
     fn write_list(
         &self,
         version: StoreVersion,
@@ -313,7 +313,7 @@
         }
     }
 
-    /// Notes a change of the list for the audit trail.
+    /// Writes a change of the list to the audit trail.
     fn audit(&self, member: &MemberId, incarnation: Incarnation, change: &str, list: &MemberList) {
         self.shared.audit(AuditRecord {
             author: self.shared.own.to_string(),
--- a/crates/member/src/watch_loop.rs
+++ b/crates/member/src/watch_loop.rs
@@ -9,15 +9,15 @@
     store_key::{CONFIG, decode_record},
 };
 
-/// How long one watch waits. It only speeds changes up: a host whose watch hangs or lies
-/// learns of them from its peers' beats, and its lease never rests on a watch.
+/// Maximum wait of one watch. Watches only speed up changes: a host whose watch hangs or returns
+/// old values learns of changes from heartbeats, and its lease never depends on a watch.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Pauses after failed watches grow between these.
+/// Minimum and maximum pause after failed watches; the pause doubles.
 const PAUSE_MIN: Duration = Duration::from_millis(100);
 const PAUSE_MAX: Duration = Duration::from_secs(1);
 
-/// Waits for changes of the configuration: the one watch of an entry host.
+/// Watches the configuration key; this is the only watch of an entry host.
 pub(crate) struct WatchLoop {
     shared: Arc<SharedState>,
     version: StoreVersion,
@@ -51,8 +51,8 @@
         let Some(stored) = watched else {
             return Ok(());
         };
-        // A version that is not newer is a stale answer. Asking for what follows it would
-        // bring the same answer for ever, and without a pause as fast as the store answers.
+        // A version that is not newer is a stale response. Watching again from it could return
+        // the same response forever, so without a pause this would be a busy loop.
         if stored.version <= self.version {
             thread::sleep(PAUSE_MAX);
             return Ok(());
--- a/crates/member/tests/common/mod.rs
+++ b/crates/member/tests/common/mod.rs
@@ -18,17 +18,17 @@
 use ports::ServingGate;
 use store::{BootClock, KeyStore, StoreError, StoreVersion, StoredValue};
 
-/// Generous: it bounds a failing run and decides nothing in a passing one.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of a failing test; long enough not to affect a passing one.
+pub const WAIT_LIMIT: Duration = Duration::from_secs(30);
 
-/// What the store does wrong.
+/// Faults injected into the store.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreFaults {
     /// Every call is refused.
     pub down: bool,
-    /// This many writes take effect and their answers are lost.
+    /// Number of writes that take effect and whose responses are lost.
     pub lose_answers: u32,
-    /// Watches never deliver anything.
+    /// Watches never return a value.
     pub watch_hangs: bool,
 }
 
@@ -137,9 +137,9 @@
         &self,
         key: &str,
         after: StoreVersion,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<Option<StoredValue>, StoreError> {
-        let deadline = Instant::now() + patience;
+        let deadline = Instant::now() + max_wait;
         let mut state = self.state.lock();
         state.begin()?;
         loop {
@@ -161,15 +161,15 @@
     }
 }
 
-/// One host's way to the store; it ends with the host.
+/// One host's connection to the store; it fails once the host is cut off or killed.
 struct HostStore {
     store: Arc<MemoryStore>,
-    is_dead: Arc<AtomicBool>,
+    is_cut_off: Arc<AtomicBool>,
 }
 
 impl HostStore {
-    fn reach(&self) -> Result<&MemoryStore, StoreError> {
-        if self.is_dead.load(Ordering::Acquire) {
+    fn connect(&self) -> Result<&MemoryStore, StoreError> {
+        if self.is_cut_off.load(Ordering::Acquire) {
             return Err(StoreError::Unavailable("the host is dead".to_owned()));
         }
         Ok(&self.store)
@@ -178,7 +178,7 @@
 
 impl KeyStore for HostStore {
     fn read(&self, key: &str) -> Result<Option<StoredValue>, StoreError> {
-        self.reach()?.read(key)
+        self.connect()?.read(key)
     }
 
     fn swap(
@@ -187,37 +187,37 @@
         expect: StoreVersion,
         value: &[u8],
     ) -> Result<StoreVersion, StoreError> {
-        self.reach()?.swap(key, expect, value)
+        self.connect()?.swap(key, expect, value)
     }
 
     fn remove(&self, key: &str, expect: StoreVersion) -> Result<(), StoreError> {
-        self.reach()?.remove(key, expect)
+        self.connect()?.remove(key, expect)
     }
 
     fn watch(
         &self,
         key: &str,
         after: StoreVersion,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<Option<StoredValue>, StoreError> {
-        self.reach()?.watch(key, after, patience)
+        self.connect()?.watch(key, after, max_wait)
     }
 
     fn list(&self, prefix: &str) -> Result<Vec<(String, StoredValue)>, StoreError> {
-        self.reach()?.list(prefix)
+        self.connect()?.list(prefix)
     }
 }
 
-/// One entry host without callers.
+/// An entry host without callers.
 pub struct TestHost {
-    is_dead: Arc<AtomicBool>,
+    is_cut_off: Arc<AtomicBool>,
     pub node: Arc<PeerNode>,
     pub service: Arc<MemberService>,
 }
 
 impl TestHost {
     pub fn start(store: &Arc<MemoryStore>, name: &str) -> Self {
-        let is_dead = Arc::new(AtomicBool::new(false));
+        let is_cut_off = Arc::new(AtomicBool::new(false));
         let incarnation = claim_incarnation(store.as_ref()).unwrap();
         let member = MemberId::from(name);
         let node = PeerNode::start(member.clone(), incarnation, "127.0.0.1:0", Vec::new()).unwrap();
@@ -232,14 +232,14 @@
             node: node.clone(),
             store: Arc::new(HostStore {
                 store: store.clone(),
-                is_dead: is_dead.clone(),
+                is_cut_off: is_cut_off.clone(),
             }),
             clock: Arc::new(BootClock),
             audit: None,
         })
         .unwrap();
         Self {
-            is_dead,
+            is_cut_off,
             node,
             service,
         }
@@ -265,23 +265,23 @@
         wait_until("the host serves", || self.serves());
     }
 
-    /// Cuts the host off from the store, and from nothing else.
+    /// Cuts the host off from the store only.
     pub fn cut_store(&self) {
-        self.is_dead.store(true, Ordering::Release);
+        self.is_cut_off.store(true, Ordering::Release);
     }
 
-    /// Ends the host without a word, as a kill would.
+    /// Stops the host without leaving the list, as a kill would.
     pub fn kill(self) {
-        self.is_dead.store(true, Ordering::Release);
+        self.is_cut_off.store(true, Ordering::Release);
         self.node.stop();
         std::mem::forget(self.service);
     }
 }
 
-pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
-    while !holds() {
-        assert!(Instant::now() < deadline, "waited in vain until {what}");
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + WAIT_LIMIT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/member/tests/incarnation.rs
+++ b/crates/member/tests/incarnation.rs
@@ -1,4 +1,4 @@
-//! Incarnation numbers from the store.
+//! Tests of claiming incarnation numbers from the store.
 
 #![allow(clippy::unwrap_used)]
 
@@ -16,8 +16,8 @@
 use member::claim_incarnation;
 use store::{BootClock, KeyStore, RetryStore, StoreError, StoreVersion, StoredValue};
 
-/// Before the first write of one host arrives, another host claims; and the answer to the
-/// first write is lost.
+/// A store in which another host claims before the first write of this host arrives, and the
+/// response to that write is lost.
 struct RacedStore {
     store: MemoryStore,
     other_claim: AtomicU64,
@@ -50,9 +50,9 @@
         &self,
         key: &str,
         after: StoreVersion,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<Option<StoredValue>, StoreError> {
-        self.store.watch(key, after, patience)
+        self.store.watch(key, after, max_wait)
     }
 
     fn list(&self, prefix: &str) -> Result<Vec<(String, StoredValue)>, StoreError> {
@@ -60,9 +60,9 @@
     }
 }
 
-// Two hosts start at the same moment and the store loses an answer. The store client settles
-// a lost answer by the bytes that it finds, and both hosts wanted to write the same number:
-// with one incarnation each would count the other's word and quota as its own.
+// Two hosts start at the same time and a response of the store is lost. The store client then
+// compares the stored bytes with its own, and both hosts tried to write the same number. With
+// the same incarnation, each would take the other's messages and quota for its own.
 #[test]
 fn claim_incarnation_raced_is_distinct() {
     let raced = Arc::new(RacedStore {
--- a/crates/member/tests/member_service.rs
+++ b/crates/member/tests/member_service.rs
@@ -1,4 +1,4 @@
-//! Several entry hosts in one process, over real sockets and a store in memory.
+//! Tests with several entry hosts in one process, over real sockets and a store in memory.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,7 +11,7 @@
 use ports::{ChangeError, ChangeRequest, ChangeSink, ConfigSource, MemberSource, ServingGate};
 use wire::state::{KeyEdit, KeyRecord};
 
-fn grant(id: &str, base: Option<Revision>) -> ChangeRequest {
+fn grant_key(id: &str, base: Option<Revision>) -> ChangeRequest {
     ChangeRequest {
         change_id: format!("grant-{id}").into(),
         author: "ops".to_owned(),
@@ -29,7 +29,7 @@
     }
 }
 
-fn withdraw(id: &str) -> ChangeRequest {
+fn withdraw_key(id: &str) -> ChangeRequest {
     ChangeRequest {
         change_id: format!("withdraw-{id}").into(),
         author: "ops".to_owned(),
@@ -46,29 +46,29 @@
 fn submit_is_in_force_on_all_hosts() {
     let store = Arc::new(MemoryStore::default());
     let hosts = TestHost::start_many(&store, 3);
-    let outcome = hosts[0].service.submit(&grant("k1", None)).unwrap();
+    let outcome = hosts[0].service.submit(&grant_key("k1", None)).unwrap();
     assert_eq!((outcome.revision, outcome.repeated), (1, false));
     for host in &hosts {
         wait_until("the key is known", || {
             host.service.current().keys.contains_key("k1")
         });
     }
-    let again = hosts[1].service.submit(&grant("k1", None)).unwrap();
+    let again = hosts[1].service.submit(&grant_key("k1", None)).unwrap();
     assert_eq!((again.revision, again.repeated), (1, true));
-    hosts[2].service.submit(&withdraw("k1")).unwrap();
+    hosts[2].service.submit(&withdraw_key("k1")).unwrap();
     wait_until("the key is gone", || {
         hosts[0].service.current().keys.is_empty()
     });
 }
 
-// Two operators prepare changes against the same revision. The first wins; the second must
-// learn that it lost and what changed, or it would overwrite the first unseen.
+// Two operators submit changes based on the same revision. The second must get a conflict that
+// names the changed items; otherwise it would overwrite the first change unnoticed.
 #[test]
 fn submit_second_operator_gets_conflict() {
     let store = Arc::new(MemoryStore::default());
     let hosts = TestHost::start_many(&store, 1);
-    hosts[0].service.submit(&grant("k1", Some(0))).unwrap();
-    let refused = hosts[0].service.submit(&grant("k2", Some(0)));
+    hosts[0].service.submit(&grant_key("k1", Some(0))).unwrap();
+    let refused = hosts[0].service.submit(&grant_key("k2", Some(0)));
     let conflict = ChangeError::Conflict {
         base: 0,
         newest: 1,
@@ -77,25 +77,25 @@
     assert_eq!(refused, Err(conflict));
 }
 
-// The store takes a change and its answer is lost. The operator must not be told that
-// nothing was recorded, and the change must not be made twice.
+// A change takes effect and the response of the store is lost. The submission must not fail with
+// "nothing was recorded", and the change must not be applied twice.
 #[test]
-fn submit_lost_answer_counts_once() {
+fn submit_lost_response_applies_once() {
     let store = Arc::new(MemoryStore::default());
     let hosts = TestHost::start_many(&store, 1);
     store.set_faults(StoreFaults {
         lose_answers: 1,
         ..StoreFaults::default()
     });
-    let outcome = hosts[0].service.submit(&grant("k1", None)).unwrap();
+    let outcome = hosts[0].service.submit(&grant_key("k1", None)).unwrap();
     assert_eq!(outcome.revision, 1);
     assert_eq!(hosts[0].service.current().revision, 1);
 }
 
-// The store is down for much longer than a lease. Callers must not notice: three hosts that
-// hear each other go on serving, and operators are told that nothing was recorded.
+// The store is down for much longer than a lease. Three hosts that receive each other's
+// heartbeats must go on serving, and a submission must fail as unavailable.
 #[test]
-fn gate_outage_majority_serves() {
+fn check_majority_serves_in_store_outage() {
     let store = Arc::new(MemoryStore::default());
     let hosts = TestHost::start_many(&store, 3);
     store.set_faults(StoreFaults {
@@ -108,14 +108,14 @@
             assert_eq!(host.service.check(), Ok(()));
         }
     }
-    let refused = hosts[0].service.submit(&grant("k1", None));
+    let refused = hosts[0].service.submit(&grant_key("k1", None));
     assert!(matches!(refused, Err(ChangeError::Unavailable(_))));
 }
 
-// In an outage of the store two of three hosts die. The one left hears no majority: it can't
-// know what the others accepted, so it must refuse. When the store is back it serves.
+// During a store outage two of three hosts die. The remaining host has no majority and can't
+// know what the others accepted, so it must refuse. When the store is back, it serves again.
 #[test]
-fn gate_outage_minority_refuses() {
+fn check_minority_refuses_in_store_outage() {
     let store = Arc::new(MemoryStore::default());
     let mut hosts = TestHost::start_many(&store, 3);
     store.set_faults(StoreFaults {
@@ -129,18 +129,18 @@
     hosts[0].await_serving();
 }
 
-// A host's watch hangs while a key is withdrawn: its callers could go on using the key. The
-// beats of the others tell it, and acceptance waits for a quorum that knows.
+// Watches hang while a key is withdrawn, so callers could go on using the key. Heartbeats must
+// deliver the change, and acceptance must wait for a quorum that has it.
 #[test]
-fn submit_hanging_watch_learns_by_beats() {
+fn submit_reaches_hosts_with_hanging_watch() {
     let store = Arc::new(MemoryStore::default());
     let hosts = TestHost::start_many(&store, 3);
-    hosts[0].service.submit(&grant("k1", None)).unwrap();
+    hosts[0].service.submit(&grant_key("k1", None)).unwrap();
     store.set_faults(StoreFaults {
         watch_hangs: true,
         ..StoreFaults::default()
     });
-    hosts[0].service.submit(&withdraw("k1")).unwrap();
+    hosts[0].service.submit(&withdraw_key("k1")).unwrap();
     for host in &hosts {
         wait_until("the key is gone", || host.service.current().keys.is_empty());
     }
@@ -157,8 +157,8 @@
     wait_until("the list has two", || hosts[0].service.members().len() == 2);
 }
 
-// Three of four hosts end at once, killed, and never come back. The one left serves on store
-// reads; operators must not wait for ever for the three to confirm their changes.
+// Three of four hosts are killed at the same time and never return. The remaining host serves on
+// store reads, and changes must not wait forever for confirmations of the other three.
 #[test]
 fn submit_after_majority_died_is_accepted() {
     let store = Arc::new(MemoryStore::default());
@@ -167,42 +167,42 @@
         hosts.pop().unwrap().kill();
     }
     wait_until("a change is accepted", || {
-        hosts[0].service.submit(&grant("k1", None)).is_ok()
+        hosts[0].service.submit(&grant_key("k1", None)).is_ok()
     });
     hosts[0].await_serving();
-    wait_until("the dead are off the list", || {
+    wait_until("the killed hosts are removed", || {
         hosts[0].service.members().len() == 1
     });
 }
 
-// One host alone loses the store, and a key is withdrawn through another. The host goes on
-// serving on its peers' word, so it must get the change from them.
+// Only one host loses the store, and a key is withdrawn through another host. The first host
+// keeps its lease through its peers, so it must get the change from them.
 #[test]
 fn submit_reaches_host_without_store() {
     let store = Arc::new(MemoryStore::default());
     let hosts = TestHost::start_many(&store, 3);
-    hosts[0].service.submit(&grant("k1", None)).unwrap();
+    hosts[0].service.submit(&grant_key("k1", None)).unwrap();
     hosts[2].cut_store();
-    hosts[0].service.submit(&withdraw("k1")).unwrap();
+    hosts[0].service.submit(&withdraw_key("k1")).unwrap();
     wait_until("the key is gone", || {
         hosts[2].service.current().keys.is_empty()
     });
     hosts[2].await_serving();
-    let refused = hosts[2].service.submit(&grant("k2", None));
+    let refused = hosts[2].service.submit(&grant_key("k2", None));
     assert!(matches!(refused, Err(ChangeError::Unavailable(_))));
 }
 
-// The store is restored from an old copy while the hosts run. What they hold must not go
-// back, and nothing may be recorded on top of the old state.
+// The store is restored from an old copy while the hosts run. Their configuration must not go
+// back, and no change may be recorded on top of the old state.
 #[test]
-fn submit_store_went_back_is_refused() {
+fn submit_to_restored_old_store_is_refused() {
     let store = Arc::new(MemoryStore::default());
     let hosts = TestHost::start_many(&store, 3);
-    hosts[0].service.submit(&grant("k1", None)).unwrap();
+    hosts[0].service.submit(&grant_key("k1", None)).unwrap();
     let old = store.copy();
-    hosts[0].service.submit(&withdraw("k1")).unwrap();
+    hosts[0].service.submit(&withdraw_key("k1")).unwrap();
     store.restore(old);
-    let refused = hosts[1].service.submit(&grant("k2", None));
+    let refused = hosts[1].service.submit(&grant_key("k2", None));
     assert!(matches!(refused, Err(ChangeError::Unavailable(_))));
     assert!(hosts.iter().all(|h| h.service.current().keys.is_empty()));
     assert!(hosts.iter().all(TestHost::serves));
--- a/crates/member/tests/quota_service.rs
+++ b/crates/member/tests/quota_service.rs
@@ -1,4 +1,4 @@
-//! Team limits on several entry hosts, over real sockets and a store in memory.
+//! Tests of team limits on several entry hosts, over real sockets and a store in memory.
 
 #![allow(clippy::unwrap_used)]
 
@@ -25,8 +25,8 @@
     host.service.submit(&request).unwrap();
 }
 
-/// Takes units as they come, until `count` are held.
-fn take_all(host: &TestHost, count: usize) -> Vec<QuotaPermit> {
+/// Takes units until `count` are held.
+fn take_units(host: &TestHost, count: usize) -> Vec<QuotaPermit> {
     let team = TeamId::from("panels");
     let mut permits = Vec::new();
     let wanted = u32::try_from(count).unwrap();
@@ -41,21 +41,21 @@
     permits
 }
 
-// All callers of a team come in over one entry host. They must get the whole limit there,
-// not a third of it; and when they move to another host, the limit moves with them.
+// All callers of a team use one of three entry hosts. They must get the whole limit there, not a
+// third of it, and when they move to another host, the limit must move with them.
 #[test]
 fn try_take_limit_follows_demand() {
     let store = Arc::new(MemoryStore::default());
     let hosts = TestHost::start_many(&store, 3);
     set_limit(&hosts[0], "c1", 30);
     let team = TeamId::from("panels");
-    let first = take_all(&hosts[0], 30);
+    let first = take_units(&hosts[0], 30);
     assert!(hosts[0].service.try_take(&team).is_none());
     assert!(hosts[1].service.try_take(&team).is_none());
     drop(first);
     let writes = store.writes();
-    let second = take_all(&hosts[1], 30);
-    println!("writes for the shift: {}", store.writes() - writes);
+    let second = take_units(&hosts[1], 30);
+    println!("writes for the move: {}", store.writes() - writes);
     assert!(hosts[0].service.try_take(&team).is_none());
     drop(second);
 }
@@ -68,10 +68,10 @@
     assert!(hosts[0].service.try_take(&"nobody".into()).is_none());
 }
 
-// The store takes the write of a grant and its answer is lost. The host must neither use
-// units that it was not given nor wait for ever: it reads back and goes on.
+// The write of a grant takes effect and the response of the store is lost. The host must neither
+// use units that it does not have nor wait forever; it must read the record back.
 #[test]
-fn try_take_lost_answer_is_settled() {
+fn try_take_recovers_from_lost_response() {
     let store = Arc::new(MemoryStore::default());
     let hosts = TestHost::start_many(&store, 1);
     set_limit(&hosts[0], "c1", 4);
@@ -79,26 +79,26 @@
         lose_answers: 1,
         ..StoreFaults::default()
     });
-    let permits = take_all(&hosts[0], 4);
+    let permits = take_units(&hosts[0], 4);
     assert!(hosts[0].service.try_take(&"panels".into()).is_none());
     drop(permits);
 }
 
-// An operator lowers a team's limit while more than that runs. Nothing may start until what
-// runs fits, and then no more than the new limit.
+// An operator lowers a team's limit below the number of running units. No unit may start until
+// the running ones fit the new limit, and the total must then stay within it.
 #[test]
 fn try_take_lowered_limit_waits() {
     let store = Arc::new(MemoryStore::default());
     let hosts = TestHost::start_many(&store, 2);
     set_limit(&hosts[0], "c1", 10);
-    let mut first = take_all(&hosts[0], 10);
+    let mut first = take_units(&hosts[0], 10);
     set_limit(&hosts[0], "c2", 4);
     let team = TeamId::from("panels");
     assert!(hosts[0].service.try_take(&team).is_none());
     assert!(hosts[1].service.try_take(&team).is_none());
     first.truncate(3);
-    let second = take_all(&hosts[1], 1);
+    let second = take_units(&hosts[1], 1);
     assert!(hosts[1].service.try_take(&team).is_none());
     drop((first, second));
-    drop(take_all(&hosts[0], 4));
+    drop(take_units(&hosts[0], 4));
 }
