--- a/crates/peer/src/body_kind.rs
+++ b/crates/peer/src/body_kind.rs
@@ -1,21 +1,21 @@
 use wire::peer::envelope::Body;
 
-/// What a message is about; each kind that arrives has a queue of its own.
+/// Kind of a message body; received messages are queued by kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum BodyKind {
     /// A heartbeat.
     Beat,
-    /// What an entry host would use of a pool.
+    /// Demand of an entry host for slots of pools.
     SlotDemand,
-    /// The answer of a pool's broker.
+    /// Response of a pool's broker.
     SlotGrant,
-    /// A question whether a request id may run.
+    /// Request to claim a request id before it runs.
     ClaimRequest,
-    /// The answer to such a question.
+    /// Response to such a request.
     ClaimReply,
-    /// Changes of the configuration, or a request for them.
+    /// Configuration changes, or a request for them.
     ChangeTail,
-    /// Units of team limits on the move.
+    /// Messages that move units of team limits between entry hosts.
     QuotaTalk,
 }
 
@@ -51,8 +51,8 @@
         self as usize
     }
 
-    /// The kind whose queue this one shares: a question and its answer go to the same duty,
-    /// in the order in which they arrived.
+    /// The kind whose queue this one uses. Requests and responses share a queue, so that one
+    /// thread reads both in the order of arrival.
     #[must_use]
     pub const fn queue_kind(self) -> Self {
         match self {
--- a/crates/peer/src/inbound_router.rs
+++ b/crates/peer/src/inbound_router.rs
@@ -8,13 +8,13 @@
 
 use crate::BodyKind;
 
-/// Messages of one kind that may wait for their duty.
+/// Maximum number of queued messages of one kind.
 ///
-/// A duty that falls behind loses the newest messages: all of them are repeated or
-/// replaced by their senders, and memory stays bounded.
+/// If the reading thread falls behind, new messages are dropped. This bounds the memory; senders
+/// repeat or replace all messages.
 const QUEUE_LENGTH: usize = 1024;
 
-/// Decodes messages and hands each to the queue of its kind.
+/// Decodes messages and puts each into the queue of its kind.
 pub(crate) struct InboundRouter {
     own: MemberId,
     senders: Vec<Sender<InboundMessage>>,
@@ -22,7 +22,7 @@
 }
 
 impl InboundRouter {
-    /// A router with an empty queue for each kind.
+    /// Creates a router with an empty queue for each kind.
     pub(crate) fn new(own: MemberId) -> Self {
         let (senders, receivers): (Vec<_>, Vec<_>) =
             BodyKind::ALL.iter().map(|_| bounded(QUEUE_LENGTH)).unzip();
@@ -33,12 +33,12 @@
         }
     }
 
-    /// The queue of `kind`, which kinds that one duty answers share.
+    /// The queue of `kind`; kinds that one thread handles share a queue.
     pub(crate) fn receiver(&self, kind: BodyKind) -> Receiver<InboundMessage> {
         self.receivers[kind.queue_kind().index()].clone()
     }
 
-    /// Decodes `bytes` and queues the message, or counts why it was dropped.
+    /// Decodes `bytes` and queues the message, or counts it as dropped with the reason.
     pub(crate) fn route(&self, bytes: &[u8]) {
         metrics::counter!("lws_peer_received_messages").increment(1);
         metrics::counter!("lws_peer_received_bytes").increment(bytes.len() as u64);
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,9 +1,9 @@
-//! Sockets and messages between entry hosts.
+//! Sockets and messaging between entry hosts.
 //!
 //! Start with [`PeerNode`]: it listens for other entry hosts, dials each of them, and
-//! offers [`ports::PeerLink`]. Messages are protobuf, see `crates/wire/proto/peer.proto`;
-//! delivery is not guaranteed, which is why everything above survives loss, delay and
-//! repetition. The reasons are in `docs/design/01-membership.md`.
+//! implements [`ports::PeerLink`]. Messages are protobuf, see `crates/wire/proto/peer.proto`.
+//! Delivery is not guaranteed, so the protocols above tolerate loss, delay and duplicates. The
+//! design is explained in `docs/design/01-membership.md`.
 
 pub mod event;
 
--- a/crates/peer/src/outbound_link.rs
+++ b/crates/peer/src/outbound_link.rs
@@ -18,21 +18,21 @@
 
 use crate::event;
 
-/// Messages that may wait while the peer can't be reached. A short queue, because what
-/// waits here is stale by the time the peer is back.
+/// Maximum number of messages queued while the peer is unreachable. The queue is short, because
+/// queued messages are stale by the time the peer is back.
 const QUEUE_LENGTH: i32 = 64;
 
-/// Messages that may wait for another one to go along with; the oldest are dropped.
+/// Maximum number of deferred messages, which are sent with the next one; the oldest are dropped.
 const MAX_DEFERRED: usize = 32;
 
 /// First pause before nng dials again.
 const REDIAL_MIN: Duration = Duration::from_millis(50);
 
-/// Longest pause before nng dials again; well within a lease, so that a link that is
-/// whole again carries heartbeats before the lease runs out.
+/// Maximum pause before nng dials again. It is well below a lease, so that a restored link
+/// carries heartbeats before the lease expires.
 const REDIAL_MAX: Duration = Duration::from_millis(400);
 
-/// The socket on which messages go to one peer.
+/// The socket for messages to one peer.
 pub(crate) struct OutboundLink {
     peer: MemberId,
     address: String,
@@ -44,7 +44,7 @@
 }
 
 impl OutboundLink {
-    /// Starts dialing `address`; nng goes on dialing until the link is dropped.
+    /// Starts dialing `address`; nng redials until the link is dropped.
     pub(crate) fn dial(peer: &MemberId, address: &str) -> Result<Self, StepError> {
         let fail =
             |error: Error| StepError::new("dial peer", format!("{peer} at {address}"), error);
@@ -72,12 +72,12 @@
         })
     }
 
-    /// Where the link dials.
+    /// The address that the link dials.
     pub(crate) fn address(&self) -> &str {
         &self.address
     }
 
-    /// Messages and bytes handed to nng so far.
+    /// Number of messages and bytes passed to nng so far.
     pub(crate) fn sent(&self) -> (u64, u64) {
         (
             self.sequence.load(Ordering::Relaxed),
@@ -85,7 +85,7 @@
         )
     }
 
-    /// Keeps `body` until the next message goes out.
+    /// Defers `body` until the next message is sent.
     pub(crate) fn send_with_next(&self, body: Body) {
         let mut waiting = self.deferred.lock();
         if MAX_DEFERRED <= waiting.len() {
@@ -97,7 +97,7 @@
         });
     }
 
-    /// Queues `envelope`, with what waited for it, and returns at once.
+    /// Queues `envelope` together with the deferred messages, without blocking.
     pub(crate) fn send(&self, mut envelope: Envelope) -> Result<(), LinkError> {
         envelope.sequence = self.sequence.fetch_add(1, Ordering::Relaxed) + 1;
         envelope.earlier = std::mem::take(&mut *self.deferred.lock()).into();
--- a/crates/peer/src/peer_node.rs
+++ b/crates/peer/src/peer_node.rs
@@ -24,28 +24,28 @@
 
 use crate::{BodyKind, event, inbound_router::InboundRouter, outbound_link::OutboundLink};
 
-/// Largest message that is taken in. The largest that is sent is a whole configuration,
-/// which the store's limit of a megabyte bounds.
+/// Maximum size of a received message in bytes. The largest message sent is a whole
+/// configuration, which the store limits to 1 MB.
 const MESSAGE_LIMIT: usize = 2 * 1024 * 1024;
 
-/// How often the receiving thread looks whether it should stop.
+/// Interval at which the receiving thread checks whether the node is stopping.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 const THREAD_STACK: usize = 256 * 1024;
 
-/// What a node sent and received since its start.
+/// Traffic of a node over its open links.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerTraffic {
-    /// Messages handed to links.
+    /// Number of messages passed to links.
     pub sent_messages: u64,
     /// Bytes of those messages, without the framing of the transport.
     pub sent_bytes: u64,
 }
 
-/// This host's place among the entry hosts: one listening socket, one dialing socket per peer.
+/// Endpoint of this entry host: one listening socket, and one dialing socket per peer.
 ///
-/// A link is one-way: answers come back over the link that the peer dials. So a peer that
-/// can't be dialled from here may still be heard, and nothing here assumes otherwise.
+/// Links are one-way; responses arrive over the link that the peer dials. So messages can arrive
+/// from a peer that this host can't dial, and the code must not assume otherwise.
 pub struct PeerNode {
     own: MemberId,
     incarnation: AtomicU64,
@@ -107,30 +107,30 @@
         Ok(node)
     }
 
-    /// The address on which peers are heard, with the port that was bound.
+    /// The address on which this host listens for peers, with the bound port.
     #[must_use]
     pub fn peer_address(&self) -> &str {
         &self.address
     }
 
-    /// Which life of this host its messages carry.
+    /// Incarnation of this host that its messages carry.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation.load(Ordering::Acquire)
     }
 
-    /// Begins another life, after the member list dropped the one before.
+    /// Sets a new incarnation, after the previous one was removed from the member list.
     pub fn set_incarnation(&self, incarnation: Incarnation) {
         self.incarnation.store(incarnation, Ordering::Release);
     }
 
-    /// The queue of arriving messages of one kind; one duty reads it.
+    /// The queue of received messages of one kind; a single thread should read it.
     #[must_use]
     pub fn inbound(&self, kind: BodyKind) -> Receiver<InboundMessage> {
         self.router.receiver(kind)
     }
 
-    /// Dials `member` at `address`, unless the settings named another address for it.
+    /// Dials `member` at `address`, or at the address in the settings if there is one.
     ///
     /// # Errors
     /// If the address is malformed.
@@ -147,15 +147,15 @@
         self.dial(member, address)
     }
 
-    /// Closes the link to a member that left; one named in the settings stays dialled,
-    /// since it is expected back.
+    /// Closes the link to a member that left. A member in the settings stays dialled, because it
+    /// is expected to return.
     pub fn remove_peer(&self, member: &MemberId) {
         if !self.overrides.contains_key(member) {
             self.links.write().remove(member);
         }
     }
 
-    /// What was sent over the links that are open now.
+    /// Traffic sent over the links that are open now.
     #[must_use]
     pub fn traffic(&self) -> PeerTraffic {
         let links = self.links.read();
@@ -168,7 +168,7 @@
         })
     }
 
-    /// Stops receiving and sending. Messages that nng took are still written out.
+    /// Stops receiving and sending. Messages already queued in nng are still sent.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::Release);
         let receiver = self.receiver.lock().take();
@@ -233,8 +233,8 @@
     }
 }
 
-/// The listening address with the port that was bound. The library's local address has its
-/// port in network byte order, so the port comes from an option of its own.
+/// The listening address with the bound port. The port of nng's `LocalAddr` is in network byte
+/// order, so the port is read from the separate option `BoundPort`.
 fn bound_address(listener: &Listener) -> Result<String, Error> {
     let port = listener.get_opt::<BoundPort>()?;
     match listener.get_opt::<LocalAddr>()? {
--- a/crates/peer/tests/foreign_messages.rs
+++ b/crates/peer/tests/foreign_messages.rs
@@ -1,4 +1,4 @@
-//! Messages that no entry host of this version sends.
+//! Tests of messages that no entry host of this version sends.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,8 +10,8 @@
 use prost::Message as _;
 use wire::peer::{Beat, Envelope, envelope::Body};
 
-/// Generous: it bounds a failing run and decides nothing in a passing one.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of a failing test; long enough not to affect a passing one.
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 fn beat(count: u64) -> Vec<u8> {
     let envelope = Envelope {
@@ -26,7 +26,7 @@
     envelope.encode_to_vec()
 }
 
-/// Noise, cut messages and messages with one changed byte.
+/// Random bytes, truncated messages and messages with one changed byte.
 fn foreign_bytes() -> impl Strategy<Value = Vec<u8>> {
     let noise = prop::collection::vec(any::<u8>(), 0..400);
     let cut = (0..beat(1).len()).prop_map(|length| beat(1)[..length].to_vec());
@@ -45,10 +45,10 @@
         ..ProptestConfig::default()
     })]
 
-    // A process of another version, or a stray one, writes to the peer port. The heartbeat
-    // that follows must still arrive, or the host would drop out of every quorum.
+    // A process of another version, or a foreign one, writes to the peer port. The following
+    // heartbeat must still arrive; otherwise the host would drop out of every quorum.
     #[test]
-    fn receive_goes_on_after_foreign_bytes(
+    fn receive_continues_after_foreign_bytes(
         messages in prop::collection::vec(foreign_bytes(), 1..60)
     ) {
         let node = PeerNode::start("b".into(), 1, "127.0.0.1:0", Vec::new()).unwrap();
@@ -60,7 +60,7 @@
         raw.send(beat(777_777).as_slice()).map_err(|(_, error)| error).unwrap();
         let inbound = node.inbound(BodyKind::Beat);
         let found = (0..=messages.len()).any(|_| {
-            let message = inbound.recv_timeout(PATIENCE).unwrap();
+            let message = inbound.recv_timeout(WAIT_LIMIT).unwrap();
             matches!(message.body, Body::Beat(beat) if beat.beat == 777_777)
         });
         prop_assert!(found);
--- a/crates/peer/tests/peer_node.rs
+++ b/crates/peer/tests/peer_node.rs
@@ -1,4 +1,4 @@
-//! Messages between entry hosts over real sockets.
+//! Tests of messages between entry hosts over real sockets.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,8 +10,8 @@
 use ports::{LinkError, PeerLink};
 use wire::peer::{Beat, ChangeTail, envelope::Body};
 
-/// Generous: it bounds a failing run and decides nothing in a passing one.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of a failing test; long enough not to affect a passing one.
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 fn start(name: &str, incarnation: u64) -> PeerNode {
     PeerNode::start(MemberId::from(name), incarnation, "127.0.0.1:0", Vec::new()).unwrap()
@@ -31,12 +31,12 @@
     a.send(&"b".into(), beat(7)).unwrap();
     a.send(&"b".into(), Body::ChangeTail(ChangeTail::default()))
         .unwrap();
-    let message = b.inbound(BodyKind::Beat).recv_timeout(PATIENCE).unwrap();
+    let message = b.inbound(BodyKind::Beat).recv_timeout(WAIT_LIMIT).unwrap();
     assert_eq!(
         (message.from.as_str(), message.incarnation, message.body),
         ("a", 3, beat(7))
     );
-    let tail = b.inbound(BodyKind::ChangeTail).recv_timeout(PATIENCE);
+    let tail = b.inbound(BodyKind::ChangeTail).recv_timeout(WAIT_LIMIT);
     assert!(tail.is_ok());
     assert!(b.inbound(BodyKind::Beat).is_empty());
 }
@@ -50,10 +50,10 @@
     );
 }
 
-// A peer is down for long: its callers see nothing, but the memory of this host would grow
-// with every heartbeat if messages to it were kept. The queue is short and refuses the rest.
+// A peer is down for a long time. If all messages to it were queued, the memory of this host
+// would grow with each heartbeat. The queue must be short and refuse further messages.
 #[test]
-fn send_dead_peer_is_bounded() {
+fn send_queue_to_dead_peer_is_bounded() {
     let a = start("a", 1);
     let gone = start("b", 1).peer_address().to_owned();
     a.set_peer(&"b".into(), &gone).unwrap();
@@ -71,11 +71,16 @@
     let a = PeerNode::start("a".into(), 1, "127.0.0.1:0", peers).unwrap();
     a.set_peer(&"b".into(), listed.peer_address()).unwrap();
     a.send(&"b".into(), beat(1)).unwrap();
-    assert!(relay.inbound(BodyKind::Beat).recv_timeout(PATIENCE).is_ok());
+    assert!(
+        relay
+            .inbound(BodyKind::Beat)
+            .recv_timeout(WAIT_LIMIT)
+            .is_ok()
+    );
 }
 
-// During an upgrade a newer host sends a body that this one does not know, and a stray
-// process sends noise. Neither may stop the messages that follow them.
+// During an upgrade a newer host sends a body of unknown kind, and a foreign process sends
+// random bytes. Neither may prevent the delivery of later messages.
 #[test]
 fn receive_foreign_messages_are_dropped() {
     let b = start("b", 1);
@@ -88,11 +93,11 @@
     let a = start("a", 1);
     a.set_peer(&"b".into(), b.peer_address()).unwrap();
     a.send(&"b".into(), beat(1)).unwrap();
-    let message = b.inbound(BodyKind::Beat).recv_timeout(PATIENCE).unwrap();
+    let message = b.inbound(BodyKind::Beat).recv_timeout(WAIT_LIMIT).unwrap();
     assert_eq!(message.from, "a");
 }
 
-// A host restarts on its address: peers must reach it again without being told.
+// After a host restarts on the same address, peers must reconnect by themselves.
 #[test]
 fn send_reconnects_after_restart() {
     let a = start("a", 1);
@@ -102,16 +107,16 @@
     a.send(&"b".into(), beat(1)).unwrap();
     first
         .inbound(BodyKind::Beat)
-        .recv_timeout(PATIENCE)
+        .recv_timeout(WAIT_LIMIT)
         .unwrap();
     drop(first);
     let second = restart(&address);
     let inbound = second.inbound(BodyKind::Beat);
-    let heard = (0..200).any(|n| {
+    let received = (0..200).any(|n| {
         let _ = a.send(&"b".into(), beat(n));
         inbound.recv_timeout(Duration::from_millis(100)).is_ok()
     });
-    assert!(heard);
+    assert!(received);
 }
 
 fn restart(address: &str) -> PeerNode {
@@ -121,5 +126,5 @@
         }
         std::thread::sleep(Duration::from_millis(50));
     }
-    panic!("the address {address} stays taken");
+    panic!("the address {address} is still in use");
 }
--- a/crates/share/src/broker_sessions.rs
+++ b/crates/share/src/broker_sessions.rs
@@ -131,11 +131,11 @@
             .filter(|(_, session)| within_budget || is_renewal_due(session))
             .map(|(broker, _)| broker.clone())
             .collect();
-        let ask = |broker: MemberId| {
+        let next_due = |broker: MemberId| {
             let demand = self.next_demand(now, &broker, within_budget)?;
             Some((broker, demand))
         };
-        brokers.into_iter().filter_map(ask).collect()
+        brokers.into_iter().filter_map(next_due).collect()
     }
 
     /// Applies a grant; returns the pools whose lease changed.
--- a/crates/share/src/service.rs
+++ b/crates/share/src/service.rs
@@ -246,12 +246,12 @@
         for member in members {
             self.holders.insert(member.member.clone(), now);
         }
-        let lapse = self.options.times.lease + self.options.times.guard;
-        if now < self.started + lapse {
+        let expiry = self.options.times.lease + self.options.times.guard;
+        if now < self.started + expiry {
             self.holders
                 .insert(MemberId::const_new(UNKNOWN_HOLDER), self.started);
         }
-        self.holders.retain(|_, listed| now < *listed + lapse);
+        self.holders.retain(|_, listed| now < *listed + expiry);
     }
 
     // A broker that has just started grants no new slots until all earlier grants have expired.
@@ -268,14 +268,14 @@
                 *age = (member.incarnation, now);
             }
         }
-        let lapse = self.options.times.lease + self.options.times.guard;
-        let recently_started = now < self.started + lapse;
+        let expiry = self.options.times.lease + self.options.times.guard;
+        let recently_started = now < self.started + expiry;
         let is_established = |member: &&MemberInfo| {
             if recently_started {
                 return member.member != self.own;
             }
             let age = self.first_seen.get(&member.member);
-            age.is_some_and(|(_, seen)| *seen + lapse <= now)
+            age.is_some_and(|(_, seen)| *seen + expiry <= now)
         };
         let available = || {
             members
--- a/crates/store/tests/retry_store.rs
+++ b/crates/store/tests/retry_store.rs
@@ -332,12 +332,12 @@
         ..RetrySettings::default()
     };
     let store = RetryStore::with_settings(inner, Arc::new(BootClock), settings);
-    let asked = 50;
-    for _ in 0..asked {
+    let reads = 50;
+    for _ in 0..reads {
         assert!(matches!(store.read("k"), Err(StoreError::Unavailable(_))));
     }
     assert!(store.is_open());
-    assert!(counts.of(CallKind::Read) < asked, "{counts:?}");
+    assert!(counts.of(CallKind::Read) < reads, "{counts:?}");
     fake.set_faults(StoreFaults::default());
     while store.read("k").is_err() {}
     assert!(!store.is_open());
