--- a/crates/member/src/event.rs
+++ b/crates/member/src/event.rs
@@ -32,7 +32,7 @@
     MEMBER_LIFE_BEGAN = 314, "member-life-began",
         "This host was removed from the member list and joins it again with a new incarnation.";
     MEMBER_REMOVED = 316, "member-removed",
-        "A lost member was removed from the list.";
+        "A member that left or was lost was removed from the list.";
     MEMBER_GONE = 319, "member-gone",
         "An unresponsive member refuses connections at its address: its process ended, and quorums no longer count it.";
     STORE_BACK = 317, "store-back",
