--- a/crates/admin/src/admin_problem.rs
+++ b/crates/admin/src/admin_problem.rs
@@ -1,4 +1,4 @@
-use model::TextFault;
+use model::TextError;
 use ports::ChangeError;
 use serde::{Deserialize, Serialize};
 
@@ -9,13 +9,13 @@
     pub kind: ProblemCode,
     /// What is wrong and what to do about it.
     pub detail: String,
-    /// Line of the manifest, from 1; 0 if the fault is not on one line.
+    /// Line of the manifest, from 1; 0 if the error is not on one line.
     #[serde(default)]
     pub line: usize,
-    /// Section at fault; empty if none.
+    /// Section in error; empty if none.
     #[serde(default)]
     pub section: String,
-    /// Key at fault; empty if none.
+    /// Key in error; empty if none.
     #[serde(default)]
     pub key: String,
     /// After a conflict: the revision now in force.
@@ -79,13 +79,13 @@
     }
 }
 
-impl From<TextFault> for AdminProblem {
-    fn from(fault: TextFault) -> Self {
+impl From<TextError> for AdminProblem {
+    fn from(error: TextError) -> Self {
         Self {
-            line: fault.line,
-            detail: fault.to_string(),
-            section: fault.section,
-            key: fault.key,
+            line: error.line,
+            detail: error.to_string(),
+            section: error.section,
+            key: error.key,
             ..Self::new(ProblemCode::Invalid, "")
         }
     }
--- a/crates/admin/src/route/manifest_route.rs
+++ b/crates/admin/src/route/manifest_route.rs
@@ -1,4 +1,4 @@
-use model::{Manifest, SectionTexts, text_of_bytes};
+use model::{Manifest, SectionTexts, decode_utf8};
 use ports::ChangeRequest;
 use wire::state::SectionEdit;
 
@@ -12,13 +12,14 @@
 impl AdminRouter {
     pub(super) fn show_manifest(&self) -> AdminReply {
         let config = self.config.config.current();
-        AdminReply::text(200, Manifest::text_of(&config.sections)).with_revision(config.revision)
+        AdminReply::text(200, Manifest::format_sections(&config.sections))
+            .with_revision(config.revision)
     }
 
     /// Applies a whole manifest as edits of the sections that it changes.
     pub(super) fn apply_manifest(&self, call: &AdminCall) -> Result<AdminReply, AdminProblem> {
         need_change_id(call)?;
-        let text = text_of_bytes(&call.body)?;
+        let text = decode_utf8(&call.body)?;
         let (sections, _) = Manifest::from_ini(text)?;
         let config = self.config.config.current();
         let edits = section_edits(&config.sections, &sections);
--- a/crates/lacewingshore/src/command/mod.rs
+++ b/crates/lacewingshore/src/command/mod.rs
@@ -34,7 +34,7 @@
     }
     let bytes = fs::read(path).with_context(|| format!("read {}", path.display()))?;
     let text =
-        model::text_of_bytes(&bytes).map_err(|fault| CommandError::invalid_text(path, &fault))?;
+        model::decode_utf8(&bytes).map_err(|fault| CommandError::invalid_text(path, &fault))?;
     Ok(text.to_owned())
 }
 
--- a/crates/lacewingshore/src/exit.rs
+++ b/crates/lacewingshore/src/exit.rs
@@ -1,6 +1,6 @@
 use std::{path::Path, process::ExitCode};
 
-use model::TextFault;
+use model::TextError;
 
 /// Exit code after wrong arguments.
 pub const USAGE_CODE: u8 = 2;
@@ -33,7 +33,7 @@
 
 impl CommandError {
     /// A fault of the text in `file`.
-    pub fn invalid_text(file: &Path, fault: &TextFault) -> Self {
+    pub fn invalid_text(file: &Path, fault: &TextError) -> Self {
         Self::Invalid(format!("{}: {fault}", file.display()))
     }
 
--- a/crates/model/src/cell_settings.rs
+++ b/crates/model/src/cell_settings.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use crate::{
-    DataCentreId, KeyInfo, MemberId, TextFault,
+    DataCentreId, KeyInfo, MemberId, TextError,
     key_rule::{KeyField, KeyRule},
     settings_text::read_settings,
 };
@@ -122,7 +122,7 @@
 const TIME_RULES: &[CellRule] = &[
     KeyRule::optional(
         "task_lease",
-        KeyField::Span(
+        KeyField::Duration(
             Duration::from_secs(1)..=Duration::from_secs(600),
             |settings| &mut settings.task_lease,
         ),
@@ -130,7 +130,7 @@
     ),
     KeyRule::optional(
         "host_order_pause",
-        KeyField::Span(
+        KeyField::Duration(
             Duration::from_millis(100)..=Duration::from_secs(60),
             |settings| &mut settings.host_order_pause,
         ),
@@ -180,7 +180,7 @@
     ///
     /// # Errors
     /// The first fault: a missing, unknown or repeated key, or a value out of range.
-    pub fn from_ini(text: &str) -> Result<Self, TextFault> {
+    pub fn from_ini(text: &str) -> Result<Self, TextError> {
         Ok(read_settings(text, SECTIONS)?.0)
     }
 
--- a/crates/model/src/ini_text.rs
+++ b/crates/model/src/ini_text.rs
@@ -1,6 +1,6 @@
 use ini::{Ini, ParseOption};
 
-use crate::TextFault;
+use crate::TextError;
 
 /// Longest line that is read, in bytes.
 const MAX_LINE: usize = 4096;
@@ -41,9 +41,9 @@
 ///
 /// The library forgets the lines on which it found things, and takes a line without `=`
 /// for the beginning of the next line's key. Each line is therefore given to it alone.
-pub(crate) fn read_sections(text: &str) -> Result<Vec<IniSection>, TextFault> {
+pub(crate) fn read_sections(text: &str) -> Result<Vec<IniSection>, TextError> {
     if text.len() > MAX_TEXT {
-        return Err(fault(
+        return Err(line_error(
             0,
             format!("the text is larger than {MAX_TEXT} bytes"),
         ));
@@ -55,16 +55,16 @@
     Ok(sections)
 }
 
-fn read_line(sections: &mut Vec<IniSection>, number: usize, line: &str) -> Result<(), TextFault> {
+fn read_line(sections: &mut Vec<IniSection>, number: usize, line: &str) -> Result<(), TextError> {
     let line = line.trim();
     if line.len() > MAX_LINE {
-        return Err(fault(
+        return Err(line_error(
             number,
             format!("the line is longer than {MAX_LINE} bytes"),
         ));
     }
     if line.chars().any(|c| c.is_control() && c != '\t') {
-        return Err(fault(number, "the line holds a control character"));
+        return Err(line_error(number, "the line holds a control character"));
     }
     if line.is_empty() || line.starts_with(';') || line.starts_with('#') {
         return Ok(());
@@ -75,7 +75,7 @@
         ..ParseOption::default()
     };
     let parsed = Ini::load_from_str_opt(line, options)
-        .map_err(|_| fault(number, "expected `[section]`, `key = value` or a comment"))?;
+        .map_err(|_| line_error(number, "expected `[section]`, `key = value` or a comment"))?;
     if line.starts_with('[') {
         return add_section(sections, number, line, &parsed);
     }
@@ -90,13 +90,13 @@
     number: usize,
     line: &str,
     parsed: &Ini,
-) -> Result<(), TextFault> {
+) -> Result<(), TextError> {
     let name = parsed.sections().flatten().next().unwrap_or_default();
     if !line.ends_with(']') {
-        return Err(fault(number, "nothing may follow `]` on its line"));
+        return Err(line_error(number, "nothing may follow `]` on its line"));
     }
     if let Some(earlier) = sections.iter().find(|section| section.name == name) {
-        return Err(TextFault {
+        return Err(TextError {
             line: number,
             section: name.to_owned(),
             key: String::new(),
@@ -104,7 +104,10 @@
         });
     }
     if sections.len() == MAX_SECTIONS {
-        return Err(fault(number, format!("more than {MAX_SECTIONS} sections")));
+        return Err(line_error(
+            number,
+            format!("more than {MAX_SECTIONS} sections"),
+        ));
     }
     sections.push(IniSection {
         name: name.to_owned(),
@@ -119,12 +122,12 @@
     number: usize,
     key: &str,
     value: &str,
-) -> Result<(), TextFault> {
+) -> Result<(), TextError> {
     let Some(section) = sections.last_mut() else {
-        return Err(fault(number, "a key must stand below a section"));
+        return Err(line_error(number, "a key must stand below a section"));
     };
     if let Some(earlier) = section.entries.iter().find(|entry| entry.key == key) {
-        return Err(TextFault {
+        return Err(TextError {
             line: number,
             section: section.name.clone(),
             key: key.to_owned(),
@@ -132,7 +135,7 @@
         });
     }
     if section.entries.len() == MAX_ENTRIES {
-        return Err(fault(
+        return Err(line_error(
             number,
             format!("more than {MAX_ENTRIES} keys in a section"),
         ));
@@ -145,10 +148,10 @@
     Ok(())
 }
 
-fn fault(line: usize, reason: impl Into<String>) -> TextFault {
-    TextFault {
+fn line_error(line: usize, reason: impl Into<String>) -> TextError {
+    TextError {
         line,
         reason: reason.into(),
-        ..TextFault::default()
+        ..TextError::default()
     }
 }
--- a/crates/model/src/key_rule.rs
+++ b/crates/model/src/key_rule.rs
@@ -4,11 +4,11 @@
 use log::LevelFilter;
 
 use crate::{
-    HostRole, PeerSetting, TextFault,
+    HostRole, PeerSetting, TextError,
     ini_text::IniSection,
     value_text::{
-        MAX_NAME, read_address, read_amount, read_clock_time, read_count, read_flag, read_name,
-        read_span, read_url, show_span,
+        MAX_NAME, duration_text, read_address, read_amount, read_bool, read_count, read_duration,
+        read_name, read_time_of_day, read_url,
     },
 };
 
@@ -47,8 +47,8 @@
     Peers(fn(&mut T) -> &mut Vec<PeerSetting>),
     Role(fn(&mut T) -> &mut HostRole),
     Flag(fn(&mut T) -> &mut bool),
-    ClockTime(fn(&mut T) -> &mut Duration),
-    Span(RangeInclusive<Duration>, fn(&mut T) -> &mut Duration),
+    TimeOfDay(fn(&mut T) -> &mut Duration),
+    Duration(RangeInclusive<Duration>, fn(&mut T) -> &mut Duration),
     Count(RangeInclusive<u64>, fn(&mut T) -> &mut u32),
     Size(RangeInclusive<u64>, fn(&mut T) -> &mut usize),
     Amount(RangeInclusive<f64>, fn(&mut T) -> &mut f64),
@@ -103,9 +103,9 @@
     section: &IniSection,
     rules: &[KeyRule<T>],
     target: &mut T,
-) -> Result<(), TextFault> {
+) -> Result<(), TextError> {
     for entry in &section.entries {
-        let at_key = |reason: String| TextFault {
+        let error_at_key = |reason: String| TextError {
             line: entry.line,
             section: section.name.clone(),
             key: entry.key.clone(),
@@ -113,12 +113,14 @@
         };
         let Some(rule) = rules.iter().find(|rule| rule.key == entry.key) else {
             let known: Vec<&str> = rules.iter().map(|rule| rule.key).collect();
-            return Err(at_key(format!(
+            return Err(error_at_key(format!(
                 "unknown key; known are {}",
                 known.join(", ")
             )));
         };
-        rule.field.read(&entry.value, target).map_err(at_key)?;
+        rule.field
+            .read(&entry.value, target)
+            .map_err(error_at_key)?;
     }
     let missing = rules
         .iter()
@@ -126,7 +128,7 @@
     let Some(rule) = missing else {
         return Ok(());
     };
-    Err(TextFault {
+    Err(TextError {
         line: section.line,
         section: section.name.clone(),
         key: rule.key.to_owned(),
@@ -146,9 +148,9 @@
             Self::Level(field) => *field(target) = read_level(text)?,
             Self::Peers(field) => *field(target) = read_peers(text)?,
             Self::Role(field) => *field(target) = read_role(text)?,
-            Self::Flag(field) => *field(target) = read_flag(text)?,
-            Self::ClockTime(field) => *field(target) = read_clock_time(text)?,
-            Self::Span(range, field) => *field(target) = read_span(text, range)?,
+            Self::Flag(field) => *field(target) = read_bool(text)?,
+            Self::TimeOfDay(field) => *field(target) = read_time_of_day(text)?,
+            Self::Duration(range, field) => *field(target) = read_duration(text, range)?,
             Self::Count(range, field) => {
                 *field(target) = u32::try_from(read_count(text, range)?).unwrap_or(u32::MAX);
             }
@@ -173,12 +175,12 @@
             Self::Peers(_) => "`member ip:port`, separated by commas, 64 at most".to_owned(),
             Self::Role(_) => "executor or worker".to_owned(),
             Self::Flag(_) => "true or false".to_owned(),
-            Self::ClockTime(_) => "`HH:MM` in UTC, 00:00 to 23:59".to_owned(),
-            Self::Span(range, _) => {
+            Self::TimeOfDay(_) => "`HH:MM` in UTC, 00:00 to 23:59".to_owned(),
+            Self::Duration(range, _) => {
                 format!(
                     "{} to {}",
-                    show_span(*range.start()),
-                    show_span(*range.end())
+                    duration_text(*range.start()),
+                    duration_text(*range.end())
                 )
             }
             Self::Count(range, _) | Self::Size(range, _) => {
@@ -190,21 +192,21 @@
 
     fn show(&self, target: &mut T) -> String {
         match self {
-            Self::Name(field) => show_text(field(target)),
+            Self::Name(field) => text_or_none(field(target)),
             Self::NameText(field)
             | Self::Address(field)
             | Self::Url(field)
             | Self::Path(field)
-            | Self::KeyDigest(field) => show_text(field(target)),
+            | Self::KeyDigest(field) => text_or_none(field(target)),
             Self::Level(field) => field(target).to_string().to_lowercase(),
             Self::Peers(_) => "none".to_owned(),
             Self::Role(field) => field(target).name().to_owned(),
             Self::Flag(field) => field(target).to_string(),
-            Self::ClockTime(field) => {
+            Self::TimeOfDay(field) => {
                 let minutes = field(target).as_secs() / 60;
                 format!("{:02}:{:02}", minutes / 60, minutes % 60)
             }
-            Self::Span(_, field) => show_span(*field(target)),
+            Self::Duration(_, field) => duration_text(*field(target)),
             Self::Count(_, field) => field(target).to_string(),
             Self::Size(_, field) => field(target).to_string(),
             Self::Amount(_, field) => field(target).to_string(),
@@ -212,7 +214,7 @@
     }
 }
 
-fn show_text(text: &str) -> String {
+fn text_or_none(text: &str) -> String {
     match text {
         "" => "none".to_owned(),
         text => text.to_owned(),
@@ -234,19 +236,19 @@
 }
 
 fn read_digest(text: &str) -> Result<&str, String> {
-    let wrong = || "expected `ID:SALT:DIGEST` as `lacewingshore key mint` prints it".to_owned();
+    let invalid = || "expected `ID:SALT:DIGEST` as `lacewingshore key mint` prints it".to_owned();
     let mut parts = text.split(':');
     let (Some(id), Some(salt), Some(digest), None) =
         (parts.next(), parts.next(), parts.next(), parts.next())
     else {
-        return Err(wrong());
+        return Err(invalid());
     };
     let is_hex = |part: &str| part.bytes().all(|byte| byte.is_ascii_hexdigit());
     if read_name(id).is_err() || salt.len() != 32 || digest.len() != 64 {
-        return Err(wrong());
+        return Err(invalid());
     }
     if !is_hex(salt) || !is_hex(digest) {
-        return Err(wrong());
+        return Err(invalid());
     }
     Ok(text)
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -18,7 +18,7 @@
 mod settings;
 mod settings_text;
 mod step_error;
-mod text_fault;
+mod text_error;
 mod value_text;
 pub mod work;
 
@@ -38,4 +38,4 @@
 pub use problem::{ProblemKind, RunFate};
 pub use settings::{PeerSetting, ServeSettings, SettingsError};
 pub use step_error::StepError;
-pub use text_fault::{TextFault, text_of_bytes};
+pub use text_error::{TextError, decode_utf8};
--- a/crates/model/src/manifest_advice.rs
+++ b/crates/model/src/manifest_advice.rs
@@ -5,7 +5,7 @@
 /// Hosts that a rack takes along when it fails.
 const RACK_HOSTS: u32 = 4;
 /// Time that the maintenance of one host is reckoned to take: drain, reboot and check.
-const HOST_OUTAGE: Duration = Duration::from_secs(15 * 60);
+const HOST_MAINTENANCE_TIME: Duration = Duration::from_secs(15 * 60);
 const DAY: Duration = Duration::from_secs(24 * 60 * 60);
 
 /// Something valid in a manifest that its operator may not have meant.
@@ -32,7 +32,7 @@
             let lost = (pool.size * shrink_percent.min(100)).div_ceil(100);
             let size = pool.size - lost;
             let texts = [
-                self.use_advice(name, pool),
+                self.unused_pool_advice(name, pool),
                 budget_advice(pool, size, lost),
                 self.window_advice(pool, size),
                 rack_advice(pool, size),
@@ -45,7 +45,7 @@
         advice
     }
 
-    fn use_advice(&self, name: &str, pool: &PoolSpec) -> Option<String> {
+    fn unused_pool_advice(&self, name: &str, pool: &PoolSpec) -> Option<String> {
         let is_used = self
             .services
             .values()
@@ -65,14 +65,18 @@
             ));
         }
         let days = window.every.div_duration_f64(DAY).max(1.0);
-        let per_day = f64::from(at_once) * window.length.div_duration_f64(HOST_OUTAGE).floor();
+        let per_day = f64::from(at_once)
+            * window
+                .length
+                .div_duration_f64(HOST_MAINTENANCE_TIME)
+                .floor();
         let reach = per_day * days;
         (reach < f64::from(size)).then(|| {
             format!(
                 "[window.{}] has time for {reach:.0} hosts in its interval, at {} minutes each; \
                  the pool has {size}",
                 pool.window,
-                HOST_OUTAGE.as_secs() / 60
+                HOST_MAINTENANCE_TIME.as_secs() / 60
             )
         })
     }
--- a/crates/model/src/manifest_check.rs
+++ b/crates/model/src/manifest_check.rs
@@ -24,18 +24,18 @@
 
     fn check_deployment(&self) -> Result<(), ManifestError> {
         if self.name.is_empty() {
-            return Err(fault("deployment", "", "the section is required"));
+            return Err(manifest_error("deployment", "", "the section is required"));
         }
         let hosts: u64 = self.pools.values().map(|pool| u64::from(pool.size)).sum();
         if hosts > MAX_HOSTS {
             let reason = format!("the pools have {hosts} hosts, allowed are {MAX_HOSTS}");
-            return Err(fault("", "", &reason));
+            return Err(manifest_error("", "", &reason));
         }
         let limits: u64 = self.teams.values().map(|team| u64::from(team.limit)).sum();
         if limits > MAX_LIMITS {
             let reason =
                 format!("the limits of the teams sum up to {limits}, allowed are {MAX_LIMITS}");
-            return Err(fault("", "", &reason));
+            return Err(manifest_error("", "", &reason));
         }
         Ok(())
     }
@@ -43,34 +43,34 @@
     fn check_pool(&self, section: &str, pool: &PoolSpec) -> Result<(), ManifestError> {
         if pool.budget > pool.size {
             let reason = format!("more hosts than the size of the pool, {}", pool.size);
-            return Err(fault(section, "budget", &reason));
+            return Err(manifest_error(section, "budget", &reason));
         }
         if pool.connections < pool.slots {
             let reason = format!("fewer than the slots of a host, {}", pool.slots);
-            return Err(fault(section, "connections", &reason));
+            return Err(manifest_error(section, "connections", &reason));
         }
         if pool.window.is_empty() {
             return Ok(());
         }
         let Some(window) = self.windows.get(&pool.window) else {
             let reason = format!("there is no section [window.{}]", pool.window);
-            return Err(fault(section, "window", &reason));
+            return Err(manifest_error(section, "window", &reason));
         };
-        let idle = pool.size - pool.budget;
-        if idle == 0 {
+        let maintainable = pool.size - pool.budget;
+        if maintainable == 0 {
             let reason = format!(
                 "leaves no host to maintain: a pool of {} with a window needs a budget of {} at most",
                 pool.size,
                 pool.size - 1
             );
-            return Err(fault(section, "budget", &reason));
+            return Err(manifest_error(section, "budget", &reason));
         }
-        if window.at_once > idle {
+        if window.at_once > maintainable {
             let reason = format!(
-                "can't be met: [window.{}] takes {} hosts out at once, size less budget is {idle}",
+                "can't be met: [window.{}] takes {} hosts out at once, size less budget is {maintainable}",
                 pool.window, window.at_once
             );
-            return Err(fault(section, "budget", &reason));
+            return Err(manifest_error(section, "budget", &reason));
         }
         Ok(())
     }
@@ -96,7 +96,7 @@
         role: HostRole,
     ) -> Result<(), ManifestError> {
         let Some(pool) = self.pools.get(name) else {
-            return Err(fault(
+            return Err(manifest_error(
                 section,
                 key,
                 &format!("there is no section [pool.{name}]"),
@@ -104,10 +104,10 @@
         };
         if pool.role != role {
             let reason = format!("[pool.{name}] must have the role {}", role.name());
-            return Err(fault(section, key, &reason));
+            return Err(manifest_error(section, key, &reason));
         }
         if pool.spare {
-            return Err(fault(
+            return Err(manifest_error(
                 section,
                 key,
                 &format!("[pool.{name}] is a spare pool"),
@@ -123,14 +123,14 @@
     ) -> Result<(), ManifestError> {
         let Some(team) = self.teams.get(&workspace.team) else {
             let reason = format!("there is no section [team.{}]", workspace.team);
-            return Err(fault(section, "team", &reason));
+            return Err(manifest_error(section, "team", &reason));
         };
         if workspace.limit > team.limit {
             let reason = format!(
                 "more than the limit of [team.{}], {}",
                 workspace.team, team.limit
             );
-            return Err(fault(section, "limit", &reason));
+            return Err(manifest_error(section, "limit", &reason));
         }
         Ok(())
     }
@@ -144,7 +144,7 @@
                 .find(|(_, other)| other.pool == service.pool);
             if let Some((other, _)) = earlier {
                 let reason = format!("[pool.{}] answers [service.{other}] already", service.pool);
-                return Err(fault(&format!("service.{name}"), "pool", &reason));
+                return Err(manifest_error(&format!("service.{name}"), "pool", &reason));
             }
         }
         Ok(())
@@ -163,13 +163,13 @@
                 "[pool.{first}] is the spare pool of the role {} already",
                 role.name()
             );
-            return Err(fault(&format!("pool.{second}"), "spare", &reason));
+            return Err(manifest_error(&format!("pool.{second}"), "spare", &reason));
         }
         Ok(())
     }
 }
 
-fn fault(section: &str, key: &str, reason: &str) -> ManifestError {
+fn manifest_error(section: &str, key: &str, reason: &str) -> ManifestError {
     ManifestError {
         line: 0,
         section: section.to_owned(),
--- a/crates/model/src/manifest_text.rs
+++ b/crates/model/src/manifest_text.rs
@@ -1,7 +1,7 @@
 use std::{collections::BTreeMap, fmt::Write, ops::RangeInclusive, time::Duration};
 
 use crate::{
-    KeyInfo, Manifest, PoolSpec, ServiceSpec, TeamSpec, TextFault, WindowSpec, WorkspaceSpec,
+    KeyInfo, Manifest, PoolSpec, ServiceSpec, TeamSpec, TextError, WindowSpec, WorkspaceSpec,
     ini_text::{IniSection, read_sections},
     key_rule::{KeyField, KeyRule, fill_section},
     value_text::read_name,
@@ -11,12 +11,12 @@
 pub type SectionTexts = BTreeMap<String, String>;
 
 /// Why a manifest was refused.
-pub type ManifestError = TextFault;
+pub type ManifestError = TextError;
 
 const MINUTE: Duration = Duration::from_secs(60);
 const DAY: Duration = Duration::from_secs(24 * 60 * 60);
 /// Range of a window's interval: seconds for trials, a year at most.
-const EVERY: RangeInclusive<Duration> =
+const INTERVAL_RANGE: RangeInclusive<Duration> =
     Duration::from_secs(1)..=Duration::from_secs(366 * 24 * 60 * 60);
 
 const DEPLOYMENT_RULES: &[KeyRule<Manifest>] = &[KeyRule::required(
@@ -92,17 +92,17 @@
 const WINDOW_RULES: &[KeyRule<WindowSpec>] = &[
     KeyRule::required(
         "start",
-        KeyField::ClockTime(|window| &mut window.start),
+        KeyField::TimeOfDay(|window| &mut window.start),
         "When the window opens each day.",
     ),
     KeyRule::required(
         "length",
-        KeyField::Span(MINUTE..=DAY, |window| &mut window.length),
+        KeyField::Duration(MINUTE..=DAY, |window| &mut window.length),
         "How long it stays open; `24h` leaves it always open.",
     ),
     KeyRule::required(
         "every",
-        KeyField::Span(EVERY, |window| &mut window.every),
+        KeyField::Duration(INTERVAL_RANGE, |window| &mut window.every),
         "How often each host is maintained.",
     ),
     KeyRule::required(
@@ -134,12 +134,12 @@
     pub fn split(text: &str) -> Result<SectionTexts, ManifestError> {
         let mut texts = SectionTexts::new();
         for section in read_sections(text)? {
-            split_name(&section)?;
+            parse_section_name(&section)?;
             // An empty text stands for a removed section in the change log.
             if section.entries.is_empty() {
-                return Err(at_section(&section, "the section has no keys"));
+                return Err(error_at_section(&section, "the section has no keys"));
             }
-            texts.insert(section.name.clone(), normal_text(&section));
+            texts.insert(section.name.clone(), normalize_entries(&section));
         }
         Ok(texts)
     }
@@ -157,7 +157,7 @@
         }
         for (name, text) in sections {
             let read = read_sections(&format!("[{name}]\n{text}"))
-                .map_err(|fault| TextFault { line: 0, ..fault })?;
+                .map_err(|error| TextError { line: 0, ..error })?;
             for section in &read {
                 manifest.add_section(section)?;
             }
@@ -173,18 +173,19 @@
     pub fn from_ini(text: &str) -> Result<(SectionTexts, Self), ManifestError> {
         let texts = Self::split(text)?;
         if texts.is_empty() {
-            return Err(TextFault {
+            return Err(TextError {
                 section: "deployment".to_owned(),
                 reason: "the section is required".to_owned(),
-                ..TextFault::default()
+                ..TextError::default()
             });
         }
-        let manifest = Self::from_sections(&texts).map_err(|fault| locate(text, fault))?;
+        let manifest =
+            Self::from_sections(&texts).map_err(|error| with_line_number(text, error))?;
         Ok((texts, manifest))
     }
 
     /// Shows sections as manifest text.
-    pub fn text_of(sections: &SectionTexts) -> String {
+    pub fn format_sections(sections: &SectionTexts) -> String {
         let mut text = String::new();
         for (name, body) in sections {
             let gap = if text.is_empty() { "" } else { "\n" };
@@ -210,7 +211,7 @@
     }
 
     fn add_section(&mut self, section: &IniSection) -> Result<(), ManifestError> {
-        let (kind, name) = split_name(section)?;
+        let (kind, name) = parse_section_name(section)?;
         match kind {
             "deployment" => fill_section(section, DEPLOYMENT_RULES, self)?,
             "pool" => add_spec(section, POOL_RULES, name.into(), &mut self.pools)?,
@@ -236,25 +237,25 @@
 }
 
 /// Splits `pool.coding` into its kind and its name.
-fn split_name(section: &IniSection) -> Result<(&str, &str), ManifestError> {
+fn parse_section_name(section: &IniSection) -> Result<(&str, &str), ManifestError> {
     const KINDS: [&str; 5] = ["pool", "service", "team", "window", "workspace"];
     if section.name == "deployment" {
         return Ok(("deployment", ""));
     }
     let Some((kind, name)) = section.name.split_once('.') else {
-        return Err(at_section(section, UNKNOWN_SECTION));
+        return Err(error_at_section(section, UNKNOWN_SECTION));
     };
     if !KINDS.contains(&kind) {
-        return Err(at_section(section, UNKNOWN_SECTION));
+        return Err(error_at_section(section, UNKNOWN_SECTION));
     }
-    read_name(name).map_err(|reason| at_section(section, &reason))?;
+    read_name(name).map_err(|reason| error_at_section(section, &reason))?;
     Ok((kind, name))
 }
 
 const UNKNOWN_SECTION: &str = "unknown section; known are deployment, pool.NAME, service.NAME, \
                                team.NAME, window.NAME and workspace.NAME";
 
-fn normal_text(section: &IniSection) -> String {
+fn normalize_entries(section: &IniSection) -> String {
     let mut lines: Vec<String> = section
         .entries
         .iter()
@@ -265,18 +266,18 @@
 }
 
 /// Finds the line of a fault that was found in the sections of `text`.
-fn locate(text: &str, fault: TextFault) -> TextFault {
+fn with_line_number(text: &str, error: TextError) -> TextError {
     let sections = read_sections(text).unwrap_or_default();
     let section = sections
         .iter()
-        .find(|section| section.name == fault.section);
-    TextFault {
-        line: section.map_or(0, |section| section.line_of(&fault.key)),
-        ..fault
+        .find(|section| section.name == error.section);
+    TextError {
+        line: section.map_or(0, |section| section.line_of(&error.key)),
+        ..error
     }
 }
 
-fn at_section(section: &IniSection, reason: &str) -> ManifestError {
+fn error_at_section(section: &IniSection, reason: &str) -> ManifestError {
     ManifestError {
         line: section.line,
         section: section.name.clone(),
--- a/crates/model/src/settings.rs
+++ b/crates/model/src/settings.rs
@@ -1,9 +1,9 @@
 use std::time::Duration;
 
 use crate::{
-    DataCentreId, KeyInfo, MemberId, TextFault,
+    DataCentreId, KeyInfo, MemberId, TextError,
     key_rule::{KeyField, KeyRule},
-    settings_text::{read_settings, section_fault},
+    settings_text::{error_without_line, read_settings},
 };
 
 /// What one entry host is told of its surroundings, see `docs/SETTINGS.md`.
@@ -84,7 +84,7 @@
 }
 
 /// Why settings were refused.
-pub type SettingsError = TextFault;
+pub type SettingsError = TextError;
 
 type SettingRule = KeyRule<ServeSettings>;
 
@@ -136,14 +136,14 @@
     ),
     KeyRule::optional(
         "heartbeat_interval",
-        KeyField::Span(millis(50)..=millis(2_000), |settings| {
+        KeyField::Duration(millis(50)..=millis(2_000), |settings| {
             &mut settings.heartbeat_interval
         }),
         "Interval of heartbeats between entry hosts; at most a third of the lease length.",
     ),
     KeyRule::optional(
         "lease_length",
-        KeyField::Span(millis(500)..=millis(10_000), |settings| {
+        KeyField::Duration(millis(500)..=millis(10_000), |settings| {
             &mut settings.lease_length
         }),
         "How long a serving lease lasts; a host that is cut off stops taking work within this time. The same on every entry host.",
@@ -163,7 +163,7 @@
     ),
     KeyRule::optional(
         "store_timeout",
-        KeyField::Span(millis(50)..=millis(5_000), |settings| {
+        KeyField::Duration(millis(50)..=millis(5_000), |settings| {
             &mut settings.store_timeout
         }),
         "Longest wait for one answer of the store; shorter than the lease length.",
@@ -186,7 +186,7 @@
 const LIMIT_RULES: &[SettingRule] = &[
     KeyRule::optional(
         "max_deadline",
-        KeyField::Span(millis(100)..=millis(3_600_000), |settings| {
+        KeyField::Duration(millis(100)..=millis(3_600_000), |settings| {
             &mut settings.max_deadline
         }),
         "Longest deadline that a caller may ask for.",
@@ -248,14 +248,14 @@
         // host that is well connected, and callers see refusals without a cause.
         if self.heartbeat_interval * 3 > self.lease_length {
             let reason = "must be at most a third of lease_length";
-            return Err(section_fault("peers", "heartbeat_interval", reason));
+            return Err(error_without_line("peers", "heartbeat_interval", reason));
         }
         if self.store_timeout >= self.lease_length {
             let reason = "must be shorter than lease_length of [peers]";
-            return Err(section_fault("platform", "store_timeout", reason));
+            return Err(error_without_line("platform", "store_timeout", reason));
         }
         if self.peers.iter().any(|peer| peer.member == self.member) {
-            return Err(section_fault(
+            return Err(error_without_line(
                 "peers",
                 "known",
                 "names this entry host itself",
--- a/crates/model/src/settings_text.rs
+++ b/crates/model/src/settings_text.rs
@@ -1,5 +1,5 @@
 use crate::{
-    TextFault,
+    TextError,
     ini_text::{IniSection, read_sections},
     key_rule::{KeyRule, fill_section},
 };
@@ -12,7 +12,7 @@
 pub(crate) fn read_settings<T: Default>(
     text: &str,
     rules: &SectionRules<T>,
-) -> Result<(T, Vec<IniSection>), TextFault> {
+) -> Result<(T, Vec<IniSection>), TextError> {
     let sections = read_sections(text)?;
     let mut settings = T::default();
     for section in &sections {
@@ -25,15 +25,15 @@
     for (name, keys) in rules {
         let is_present = sections.iter().any(|section| section.name == *name);
         if !is_present && keys.iter().any(|rule| rule.required) {
-            return Err(section_fault(name, "", "the section is required"));
+            return Err(error_without_line(name, "", "the section is required"));
         }
     }
     Ok((settings, sections))
 }
 
 /// A fault of a section, or of a key in it, whose line is not known yet.
-pub(crate) fn section_fault(section: &str, key: &str, reason: &str) -> TextFault {
-    TextFault {
+pub(crate) fn error_without_line(section: &str, key: &str, reason: &str) -> TextError {
+    TextError {
         line: 0,
         section: section.to_owned(),
         key: key.to_owned(),
@@ -41,11 +41,11 @@
     }
 }
 
-fn unknown_section<T>(rules: &SectionRules<T>, section: &IniSection) -> TextFault {
+fn unknown_section<T>(rules: &SectionRules<T>, section: &IniSection) -> TextError {
     let known: Vec<&str> = rules.iter().map(|(name, _)| *name).collect();
-    TextFault {
+    TextError {
         line: section.line,
-        ..section_fault(
+        ..error_without_line(
             &section.name,
             "",
             &format!("unknown section; known are {}", known.join(", ")),
--- a/crates/model/src/value_text.rs
+++ b/crates/model/src/value_text.rs
@@ -34,30 +34,33 @@
         })
 }
 
-pub(crate) fn read_span(text: &str, range: &RangeInclusive<Duration>) -> Result<Duration, String> {
+pub(crate) fn read_duration(
+    text: &str,
+    range: &RangeInclusive<Duration>,
+) -> Result<Duration, String> {
     let allowed = || {
         format!(
             "`{text}` is not a time from {} to {}, such as `500ms`, `2s` or `1h`",
-            show_span(*range.start()),
-            show_span(*range.end())
+            duration_text(*range.start()),
+            duration_text(*range.end())
         )
     };
-    let span = humantime::parse_duration(text).map_err(|_| allowed())?;
-    if !range.contains(&span) {
+    let duration = humantime::parse_duration(text).map_err(|_| allowed())?;
+    if !range.contains(&duration) {
         return Err(allowed());
     }
-    Ok(span)
+    Ok(duration)
 }
 
-/// Shows a span as [`read_span`] reads it, days not summed up to months.
-pub(crate) fn show_span(span: Duration) -> String {
-    if span >= DAY && span.as_secs().is_multiple_of(DAY.as_secs()) {
-        return format!("{}d", span.as_secs() / DAY.as_secs());
+/// Shows a span as [`read_duration`] reads it, days not summed up to months.
+pub(crate) fn duration_text(duration: Duration) -> String {
+    if duration >= DAY && duration.as_secs().is_multiple_of(DAY.as_secs()) {
+        return format!("{}d", duration.as_secs() / DAY.as_secs());
     }
-    humantime::format_duration(span).to_string()
+    humantime::format_duration(duration).to_string()
 }
 
-pub(crate) fn read_flag(text: &str) -> Result<bool, String> {
+pub(crate) fn read_bool(text: &str) -> Result<bool, String> {
     match text {
         "true" => Ok(true),
         "false" => Ok(false),
@@ -87,24 +90,24 @@
 }
 
 pub(crate) fn read_url(text: &str) -> Result<&str, String> {
-    let wrong = || format!("`{text}` is not a URL such as `http://10.0.0.1:7000`");
+    let invalid = || format!("`{text}` is not a URL such as `http://10.0.0.1:7000`");
     let Some(rest) = text.strip_prefix("http://") else {
-        return Err(wrong());
+        return Err(invalid());
     };
     if rest.is_empty() || rest.starts_with('/') || text.contains(char::is_whitespace) {
-        return Err(wrong());
+        return Err(invalid());
     }
     Ok(text.trim_end_matches('/'))
 }
 
 /// Reads a time of day such as `02:30`, as time since midnight.
-pub(crate) fn read_clock_time(text: &str) -> Result<Duration, String> {
-    let wrong = || format!("`{text}` is not a time of day from 00:00 to 23:59");
-    let (hours, minutes) = text.split_once(':').ok_or_else(wrong)?;
+pub(crate) fn read_time_of_day(text: &str) -> Result<Duration, String> {
+    let invalid = || format!("`{text}` is not a time of day from 00:00 to 23:59");
+    let (hours, minutes) = text.split_once(':').ok_or_else(invalid)?;
     if hours.len() != 2 || minutes.len() != 2 {
-        return Err(wrong());
+        return Err(invalid());
     }
-    let hours = read_count(hours, &(0..=23)).map_err(|_| wrong())?;
-    let minutes = read_count(minutes, &(0..=59)).map_err(|_| wrong())?;
+    let hours = read_count(hours, &(0..=23)).map_err(|_| invalid())?;
+    let minutes = read_count(minutes, &(0..=59)).map_err(|_| invalid())?;
     Ok(Duration::from_secs(hours * 3600 + minutes * 60))
 }
--- a/crates/model/tests/manifest.rs
+++ b/crates/model/tests/manifest.rs
@@ -34,7 +34,7 @@
 ";
 
 #[test]
-fn from_ini_whole() {
+fn from_ini_valid() {
     let (sections, manifest) = Manifest::from_ini(MANIFEST).expect("a valid manifest");
     assert_eq!(manifest.name, "trial");
     assert_eq!(manifest.pools["plan"].role, HostRole::Worker);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn from_sections_none() {
+fn from_sections_empty() {
     // A fresh deployment has no manifest, and operators grant their first key in it.
     let manifest = Manifest::from_sections(&model::SectionTexts::new());
     assert_eq!(manifest, Ok(Manifest::default()));
@@ -55,9 +55,9 @@
 }
 
 #[test]
-fn text_of_round_trip() {
+fn format_sections_round_trip() {
     let sections = Manifest::split(MANIFEST).expect("valid text");
-    let again = Manifest::split(&Manifest::text_of(&sections)).expect("valid text");
+    let again = Manifest::split(&Manifest::format_sections(&sections)).expect("valid text");
     assert_eq!(sections, again);
 }
 
@@ -215,7 +215,7 @@
         let mut lines: Vec<&str> = MANIFEST.lines().collect();
         lines.swap(from, to);
         if let Ok((sections, manifest)) = Manifest::from_ini(&lines.join("\n")) {
-            let again = Manifest::from_ini(&Manifest::text_of(&sections));
+            let again = Manifest::from_ini(&Manifest::format_sections(&sections));
             prop_assert_eq!(again, Ok((sections, manifest)));
         }
     }
@@ -225,7 +225,7 @@
 #[case::none(0, &["losing a rack of 4 leaves 4 hosts, fewer than the budget of 6"])]
 #[case::fifth(20, &["losing a rack of 4 leaves 2 hosts, fewer than the budget of 6", "with 6 hosts none can be maintained within a budget of 6"])]
 #[case::third(33, &["without 3 of its hosts the pool has 5, fewer than its budget of 6"])]
-fn advice_shrink(#[case] percent: u32, #[case] expected: &[&str]) {
+fn advice_lost_hosts(#[case] percent: u32, #[case] expected: &[&str]) {
     let (_, manifest) = Manifest::from_ini(MANIFEST).expect("a valid manifest");
     let advice: Vec<String> = manifest
         .advice(percent)
--- a/crates/model/tests/settings.rs
+++ b/crates/model/tests/settings.rs
@@ -26,7 +26,7 @@
 host_list_url = http://10.0.1.2:7200
 ";
 
-fn refusal(text: &str) -> SettingsError {
+fn expect_refused(text: &str) -> SettingsError {
     let Err(error) = ServeSettings::from_ini(text) else {
         panic!("these settings must be refused:\n{text}");
     };
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn from_ini_whole() {
+fn from_ini_valid() {
     let settings = ServeSettings::from_ini(SETTINGS).expect("valid settings");
     assert_eq!(settings.member, "e1");
     assert_eq!(settings.store_url, "http://10.0.1.1:7100");
@@ -107,18 +107,21 @@
 )]
 fn from_ini_refused(#[case] old: &str, #[case] new: &str, #[case] message: &str) {
     let text = SETTINGS.replacen(old, new, 1);
-    let shown = refusal(&text).to_string();
+    let shown = expect_refused(&text).to_string();
     assert!(shown.ends_with(message), "{shown}");
 }
 
 #[test]
 fn from_ini_empty() {
-    assert_eq!(refusal("").to_string(), "[entry] the section is required");
+    assert_eq!(
+        expect_refused("").to_string(),
+        "[entry] the section is required"
+    );
 }
 
 #[test]
-fn text_of_bytes_not_utf8() {
-    let error = model::text_of_bytes(b"[entry]\nmember = \xff").expect_err("not UTF-8");
+fn decode_utf8_invalid() {
+    let error = model::decode_utf8(b"[entry]\nmember = \xff").expect_err("not UTF-8");
     assert_eq!(error.to_string(), "line 2: the text is not UTF-8");
 }
 
--- a/fuzz/fuzz_targets/manifest.rs
+++ b/fuzz/fuzz_targets/manifest.rs
@@ -2,15 +2,15 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use model::{Manifest, text_of_bytes};
+use model::{Manifest, decode_utf8};
 
 fuzz_target!(|bytes: &[u8]| {
-    let Ok(text) = text_of_bytes(bytes) else {
+    let Ok(text) = decode_utf8(bytes) else {
         return;
     };
     let Ok((sections, manifest)) = Manifest::from_ini(text) else {
         return;
     };
-    let again = Manifest::from_ini(&Manifest::text_of(&sections));
+    let again = Manifest::from_ini(&Manifest::format_sections(&sections));
     assert_eq!(again, Ok((sections, manifest)));
 });
--- a/fuzz/fuzz_targets/settings.rs
+++ b/fuzz/fuzz_targets/settings.rs
@@ -2,10 +2,10 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use model::{ServeSettings, text_of_bytes};
+use model::{ServeSettings, decode_utf8};
 
 fuzz_target!(|bytes: &[u8]| {
-    let Ok(text) = text_of_bytes(bytes) else {
+    let Ok(text) = decode_utf8(bytes) else {
         return;
     };
     if let Err(fault) = ServeSettings::from_ini(text) {
