--- a/crates/decide/tests/common/fleet_simulation.rs
+++ b/crates/decide/tests/common/fleet_simulation.rs
@@ -10,22 +10,22 @@
 const STEP: Duration = Duration::from_millis(500);
 const HEALTH_AGE: Duration = Duration::from_secs(4);
 
-/// A guard that a test takes away, to see that the checks notice.
+/// A guard that a test disables to verify that the checks detect its absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GuardFault {
-    /// All guards work.
+    /// All guards are enabled.
     None,
     /// The map is written without comparing versions.
     WriteUnguarded,
     /// Lost hosts are counted as in service.
     LossesIgnored,
-    /// Health that is long out of date counts as fresh.
+    /// Stale health counts as current.
     OldHealth,
-    /// Hosts are rebooted as soon as they are told to drain.
+    /// Hosts reboot as soon as draining begins.
     RebootUndrained,
-    /// Racks are not told apart.
+    /// All hosts count as in one rack.
     OneDomain,
-    /// An answer from before a host's phase counts for the phase.
+    /// A probe from before a host's current phase counts for that phase.
     HealthOfOtherPhase,
 }
 
@@ -38,7 +38,7 @@
     pub every: Duration,
     pub losses_per_hour: f64,
     pub store_outages: bool,
-    /// Part of the reboots that a host does not come back from.
+    /// Share of reboots after which a host does not return.
     pub never_returns: f64,
     pub fault: GuardFault,
 }
@@ -84,7 +84,7 @@
     phase_entry: PhaseEntry,
 }
 
-/// Hosts, a list that lags, and two planners that both believe to have the duty.
+/// A simulation of hosts, a delayed host list and two planners that are both active.
 pub struct FleetSimulation {
     pub now: Duration,
     pub map: FleetMap,
@@ -154,7 +154,7 @@
             self.advance_machines();
             let order = if self.random.random() { [0, 1] } else { [1, 0] };
             for planner in order {
-                // A planner that misses rounds holds an old map for a while.
+                // A planner that skips rounds uses an outdated map for a while.
                 if self.random.random_bool(0.6) {
                     self.run_planner(planner);
                 }
@@ -189,7 +189,7 @@
     fn advance_machines(&mut self) {
         for (host, machine) in &mut self.machines {
             machine.advance(self.now, &mut self.random);
-            // The list shows a host that is down for longer than some seconds as gone.
+            // The list omits a host that has been down for 10 s or longer.
             let listed = machine
                 .down_since
                 .is_none_or(|since| self.now < since + Duration::from_secs(10));
@@ -221,7 +221,7 @@
             if !plan.change.is_empty() {
                 self.commit(&planner.map, &plan.change);
             }
-            // Most rounds end with a fresh map; some writes are not seen at once.
+            // Most rounds end with the current map; some writes are seen later.
             if self.random.random_bool(0.7) {
                 planner.map = self.map.clone();
             }
@@ -293,7 +293,7 @@
             .collect()
     }
 
-    /// Probes the hosts that the last plan asked for, and pushes them on in their phase.
+    /// Probes the hosts that the last plan requested and advances them in their phase.
     fn probe_hosts(&mut self, planner: &mut PlannerState) {
         for host in std::mem::take(&mut planner.probes_due) {
             let Some(machine) = self.machines.get_mut(&host) else {
@@ -324,7 +324,7 @@
                 HostPhase::Rebooting if machine.draining => {
                     if machine.running > 0 {
                         self.violations
-                            .push(format!("{host} rebooted while it ran work"));
+                            .push(format!("{host} rebooted while it was running tasks"));
                     }
                     let returns = !self.random.random_bool(self.options.never_returns);
                     let length = if returns { 30 } else { 1_000_000 };
@@ -353,7 +353,7 @@
         reread.catch_up(&head).expect("the next revision");
         if reread != after {
             self.violations
-                .push("a map changed on its way through the store".to_owned());
+                .push("a map differs after a round trip through the store".to_owned());
         }
         std::mem::swap(&mut self.map, &mut after);
         for (host, state) in &change.hosts {
@@ -367,7 +367,7 @@
             if state.maintained == self.now && before.hosts.contains_key(host) {
                 let reboots = self.machines[host].reboots;
                 if self.reboots_before.get(host) == Some(&reboots) {
-                    let text = format!("{host} passed for maintained without a reboot");
+                    let text = format!("{host} counts as maintained without a reboot");
                     self.violations.push(text);
                 }
             }
@@ -382,13 +382,14 @@
         change
     }
 
-    /// Checks a pool right after one of its hosts was taken out by plan.
+    /// Checks a pool directly after a planned outage of one of its hosts began.
     fn check_outage(&mut self, host: &HostId, pool: &PoolId) {
         let mut serving = 0;
         let mut planned_racks = Vec::new();
         for (other, state) in self.map.pool_hosts(pool) {
             let machine = &self.machines[other];
-            // Whatever was down for longer than a health answer counts must be known.
+            // A host that has been down for longer than its last health is valid must be known as
+            // down.
             let down = machine
                 .down_since
                 .is_some_and(|since| self.now > since + HEALTH_AGE + STEP);
@@ -399,14 +400,15 @@
         }
         let budget = self.manifest.pools[pool].budget;
         if serving < budget {
-            self.violations
-                .push(format!("{host} left {pool} with {serving} of {budget}"));
+            self.violations.push(format!(
+                "{host} left {pool} with {serving} serving hosts of {budget} required"
+            ));
         }
         planned_racks.sort();
         planned_racks.dedup();
         if planned_racks.len() > 1 {
             self.violations
-                .push(format!("{pool} has two racks out by plan"));
+                .push(format!("{pool} has planned outages in two racks"));
         }
     }
 }
@@ -420,7 +422,7 @@
         }
     }
 
-    /// The phase_entry in which a host was asked; with the guard away, whatever the map says.
+    /// The phase entry in which a host was probed. If the guard is disabled, that of the map.
     fn probed_in(&self, host: &HostId, fault: GuardFault) -> PhaseEntry {
         let state = self.map.hosts.get(host);
         let current_entry = state.map(HostState::phase_entry).unwrap_or_default();
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A seeded model of hosts, their list and two planners, for property tests.
+//! A seeded simulation of hosts, their list and two planners, for property tests.
 #![allow(dead_code)]
 
 mod fleet_simulation;
--- a/crates/decide/tests/harness/fleet_fixture.rs
+++ b/crates/decide/tests/harness/fleet_fixture.rs
@@ -18,36 +18,36 @@
     POOL, SchedulerFixture, end_report, run_report, scheduler_fixture::policy_with_limit, target,
 };
 
-/// Name of the pool of hosts that are switched off.
+/// Name of the standby pool, whose hosts run no targets.
 pub const STANDBY: &str = "standby";
-/// Pause between two rounds of plans and looks.
+/// Interval between two rounds of planning and polling.
 const ROUND_INTERVAL: Duration = Duration::from_millis(100);
-/// Time that a host is away for its maintenance or a move.
+/// Time that a host is down for maintenance or a move.
 const HOST_DOWNTIME: Duration = Duration::from_millis(2000);
-/// Time from the start of a task that lasts until it is at work.
+/// Time from the start of a long-running task until it is ready.
 const STARTUP: Duration = Duration::from_millis(500);
 
-/// Hosts that do what they are told, beside a desk and a planner.
+/// Simulated hosts that carry out every order of a scheduler and a host planner.
 pub struct FleetFixture {
     pub fixture: SchedulerFixture,
     pub planner: HostPlanner,
     pub hosts: Vec<FixtureHost>,
-    /// Stops that the desk ordered.
+    /// Stops that the scheduler ordered.
     pub stops: usize,
-    /// Starts of tasks on the target that they had just been taken from.
+    /// Starts of tasks on the same target on which they were stopped before.
     pub restarts_in_place: usize,
-    /// Runs that an order to a host ended.
+    /// Runs that ended because of an order to their host.
     pub killed_runs: usize,
-    /// The most hosts that were away for maintenance at once.
+    /// Highest number of hosts under maintenance at the same time.
     pub max_hosts_down: usize,
-    /// The most tasks of one step that were not at work at once.
+    /// Highest number of tasks of one step that were not ready at the same time.
     pub max_tasks_missing: usize,
-    /// The longest time from a stop to the next start of the same task.
+    /// Longest time from a stop to the next start of the same task.
     pub longest_restart: Duration,
     stopped_tasks: BTreeMap<TaskKey, (HostId, BootTime)>,
 }
 
-/// A host and what runs on it.
+/// A simulated host with the runs and ends of its target.
 pub struct FixtureHost {
     pub fleet: FleetHost,
     pub maintained: usize,
@@ -58,7 +58,8 @@
 }
 
 impl FleetFixture {
-    /// A fleet of so many hosts in service and so many that are switched off.
+    /// Creates a fleet of `serving` hosts in the pool and `off` standby hosts, each with `cpu`
+    /// thousandths of a core.
     pub fn new(serving: usize, off: usize, cpu: u64) -> Self {
         let mut fixture = SchedulerFixture::new(1);
         let mut policy: FleetPolicy = policy_with_limit(1_000_000);
@@ -104,19 +105,19 @@
         fleet
     }
 
-    /// Gives a host a label more.
+    /// Adds a label to a host.
     pub fn add_label(&mut self, number: usize, label: &str) {
         self.hosts[number].fleet.labels.push(label.into());
     }
 
-    /// Brings the hosts into service.
+    /// Starts a target on each host outside the standby pool.
     pub fn start_targets(&mut self) {
         for number in 0..self.hosts.len() {
             self.start_target(number);
         }
     }
 
-    /// Asks for the maintenance of the hosts named.
+    /// Requests a maintenance wave over the given hosts.
     pub fn request_maintenance(
         &mut self,
         hosts: std::ops::Range<usize>,
@@ -136,7 +137,7 @@
         self.planner.apply_waves(&[wave], &BTreeSet::new(), now);
     }
 
-    /// Lets some time pass.
+    /// Runs rounds for the given time.
     pub fn advance(&mut self, time: Duration) {
         let end = self.fixture.now.boot + time;
         while self.fixture.now.boot < end {
@@ -144,7 +145,8 @@
         }
     }
 
-    /// Lets time pass until the wave is done; how long that took, `limit` if it is not.
+    /// Runs rounds until the wave is done. Returns the time that took, or `limit` if the wave is
+    /// not done by then.
     pub fn run_until_done(&mut self, limit: Duration) -> Duration {
         let begin = self.fixture.now.boot;
         while self.fixture.now.boot < begin + limit {
@@ -186,7 +188,7 @@
         self.hosts.iter().map(|host| host.fleet.clone()).collect()
     }
 
-    /// A host begins another target_id as a target, if its pool has any.
+    /// Starts a new incarnation of a host's target, unless the host is on standby.
     fn start_target(&mut self, number: usize) {
         let host = &mut self.hosts[number];
         host.fleet.target = HostId::default();
@@ -208,13 +210,13 @@
         self.fixture.report_idle(&target_id);
     }
 
-    /// Carries out what the desk ordered of targets.
+    /// Carries out the scheduler's orders to targets.
     fn execute_actions(&mut self) {
         let now = self.fixture.now;
         for (id, start) in std::mem::take(&mut self.fixture.starts) {
-            if let Some((before, since)) = self.stopped_tasks.remove(&start.task) {
-                self.restarts_in_place += usize::from(before == id);
-                self.longest_restart = self.longest_restart.max(now.boot - since);
+            if let Some((last_target, stopped_at)) = self.stopped_tasks.remove(&start.task) {
+                self.restarts_in_place += usize::from(last_target == id);
+                self.longest_restart = self.longest_restart.max(now.boot - stopped_at);
             }
             let Some(host) = host_of_target(&mut self.hosts, &id) else {
                 continue;
@@ -247,8 +249,8 @@
             if host.fleet.target.is_empty() {
                 continue;
             }
-            let report = |(start, begun): &(StartOrder, BootTime)| RunReport {
-                percent: if now >= *begun + STARTUP { 100 } else { 0 },
+            let report = |(start, started): &(StartOrder, BootTime)| RunReport {
+                percent: if now >= *started + STARTUP { 100 } else { 0 },
                 ..run_report(start)
             };
             let runs = host.runs.iter().map(report).collect();
@@ -260,17 +262,17 @@
     fn record_missing_tasks(&mut self) {
         let now = self.fixture.now.boot;
         let runs = self.hosts.iter().flat_map(|host| &host.runs);
-        let at_work = runs.filter(|(_, begun)| now >= *begun + STARTUP);
+        let ready = runs.filter(|(_, started)| now >= *started + STARTUP);
         let mut present: BTreeMap<_, usize> = BTreeMap::new();
-        for (start, _) in at_work {
+        for (start, _) in ready {
             *present
                 .entry((&start.task.job, start.task.step))
                 .or_default() += 1;
         }
         for (job, record) in &self.fixture.scheduler.job_table.jobs {
             for (number, step) in (0..).zip(&record.plan.steps) {
-                let there = present.get(&(job, number)).copied().unwrap_or_default();
-                let missing = (step.count as usize).saturating_sub(there);
+                let ready_count = present.get(&(job, number)).copied().unwrap_or_default();
+                let missing = (step.count as usize).saturating_sub(ready_count);
                 self.max_tasks_missing = self.max_tasks_missing.max(missing);
             }
         }
--- a/crates/decide/tests/harness/mod.rs
+++ b/crates/decide/tests/harness/mod.rs
@@ -1,25 +1,25 @@
-//! A desk with orders that the test answers by hand, hosts that do what they are told, and a seeded model of owners, targets and
-//! the log.
+//! A scheduler with orders that the test answers by hand, hosts that carry out every order, and a
+//! seeded simulation of owners, targets and the log.
 #![allow(dead_code, unused_imports)]
 
 mod fleet_fixture;
 pub mod queue_load;
 mod scheduler_fixture;
-mod sim_calls;
-mod sim_check_cancels;
-mod sim_checks;
-mod sim_faults;
-mod sim_host_list;
-mod sim_log;
-mod sim_requests;
-mod sim_target;
-mod simulation;
+mod world;
+mod world_call;
+mod world_cancel;
+mod world_check;
+mod world_faults;
+mod world_list;
+mod world_log;
+mod world_requests;
+mod world_target;
 
 pub use fleet_fixture::{FleetFixture, STANDBY};
 pub use scheduler_fixture::{
     POOL, QUEUE, RESTARTED_AT, SchedulerFixture, WORKSPACE, end_report, long_running_pair, plan,
     policy_with_limit, restarted_target, run_report, step, target,
 };
-pub use sim_faults::WorldFaults;
-pub use sim_target::SimTarget;
-pub use simulation::Simulation;
+pub use world::Simulation;
+pub use world_faults::WorldFaults;
+pub use world_target::SimTarget;
--- a/crates/decide/tests/harness/queue_load.rs
+++ b/crates/decide/tests/harness/queue_load.rs
@@ -1,4 +1,5 @@
-//! The load of a queue's turn: full pools, a backlog, and an end for each start.
+//! Load on a scheduler with full pools and a backlog, where each task that ends is replaced by
+//! another.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -15,55 +16,56 @@
 };
 use wire::work::JobRecord;
 
-/// Pools, each with a queue of its own.
+/// Number of pools. Each has its own queue.
 const POOL_COUNT: usize = 4;
-/// Tasks of a job.
+/// Tasks of each job.
 const TASKS_PER_JOB: u32 = 8;
-/// Time between two ends.
+/// Simulated time between the ends of two tasks.
 const END_INTERVAL: Duration = Duration::from_micros(600);
-/// Ends between two ticks of the scheduler.
+/// Tasks that end between two ticks of the scheduler.
 const ENDS_PER_TICK: u64 = 83;
-/// Room of a target: seven tasks, and a rest.
+/// Capacity of a target: seven tasks and a remainder.
 const TARGET_CAPACITY: ResourceVector = ResourceVector {
     cpu: 16_000,
     memory_mb: 32_768,
     gpu: 0,
 };
 
-/// How large the load is.
+/// Size of the load.
 #[derive(Clone, Copy, Debug)]
 pub struct TurnSize {
     pub targets: usize,
-    /// Tasks that wait for room.
+    /// Tasks that wait for capacity.
     pub waiting: usize,
     pub workspaces: usize,
 }
 
-/// A desk whose pools are full while more tasks wait.
+/// A scheduler with full pools and a backlog of tasks.
 #[derive(Clone)]
 pub struct QueueLoad {
     pub scheduler: WorkScheduler,
     pub now: SchedulerTime,
     size: TurnSize,
-    /// What runs on each target.
+    /// Runs of each target.
     runs: BTreeMap<HostId, Vec<StartOrder>>,
-    /// Targets in the action in which they are looked at.
+    /// Targets in the order in which their tasks end.
     target_ids: Vec<HostId>,
     end_counts: BTreeMap<HostId, u64>,
     jobs: usize,
-    /// Ends so far.
+    /// Number of tasks that ended.
     pub ended: u64,
-    /// Starts so far.
+    /// Number of tasks that were started.
     pub started: u64,
 }
 
 impl QueueLoad {
-    /// A desk in the middle of a turn; no workspace has a limit.
+    /// Creates a scheduler with full pools and a backlog. No workspace has a limit.
     pub fn new(size: TurnSize) -> Self {
         Self::with_limit(size, 0)
     }
 
-    /// The same where the first workspace may have so many thousandths of a core running.
+    /// Same as [`QueueLoad::new`], with a limit on the first workspace in thousandths of a core. A
+    /// limit of 0 is none.
     pub fn with_limit(size: TurnSize, first_limit: u64) -> Self {
         let mut load = Self {
             scheduler: WorkScheduler::new(SchedulerTuning::default(), 1),
@@ -93,7 +95,8 @@
         load
     }
 
-    /// One task ends; its room is given to another, and a job follows each that is done.
+    /// Ends one task, so that another starts in its place. Submits a new job for each job's worth
+    /// of ends.
     pub fn end_next_task(&mut self) {
         let at = usize::try_from(self.ended).unwrap_or_default() % self.target_ids.len();
         let id = self.target_ids[at].clone();
@@ -132,15 +135,15 @@
         self.run_planning();
     }
 
-    /// Submits a job of the next workspace to the next queue.
+    /// Submits a job to the next queue, in the next workspace.
     pub fn submit(&mut self) {
         let queue = self.jobs % POOL_COUNT;
-        let space = self.jobs / POOL_COUNT % self.size.workspaces;
-        self.submit_to(queue, space);
+        let workspace = self.jobs / POOL_COUNT % self.size.workspaces;
+        self.submit_to(queue, workspace);
     }
 
-    /// Submits a job.
-    pub fn submit_to(&mut self, queue: usize, space: usize) {
+    /// Submits a job to the given queue and workspace.
+    pub fn submit_to(&mut self, queue: usize, workspace: usize) {
         let job = format!("{:016x}", self.jobs.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let plan = JobPlan {
             payload: "text".into(),
@@ -161,14 +164,14 @@
             job,
             queue: format!("queue-{queue}"),
             pool: format!("pool-{queue}"),
-            workspace: format!("workspace-{space:03}"),
+            workspace: format!("workspace-{workspace:03}"),
             accepted_unix_ms: u64::try_from(self.now.unix.as_millis()).unwrap_or_default(),
             ..record_of_plan(&plan)
         };
         self.scheduler.accept_job(&record, self.now);
     }
 
-    /// Plans, and answers what the desk actions.
+    /// Plans and handles the scheduler's actions until there are none.
     pub fn run_planning(&mut self) {
         loop {
             self.scheduler.plan_starts(self.now);
@@ -242,7 +245,7 @@
         name: format!("pool-{number}").into(),
         ..PoolPolicy::default()
     };
-    let space = |number: usize| WorkspacePolicy {
+    let workspace = |number: usize| WorkspacePolicy {
         name: format!("workspace-{number:03}").into(),
         limit: ResourceVector {
             cpu: if number == 0 { first_limit } else { 0 },
@@ -254,7 +257,7 @@
         revision: 1,
         queues: (0..POOL_COUNT).map(queue).collect(),
         pools: (0..POOL_COUNT).map(pool).collect(),
-        workspaces: (0..size.workspaces).map(space).collect(),
+        workspaces: (0..size.workspaces).map(workspace).collect(),
         max_body: 1 << 20,
     }
 }
--- a/crates/decide/tests/harness/scheduler_fixture.rs
+++ b/crates/decide/tests/harness/scheduler_fixture.rs
@@ -13,17 +13,17 @@
 };
 use wire::work::{JobRecord, LogEntry, log_entry::Event};
 
-/// A desk with one pool, one queue and one workspace, and a clock that the test moves.
+/// A scheduler with one pool, one queue and one workspace, and a clock that the test advances.
 pub struct SchedulerFixture {
     pub scheduler: WorkScheduler,
     pub now: SchedulerTime,
-    /// Starts that the desk ordered and that have not been answered.
+    /// Starts that the scheduler ordered and the test has not answered.
     pub starts: Vec<(HostId, StartOrder)>,
-    /// Other actions.
+    /// All other actions of the scheduler.
     pub other_actions: Vec<SchedulerAction>,
-    /// Entries that were stored.
+    /// Entries of the job log.
     pub stored: Vec<LogEntry>,
-    /// While set, the store takes nothing.
+    /// Whether the store rejects writes.
     pub store_down: bool,
 }
 
@@ -48,7 +48,7 @@
         fixture
     }
 
-    /// A fixture with one target, on which the tasks of one job are to be started.
+    /// A fixture with one target and one job, whose starts are not answered.
     pub fn with_job(cpu: u64, steps: Vec<StepPlan>) -> Self {
         let mut fixture = Self::new(1);
         fixture.add_target("t1", cpu);
@@ -56,14 +56,14 @@
         fixture
     }
 
-    /// The same once they were started; also returns the starts.
+    /// Same as [`SchedulerFixture::with_job`], with all starts confirmed. Also returns the starts.
     pub fn with_running_job(cpu: u64, steps: Vec<StepPlan>) -> (Self, Vec<(HostId, StartOrder)>) {
         let mut fixture = Self::with_job(cpu, steps);
         let starts = fixture.confirm_starts();
         (fixture, starts)
     }
 
-    /// A new term that reads what the present one has stored.
+    /// Begins a new term of ownership, which replays the stored log.
     pub fn successor(&self, token: u64) -> Self {
         let mut fixture = Self::new(token);
         fixture.now = self.now;
@@ -82,17 +82,14 @@
         self.run_planning();
     }
 
-    /// Plans and takes the actions; entries are stored at once.
+    /// Plans and collects actions until there are none. Log entries are stored immediately.
     pub fn run_planning(&mut self) {
         loop {
             self.scheduler.plan_starts(self.now);
             let actions = self.scheduler.take_actions();
             if actions.is_empty() {
                 let broken = self.scheduler.index_mismatches(self.now.boot);
-                assert!(
-                    broken.is_empty(),
-                    "indexes that differ from the books: {broken:?}"
-                );
+                assert!(broken.is_empty(), "index mismatches: {broken:?}");
                 return;
             }
             for action in actions {
@@ -116,19 +113,19 @@
         self.run_planning();
     }
 
-    /// Lists a target and looks at it, so that it takes tasks.
+    /// Lists a target and reports it as idle, so that it can receive tasks.
     pub fn add_target(&mut self, id: &str, cpu: u64) {
         self.list_target(id, cpu);
         self.report_idle(id);
     }
 
-    /// Shows the first end on a target, on which nothing else runs.
+    /// Reports the end of a start as the first end of a target that runs nothing else.
     pub fn report_end(&mut self, id: &str, start: &StartOrder, kind: EndKind) {
         let end = end_report(1, &start.task, start.attempt, kind);
         self.report(id, Vec::new(), vec![end]);
     }
 
-    /// Looks at a target that runs nothing and ended nothing.
+    /// Reports a target without runs and ends.
     pub fn report_idle(&mut self, id: &str) {
         self.report(id, Vec::new(), Vec::new());
     }
@@ -148,7 +145,7 @@
         self.run_planning();
     }
 
-    /// A look at a target that is not answered.
+    /// Lets a poll of a target time out.
     pub fn time_out_poll(&mut self, id: &str) {
         let timed_out = PollAnswer::Unanswered("timed out".to_owned());
         let sent = self.now.boot;
@@ -156,14 +153,14 @@
             .apply_report(&id.into(), sent, 0, &timed_out, self.now);
     }
 
-    /// A start that is not answered.
+    /// Lets a start time out.
     pub fn time_out_start(&mut self, id: &HostId, start: &StartOrder) {
         let unanswered = StartAnswer::Unanswered("timed out".to_owned());
         self.scheduler
             .handle_start_answer(id, &start.task, start.attempt, &unanswered, self.now);
     }
 
-    /// A target has done the stop that was sent at a time.
+    /// Confirms a stop that was sent at the given time.
     pub fn confirm_stop(&mut self, id: &HostId, start: &StartOrder, sent: BootTime) {
         let done = OrderAnswer::Done;
         self.scheduler
@@ -187,7 +184,7 @@
         self.run_planning();
     }
 
-    /// Cancels a job, as its caller wants.
+    /// Cancels a job and stores the cancellation.
     pub fn cancel(&mut self, job: &str) {
         self.scheduler.cancel(&job.into(), self.now);
         self.stored.push(LogEntry {
@@ -196,29 +193,29 @@
         self.run_planning();
     }
 
-    /// Begins to empty a target's host.
+    /// Starts to drain the host of a target.
     pub fn start_draining(&mut self, id: &str) {
         if let Some(target) = self.scheduler.targets.get_mut(id) {
             target.drain = HostDrainState::Draining;
         }
     }
 
-    /// Replaces the log by a shorter one that says the same.
+    /// Replaces the log by an equivalent compacted one.
     pub fn compact_log(&mut self) {
         self.stored = self.scheduler.job_table.compacted_entries();
     }
 
-    /// Gives the workspace a weight.
+    /// Sets the weight of the workspace.
     pub fn set_workspace_weight(&mut self, weight: u32) {
         let mut policy = FleetPolicy::clone(&self.scheduler.policy);
         policy
             .workspaces
             .iter_mut()
-            .for_each(|space| space.weight = weight);
+            .for_each(|workspace| workspace.weight = weight);
         self.scheduler.set_policy(Arc::new(policy));
     }
 
-    /// Answers all starts with success; returns them.
+    /// Confirms all starts and returns them.
     pub fn confirm_starts(&mut self) -> Vec<(HostId, StartOrder)> {
         let starts = std::mem::take(&mut self.starts);
         for (id, start) in &starts {
@@ -255,10 +252,10 @@
     }
 }
 
-/// When the later life of [`restarted_target`] begins.
+/// Start time of the incarnation of [`restarted_target`].
 pub const RESTARTED_AT: Duration = Duration::from_secs(500);
 
-/// The entry of a later life of `t1`, under the same id.
+/// The entry of a later incarnation of `t1`, under the same id.
 pub fn restarted_target(cpu: u64) -> TargetEntry {
     TargetEntry {
         started_at: RESTARTED_AT,
@@ -279,7 +276,7 @@
     }
 }
 
-/// Two tasks that last, on a target each, of which one may be missing.
+/// Two long-running tasks with anti-affinity, of which one may be unavailable.
 pub fn long_running_pair() -> StepPlan {
     StepPlan {
         long_running: true,
@@ -320,7 +317,7 @@
     policy_with_limit(8000)
 }
 
-/// Terms of one pool, one queue and one workspace of which so much may run.
+/// Policy of one pool, one queue and one workspace with a limit in thousandths of a core.
 pub fn policy_with_limit(cpu: u64) -> FleetPolicy {
     FleetPolicy {
         revision: 1,
--- a/crates/decide/tests/harness/simulation.rs
+++ b/crates/decide/tests/harness/world.rs
@@ -13,32 +13,32 @@
 use super::{
     POOL, QUEUE, WORKSPACE, plan,
     scheduler_fixture::policy_with_limit,
-    sim_calls::{SimCall, SimRequest},
-    sim_faults::WorldFaults,
-    sim_host_list::{HostList, ListWatch},
-    sim_log::{DelayedWrite, LogWriter, StoredLog},
-    sim_requests::ClientRequest,
-    sim_target::SimTarget,
     step, target,
+    world_call::{SimCall, SimRequest},
+    world_faults::WorldFaults,
+    world_list::{HostList, ListWatch},
+    world_log::{DelayedWrite, LogWriter, StoredLog},
+    world_requests::ClientRequest,
+    world_target::SimTarget,
 };
 
-/// Length of a step of the world.
+/// Length of a simulation step.
 pub(super) const TICK: Duration = Duration::from_millis(20);
-/// How long after its lapse a target leaves the host list.
+/// Time after which an unavailable target leaves the host list.
 pub(super) const LIST_TTL: Duration = Duration::from_millis(4500);
-/// Lease on the ownership.
+/// Duration of the ownership lease.
 pub(super) const OWNER_LEASE: Duration = Duration::from_millis(1500);
-/// Room of a target, in thousandths of a core.
+/// Capacity of a target, in thousandths of a core.
 pub(super) const CAPACITY: u64 = 4000;
-/// Limit of the workspace.
+/// Limit of the workspace, in thousandths of a core.
 pub(super) const LIMIT: u64 = 9000;
-/// Events that are kept for the trace of a fault.
+/// Limit of events that are kept for the trace of a violation.
 const MAX_RECENT_EVENTS: usize = 60;
 
-/// Targets, a log and the owners of a cell, with faults drawn from a seed.
+/// A simulation of a cell's owners, its targets and the job log, with faults drawn from a seed.
 pub struct Simulation {
     pub(super) rng: StdRng,
-    /// For faults that came later: the seeds of the first ones show the same as before.
+    /// Used for faults that were added later, so that older seeds still reproduce the same runs.
     pub(super) extra_rng: StdRng,
     pub(super) now: SchedulerTime,
     pub(super) faults: WorldFaults,
@@ -46,45 +46,45 @@
     pub(super) host_list: HostList,
     pub(super) log: StoredLog,
     pub(super) delayed_writes: Vec<DelayedWrite>,
-    /// Since when and until when the store answers nobody.
+    /// Start and end of a store outage.
     pub(super) store_outage: Option<(BootTime, BootTime)>,
     pub(super) store_restored_at: BootTime,
-    /// Token of the owner whose entry stands.
+    /// Token of the owner that holds the lease.
     pub(super) current_token: u64,
     pub(super) owners: Vec<SimOwner>,
     pub(super) next_election: Option<BootTime>,
     pub(super) calls: Vec<SimCall>,
     pub(super) client_requests: Vec<ClientRequest>,
     pub(super) jobs: BTreeMap<String, JobPlan>,
-    /// Jobs whose tasks take long.
+    /// Jobs whose tasks take eight times as long.
     pub(super) long_jobs: BTreeSet<String>,
-    /// Jobs whose callers were told that they are accepted.
+    /// Jobs whose submission was acknowledged.
     pub(super) accepted: BTreeSet<String>,
-    /// Jobs whose cancellation is in the log, and since when.
+    /// Jobs whose cancellation is in the log, with the time it was stored.
     pub(super) cancels_stored: BTreeMap<String, BootTime>,
-    /// Jobs whose callers were told that they are cancelled, and when.
+    /// Jobs whose cancellation was acknowledged, with the time.
     pub(super) cancelled: BTreeMap<String, BootTime>,
     pub(super) done_tasks: BTreeSet<TaskKey>,
     pub(super) acked_tasks: BTreeSet<TaskKey>,
-    /// When the store or the ownership was last disturbed.
+    /// Last fault of the store or change of the ownership.
     pub(super) last_core_disturbance: BootTime,
-    /// What broke a promise.
+    /// Violations of the checked guarantees.
     pub violations: Vec<String>,
-    /// What happened to each task, for the trace of a fault.
+    /// Events of each task, for the trace of a violation.
     pub(super) history: BTreeMap<TaskKey, Vec<String>>,
-    /// What happened besides.
+    /// Other recent events.
     pub(super) recent_events: VecDeque<String>,
 }
 
 pub(super) struct SimOwner {
     pub(super) scheduler: WorkScheduler,
     pub(super) token: u64,
-    /// Since when it has no way to the store.
+    /// Since when it is partitioned from the store.
     pub(super) partitioned_since: Option<BootTime>,
-    /// When it learns that its lease has lapsed.
+    /// When it detects that its lease has lapsed.
     pub(super) lease_loss_seen_at: Option<BootTime>,
     pub(super) polling: BTreeSet<HostId>,
-    /// Targets that are not looked at again before a time.
+    /// Earliest time of the next poll of each target whose poll failed.
     pub(super) next_poll_at: BTreeMap<HostId, BootTime>,
     pub(super) call_queues: BTreeMap<HostId, VecDeque<SimRequest>>,
     pub(super) writer: LogWriter,
@@ -98,7 +98,7 @@
             unix: Duration::from_secs(1_000_000),
         };
         let names = (0..targets).map(|number| HostId::from(format!("t{number}")));
-        let fresh = |name: HostId| {
+        let new_target = |name: HostId| {
             let state = SimTarget {
                 started_at: Duration::from_secs(1),
                 listed_start: Duration::from_secs(1),
@@ -114,7 +114,7 @@
             extra_rng: StdRng::seed_from_u64(!seed),
             now,
             faults,
-            targets: names.map(fresh).collect(),
+            targets: names.map(new_target).collect(),
             host_list: HostList::default(),
             log: StoredLog::default(),
             delayed_writes: Vec::new(),
@@ -141,7 +141,8 @@
         world
     }
 
-    /// Runs with faults and arrivals for a time, then calmly until all jobs should be done.
+    /// Runs with faults and submissions for the time `busy`, then without faults until all jobs are
+    /// done, at most for the time `calm`.
     pub fn run(&mut self, busy: Duration, calm: Duration) {
         let end = self.now.boot + busy;
         while self.now.boot < end {
@@ -163,9 +164,9 @@
         self.jobs.len()
     }
 
-    pub(super) fn draw_event(&mut self, a_second: f64) -> bool {
-        let part = a_second * TICK.as_secs_f64();
-        self.rng.random::<f64>() < part
+    pub(super) fn draw_event(&mut self, per_second: f64) -> bool {
+        let probability = per_second * TICK.as_secs_f64();
+        self.rng.random::<f64>() < probability
     }
 
     fn run_step(&mut self) {
@@ -182,7 +183,7 @@
         self.check_cancelled();
     }
 
-    /// Hands a job in at the present owner, if it is sure of its lease.
+    /// Submits a random job to the current owner, if there is one.
     fn submit_job(&mut self) {
         let Some(index) = self
             .owners
@@ -219,13 +220,13 @@
     fn advance_targets(&mut self) {
         let now = self.now.boot;
         let unix = self.now.unix;
-        let mut born = Vec::new();
+        let mut restarted = Vec::new();
         let (late, rng) = (self.faults.late_lists, &mut self.rng);
         for (name, state) in &mut self.targets {
-            let away = !state.up || state.partitioned;
-            if away && now >= state.back_at {
+            let down = !state.up || state.partitioned;
+            if down && now >= state.back_at {
                 if state.returns_with_new_id {
-                    born.push((state.address.clone(), state.successor(name, self.now)));
+                    restarted.push((state.address.clone(), state.successor(name, self.now)));
                     state.back_at = BootTime::MAX;
                 } else if !state.up {
                     let late = late > 0.0 && rng.random_bool(late);
@@ -234,7 +235,7 @@
                         started_at: unix,
                         listed_start: state.listed_start,
                         listing_stale_until: now + Duration::from_millis(delay.unwrap_or(0)),
-                        // Where lives begin unnoticed their clocks matter.
+                        // If an incarnation can begin unnoticed, its clock must restart.
                         clock_start: if self.faults.lists {
                             now
                         } else {
@@ -250,11 +251,11 @@
             if now >= state.listing_stale_until {
                 state.listed_start = state.started_at;
             }
-            let away = !state.up || state.partitioned;
-            state.listed = !away || now < state.down_since + LIST_TTL;
+            let down = !state.up || state.partitioned;
+            state.listed = !down || now < state.down_since + LIST_TTL;
             state.end_due_runs(now);
         }
-        for (_, (name, state)) in born {
+        for (_, (name, state)) in restarted {
             self.record_event(&format!("{name} begins at {}", state.address));
             self.targets.insert(name, state);
         }
@@ -301,48 +302,53 @@
             self.elect();
         }
         let mut owners = std::mem::take(&mut self.owners);
-        let alone = SchedulerTuning::default().store_outage_limit + OWNER_LEASE;
+        let max_outage = SchedulerTuning::default().store_outage_limit + OWNER_LEASE;
         owners.retain(|owner| {
             let over = owner
                 .lease_loss_seen_at
                 .is_some_and(|at| self.now.boot >= at);
             let since = self.cut_off_since(owner);
-            !over && since.is_none_or(|since| self.now.boot < since + alone)
+            !over && since.is_none_or(|since| self.now.boot < since + max_outage)
         });
-        let mut kept = Vec::new();
+        let mut running = Vec::new();
         for mut owner in owners {
             if self.run_owner(&mut owner) {
-                kept.push(owner);
+                running.push(owner);
             } else if owner.token == self.current_token && self.next_election.is_none() {
                 self.next_election = Some(self.now.boot + OWNER_LEASE);
             }
         }
-        let stands = kept.iter().any(|owner| owner.token == self.current_token);
-        if !stands && self.next_election.is_none() {
+        let has_owner = running
+            .iter()
+            .any(|owner| owner.token == self.current_token);
+        if !has_owner && self.next_election.is_none() {
             self.next_election = Some(self.now.boot + OWNER_LEASE);
         }
-        self.owners = kept;
+        self.owners = running;
     }
 
-    /// Since when an owner has not renewed its lease.
+    /// Since when an owner has been unable to renew its lease.
     fn cut_off_since(&self, owner: &SimOwner) -> Option<BootTime> {
-        let away = self.store_outage.map(|(since, _)| since);
-        [owner.partitioned_since, away].into_iter().flatten().min()
+        let outage = self.store_outage.map(|(since, _)| since);
+        [owner.partitioned_since, outage]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
-    /// True if another may own the cell, as far as an owner knows.
+    /// Returns true if another process may own the cell, as far as this owner knows.
     pub(super) fn is_lease_lapsed(&self, owner: &SimOwner) -> bool {
-        // A lease is not counted on in its last part.
+        // An owner does not rely on the last 100 ms of its lease.
         let lapse = OWNER_LEASE - Duration::from_millis(100);
         self.cut_off_since(owner)
             .is_some_and(|since| self.now.boot >= since + lapse)
     }
 
-    /// Lets an owner decide; false if it has resigned.
+    /// Runs one step of an owner. Returns false if it steps down.
     fn run_owner(&mut self, owner: &mut SimOwner) -> bool {
         let now = self.now;
-        let alone = self.is_lease_lapsed(owner);
-        owner.scheduler.set_ownership_uncertain(alone);
+        let lease_lapsed = self.is_lease_lapsed(owner);
+        owner.scheduler.set_ownership_uncertain(lease_lapsed);
         if self.faults.lists {
             self.deliver_list_events(owner);
             self.poll_incarnations(owner);
@@ -386,12 +392,9 @@
                 | SchedulerAction::RequestAdvice(..) => {}
             }
         }
-        self.send_queued(owner, alone);
+        self.send_queued(owner, lease_lapsed);
         let broken = owner.scheduler.index_mismatches(now.boot);
-        assert!(
-            broken.is_empty(),
-            "indexes that differ from the books: {broken:?}"
-        );
+        assert!(broken.is_empty(), "index mismatches: {broken:?}");
         for event in owner.scheduler.take_events() {
             if let SchedulerEvent::TargetLost(..) | SchedulerEvent::TargetUsable(..) = event {
                 self.record_event(&format!("owner {}: {event:?}", owner.token));
@@ -400,7 +403,7 @@
         true
     }
 
-    /// Shows the host list as it is.
+    /// Applies the current host list without delay.
     fn apply_host_list(&self, owner: &mut SimOwner) {
         for (name, state) in &self.targets {
             let listed = owner
@@ -431,7 +434,7 @@
             .push_back(format!("{:?} {what}", self.now.boot));
     }
 
-    /// Notes a disturbance of the store or of the ownership.
+    /// Records a fault of the store or a change of the ownership.
     pub(super) fn record_core_event(&mut self, what: &str) {
         self.last_core_disturbance = self.now.boot;
         self.record_event(what);
@@ -439,7 +442,7 @@
 
     pub(super) fn record_task_event(&mut self, task: &TaskKey, what: &str) {
         let at = self.now.boot;
-        let told = self.history.entry(task.clone()).or_default();
-        told.push(format!("{at:?} {what}"));
+        let history = self.history.entry(task.clone()).or_default();
+        history.push(format!("{at:?} {what}"));
     }
 }
--- a/crates/decide/tests/harness/sim_calls.rs
+++ b/crates/decide/tests/harness/world_call.rs
@@ -10,34 +10,34 @@
 };
 use rand::Rng;
 
-use super::simulation::{SimOwner, Simulation, TICK};
+use super::world::{SimOwner, Simulation, TICK};
 
-/// How long an owner waits for the answer to an order.
+/// Time that an owner waits for the response to a call.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Orders to one target that are under way at once.
+/// Limit of starts and stops in flight to one target.
 const MAX_CALLS_IN_FLIGHT: usize = 3;
-/// Pause after a look that was not answered.
+/// Delay after a poll without a response.
 const POLL_RETRY_DELAY: Duration = Duration::from_millis(300);
-/// Part of the answers that come late, where the host list does.
+/// Share of responses that are delayed when the host list is delayed.
 const SLOW_RESPONSES: f64 = 0.15;
 
 pub(super) enum SimRequest {
     Start(StartOrder),
     Stop(StopOrder),
     Poll(PollOrder),
-    /// A look beside the one that waits.
+    /// A poll sent while another one waits at the target.
     ExtraPoll(PollOrder),
 }
 
 pub(super) struct SimCall {
     owner: u64,
     target: HostId,
-    /// Life of the target when it was sent.
+    /// Start time of the target's incarnation when the call was sent.
     target_started_at: Duration,
     sent: BootTime,
     arrives: BootTime,
-    /// When the answer is back; `None` if it never is.
-    answers: Option<BootTime>,
+    /// When the owner receives the response; `None` if it is lost.
+    response_at: Option<BootTime>,
     times_out: BootTime,
     order: SimRequest,
     done: Option<SimResponse>,
@@ -51,7 +51,7 @@
 }
 
 impl Simulation {
-    /// Gives an order to a target, or has it wait for its turn.
+    /// Sends a request to a target, or queues it if calls in flight are limited.
     pub(super) fn send_or_queue(&mut self, owner: &mut SimOwner, name: HostId, order: SimRequest) {
         if self.faults.lanes {
             owner.call_queues.entry(name).or_default().push_back(order);
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Sends what has waited for its turn, unless it is not wanted any more.
-    pub(super) fn send_queued(&mut self, owner: &mut SimOwner, alone: bool) {
+    /// Sends queued requests, except for those that became obsolete.
+    pub(super) fn send_queued(&mut self, owner: &mut SimOwner, ownership_uncertain: bool) {
         let names: Vec<HostId> = owner.call_queues.keys().cloned().collect();
         for name in names {
             if !owner.scheduler.targets.contains_key(&name) {
@@ -69,14 +69,14 @@
                 continue;
             }
             while self.calls_in_flight(owner.token, &name) < MAX_CALLS_IN_FLIGHT {
-                let lane = owner.call_queues.get_mut(&name);
-                let Some(order) = lane.and_then(std::collections::VecDeque::pop_front) else {
+                let queue = owner.call_queues.get_mut(&name);
+                let Some(order) = queue.and_then(std::collections::VecDeque::pop_front) else {
                     break;
                 };
                 if let SimRequest::Start(start) = &order
-                    && (alone || !is_start_pending(owner, &name, start))
+                    && (ownership_uncertain || !is_start_pending(owner, &name, start))
                 {
-                    let answer = StartAnswer::NotSent("not wanted any more".to_owned());
+                    let answer = StartAnswer::NotSent("start became obsolete".to_owned());
                     let (task, attempt) = (start.task.clone(), start.attempt);
                     owner
                         .scheduler
@@ -91,7 +91,7 @@
         }
     }
 
-    /// True for a stop that is not wanted any more.
+    /// Returns true for a stop that became obsolete.
     fn is_obsolete_stop(&self, owner: &mut SimOwner, name: &HostId, order: &SimRequest) -> bool {
         let SimRequest::Stop(stop) = order else {
             return false;
@@ -104,8 +104,8 @@
 
     fn calls_in_flight(&self, owner: u64, name: &HostId) -> usize {
         let orders = self.calls.iter().filter(|call| {
-            let look = matches!(call.order, SimRequest::Poll(_) | SimRequest::ExtraPoll(_));
-            call.owner == owner && call.target == *name && !call.settled && !look
+            let poll = matches!(call.order, SimRequest::Poll(_) | SimRequest::ExtraPoll(_));
+            call.owner == owner && call.target == *name && !call.settled && !poll
         });
         orders.count()
     }
@@ -136,18 +136,18 @@
             SimRequest::Poll(_) | SimRequest::ExtraPoll(_) => {}
         }
         let draw: f64 = self.rng.random();
-        let (lost, late) = (self.faults.lost_calls, self.faults.late_calls);
+        let (lost, delayed) = (self.faults.lost_calls, self.faults.late_calls);
         let wait = match &order {
-            SimRequest::Poll(look) | SimRequest::ExtraPoll(look) => look.wait,
+            SimRequest::Poll(poll) | SimRequest::ExtraPoll(poll) => poll.wait,
             _ => Duration::ZERO,
         };
         let times_out = now + wait + ORDER_TIMEOUT;
         let soon = now + Duration::from_millis(self.rng.random_range(1..60));
-        let (arrives, answers) = if draw < lost / 2.0 {
+        let (arrives, response_at) = if draw < lost / 2.0 {
             (BootTime::MAX, None)
         } else if draw < lost {
             (soon, None)
-        } else if draw < lost + late {
+        } else if draw < lost + delayed {
             (
                 now + Duration::from_millis(self.rng.random_range(2000..12_000)),
                 None,
@@ -158,11 +158,11 @@
                 Some(soon + wait.min(Duration::from_millis(100)) + TICK),
             )
         };
-        let answers = answers.map(|at| at + self.draw_delay());
-        if answers.is_none()
+        let response_at = response_at.map(|at| at + self.draw_delay());
+        if response_at.is_none()
             && let Some(state) = self.targets.get_mut(&name)
         {
-            // An order that is carried out late disturbs until then.
+            // Until a late request takes effect, the bounds on this target do not hold.
             let until = if arrives == BootTime::MAX {
                 now
             } else {
@@ -181,7 +181,7 @@
             target_started_at,
             sent: now,
             arrives,
-            answers,
+            response_at,
             times_out,
             order,
             done: None,
@@ -189,7 +189,7 @@
         });
     }
 
-    /// How much later than others an answer comes; within the time that it is waited for.
+    /// Draws the delay of a response; it stays within the timeout.
     fn draw_delay(&mut self) -> Duration {
         if !self.faults.lists || !self.extra_rng.random_bool(SLOW_RESPONSES) {
             return Duration::ZERO;
@@ -211,12 +211,12 @@
             let Some(state) = self.targets.get_mut(&call.target) else {
                 continue;
             };
-            // What a target holds back, to answer it late, dies with that life of the target.
-            let held = call.arrives > call.times_out;
-            let outlived = held && call.target_started_at != state.started_at;
-            if !state.up || state.partitioned || outlived {
+            // A request that a target processes late is lost if the target restarts before.
+            let delayed = call.arrives > call.times_out;
+            let restarted = delayed && call.target_started_at != state.started_at;
+            if !state.up || state.partitioned || restarted {
                 call.arrives = BootTime::MAX;
-                call.answers = None;
+                call.response_at = None;
                 continue;
             }
             call.done = Some(match &call.order {
@@ -228,8 +228,8 @@
                     let started = matches!(answer, StartAnswer::Started { .. });
                     state.task_starts.insert(order.task.clone(), now);
                     let task = order.task.clone();
-                    let told = self.history.entry(task.clone()).or_default();
-                    told.push(format!(
+                    let history = self.history.entry(task.clone()).or_default();
+                    history.push(format!(
                         "{now:?} {} on {}: {answer:?}",
                         order.attempt, call.target
                     ));
@@ -240,11 +240,11 @@
                 }
                 SimRequest::Stop(order) => SimResponse::Stop(state.stop(order, now)),
                 SimRequest::Poll(order) | SimRequest::ExtraPoll(order) => {
-                    let noted = state.poll(order, now);
-                    let answer = noted.0;
-                    for task in noted.1 {
-                        let told = self.history.entry(task.clone()).or_default();
-                        told.push(format!("{now:?} observed on {}", call.target));
+                    let polled = state.poll(order, now);
+                    let answer = polled.0;
+                    for task in polled.1 {
+                        let history = self.history.entry(task.clone()).or_default();
+                        history.push(format!("{now:?} end acknowledged on {}", call.target));
                         self.acked_tasks.insert(task);
                     }
                     SimResponse::Poll(answer)
@@ -258,12 +258,12 @@
         let now = self.now;
         let mut calls = std::mem::take(&mut self.calls);
         for call in calls.iter_mut().filter(|call| !call.settled) {
-            let answered = call.answers.is_some_and(|at| at <= now.boot) && call.done.is_some();
+            let answered = call.response_at.is_some_and(|at| at <= now.boot) && call.done.is_some();
             if !answered && now.boot < call.times_out {
                 continue;
             }
             call.settled = true;
-            let lost = || "timed out".to_owned();
+            let timed_out = || "timed out".to_owned();
             let answer = if answered { call.done.take() } else { None };
             let Some(owner) = self
                 .owners
@@ -276,7 +276,7 @@
                 (SimRequest::Start(order), answer) => {
                     let answer = match answer {
                         Some(SimResponse::Start(answer)) => answer,
-                        _ => StartAnswer::Unanswered(lost()),
+                        _ => StartAnswer::Unanswered(timed_out()),
                     };
                     owner.scheduler.handle_start_answer(
                         &call.target,
@@ -289,7 +289,7 @@
                 (SimRequest::Stop(order), answer) => {
                     let answer = match answer {
                         Some(SimResponse::Stop(answer)) => answer,
-                        _ => OrderAnswer::Unanswered(lost()),
+                        _ => OrderAnswer::Unanswered(timed_out()),
                     };
                     let (task, attempt) = (&order.task, order.attempt);
                     owner.scheduler.handle_stop_answer(
@@ -311,7 +311,7 @@
                     }
                     let answer = match answer {
                         Some(SimResponse::Poll(answer)) => answer,
-                        _ => PollAnswer::Unanswered(lost()),
+                        _ => PollAnswer::Unanswered(timed_out()),
                     };
                     owner.scheduler.apply_report(
                         &call.target,
@@ -323,7 +323,7 @@
                 }
             }
             if answered {
-                // It must not be carried out again.
+                // The request must not take effect twice.
                 call.arrives = BootTime::MAX;
             }
         }
@@ -345,7 +345,7 @@
     }
 }
 
-/// True if the desk still takes a start to be under way.
+/// Returns true if the scheduler still waits for the result of a start.
 fn is_start_pending(owner: &SimOwner, name: &HostId, start: &StartOrder) -> bool {
     let TaskKey {
         job,
@@ -355,9 +355,9 @@
     } = &start.task;
     let job = owner.scheduler.job_table.jobs.get(job);
     let task = job.and_then(|job| job.task(*occurrence, *step, *index));
-    let place = task.and_then(|task| task.placement.as_ref());
-    place.is_some_and(|place| {
-        let same = place.target == *name && place.attempt == start.attempt;
-        same && place.phase == PlacementPhase::Starting
+    let placement = task.and_then(|task| task.placement.as_ref());
+    placement.is_some_and(|placement| {
+        let same_attempt = placement.target == *name && placement.attempt == start.attempt;
+        same_attempt && placement.phase == PlacementPhase::Starting
     })
 }
--- a/crates/decide/tests/harness/sim_checks.rs
+++ b/crates/decide/tests/harness/world_check.rs
@@ -1,10 +1,11 @@
 use model::{HostId, work::TaskKey};
 use wire::work::JobPhase;
 
-use super::simulation::{CAPACITY, LIMIT, SimOwner, Simulation};
+use super::world::{CAPACITY, LIMIT, SimOwner, Simulation};
 
 impl Simulation {
-    /// Holds a start against what callers were promised.
+    /// Checks a start: the task runs only once and after the steps it depends on, and no limit is
+    /// exceeded.
     pub(super) fn check_start(&mut self, on: &HostId, key: &TaskKey) {
         let running = self
             .targets
@@ -19,19 +20,24 @@
             ));
         }
         if self.acked_tasks.contains(key) {
-            self.violation(&format!("{key} starts on {on} after its end was observed"));
+            self.violation(&format!(
+                "{key} starts on {on} after its end was acknowledged"
+            ));
         }
         self.check_step_order(on, key);
-        let room: u64 = self.targets[on]
+        let used: u64 = self.targets[on]
             .runs
             .keys()
             .map(|run| self.cpu(&run.0))
             .sum();
-        if room > CAPACITY {
+        if used > CAPACITY {
             let runs: Vec<_> = self.targets[on].runs.keys().cloned().collect();
-            let told = runs.iter().map(|run| (run, self.history.get(&run.0)));
-            let told = format!("{on} has {room} running: {:#?}", told.collect::<Vec<_>>());
-            self.violation(&told);
+            let history = runs.iter().map(|run| (run, self.history.get(&run.0)));
+            let history = format!(
+                "{on} runs {used} thousandths of a core: {:#?}",
+                history.collect::<Vec<_>>()
+            );
+            self.violation(&history);
         }
         let up = self.targets.values().filter(|state| state.up);
         let all: u64 = up
@@ -39,7 +45,7 @@
             .map(|run| self.cpu(&run.0))
             .sum();
         if all > LIMIT {
-            self.violation(&format!("the workspace has {all} running"));
+            self.violation(&format!("the workspace runs {all} thousandths of a core"));
         }
     }
 
@@ -79,7 +85,7 @@
         self.client_requests.is_empty() && owner.is_some_and(ended)
     }
 
-    /// True if an owner shows the end that a job should have.
+    /// Returns true if an owner reports the expected end of a job.
     fn has_ended(&self, owner: &SimOwner, job: &str) -> bool {
         match owner.scheduler.job_phase(job) {
             Some(JobPhase::Completed) => true,
@@ -94,14 +100,13 @@
             .iter()
             .find(|owner| owner.token == self.current_token)
         else {
-            self.violations.push("nobody owns the cell".to_owned());
+            self.violations.push("the cell has no owner".to_owned());
             return;
         };
         for job in self.jobs.keys() {
             if !self.has_ended(owner, job) {
                 let phase = owner.scheduler.job_phase(job);
-                self.violations
-                    .push(format!("{job} is {phase:?} in the end"));
+                self.violations.push(format!("{job} ended as {phase:?}"));
             }
         }
     }
--- a/crates/decide/tests/harness/sim_faults.rs
+++ b/crates/decide/tests/harness/world_faults.rs
@@ -4,40 +4,40 @@
 use rand::Rng;
 
 use super::{
-    sim_host_list::NEW_ID,
-    simulation::{OWNER_LEASE, Simulation},
+    world::{OWNER_LEASE, Simulation},
+    world_list::NEW_ID,
 };
 
-/// What goes wrong in a world, each as a chance a second unless something else is said.
+/// Faults of a simulation. Each rate is a probability per second unless stated otherwise.
 #[derive(Clone, Copy, Debug)]
 pub struct WorldFaults {
     pub target_crash: f64,
     pub target_cut: f64,
     pub owner_kill: f64,
-    /// The owner loses the store and goes on alone, while a successor takes over.
+    /// The owner loses its connection to the store and continues while a successor takes over.
     pub owner_cut: f64,
-    /// Part of the calls whose request or answer is lost.
+    /// Share of calls whose request or response is lost.
     pub lost_calls: f64,
-    /// Part of the calls that are carried out seconds after they were given up.
+    /// Share of calls that take effect seconds after they timed out.
     pub late_calls: f64,
-    /// Part of the restarts of targets of which the host list tells seconds late.
+    /// Share of target restarts that the host list shows seconds late.
     pub late_lists: f64,
-    /// Part of the jobs that their callers cancel.
+    /// Share of jobs that callers cancel.
     pub cancels: f64,
-    /// The store answers nobody for some time.
+    /// The store does not respond for some time.
     pub store_outage: f64,
-    /// Part of the writes to the store whose request or answer is lost.
+    /// Share of store writes whose request or response is lost.
     pub lost_writes: f64,
-    /// Whether the log is often replaced by a shorter one.
+    /// Whether the log is compacted often.
     pub short_log: bool,
-    /// Whether few orders to a target are under way at once, and the others wait.
+    /// Whether calls in flight to a target are limited and further ones are queued.
     pub lanes: bool,
-    /// Whether the host list comes late and as the store gives it.
+    /// Whether owners follow the host list through delayed events and reads of the store.
     pub lists: bool,
 }
 
 impl WorldFaults {
-    /// Nothing goes wrong.
+    /// No faults.
     pub const CALM: Self = Self {
         target_crash: 0.0,
         target_cut: 0.0,
@@ -54,7 +54,7 @@
         lists: false,
     };
 
-    /// Some of everything that happens to targets, owners and calls.
+    /// Faults of targets, owners and calls.
     pub const BASIC: Self = Self {
         target_crash: 0.03,
         target_cut: 0.03,
@@ -65,20 +65,20 @@
         ..Self::CALM
     };
 
-    /// Callers cancel besides.
+    /// The faults of `BASIC`, and cancellations.
     pub const CANCELS: Self = Self {
         cancels: 0.4,
         ..Self::BASIC
     };
 
-    /// The store fails besides.
+    /// The faults of `CANCELS`, and store faults.
     pub const LOG: Self = Self {
         store_outage: 0.06,
         lost_writes: 0.1,
         ..Self::CANCELS
     };
 
-    /// The same world without faults to come.
+    /// Removes the faults that are drawn at random, and keeps the modes.
     pub(super) fn without_new_faults(self) -> Self {
         Self {
             short_log: self.short_log,
@@ -109,14 +109,14 @@
                 owner.partitioned_since.get_or_insert(now);
             }
             self.next_election = Some(now + OWNER_LEASE);
-            self.record_core_event("the owner is cut off");
+            self.record_core_event("the owner is partitioned");
         }
         self.draw_target_faults();
-        let part = self.faults.store_outage * super::simulation::TICK.as_secs_f64();
-        if self.store_outage.is_none() && self.extra_rng.random::<f64>() < part {
+        let probability = self.faults.store_outage * super::world::TICK.as_secs_f64();
+        if self.store_outage.is_none() && self.extra_rng.random::<f64>() < probability {
             let length = Duration::from_millis(self.extra_rng.random_range(300..6000));
             self.store_outage = Some((self.now.boot, self.now.boot + length));
-            self.record_core_event("the store goes away");
+            self.record_core_event("the store outage begins");
         }
     }
 
@@ -125,7 +125,7 @@
         for name in names {
             let (crash, cut) = (self.faults.target_crash, self.faults.target_cut);
             let (crash, cut) = (self.draw_event(crash), self.draw_event(cut));
-            let away = Duration::from_millis(self.rng.random_range(300..9000));
+            let downtime = Duration::from_millis(self.rng.random_range(300..9000));
             let now = self.now.boot;
             let Some(state) = self.targets.get_mut(&name) else {
                 continue;
@@ -139,23 +139,27 @@
             }
             state.partitioned |= cut;
             state.down_since = now;
-            state.back_at = now + away;
+            state.back_at = now + downtime;
             if crash && self.faults.lists {
-                // Many come back at once, before anybody has missed them.
-                let soon = self.extra_rng.random_bool(0.5);
+                // Half of them restart before the owner notices the crash.
+                let restarts_early = self.extra_rng.random_bool(0.5);
                 let wait = Duration::from_millis(self.extra_rng.random_range(20..400));
-                state.back_at = if soon { now + wait } else { state.back_at };
+                state.back_at = if restarts_early {
+                    now + wait
+                } else {
+                    state.back_at
+                };
                 state.hidden_while_down = self.extra_rng.random_bool(0.5);
                 state.returns_with_new_id = self.extra_rng.random_bool(NEW_ID);
             }
             if crash || cut {
-                let what = if crash { "crashes" } else { "is cut off" };
+                let what = if crash { "crashes" } else { "is partitioned" };
                 self.record_event(&format!("{name} {what}"));
             }
         }
     }
 
-    /// The store is back: leases have been paused, or have lapsed meanwhile.
+    /// Ends a store outage. Leases were paused during it, or lapsed.
     pub(super) fn end_store_outage(&mut self) {
         let now = self.now.boot;
         if self.store_outage.is_none_or(|(_, until)| now < until) {
@@ -163,14 +167,14 @@
         }
         self.store_outage = None;
         self.store_restored_at = now;
-        self.record_core_event("the store is back");
+        self.record_core_event("the store outage ends");
         if self.extra_rng.random_bool(0.5) {
             self.expire_entries();
         }
         if self.extra_rng.random_bool(0.4) && self.next_election.is_none() {
             for owner in &mut self.owners {
-                let heard = Duration::from_millis(self.extra_rng.random_range(0..300));
-                owner.lease_loss_seen_at.get_or_insert(now + heard);
+                let delay = Duration::from_millis(self.extra_rng.random_range(0..300));
+                owner.lease_loss_seen_at.get_or_insert(now + delay);
             }
             let wait = Duration::from_millis(self.extra_rng.random_range(0..600));
             self.next_election = Some(now + wait);
--- a/crates/decide/tests/harness/sim_host_list.rs
+++ b/crates/decide/tests/harness/world_list.rs
@@ -7,20 +7,20 @@
 use rand::Rng;
 
 use super::{
-    simulation::{CAPACITY, LIST_TTL, SimOwner, Simulation},
     target,
+    world::{CAPACITY, LIST_TTL, SimOwner, Simulation},
 };
 
-/// Part of the crashed targets whose host comes back under another id.
+/// Share of crashed targets whose host restarts under another id.
 pub(super) const NEW_ID: f64 = 0.4;
-/// Part of the entries that lapse while the store is away.
+/// Share of entries that lapse during a store outage.
 const LAPSED_ENTRIES: f64 = 0.4;
-/// How often an owner reads the whole list anew, as a chance a second.
+/// Probability per second that an owner reads the whole list again.
 const REREADS: f64 = 0.1;
-/// How often hosts are listed.
+/// Interval at which an owner polls the incarnations of hosts.
 const INCARNATION_POLL: Duration = Duration::from_millis(500);
 
-/// The host list in the store.
+/// The host list in the store, with its events.
 #[derive(Default)]
 pub(super) struct HostList {
     revision: u64,
@@ -32,23 +32,23 @@
     revision: u64,
     at: BootTime,
     id: HostId,
-    /// `None` where the entry was removed.
+    /// `None` if the entry was removed.
     entry: Option<TargetEntry>,
 }
 
-/// How far an owner has followed the host list.
+/// State of an owner's watch of the host list.
 #[derive(Default)]
 pub(super) struct ListWatch {
     started: bool,
     revision: u64,
-    /// How old an event is when it is heard of.
+    /// Delay of events.
     lag: Duration,
     pending_read: Option<ListRead>,
     incarnations: Vec<(BootTime, BTreeSet<HostId>)>,
     next_incarnation_poll: BootTime,
 }
 
-/// A list that is read in two pages, which are no snapshot.
+/// A read of the list in two pages, which are not from one snapshot.
 struct ListRead {
     first: BTreeMap<HostId, TargetEntry>,
     split: HostId,
@@ -73,14 +73,14 @@
 }
 
 impl Simulation {
-    /// Lets targets write their entries, and the store remove those that have lapsed.
+    /// Writes the entries of running targets and removes lapsed ones.
     pub(super) fn update_host_list(&mut self) {
         if !self.faults.lists || self.store_outage.is_some() {
             return;
         }
         let now = self.now.boot;
-        let back = now.saturating_sub(self.store_restored_at) < Duration::from_secs(2);
-        let mut told = Vec::new();
+        let after_outage = now.saturating_sub(self.store_restored_at) < Duration::from_secs(2);
+        let mut events = Vec::new();
         for (name, state) in &mut self.targets {
             let known = self
                 .host_list
@@ -91,7 +91,7 @@
                 state.entry_write_at = None;
                 if known.is_some() && now >= state.down_since + LIST_TTL {
                     self.host_list.write(name, None, now);
-                    told.push(format!("{name} leaves the list"));
+                    events.push(format!("{name} is removed from the host list"));
                 }
                 continue;
             }
@@ -99,7 +99,7 @@
                 state.entry_write_at = None;
                 continue;
             }
-            let longest = if back { 1900 } else { 800 };
+            let longest = if after_outage { 1900 } else { 800 };
             let first = now <= Duration::from_millis(1_000_100);
             let wait = match first {
                 true => Duration::ZERO,
@@ -113,13 +113,16 @@
                     ..target(name, CAPACITY)
                 };
                 self.host_list.write(name, Some(entry), now);
-                told.push(format!("{name} of {:?} is listed", state.started_at));
+                events.push(format!(
+                    "{name} started at {:?} is listed",
+                    state.started_at
+                ));
             }
         }
-        told.into_iter().for_each(|what| self.record_event(&what));
+        events.into_iter().for_each(|what| self.record_event(&what));
     }
 
-    /// Entries lapse with the store; targets that live write them anew.
+    /// Removes a random share of the entries; running targets write theirs again.
     pub(super) fn expire_entries(&mut self) {
         let names: Vec<HostId> = self.host_list.entries.keys().cloned().collect();
         for name in names {
@@ -130,16 +133,16 @@
         }
     }
 
-    /// Tells an owner what it hears of the host list.
+    /// Delivers events and reads of the host list to an owner.
     pub(super) fn deliver_list_events(&mut self, owner: &mut SimOwner) {
         if self.store_outage.is_some() || owner.partitioned_since.is_some() {
             owner.list_watch.pending_read = None;
             return;
         }
         let now = self.now.boot;
-        let part = REREADS * super::simulation::TICK.as_secs_f64();
-        let anew = !owner.list_watch.started || self.extra_rng.random_bool(part);
-        if anew && owner.list_watch.pending_read.is_none() {
+        let probability = REREADS * super::world::TICK.as_secs_f64();
+        let reread = !owner.list_watch.started || self.extra_rng.random_bool(probability);
+        if reread && owner.list_watch.pending_read.is_none() {
             self.begin_read(owner);
         }
         let list_read = owner
@@ -153,8 +156,8 @@
             return;
         }
         let (from, lag) = (owner.list_watch.revision, owner.list_watch.lag);
-        let heard = |event: &&ListEvent| event.revision > from && event.at + lag <= now;
-        let events: Vec<&ListEvent> = self.host_list.events.iter().filter(heard).collect();
+        let is_due = |event: &&ListEvent| event.revision > from && event.at + lag <= now;
+        let events: Vec<&ListEvent> = self.host_list.events.iter().filter(is_due).collect();
         if let Some(last) = events.last() {
             owner.list_watch.revision = last.revision;
         }
@@ -201,23 +204,25 @@
         owner.list_watch.revision = list_read.revision;
     }
 
-    /// Tells an owner which lives the control of hosts lists.
+    /// Delivers the incarnations that the hosts' control plane lists, and polls them again.
     pub(super) fn poll_incarnations(&mut self, owner: &mut SimOwner) {
         let now = self.now.boot;
-        let (due, kept) = std::mem::take(&mut owner.list_watch.incarnations)
+        let (due, pending) = std::mem::take(&mut owner.list_watch.incarnations)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        owner.list_watch.incarnations = kept;
+        owner.list_watch.incarnations = pending;
         let due: Vec<(BootTime, BTreeSet<HostId>)> = due;
         let asked = owner
             .list_watch
             .next_incarnation_poll
             .saturating_sub(INCARNATION_POLL);
-        for (_, lives) in due {
-            owner.scheduler.update_incarnations(&lives, asked, self.now);
+        for (_, incarnations) in due {
+            owner
+                .scheduler
+                .update_incarnations(&incarnations, asked, self.now);
         }
         let certain = !self.is_lease_lapsed(owner) && owner.partitioned_since.is_none();
-        // One list is asked for at a time.
+        // Only one poll is in flight.
         let requests = certain
             && owner.list_watch.incarnations.is_empty()
             && now >= owner.list_watch.next_incarnation_poll;
@@ -225,16 +230,19 @@
             return;
         }
         owner.list_watch.next_incarnation_poll = now + INCARNATION_POLL;
-        let lives = self.targets.iter().filter(|(_, state)| {
+        let incarnations = self.targets.iter().filter(|(_, state)| {
             let down = state.hidden_while_down || state.returns_with_new_id;
             state.up || !down
         });
-        let lives = lives.map(|(id, _)| id.clone()).collect();
+        let incarnations = incarnations.map(|(id, _)| id.clone()).collect();
         let wait = Duration::from_millis(self.extra_rng.random_range(20..400));
-        owner.list_watch.incarnations.push((now + wait, lives));
+        owner
+            .list_watch
+            .incarnations
+            .push((now + wait, incarnations));
     }
 
-    /// True if another life of its host answers where a target was.
+    /// Returns true if another incarnation of the host responds at the target's address.
     pub(super) fn has_moved_incarnation(&self, name: &HostId) -> bool {
         let Some(state) = self.targets.get(name).filter(|state| !state.up) else {
             return false;
--- a/crates/decide/tests/harness/sim_log.rs
+++ b/crates/decide/tests/harness/world_log.rs
@@ -9,28 +9,28 @@
 use wire::work::{LogEntry, log_entry::Event};
 
 use super::{
-    sim_faults::WorldFaults,
-    simulation::{SimOwner, Simulation},
+    world::{SimOwner, Simulation},
+    world_faults::WorldFaults,
 };
 
-/// Pages after which the log is replaced by a shorter one.
+/// Pages after which the log is compacted.
 const COMPACT_AFTER: u64 = 12;
-/// Entries of a page of the shorter one.
+/// Entries of each page of a compacted log.
 const ENTRIES_PER_PAGE: usize = 6;
-/// Replaced pages that go with each page that is written.
+/// Limit of replaced pages that one write removes.
 const MAX_REMOVED_PAGES: usize = 2;
-/// How long an owner waits for the store's answer.
+/// Time that an owner waits for the store's response.
 const STORE_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long an entry that a caller waits for is tried while the store refuses.
+/// Time for which an entry that a caller waits for is retried while the store refuses writes.
 const CLIENT_WRITE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// The pages that the store holds.
+/// The pages of the job log in the store.
 #[derive(Default)]
 pub(super) struct StoredLog {
     pages: BTreeMap<u64, Vec<LogEntry>>,
 }
 
-/// A page whose request the store carries out late.
+/// A write that the store applies after its request timed out.
 pub(super) struct DelayedWrite {
     at: BootTime,
     token: u64,
@@ -44,7 +44,7 @@
     removes: Vec<u64>,
 }
 
-/// The log as its owner writes it.
+/// An owner's writes to the log.
 #[derive(Default)]
 pub(super) struct LogWriter {
     pending: VecDeque<(BootTime, LogAppend)>,
@@ -52,23 +52,23 @@
     first: u64,
     next: u64,
     replaced: VecDeque<u64>,
-    /// What is left to write of a shorter log, and the page that it begins with.
+    /// Pages of a compacted log that are not written yet; `compacted_from` is its first page.
     compacted: VecDeque<Vec<LogEntry>>,
     compacted_from: u64,
-    /// Pages that it had when it was last made compacted.
+    /// Pages of the log after the last compaction.
     base: u64,
 }
 
 struct PageWrite {
     change: PageChange,
     records: Vec<(BootTime, LogAppend)>,
-    /// Whether an attempt may have been carried out.
+    /// Whether an earlier attempt may have been applied.
     unconfirmed: bool,
     retry_at: BootTime,
     failed: bool,
 }
 
-/// What became of one attempt to write a page.
+/// Outcome of one attempt to write a page.
 #[derive(PartialEq, Eq)]
 enum WriteOutcome {
     Done,
@@ -88,7 +88,7 @@
         self.pages.values().flatten()
     }
 
-    /// Adds a page of one entry.
+    /// Appends a page with one entry.
     pub(super) fn append(&mut self, entry: LogEntry) {
         let next = self.next();
         self.pages.insert(next, vec![entry]);
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Takes in that a page was written beside.
+    /// Skips a page that was not written through this writer.
     pub(super) fn skip_external_page(&mut self, log: &StoredLog) {
         self.next = log.next();
     }
@@ -130,13 +130,13 @@
         }
     }
 
-    /// Begins to write the next page, if there is something to write.
+    /// Begins the next write if entries are due.
     fn begin(&mut self, now: BootTime) {
         if self.write.is_some() {
             return;
         }
-        let (entries, records) = if let Some(part) = self.compacted.pop_front() {
-            (part, Vec::new())
+        let (entries, records) = if let Some(page) = self.compacted.pop_front() {
+            (page, Vec::new())
         } else {
             let due = self.pending.iter().take_while(|(at, _)| *at <= now).count();
             let records: Vec<_> = self.pending.drain(..due).collect();
@@ -161,7 +161,7 @@
 }
 
 impl Simulation {
-    /// Writes what an owner has to write; false once it knows that it has been succeeded.
+    /// Writes an owner's due entries. Returns false if the store reports a successor.
     pub(super) fn write_log(&mut self, owner: &mut SimOwner) -> bool {
         let now = self.now.boot;
         loop {
@@ -186,7 +186,7 @@
                     write.unconfirmed |= failed == WriteOutcome::Unanswered;
                     let wait = match failed {
                         WriteOutcome::Unanswered => STORE_TIMEOUT,
-                        _ => super::simulation::TICK,
+                        _ => super::world::TICK,
                     };
                     write.retry_at = now + wait;
                     owner.writer.write = Some(write);
@@ -213,21 +213,21 @@
             self.delay_write(owner.token, &write.change);
             return WriteOutcome::Unanswered;
         }
-        let stands = owner.token == self.current_token;
-        let landed = stands && self.apply_change(&write.change);
+        let is_owner = owner.token == self.current_token;
+        let applied = is_owner && self.apply_change(&write.change);
         if draw < lost {
             return WriteOutcome::Unanswered;
         }
-        if !stands {
+        if !is_owner {
             return WriteOutcome::Succeeded;
         }
-        if !landed && !write.unconfirmed {
-            self.violation(&format!("page {} is taken", write.change.page));
+        if !applied && !write.unconfirmed {
+            self.violation(&format!("page {} exists already", write.change.page));
         }
         WriteOutcome::Done
     }
 
-    /// The store may carry a request out that nobody waits for any more.
+    /// Draws whether the store applies an unanswered write later.
     fn delay_write(&mut self, token: u64, change: &PageChange) {
         if self.extra_rng.random_bool(0.5) {
             return;
@@ -245,19 +245,19 @@
             return;
         }
         let now = self.now.boot;
-        let (due, kept) = std::mem::take(&mut self.delayed_writes)
+        let (due, remaining) = std::mem::take(&mut self.delayed_writes)
             .into_iter()
-            .partition(|late| late.at <= now);
-        self.delayed_writes = kept;
+            .partition(|write| write.at <= now);
+        self.delayed_writes = remaining;
         let due: Vec<DelayedWrite> = due;
-        for late in due {
-            if late.token == self.current_token {
-                self.apply_change(&late.change);
+        for write in due {
+            if write.token == self.current_token {
+                self.apply_change(&write.change);
             }
         }
     }
 
-    /// Makes a change unless its page is there; true if it was made.
+    /// Applies a change unless its page exists. Returns true if it was applied.
     fn apply_change(&mut self, change: &PageChange) -> bool {
         if self.log.pages.contains_key(&change.page) {
             return false;
@@ -275,7 +275,7 @@
         true
     }
 
-    /// Gives up what callers wait for and the store has surely not taken.
+    /// Drops requests of callers that timed out and certainly were not stored.
     fn reject_timed_out(&mut self, owner: &mut SimOwner, write: &mut PageWrite) {
         if write.unconfirmed || write.records.is_empty() {
             return;
@@ -284,7 +284,7 @@
         let due = owner.writer.pending.iter().take_while(|(at, _)| *at <= now);
         let due = due.count();
         write.records.extend(owner.writer.pending.drain(..due));
-        let mut kept = Vec::new();
+        let mut remaining = Vec::new();
         for (since, record) in std::mem::take(&mut write.records) {
             let event = record.entry.event.as_ref();
             let awaited = event.filter(|event| {
@@ -293,11 +293,11 @@
             });
             match awaited {
                 Some(event) => self.complete_request(owner.token, event, false),
-                None => kept.push((since, record)),
+                None => remaining.push((since, record)),
             }
         }
-        write.change.entries = entries_of(&kept);
-        write.records = kept;
+        write.change.entries = entries_of(&remaining);
+        write.records = remaining;
     }
 
     fn acknowledge_stored(&mut self, owner: &mut SimOwner, records: Vec<(BootTime, LogAppend)>) {
@@ -314,7 +314,7 @@
         }
     }
 
-    /// Begins a shorter log where it has become long; its old pages go once it is written.
+    /// Begins to compact a long log. Its old pages are removed once the compacted log is written.
     fn compact_log(&mut self, owner: &mut SimOwner) {
         if !self.faults.short_log {
             return;
--- a/crates/decide/tests/harness/sim_requests.rs
+++ b/crates/decide/tests/harness/world_requests.rs
@@ -5,23 +5,23 @@
 use rand::Rng;
 use wire::work::{JobPhase, JobRecord, LogEntry, log_entry::Event};
 
-use super::simulation::{SimOwner, Simulation};
+use super::world::{SimOwner, Simulation};
 
-/// How long callers wait before they request again.
+/// Delay before a caller retries.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// What a caller wants, until it is told that it is so.
+/// A caller's request, kept until it is acknowledged.
 pub(super) struct ClientRequest {
-    /// The job to hand in; `None` to cancel it.
+    /// The job to submit; `None` for a cancellation.
     record: Option<JobRecord>,
     job: String,
     at: BootTime,
-    /// Owner that is recording it.
+    /// Token of the owner that writes the request to the log.
     handled_by: Option<u64>,
 }
 
 impl Simulation {
-    /// Hands a job in. A store without faults has it at once.
+    /// Submits a job. Without store faults it is stored immediately.
     pub(super) fn submit_record(&mut self, index: usize, record: JobRecord) {
         if self.faults.has_store_faults() {
             self.client_requests.push(ClientRequest {
@@ -39,19 +39,19 @@
         self.owners[index].writer.skip_external_page(&self.log);
     }
 
-    /// Decides whether and when a job is cancelled, and how often its caller requests for that.
+    /// Draws whether and when a job is cancelled, and how often its caller requests that.
     pub(super) fn draw_cancels(&mut self, job: &str) {
         if self.faults.cancels == 0.0 || !self.extra_rng.random_bool(self.faults.cancels) {
             return;
         }
-        // Else most would be done before their cancellation has to take effect.
+        // Short jobs mostly complete before their cancellation has to take effect.
         if self.extra_rng.random_bool(0.5) {
             self.long_jobs.insert(job.to_owned());
         }
-        let at_once = self.extra_rng.random_bool(0.3);
+        let immediate = self.extra_rng.random_bool(0.3);
         let mut at = self.now.boot;
         for _ in 0..self.extra_rng.random_range(1..=3) {
-            if !at_once {
+            if !immediate {
                 at += Duration::from_millis(self.extra_rng.random_range(0..6000));
             }
             self.client_requests.push(ClientRequest {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Lets callers request the present owner.
+    /// Sends due requests of callers to the current owner.
     pub(super) fn send_client_requests(&mut self) {
         let now = self.now.boot;
         let mut requests = std::mem::take(&mut self.client_requests);
@@ -104,7 +104,9 @@
             (None, _) if !self.accepted.contains(&request.job) => return,
             (None, None) => {
                 let (job, token) = (&request.job, owner.token);
-                self.violation(&format!("owner {token} does not know {job} to cancel it"));
+                self.violation(&format!(
+                    "owner {token} does not know the job {job} of a cancellation"
+                ));
                 request.at = BootTime::MAX;
                 return;
             }
@@ -129,7 +131,7 @@
         owner.writer.push(record, self.now.boot);
     }
 
-    /// A caller's entry was stored, or was given up before it could be.
+    /// Acknowledges a caller's request that was stored, or schedules a retry.
     pub(super) fn complete_request(&mut self, token: u64, event: &Event, stored: bool) {
         let (job, cancels) = match event {
             Event::Accepted(record) => (record.job.as_str(), false),
--- a/crates/decide/tests/harness/sim_target.rs
+++ b/crates/decide/tests/harness/world_target.rs
@@ -9,31 +9,31 @@
     },
 };
 
-/// A target of the model, with what it runs and has seen in its present life.
+/// A simulated target with the state of its current incarnation.
 #[derive(Default)]
 pub struct SimTarget {
     pub started_at: Duration,
-    /// The life that the host list tells of, which may be the one before.
+    /// Start time in the host list, which may be that of the previous incarnation.
     pub listed_start: Duration,
     pub listing_stale_until: BootTime,
     pub address: String,
     pub up: bool,
     pub partitioned: bool,
     pub listed: bool,
-    /// Its host begins its next life under another id.
+    /// Whether its host restarts under another id.
     pub returns_with_new_id: bool,
-    /// Whether the list of hosts lacks it while it is down.
+    /// Whether the list of incarnations omits it while it is down.
     pub hidden_while_down: bool,
-    /// When it writes its entry into the host list.
+    /// When it writes its entry to the host list.
     pub entry_write_at: Option<BootTime>,
-    /// Until when calls to it went wrong.
+    /// Until when failed calls to it may take effect.
     pub disturbed_until: BootTime,
-    /// When each task was last started.
+    /// Last start of each task.
     pub task_starts: BTreeMap<TaskKey, BootTime>,
     pub down_since: BootTime,
     pub back_at: BootTime,
     pub token: u64,
-    /// When its clock began, which starts anew with each life.
+    /// Zero of its clock, which restarts with each incarnation.
     pub clock_start: BootTime,
     pub lease_until: BootTime,
     pub runs: BTreeMap<(TaskKey, u64), BootTime>,
@@ -43,7 +43,7 @@
 }
 
 impl SimTarget {
-    /// The next life of its host, under an id of its own.
+    /// The next incarnation of its host, under another id.
     pub fn successor(&self, name: &HostId, now: SchedulerTime) -> (HostId, Self) {
         let state = Self {
             started_at: now.unix,
@@ -56,18 +56,18 @@
         (HostId::from(format!("{name}n")), state)
     }
 
-    /// Ends what has been done, and everything once its time has lapsed.
+    /// Ends runs that are done, and all runs once the lease has expired.
     pub fn end_due_runs(&mut self, now: BootTime) {
         if !self.up {
             return;
         }
-        let over: Vec<(TaskKey, u64)> = self
+        let done: Vec<(TaskKey, u64)> = self
             .runs
             .iter()
             .filter(|(_, end)| **end <= now)
             .map(|(run, _)| run.clone())
             .collect();
-        for run in over {
+        for run in done {
             self.end_run(run, EndKind::Done);
         }
         if now > self.lease_until {
@@ -154,7 +154,7 @@
         OrderAnswer::Done
     }
 
-    /// Answers a look; also tells which done tasks it lets the target forget.
+    /// Answers a poll. Also returns the done tasks whose ends the poll acknowledges.
     pub fn poll(&mut self, order: &PollOrder, now: BootTime) -> (PollAnswer, Vec<TaskKey>) {
         if self.observe_token(order.token) {
             return (PollAnswer::Fenced, Vec::new());
@@ -162,28 +162,28 @@
         if let Some(until) = order.lease_until {
             self.extend_lease(until, now);
         }
-        let noted = self
+        let acked = self
             .ended
             .iter()
             .filter(|end| end.number <= order.acked_end);
-        let noted = noted
+        let acked = acked
             .filter(|end| end.kind == EndKind::Done)
             .map(|end| end.task.clone());
-        let noted = noted.collect();
+        let acked = acked.collect();
         self.ended.retain(|end| end.number > order.acked_end);
         let running = self.runs.iter().map(|((task, attempt), end)| RunReport {
             task: task.clone(),
             attempt: *attempt,
-            // A task that lasts says that it is at work.
+            // A long-running task reports that it is ready.
             percent: if *end == BootTime::MAX { 100 } else { 50 },
             ..RunReport::default()
         });
-        let sight = TargetReport {
+        let report = TargetReport {
             clock: self.clock(now),
             started_at: self.started_at,
             running: running.collect(),
             ended: self.ended.clone(),
         };
-        (PollAnswer::Seen(sight), noted)
+        (PollAnswer::Seen(report), acked)
     }
 }
