--- a/crates/lacewingshore/src/cell_serve.rs
+++ b/crates/lacewingshore/src/cell_serve.rs
@@ -27,31 +27,31 @@
 use crate::{command::read_text, exit::CommandError, line_sink::LineSink};
 
 /// How often dropped log lines are told.
-const DROPS_EVERY: Duration = Duration::from_secs(1);
+const DROP_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Runs a process of a cell until it is told to stop, and shuts it down gracefully.
-pub fn run(settings: CellSettings, path: PathBuf, lines: Arc<LineSink>) -> Result<()> {
+pub fn run(settings: CellSettings, path: PathBuf, log_sink: Arc<LineSink>) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .context("start the event loop")?;
     let local = LocalSet::new();
-    local.block_on(&runtime, serve(settings, path, lines))
+    local.block_on(&runtime, serve(settings, path, log_sink))
 }
 
-async fn serve(settings: CellSettings, path: PathBuf, lines: Arc<LineSink>) -> Result<()> {
+async fn serve(settings: CellSettings, path: PathBuf, log_sink: Arc<LineSink>) -> Result<()> {
     let metrics = PrometheusBuilder::new()
         .install_recorder()
         .context("install metrics")?;
     let mut stop = signal(SignalKind::terminate()).context("hear SIGTERM")?;
     let mut interrupt = signal(SignalKind::interrupt()).context("hear SIGINT")?;
     let client = CallClient::default();
-    let options = options_of(&settings)?;
-    let host = CellHost::new(options, ports_of(&settings, &client), client);
+    let options = cell_options(&settings)?;
+    let host = CellHost::new(options, cell_ports(&settings, &client), client);
     host.start(metrics);
-    let callers = open_doors(&settings, &host)?;
-    tokio::task::spawn_local(tell_drops(lines));
-    tokio::task::spawn_local(hear_reloads(settings, path));
+    let callers = spawn_servers(&settings, &host)?;
+    tokio::task::spawn_local(report_dropped_lines(log_sink));
+    tokio::task::spawn_local(watch_reload_signal(settings, path));
     tokio::select! {
         _ = stop.recv() => {}
         _ = interrupt.recv() => {}
@@ -66,31 +66,31 @@
 }
 
 /// Serves callers, and the balancer that asks whether to send them here.
-fn open_doors(settings: &CellSettings, host: &CellHost) -> Result<JoinHandle<()>> {
+fn spawn_servers(settings: &CellSettings, host: &CellHost) -> Result<JoinHandle<()>> {
     let service = host.service();
     let ready = Rc::new(ReadyPort::new(service.clone()));
     // Readiness is told until the process ends.
-    let never = ShutdownSignal::default();
-    let ready_address = address_of(&settings.ready_address)?;
+    let no_shutdown = ShutdownSignal::default();
+    let ready_address = parse_address(&settings.ready_address)?;
     let limits = ServerLimits::default();
     tokio::task::spawn_local(async move {
-        report(
-            serve_http(ready_address, ready, limits, never).await,
+        log_server_error(
+            serve_http(ready_address, ready, limits, no_shutdown).await,
             "readiness",
         );
     });
     let callers = Rc::new(CallerPort::new(service));
-    let caller_address = address_of(&settings.caller_address)?;
+    let caller_address = parse_address(&settings.caller_address)?;
     let stopping = host.stopping();
     Ok(tokio::task::spawn_local(async move {
-        report(
+        log_server_error(
             serve_http(caller_address, callers, limits, stopping).await,
             "callers",
         );
     }))
 }
 
-fn ports_of(settings: &CellSettings, client: &CallClient) -> CellPorts {
+fn cell_ports(settings: &CellSettings, client: &CallClient) -> CellPorts {
     let PlatformPorts {
         store,
         codec,
@@ -112,9 +112,9 @@
     }
 }
 
-fn options_of(settings: &CellSettings) -> Result<CellOptions> {
-    let peers = address_of(&settings.peer_address)?;
-    let metrics = address_of(&settings.metrics_address)?;
+fn cell_options(settings: &CellSettings) -> Result<CellOptions> {
+    let peers = parse_address(&settings.peer_address)?;
+    let metrics = parse_address(&settings.metrics_address)?;
     let mut options = CellOptions::new(settings.member.clone(), peers, metrics);
     let default = SchedulerTuning::default();
     options.scheduler = SchedulerTuning {
@@ -140,7 +140,7 @@
 
 /// Reads the settings again when told to. Only addresses stand there, and they change with a
 /// restart; so a change is told and waits for one.
-async fn hear_reloads(settings: CellSettings, path: PathBuf) {
+async fn watch_reload_signal(settings: CellSettings, path: PathBuf) {
     let mut reload = match signal(SignalKind::hangup()) {
         Ok(reload) => reload,
         Err(error) => {
@@ -162,23 +162,23 @@
     }
 }
 
-async fn tell_drops(lines: Arc<LineSink>) {
-    let mut ticks = interval(DROPS_EVERY);
+async fn report_dropped_lines(log_sink: Arc<LineSink>) {
+    let mut ticks = interval(DROP_REPORT_INTERVAL);
     loop {
         ticks.tick().await;
-        if let Some(dropped) = lines.take_dropped() {
+        if let Some(dropped) = log_sink.take_dropped() {
             metrics::counter!("lws_cell_log_lines_dropped").increment(dropped);
             log_event::warn(&cell::event::LINES_DROPPED, format_args!("lines={dropped}"));
         }
     }
 }
 
-fn address_of(text: &str) -> Result<SocketAddr> {
+fn parse_address(text: &str) -> Result<SocketAddr> {
     text.parse().with_context(|| format!("read address {text}"))
 }
 
-fn report(served: std::io::Result<()>, what: &str) {
-    if let Err(error) = served {
+fn log_server_error(result: std::io::Result<()>, what: &str) {
+    if let Err(error) = result {
         log::error!("the server of {what} ended: {error}");
     }
 }
--- a/crates/lacewingshore/src/client.rs
+++ b/crates/lacewingshore/src/client.rs
@@ -10,13 +10,13 @@
 use crate::{args::CliArguments, exit::CommandError};
 
 /// Longest wait for one answer; accepting a change takes some seconds at most.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(15);
 /// How long a reading call is repeated while no entry host serves.
-const READ_PATIENCE: Duration = Duration::from_secs(3);
+const READ_RETRY_TIMEOUT: Duration = Duration::from_secs(3);
 /// Pause between two tries of a change that is not accepted yet.
-const PAUSE: Duration = Duration::from_millis(500);
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
 /// Largest answer that is read; a status of the target fleet takes a few hundred KB.
-const MAX_ANSWER: u64 = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: u64 = 16 * 1024 * 1024;
 
 /// One call to the administration interface.
 #[derive(Clone, Debug, Default)]
@@ -58,16 +58,16 @@
 pub struct AdminClient {
     urls: Vec<String>,
     key: String,
-    patience: Duration,
+    retry_timeout: Duration,
     agent: ureq::Agent,
 }
 
 /// How one try of a call failed.
-enum TryError {
+enum AttemptError {
     /// Another entry host, or another time, may do.
-    Again(CommandError),
+    Retry(CommandError),
     /// Nothing will help.
-    Final(CommandError),
+    Permanent(CommandError),
 }
 
 impl AdminClient {
@@ -87,7 +87,7 @@
         let urls: Vec<&str> = urls.split(',').map(str::trim).collect();
         let agent = ureq::Agent::config_builder()
             .http_status_as_error(false)
-            .timeout_global(Some(ANSWER_TIMEOUT))
+            .timeout_global(Some(RESPONSE_TIMEOUT))
             .timeout_connect(Some(Duration::from_secs(2)))
             .build()
             .into();
@@ -95,7 +95,7 @@
         Ok(Self {
             urls: urls.collect(),
             key: key.trim().to_owned(),
-            patience: Duration::from_secs(arguments.patience),
+            retry_timeout: Duration::from_secs(arguments.patience),
             agent,
         })
     }
@@ -108,19 +108,22 @@
     /// Reads from the first entry host that answers; one that has just started is given a
     /// moment to join.
     pub fn read_text(&self, path: &str) -> Result<(String, u64), CommandError> {
-        self.repeat(&AdminRequest::read(path), READ_PATIENCE.min(self.patience))
+        self.call_with_retries(
+            &AdminRequest::read(path),
+            READ_RETRY_TIMEOUT.min(self.retry_timeout),
+        )
     }
 
     /// Reads JSON from the first entry host that answers.
     pub fn read<T: DeserializeOwned>(&self, path: &str) -> Result<T, CommandError> {
-        parse(&self.read_text(path)?.0)
+        parse_json(&self.read_text(path)?.0)
     }
 
     /// Reads JSON from one entry host.
     pub fn read_from<T: DeserializeOwned>(&self, url: &str, path: &str) -> Result<T, CommandError> {
-        match self.try_call(url, &AdminRequest::read(path)) {
-            Ok((text, _)) => parse(&text),
-            Err(TryError::Again(error) | TryError::Final(error)) => Err(error),
+        match self.attempt_call(url, &AdminRequest::read(path)) {
+            Ok((text, _)) => parse_json(&text),
+            Err(AttemptError::Retry(error) | AttemptError::Permanent(error)) => Err(error),
         }
     }
 
@@ -129,33 +132,37 @@
     /// An answer may be lost after the change took effect. Each try carries the same change
     /// id, so that the change is made once whichever try gets through.
     pub fn change<T: DeserializeOwned>(&self, request: &AdminRequest) -> Result<T, CommandError> {
-        parse(&self.repeat(request, self.patience)?.0)
+        parse_json(&self.call_with_retries(request, self.retry_timeout)?.0)
     }
 
     /// Tries each entry host in turn, again and again, until one answers.
-    fn repeat(
+    fn call_with_retries(
         &self,
         request: &AdminRequest,
-        patience: Duration,
+        retry_timeout: Duration,
     ) -> Result<(String, u64), CommandError> {
         let start = Instant::now();
         let mut last = CommandError::Unavailable("no entry host was named".to_owned());
         loop {
             for url in &self.urls {
-                match self.try_call(url, request) {
+                match self.attempt_call(url, request) {
                     Ok(answer) => return Ok(answer),
-                    Err(TryError::Again(error)) => last = worse(last, error),
-                    Err(TryError::Final(error)) => return Err(settle(last, error)),
+                    Err(AttemptError::Retry(error)) => last = prefer_pending(last, error),
+                    Err(AttemptError::Permanent(error)) => return Err(final_error(last, error)),
                 }
             }
-            if start.elapsed() >= patience {
+            if start.elapsed() >= retry_timeout {
                 return Err(last);
             }
-            thread::sleep(PAUSE);
+            thread::sleep(RETRY_PAUSE);
         }
     }
 
-    fn try_call(&self, url: &str, request: &AdminRequest) -> Result<(String, u64), TryError> {
+    fn attempt_call(
+        &self,
+        url: &str,
+        request: &AdminRequest,
+    ) -> Result<(String, u64), AttemptError> {
         let mut call = ureq::http::Request::builder()
             .method(request.method)
             .uri(format!("{url}{}", request.path))
@@ -169,10 +176,10 @@
         let call = call
             .body(request.body.clone())
             .with_context(|| format!("call {url}"))
-            .map_err(|error| TryError::Final(error.into()))?;
+            .map_err(|error| AttemptError::Permanent(error.into()))?;
         let mut answer = match self.agent.run(call) {
             Ok(answer) => answer,
-            Err(error) => return Err(TryError::Again(lost(url, request, &error))),
+            Err(error) => return Err(AttemptError::Retry(no_response(url, request, &error))),
         };
         let status = answer.status().as_u16();
         let revision = answer
@@ -183,18 +190,18 @@
         let text = answer
             .body_mut()
             .with_config()
-            .limit(MAX_ANSWER)
+            .limit(MAX_RESPONSE_BYTES)
             .read_to_string()
-            .map_err(|error| TryError::Again(lost(url, request, &error)))?;
+            .map_err(|error| AttemptError::Retry(no_response(url, request, &error)))?;
         match status {
             200 => Ok((text, revision)),
-            _ => Err(refusal(url, status, &text)),
+            _ => Err(refusal_error(url, status, &text)),
         }
     }
 }
 
 /// An answer that did not come: a change may have been made.
-fn lost(url: &str, request: &AdminRequest, error: &ureq::Error) -> CommandError {
+fn no_response(url: &str, request: &AdminRequest, error: &ureq::Error) -> CommandError {
     if request.change_id.is_empty() {
         return CommandError::Unavailable(format!("{url}: {error}"));
     }
@@ -204,31 +211,31 @@
     ))
 }
 
-fn refusal(url: &str, status: u16, text: &str) -> TryError {
+fn refusal_error(url: &str, status: u16, text: &str) -> AttemptError {
     let Ok(problem) = serde_json::from_str::<AdminProblem>(text) else {
         let error = anyhow::anyhow!("{url}: status {status} without a readable body");
-        return TryError::Final(error.into());
+        return AttemptError::Permanent(error.into());
     };
     let mut detail = format!("{url}: {}", problem.detail);
     if !problem.touched.is_empty() {
         detail += &format!("; changed in between: {}", problem.touched.join(", "));
     }
     match problem.kind {
-        ProblemCode::KeyRefused => TryError::Final(CommandError::KeyRefused(detail)),
-        ProblemCode::Conflict => TryError::Final(CommandError::Conflict(detail)),
-        ProblemCode::Pending => TryError::Again(CommandError::Pending(detail)),
+        ProblemCode::KeyRefused => AttemptError::Permanent(CommandError::KeyRefused(detail)),
+        ProblemCode::Conflict => AttemptError::Permanent(CommandError::Conflict(detail)),
+        ProblemCode::Pending => AttemptError::Retry(CommandError::Pending(detail)),
         ProblemCode::Unavailable | ProblemCode::Busy | ProblemCode::SlowSender => {
-            TryError::Again(CommandError::Unavailable(detail))
+            AttemptError::Retry(CommandError::Unavailable(detail))
         }
         ProblemCode::Invalid
         | ProblemCode::TooLarge
         | ProblemCode::BadRequest
-        | ProblemCode::NotFound => TryError::Final(CommandError::Invalid(detail)),
+        | ProblemCode::NotFound => AttemptError::Permanent(CommandError::Invalid(detail)),
     }
 }
 
 /// Once one try may have made the change, no later refusal can say that nothing was done.
-fn worse(last: CommandError, next: CommandError) -> CommandError {
+fn prefer_pending(last: CommandError, next: CommandError) -> CommandError {
     match last {
         CommandError::Pending(_) => last,
         _ => next,
@@ -240,13 +247,13 @@
 /// An operator may withdraw the key that the command itself presents. If that took effect
 /// and its answer was lost, the next try is refused for the key, which must not read as if
 /// the withdrawal had failed.
-fn settle(last: CommandError, refusal: CommandError) -> CommandError {
+fn final_error(last: CommandError, refusal: CommandError) -> CommandError {
     match (&last, &refusal) {
         (CommandError::Pending(_), CommandError::KeyRefused(_)) => last,
         _ => refusal,
     }
 }
 
-fn parse<T: DeserializeOwned>(text: &str) -> Result<T, CommandError> {
+fn parse_json<T: DeserializeOwned>(text: &str) -> Result<T, CommandError> {
     Ok(serde_json::from_str(text).context("read the answer")?)
 }
--- a/crates/lacewingshore/src/command/audit.rs
+++ b/crates/lacewingshore/src/command/audit.rs
@@ -8,7 +8,7 @@
 use crate::{
     args::{AuditArguments, CliArguments},
     client::AdminClient,
-    command::{print_json, show_time},
+    command::{format_time, print_json},
     exit::CommandError,
     table::TextTable,
 };
@@ -66,15 +66,15 @@
     for _ in 0..MAX_READS {
         let view: AuditView = client.read(&head)?;
         let mut entries = Vec::new();
-        let mut is_whole = true;
+        let mut is_complete = true;
         for page in view.first_page..view.next_page {
             match client.read::<AuditView>(&format!("{head}&page={page}")) {
                 Ok(part) => entries.extend(part.entries),
-                Err(CommandError::Invalid(_)) => is_whole = false,
+                Err(CommandError::Invalid(_)) => is_complete = false,
                 Err(error) => return Err(error),
             }
         }
-        if is_whole {
+        if is_complete {
             entries.extend(view.entries.iter().cloned());
             return Ok((view, entries));
         }
@@ -92,9 +92,10 @@
 /// A trail that was rewritten from some entry on has a whole chain. Only a digest noted
 /// elsewhere shows that.
 fn check_expected(expected: &str, entries: &[EntryView]) -> Result<Option<String>, CommandError> {
-    let wrong = || CommandError::Invalid(format!("--expect: `{expected}` is not SEQUENCE:DIGEST"));
-    let (sequence, digest) = expected.split_once(':').ok_or_else(wrong)?;
-    let sequence: u64 = sequence.parse().map_err(|_| wrong())?;
+    let invalid_argument =
+        || CommandError::Invalid(format!("--expect: `{expected}` is not SEQUENCE:DIGEST"));
+    let (sequence, digest) = expected.split_once(':').ok_or_else(invalid_argument)?;
+    let sequence: u64 = sequence.parse().map_err(|_| invalid_argument())?;
     let found = entries.iter().find(|entry| entry.sequence == sequence);
     Ok(match found {
         Some(entry) if entry.digest == digest => None,
@@ -110,7 +111,7 @@
     for entry in entries {
         table.add(vec![
             entry.sequence.to_string(),
-            show_time(entry.unix_ms),
+            format_time(entry.unix_ms),
             entry.author.clone(),
             entry.subject.clone(),
             format!("{}>{}", entry.revision_before, entry.revision_after),
--- a/crates/lacewingshore/src/command/demo/fleet_watch.rs
+++ b/crates/lacewingshore/src/command/demo/fleet_monitor.rs
@@ -6,37 +6,37 @@
 
 /// What was seen of the fleet over time.
 #[derive(Debug, Default)]
-pub struct FleetWatch {
+pub struct FleetMonitor {
     last: StatusView,
-    silent: usize,
-    pools: BTreeMap<String, PoolWatch>,
+    unresponsive: usize,
+    pools: BTreeMap<String, PoolStats>,
     maintained: BTreeSet<String>,
 }
 
 /// What was seen of one pool.
 #[derive(Clone, Debug, Default)]
-struct PoolWatch {
+struct PoolStats {
     budget: u32,
-    lowest: Option<u32>,
-    most_out: u32,
+    min_serving: Option<u32>,
+    max_maintained: u32,
 }
 
-impl FleetWatch {
+impl FleetMonitor {
     /// Nothing seen yet.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Looks at the fleet once; an entry host that does not answer is counted.
-    pub fn look(&mut self, client: &AdminClient) {
-        let Ok((view, silent)) = read_status(client) else {
-            self.silent = client.urls().len();
+    pub fn poll(&mut self, client: &AdminClient) {
+        let Ok((view, unresponsive)) = read_status(client) else {
+            self.unresponsive = client.urls().len();
             return;
         };
-        self.silent = silent.len();
+        self.unresponsive = unresponsive.len();
         for pool in &view.pools {
-            let watch = self.pools.entry(pool.pool.clone()).or_default();
-            watch.note(pool);
+            let stats = self.pools.entry(pool.pool.clone()).or_default();
+            stats.record(pool);
         }
         for host in &view.hosts {
             if ["rebooting", "checking"].contains(&host.phase.as_str()) {
@@ -47,7 +47,7 @@
     }
 
     /// What was seen last, on one line.
-    pub fn line(&self) -> String {
+    pub fn status_line(&self) -> String {
         let count = |phases: &[&str]| {
             let hosts = self.last.hosts.iter();
             hosts
@@ -61,9 +61,9 @@
             count(&["serving"]),
             count(&["draining"]),
             count(&["rebooting", "checking"]),
-            match self.silent {
+            match self.unresponsive {
                 0 => String::new(),
-                silent => format!(", {silent} entry hosts silent"),
+                unresponsive => format!(", {unresponsive} entry hosts silent"),
             }
         )
     }
@@ -73,14 +73,16 @@
         let mut table =
             TextTable::new(&["POOL", "BUDGET", "LOWEST IN SERVICE", "MOST IN MAINTENANCE"]);
         for (name, pool) in &self.pools {
-            let lowest = pool
-                .lowest
-                .map_or("never whole".to_owned(), |lowest| lowest.to_string());
+            let min_serving = pool
+                .min_serving
+                .map_or("never whole".to_owned(), |min_serving| {
+                    min_serving.to_string()
+                });
             table.add(vec![
                 name.clone(),
                 pool.budget.to_string(),
-                lowest,
-                pool.most_out.to_string(),
+                min_serving,
+                pool.max_maintained.to_string(),
             ]);
         }
         table.print();
@@ -88,11 +90,13 @@
     }
 
     /// Pools that fell below their budget.
-    pub fn broken(&self) -> Vec<String> {
+    pub fn violations(&self) -> Vec<String> {
         let below = self.pools.iter().filter_map(|(name, pool)| {
-            let lowest = pool.lowest.filter(|lowest| *lowest < pool.budget)?;
+            let min_serving = pool
+                .min_serving
+                .filter(|min_serving| *min_serving < pool.budget)?;
             Some(format!(
-                "pool {name} fell to {lowest} hosts, its budget is {}",
+                "pool {name} fell to {min_serving} hosts, its budget is {}",
                 pool.budget
             ))
         });
@@ -100,15 +104,15 @@
     }
 }
 
-impl PoolWatch {
+impl PoolStats {
     /// A pool counts from when it first had its budget: a fleet that starts is below it.
-    fn note(&mut self, pool: &PoolView) {
+    fn record(&mut self, pool: &PoolView) {
         self.budget = pool.budget;
-        self.most_out = self.most_out.max(pool.maintained);
-        if self.lowest.is_none() && pool.serving < pool.budget {
+        self.max_maintained = self.max_maintained.max(pool.maintained);
+        if self.min_serving.is_none() && pool.serving < pool.budget {
             return;
         }
-        let lowest = self.lowest.unwrap_or(pool.serving);
-        self.lowest = Some(lowest.min(pool.serving));
+        let min_serving = self.min_serving.unwrap_or(pool.serving);
+        self.min_serving = Some(min_serving.min(pool.serving));
     }
 }
--- a/crates/lacewingshore/src/command/demo/job_batch.rs
+++ b/crates/lacewingshore/src/command/demo/job_batch.rs
@@ -7,7 +7,7 @@
 /// How long each of them runs; the stand-in of a worker reads it from the payload.
 const RUN_MS: u64 = 400;
 /// Phases in which nothing more becomes of a job.
-const ENDS: [&str; 5] = ["done", "failed", "cancelled", "parked", "unknown"];
+const END_PHASES: [&str; 5] = ["done", "failed", "cancelled", "parked", "unknown"];
 
 /// A batch of jobs, submitted over the first part of the demo and followed to its end.
 pub struct JobBatch {
@@ -56,20 +56,20 @@
 
     /// Submits the jobs that are due at `part` of the demo, from 0 to 1, and looks what
     /// became of one that has not ended.
-    pub fn step(&mut self, part: f64) {
+    pub fn advance(&mut self, fraction: f64) {
         // All jobs are in by half of the demo, so that the wave meets them.
-        let due = ((part * 2.0).min(1.0) * JOBS as f64).ceil() as usize;
-        while self.sent < due {
+        let due_count = ((fraction * 2.0).min(1.0) * JOBS as f64).ceil() as usize;
+        while self.sent < due_count {
             self.submit();
         }
         self.refresh();
     }
 
     /// True once every job has ended.
-    pub fn is_over(&self) -> bool {
+    pub fn all_ended(&self) -> bool {
         self.jobs
             .iter()
-            .all(|job| ENDS.contains(&job.phase.as_str()))
+            .all(|job| END_PHASES.contains(&job.phase.as_str()))
     }
 
     /// Looks at every job that has not ended.
@@ -78,10 +78,10 @@
             let Some(job) = self.jobs.get(index) else {
                 continue;
             };
-            if ENDS.contains(&job.phase.as_str()) {
+            if END_PHASES.contains(&job.phase.as_str()) {
                 continue;
             }
-            let url = format!("{}/v1/jobs/{}", self.caller(index), job.job);
+            let url = format!("{}/v1/jobs/{}", self.caller_url(index), job.job);
             let call = self.agent.get(url).header("Authorization", &self.bearer);
             if let (Some(view), Some(job)) = (read_job(call.call()), self.jobs.get_mut(index)) {
                 *job = view;
@@ -115,7 +115,7 @@
     }
 
     /// Jobs that were accepted and did not end as done.
-    pub fn broken(&self) -> Option<String> {
+    pub fn violations(&self) -> Option<String> {
         if self.jobs.is_empty() {
             return Some("no job was accepted".to_owned());
         }
@@ -126,7 +126,7 @@
     fn submit(&mut self) {
         let url = format!(
             "{}/v1/services/{}/jobs",
-            self.caller(self.sent),
+            self.caller_url(self.sent),
             self.service
         );
         self.sent += 1;
@@ -149,8 +149,8 @@
         }
     }
 
-    fn caller(&self, turn: usize) -> &str {
-        let index = turn % self.callers.len().max(1);
+    fn caller_url(&self, request_index: usize) -> &str {
+        let index = request_index % self.callers.len().max(1);
         self.callers.get(index).map_or("", String::as_str)
     }
 }
--- a/crates/lacewingshore/src/command/demo/load_result.rs
+++ b/crates/lacewingshore/src/command/demo/load_result.rs
@@ -21,7 +21,7 @@
     /// Runs that the targets record.
     runs: usize,
     /// Requests that are not idempotent and were run more than once.
-    doubled: usize,
+    repeated_requests: usize,
 }
 
 /// The part of a report of the load tool that is shown.
@@ -78,7 +78,7 @@
             "TEAM", "SENT", "FINISHED", "REFUSED", "LOST", "WRONG", "P50 MS", "P99 MS", "URGENT99",
             "SHARE", "DUE",
         ]);
-        for (stream, due) in self.streams.iter().zip(self.due()) {
+        for (stream, due) in self.streams.iter().zip(self.due_shares()) {
             let refused: u64 = stream.refused.values().sum();
             table.add(vec![
                 stream.team.clone(),
@@ -104,18 +104,18 @@
         }
         println!(
             "runs on the targets: {}, run twice: {}",
-            self.runs, self.doubled
+            self.runs, self.repeated_requests
         );
     }
 
     /// What callers must never see.
-    pub fn broken(&self) -> Vec<String> {
+    pub fn violations(&self) -> Vec<String> {
         let lost: u64 = self.streams.iter().map(|stream| stream.lost).sum();
         let wrong: u64 = self.streams.iter().map(|stream| stream.mismatched).sum();
         let counts = [
             (lost, "requests got no answer"),
             (wrong, "answers were not whole or not the caller's own"),
-            (self.doubled as u64, "requests ran twice"),
+            (self.repeated_requests as u64, "requests ran twice"),
         ];
         let broken = counts.iter().filter(|(count, _)| *count > 0);
         broken
@@ -125,7 +125,7 @@
 
     /// The part of all finished requests that is due to each team by weight, no team being
     /// due more than it asked for.
-    fn due(&self) -> Vec<f64> {
+    fn due_shares(&self) -> Vec<f64> {
         let finished: u64 = self.streams.iter().map(|stream| stream.answered).sum();
         let claims: Vec<ShareClaim> = self
             .streams
@@ -155,7 +155,7 @@
                 *counts.entry(run.request).or_default() += 1;
             }
         }
-        self.doubled = counts.values().filter(|count| **count > 1).count();
+        self.repeated_requests = counts.values().filter(|count| **count > 1).count();
         Ok(())
     }
 }
--- a/crates/lacewingshore/src/command/demo/mod.rs
+++ b/crates/lacewingshore/src/command/demo/mod.rs
@@ -4,10 +4,10 @@
 //! itself starts no process. This command changes the manifest and withdraws a key while
 //! the load and a maintenance wave run, watches the fleet, and sums up.
 
-mod fleet_watch;
-mod force_timer;
+mod fleet_monitor;
 mod job_batch;
 mod load_result;
+mod propagation_timer;
 
 use std::{
     fs,
@@ -25,16 +25,16 @@
     command::read_text,
     exit::CommandError,
 };
-use fleet_watch::FleetWatch;
-use force_timer::ForceTimer;
+use fleet_monitor::FleetMonitor;
 use job_batch::JobBatch;
 use load_result::LoadResult;
+use propagation_timer::PropagationTimer;
 
 /// How often the fleet is looked at, and how often a line says what was seen.
-const LOOK: Duration = Duration::from_millis(250);
-const LINE: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+const LINE_INTERVAL: Duration = Duration::from_secs(2);
 /// How long load and jobs may take beyond their time to end.
-const END_PATIENCE: Duration = Duration::from_secs(60);
+const END_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Operates a running fleet through its main job.
 pub fn run(arguments: &CliArguments, demo: &DemoArguments) -> Result<(), CommandError> {
@@ -43,95 +43,95 @@
     let key = read_text(&demo.withdraw)?;
     let key = KeyText::parse(key.trim()).context("the file of --withdraw holds no key")?;
     let jobs = JobBatch::new(&demo.callers, &demo.service, &read_text(&demo.job_key)?);
-    let timer = ForceTimer::new(&client, &demo.callers);
-    let mut show = DemoShow {
+    let timer = PropagationTimer::new(&client, &demo.callers);
+    let mut demo_run = DemoRun {
         client: &client,
-        watch: FleetWatch::new(),
+        monitor: FleetMonitor::new(),
         jobs,
         start: Instant::now(),
         seconds: Duration::from_secs(demo.seconds),
     };
 
-    show.run_until(1.0 / 3.0);
-    show.say("applying a changed manifest");
+    demo_run.run_until(1.0 / 3.0);
+    demo_run.print_line("applying a changed manifest");
     let applied = timer.apply(&manifest)?;
-    show.say(&format!("in force everywhere after {applied:.0?}"));
+    demo_run.print_line(&format!("in force everywhere after {applied:.0?}"));
 
-    show.run_until(2.0 / 3.0);
-    show.say(&format!("withdrawing the key {}", key.key_id));
+    demo_run.run_until(2.0 / 3.0);
+    demo_run.print_line(&format!("withdrawing the key {}", key.key_id));
     let withdrawn = timer.withdraw(&key)?;
-    show.say(&format!(
+    demo_run.print_line(&format!(
         "accepted, and refused by every entry host after {withdrawn:.0?}"
     ));
 
-    show.run_until(1.0);
-    show.wait_for_end(&demo.load)?;
+    demo_run.run_until(1.0);
+    demo_run.wait_for_end(&demo.load)?;
     println!();
     let result = LoadResult::read(&demo.load, &demo.runs)?;
     result.print();
-    show.jobs.print();
+    demo_run.jobs.print();
     println!();
-    show.watch.print();
+    demo_run.monitor.print();
     println!();
     println!("manifest in force everywhere after  {applied:.0?}");
     println!("withdrawn key refused after         {withdrawn:.0?}");
-    let mut broken = [result.broken(), show.watch.broken()].concat();
-    broken.extend(show.jobs.broken());
-    if broken.is_empty() {
+    let mut violations = [result.violations(), demo_run.monitor.violations()].concat();
+    violations.extend(demo_run.jobs.violations());
+    if violations.is_empty() {
         println!("\nevery promise was kept");
         return Ok(());
     }
-    Err(anyhow::anyhow!("broken promises: {}", broken.join("; ")).into())
+    Err(anyhow::anyhow!("broken promises: {}", violations.join("; ")).into())
 }
 
 /// What goes on while the demo runs.
-struct DemoShow<'a> {
+struct DemoRun<'a> {
     client: &'a AdminClient,
-    watch: FleetWatch,
+    monitor: FleetMonitor,
     jobs: JobBatch,
     start: Instant,
     seconds: Duration,
 }
 
-impl DemoShow<'_> {
-    fn say(&self, text: &str) {
+impl DemoRun<'_> {
+    fn print_line(&self, text: &str) {
         println!("{:>5.1}s  {text}", self.start.elapsed().as_secs_f64());
     }
 
     /// Submits jobs and watches the fleet until `part` of the time, with a line now and then.
-    fn run_until(&mut self, part: f64) {
+    fn run_until(&mut self, fraction: f64) {
         let mut next_line = self.start.elapsed();
-        while self.part() < part {
-            self.jobs.step(self.part());
-            self.watch.look(self.client);
+        while self.elapsed_fraction() < fraction {
+            self.jobs.advance(self.elapsed_fraction());
+            self.monitor.poll(self.client);
             if next_line <= self.start.elapsed() {
-                self.say(&self.watch.line());
-                next_line += LINE;
+                self.print_line(&self.monitor.status_line());
+                next_line += LINE_INTERVAL;
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
     /// Waits until the load has written its reports and every job has ended.
     fn wait_for_end(&mut self, reports: &[PathBuf]) -> Result<(), CommandError> {
-        let deadline = self.start.elapsed() + END_PATIENCE;
-        let mut is_loaded = false;
+        let deadline = self.start.elapsed() + END_TIMEOUT;
+        let mut is_load_done = false;
         while self.start.elapsed() < deadline {
-            is_loaded = reports.iter().all(|path| is_report(path));
+            is_load_done = reports.iter().all(|path| is_report(path));
             self.jobs.refresh();
-            if is_loaded && self.jobs.is_over() {
+            if is_load_done && self.jobs.all_ended() {
                 return Ok(());
             }
-            self.watch.look(self.client);
-            thread::sleep(LOOK);
+            self.monitor.poll(self.client);
+            thread::sleep(POLL_INTERVAL);
         }
-        match is_loaded {
+        match is_load_done {
             true => Ok(()),
             false => Err(anyhow::anyhow!("the load did not end in time").into()),
         }
     }
 
-    fn part(&self) -> f64 {
+    fn elapsed_fraction(&self) -> f64 {
         self.start.elapsed().div_duration_f64(self.seconds)
     }
 }
--- a/crates/lacewingshore/src/command/demo/force_timer.rs
+++ b/crates/lacewingshore/src/command/demo/propagation_timer.rs
@@ -13,18 +13,18 @@
 };
 
 /// How often entry hosts are asked whether a change has arrived.
-const STEP: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// How long a change may take to arrive everywhere before the demo gives up.
 const PATIENCE: Duration = Duration::from_secs(30);
 
 /// Makes changes and takes the time until they are in force on every entry host.
-pub struct ForceTimer<'a> {
+pub struct PropagationTimer<'a> {
     client: &'a AdminClient,
     callers: Vec<String>,
     agent: ureq::Agent,
 }
 
-impl<'a> ForceTimer<'a> {
+impl<'a> PropagationTimer<'a> {
     /// A timer that asks the entry hosts of `client` and, as a caller, `callers`.
     pub fn new(client: &'a AdminClient, callers: &str) -> Self {
         let agent = ureq::Agent::config_builder()
@@ -52,7 +52,7 @@
         };
         let start = Instant::now();
         let view: ChangeView = self.client.change(&request)?;
-        self.wait(start, "the manifest", |url| {
+        self.wait_for_entry_hosts(start, "the manifest", |url| {
             let status = self.client.read_from::<StatusView>(url, "/v1/status");
             status.is_ok_and(|status| status.revision >= view.revision)
         })
@@ -63,20 +63,20 @@
         let start = Instant::now();
         withdraw(self.client, &key.key_id, &mint_change_id())?;
         let bearer = format!("Bearer {}.{}", key.key_id, key.secret);
-        let waited = |url: &String| self.refuses(url, &bearer);
-        wait_for(start, "the withdrawal", &self.callers, waited)
+        let is_refused = |url: &String| self.refuses_key(url, &bearer);
+        wait_for_urls(start, "the withdrawal", &self.callers, is_refused)
     }
 
-    fn wait(
+    fn wait_for_entry_hosts(
         &self,
         start: Instant,
         what: &str,
         has_arrived: impl Fn(&String) -> bool,
     ) -> Result<Duration, CommandError> {
-        wait_for(start, what, self.client.urls(), has_arrived)
+        wait_for_urls(start, what, self.client.urls(), has_arrived)
     }
 
-    fn refuses(&self, url: &str, bearer: &str) -> bool {
+    fn refuses_key(&self, url: &str, bearer: &str) -> bool {
         let answer = self
             .agent
             .get(format!("{url}/v1/jobs/none"))
@@ -87,7 +87,7 @@
 }
 
 /// Waits until something has arrived at every one of `urls`.
-fn wait_for(
+fn wait_for_urls(
     start: Instant,
     what: &str,
     urls: &[String],
@@ -97,7 +97,7 @@
         if urls.iter().all(&has_arrived) {
             return Ok(start.elapsed());
         }
-        thread::sleep(STEP);
+        thread::sleep(POLL_INTERVAL);
     }
     Err(anyhow::anyhow!("{what} did not arrive everywhere within {PATIENCE:?}").into())
 }
--- a/crates/lacewingshore/src/command/key.rs
+++ b/crates/lacewingshore/src/command/key.rs
@@ -13,7 +13,7 @@
         KeyWithdrawArguments,
     },
     client::{AdminClient, AdminRequest},
-    command::{mint_change_id, print_json, show_time},
+    command::{format_time, mint_change_id, print_json},
     exit::CommandError,
     table::TextTable,
 };
@@ -29,7 +29,11 @@
 }
 
 fn run_grant(client: &AdminClient, arguments: &KeyGrantArguments) -> Result<(), CommandError> {
-    let expires = arguments.expires.as_deref().map(end_of_key).transpose()?;
+    let expires = arguments
+        .expires
+        .as_deref()
+        .map(key_expiry_unix_ms)
+        .transpose()?;
     let team = arguments.team.as_deref().unwrap_or_default();
     let (text, view) = grant(client, team, arguments.operator, expires.unwrap_or(0))?;
     if arguments.json {
@@ -118,12 +122,12 @@
         };
         let expires = match key.expires_unix_ms {
             0 => "never".to_owned(),
-            unix_ms => show_time(unix_ms),
+            unix_ms => format_time(unix_ms),
         };
         table.add(vec![
             key.key_id.to_string(),
             holder,
-            show_time(key.granted_unix_ms),
+            format_time(key.granted_unix_ms),
             expires,
         ]);
     }
@@ -142,16 +146,16 @@
 }
 
 /// The end of a key that works for the time in `text`, in milliseconds of the Unix epoch.
-fn end_of_key(text: &str) -> Result<u64, CommandError> {
-    const LONGEST: Duration = Duration::from_secs(10 * 366 * 24 * 60 * 60);
-    let span = humantime::parse_duration(text)
+fn key_expiry_unix_ms(text: &str) -> Result<u64, CommandError> {
+    const MAX_LIFETIME: Duration = Duration::from_secs(10 * 366 * 24 * 60 * 60);
+    let lifetime = humantime::parse_duration(text)
         .ok()
-        .filter(|span| *span <= LONGEST)
+        .filter(|lifetime| *lifetime <= MAX_LIFETIME)
         .ok_or_else(|| {
             CommandError::Invalid(format!("--expires: `{text}` is not a time such as 30d"))
         })?;
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    Ok(u64::try_from((now + span).as_millis()).unwrap_or(u64::MAX))
+    Ok(u64::try_from((now + lifetime).as_millis()).unwrap_or(u64::MAX))
 }
--- a/crates/lacewingshore/src/command/manifest.rs
+++ b/crates/lacewingshore/src/command/manifest.rs
@@ -101,14 +101,14 @@
             continue;
         }
         lines.push(format!("[{name}]"));
-        let gone = old
+        let removed = old
             .lines()
             .filter(|line| !new.lines().any(|other| other == *line));
-        lines.extend(gone.map(|line| format!("- {line}")));
-        let fresh = new
+        lines.extend(removed.map(|line| format!("- {line}")));
+        let added = new
             .lines()
             .filter(|line| !old.lines().any(|other| other == *line));
-        lines.extend(fresh.map(|line| format!("+ {line}")));
+        lines.extend(added.map(|line| format!("+ {line}")));
     }
     lines
 }
--- a/crates/lacewingshore/src/command/mod.rs
+++ b/crates/lacewingshore/src/command/mod.rs
@@ -49,13 +49,13 @@
     Ok(())
 }
 
-fn show_time(unix_ms: u64) -> String {
+fn format_time(unix_ms: u64) -> String {
     let time = UNIX_EPOCH.checked_add(Duration::from_millis(unix_ms));
-    match time.filter(|_| unix_ms < MAX_SHOWN_MS) {
+    match time.filter(|_| unix_ms < MAX_FORMATTED_MS) {
         Some(time) => humantime::format_rfc3339_seconds(time).to_string(),
         None => "far future".to_owned(),
     }
 }
 
 /// End of the year 9999, beyond which times have no usual form.
-const MAX_SHOWN_MS: u64 = 253_402_300_799_000;
+const MAX_FORMATTED_MS: u64 = 253_402_300_799_000;
--- a/crates/lacewingshore/src/command/status.rs
+++ b/crates/lacewingshore/src/command/status.rs
@@ -12,15 +12,15 @@
 /// Shows entry hosts, pools, hosts and teams.
 pub fn run(arguments: &CliArguments, status: &StatusArguments) -> Result<(), CommandError> {
     let client = AdminClient::new(arguments)?;
-    let (view, silent) = read_status(&client)?;
+    let (view, unanswered) = read_status(&client)?;
     if status.json {
-        return print_json(&json!({ "status": view, "silent": silent }));
+        return print_json(&json!({ "status": view, "silent": unanswered }));
     }
     println!(
         "deployment {}  revision {}  hash {}",
         view.deployment, view.revision, view.hash
     );
-    for (url, reason) in &silent {
+    for (url, reason) in &unanswered {
         println!("no answer from {url}: {reason}");
     }
     println!();
@@ -37,37 +37,37 @@
     client: &AdminClient,
 ) -> Result<(StatusView, Vec<(String, String)>), CommandError> {
     let mut views: Vec<StatusView> = Vec::new();
-    let mut silent = Vec::new();
+    let mut unanswered = Vec::new();
     let mut last = None;
     for url in client.urls() {
         match client.read_from(url, "/v1/status") {
             Ok(view) => views.push(view),
             Err(error) => {
-                silent.push((url.clone(), error.to_string()));
+                unanswered.push((url.clone(), error.to_string()));
                 last = Some(error);
             }
         }
     }
     views.sort_by_key(|view| view.revision);
-    let Some(mut whole) = views.pop() else {
+    let Some(mut merged) = views.pop() else {
         let none = || CommandError::Unavailable("no entry host was named".to_owned());
         return Err(last.unwrap_or_else(none));
     };
     for view in &views {
-        add_running(&mut whole, view);
+        add_running_counts(&mut merged, view);
     }
-    Ok((whole, silent))
+    Ok((merged, unanswered))
 }
 
-fn add_running(whole: &mut StatusView, view: &StatusView) {
-    for team in &mut whole.teams {
+fn add_running_counts(merged: &mut StatusView, view: &StatusView) {
+    for team in &mut merged.teams {
         let others = view.teams.iter().filter(|other| other.team == team.team);
         for other in others {
             team.granted += other.granted;
             team.running += other.running;
         }
     }
-    for host in &mut whole.hosts {
+    for host in &mut merged.hosts {
         let others = view.hosts.iter().filter(|other| other.host == host.host);
         for other in others {
             host.running += other.running;
--- a/crates/lacewingshore/src/line_sink.rs
+++ b/crates/lacewingshore/src/line_sink.rs
@@ -10,18 +10,18 @@
 
 /// Lines that wait for a slow reader of standard output; beyond them lines are dropped. At 200
 /// bytes a line that is 800 KB.
-const MOST_WAITING: usize = 4096;
+const QUEUE_CAPACITY: usize = 4096;
 /// Lines a second over a longer time. A busy owner decides on about 300 tasks a second, with a
 /// line for the start and one for the end of each.
-const LINES_A_SECOND: f64 = 800.0;
+const LINES_PER_SECOND: f64 = 800.0;
 /// Lines that may come at once beyond that rate.
 const BURST: f64 = 3000.0;
 /// How long lines are gathered, so that one call writes many of them.
-const GATHER: Duration = Duration::from_millis(20);
+const BATCH_DELAY: Duration = Duration::from_millis(20);
 /// How often the lines that were dropped are told.
-const REPORT_EVERY: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// Longest wait for the last lines at the end of the process.
-const FLUSH_PATIENCE: Duration = Duration::from_millis(300);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 /// Stack of the writing thread.
 const STACK_BYTES: usize = 64 * 1024;
 
@@ -31,14 +31,14 @@
 /// of an overload, which are dropped beyond a rate and counted.
 pub struct LineSink {
     sender: Sender<String>,
-    allowance: Mutex<LineAllowance>,
+    rate_limiter: Mutex<LineRateLimiter>,
     dropped: AtomicU64,
 }
 
-struct LineAllowance {
-    left: f64,
-    filled: Instant,
-    reported: Instant,
+struct LineRateLimiter {
+    tokens: f64,
+    last_refill: Instant,
+    last_report: Instant,
 }
 
 impl LineSink {
@@ -47,17 +47,17 @@
     /// # Errors
     /// If the thread can't be started.
     pub fn start() -> std::io::Result<Self> {
-        let (sender, receiver) = bounded(MOST_WAITING);
+        let (sender, receiver) = bounded(QUEUE_CAPACITY);
         thread::Builder::new()
             .name("log-lines".to_owned())
             .stack_size(STACK_BYTES)
             .spawn(move || write_lines(&receiver))?;
         Ok(Self {
             sender,
-            allowance: Mutex::new(LineAllowance {
-                left: BURST,
-                filled: Instant::now(),
-                reported: Instant::now(),
+            rate_limiter: Mutex::new(LineRateLimiter {
+                tokens: BURST,
+                last_refill: Instant::now(),
+                last_report: Instant::now(),
             }),
             dropped: AtomicU64::new(0),
         })
@@ -65,7 +65,7 @@
 
     /// Takes a line without its end, or drops it.
     pub fn push(&self, line: String) {
-        if !self.allowance.lock().take() || self.sender.try_send(line).is_err() {
+        if !self.rate_limiter.lock().try_acquire() || self.sender.try_send(line).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
@@ -73,33 +73,33 @@
     /// How many lines were dropped since this was asked last; `None` if none were, or if it
     /// was asked a moment ago.
     pub fn take_dropped(&self) -> Option<u64> {
-        let mut allowance = self.allowance.lock();
-        if allowance.reported.elapsed() < REPORT_EVERY {
+        let mut rate_limiter = self.rate_limiter.lock();
+        if rate_limiter.last_report.elapsed() < REPORT_INTERVAL {
             return None;
         }
-        allowance.reported = Instant::now();
+        rate_limiter.last_report = Instant::now();
         Some(self.dropped.swap(0, Ordering::Relaxed)).filter(|&dropped| dropped > 0)
     }
 
     /// Waits a little until all lines have been written.
     pub fn flush(&self) {
-        let begun = Instant::now();
-        while !self.sender.is_empty() && begun.elapsed() < FLUSH_PATIENCE {
-            thread::sleep(GATHER / 4);
+        let started = Instant::now();
+        while !self.sender.is_empty() && started.elapsed() < FLUSH_TIMEOUT {
+            thread::sleep(BATCH_DELAY / 4);
         }
-        thread::sleep(GATHER * 2);
+        thread::sleep(BATCH_DELAY * 2);
     }
 }
 
-impl LineAllowance {
-    fn take(&mut self) -> bool {
-        let passed = self.filled.elapsed().as_secs_f64();
-        self.filled = Instant::now();
-        self.left = (self.left + passed * LINES_A_SECOND).min(BURST);
-        if self.left < 1.0 {
+impl LineRateLimiter {
+    fn try_acquire(&mut self) -> bool {
+        let elapsed = self.last_refill.elapsed().as_secs_f64();
+        self.last_refill = Instant::now();
+        self.tokens = (self.tokens + elapsed * LINES_PER_SECOND).min(BURST);
+        if self.tokens < 1.0 {
             return false;
         }
-        self.left -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
@@ -108,13 +108,13 @@
     let mut output = std::io::stdout();
     let mut text = String::new();
     while let Ok(first) = lines.recv() {
-        thread::sleep(GATHER);
+        thread::sleep(BATCH_DELAY);
         text.clear();
         for line in std::iter::once(first).chain(lines.try_iter()) {
             text.push_str(&line);
             text.push('\n');
         }
-        // Nobody is left to tell if standard output is closed.
+        // A closed standard output leaves no place to report the error.
         let _ = output
             .write_all(text.as_bytes())
             .and_then(|()| output.flush());
--- a/crates/lacewingshore/src/serve.rs
+++ b/crates/lacewingshore/src/serve.rs
@@ -30,16 +30,16 @@
 use crate::catalogue::event;
 
 // Pause between two tries to reach the store at the start.
-const START_PAUSE: Duration = Duration::from_millis(500);
+const STORE_RETRY_PAUSE: Duration = Duration::from_millis(500);
 // How often a waiting start is logged.
-const START_LOG: Duration = Duration::from_secs(10);
+const START_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Runs an entry host until it is told to stop, and shuts it down gracefully.
 pub fn run(settings: ServeSettings) -> Result<()> {
     let metrics = install_metrics()?;
     let mut signals = Signals::new([SIGTERM, SIGINT]).context("register signals")?;
     let host = EntryHost::start(settings, metrics)?;
-    host.announce();
+    host.print_ready_line();
     let signal = signals.forever().next();
     log_event::info(
         &event::PROCESS_STOPPING,
@@ -62,7 +62,7 @@
 
 impl EntryHost {
     fn start(mut settings: ServeSettings, metrics: PrometheusHandle) -> Result<Self> {
-        settings.caller_address = with_port(&settings.caller_address)?;
+        settings.caller_address = with_chosen_port(&settings.caller_address)?;
         let clock: Arc<dyn Clock> = Arc::new(BootClock);
         let client = HttpStore::new(&settings.store_url, settings.store_timeout);
         let store: Arc<dyn KeyStore> =
@@ -147,7 +147,7 @@
     }
 
     // Whoever started the process reads the addresses here when it let the system choose.
-    fn announce(&self) {
+    fn print_ready_line(&self) {
         println!(
             "ready member={} caller={} admin={} peer={}",
             self.settings.member,
@@ -180,7 +180,7 @@
 
 // The member list publishes the caller address, so a port that the system chooses has to
 // be known before the caller port opens.
-fn with_port(address: &str) -> Result<String> {
+fn with_chosen_port(address: &str) -> Result<String> {
     if !address.ends_with(":0") {
         return Ok(address.to_owned());
     }
@@ -196,10 +196,10 @@
             Ok(incarnation) => return incarnation,
             Err(error) => error,
         };
-        if logged.is_none_or(|at| START_LOG < at.elapsed()) {
+        if logged.is_none_or(|at| START_LOG_INTERVAL < at.elapsed()) {
             logged = Some(Instant::now());
             log_event::warn(&event::START_WAITS, format_args!("cause=\"{error}\""));
         }
-        thread::sleep(START_PAUSE);
+        thread::sleep(STORE_RETRY_PAUSE);
     }
 }
--- a/crates/lacewingshore/src/table.rs
+++ b/crates/lacewingshore/src/table.rs
@@ -5,10 +5,10 @@
 }
 
 impl TextTable {
-    /// A table with a head.
-    pub fn new(head: &[&str]) -> Self {
+    /// A table with a header.
+    pub fn new(header: &[&str]) -> Self {
         Self {
-            rows: vec![head.iter().map(|text| (*text).to_owned()).collect()],
+            rows: vec![header.iter().map(|text| (*text).to_owned()).collect()],
         }
     }
 
--- a/crates/lacewingshore/tests/docs.rs
+++ b/crates/lacewingshore/tests/docs.rs
@@ -33,7 +33,7 @@
 }
 
 /// Compares the table of a page with what the code says, or writes it.
-fn hold_table(page: &str, table: &str) {
+fn check_or_write_table(page: &str, table: &str) {
     let path = root().join("docs").join(page);
     let text = read(&path);
     let Some((before, rest)) = text.split_once(TABLE_START) else {
@@ -85,17 +85,17 @@
 
 #[test]
 fn settings_page_complete() {
-    hold_table("SETTINGS.md", &key_table(&ServeSettings::keys()));
+    check_or_write_table("SETTINGS.md", &key_table(&ServeSettings::keys()));
 }
 
 #[test]
 fn cell_page_complete() {
-    hold_table("CELL.md", &key_table(&CellSettings::keys()));
+    check_or_write_table("CELL.md", &key_table(&CellSettings::keys()));
 }
 
 #[test]
 fn manifest_page_complete() {
-    hold_table("MANIFEST.md", &key_table(&Manifest::keys()));
+    check_or_write_table("MANIFEST.md", &key_table(&Manifest::keys()));
 }
 
 #[test]
@@ -104,7 +104,7 @@
     for row in catalogue() {
         table += &format!("| {} | {} | {} |\n", row.event, row.name, row.meaning);
     }
-    hold_table("EVENTS.md", &table);
+    check_or_write_table("EVENTS.md", &table);
 }
 
 #[test]
--- a/crates/lacewingshore/tests/operate.rs
+++ b/crates/lacewingshore/tests/operate.rs
@@ -56,7 +56,7 @@
 }
 
 /// A running entry host; ended when dropped.
-struct Bench {
+struct EntryHostFixture {
     host: Child,
     admin: String,
     dir: TempDir,
@@ -64,13 +64,13 @@
     _hosts: HostListFake,
 }
 
-impl Drop for Bench {
+impl Drop for EntryHostFixture {
     fn drop(&mut self) {
         self.kill();
     }
 }
 
-impl Bench {
+impl EntryHostFixture {
     fn start() -> anyhow::Result<Self> {
         let store = StoreFake::start("127.0.0.1:0")?;
         let hosts = HostListFake::start("127.0.0.1:0")?;
@@ -147,39 +147,39 @@
 
 #[test]
 fn operate_one_host() {
-    let bench = Bench::start().expect("an entry host");
-    let operator = bench.done(&["key", "grant", "--operator"]);
+    let fixture = EntryHostFixture::start().expect("an entry host");
+    let operator = fixture.done(&["key", "grant", "--operator"]);
     assert_eq!(
-        bench.run(&["key", "list"]).status.code(),
+        fixture.run(&["key", "list"]).status.code(),
         Some(7),
         "the bootstrap key is used up"
     );
-    bench.write("key", &operator);
+    fixture.write("key", &operator);
 
-    let manifest = bench.write("manifest.ini", MANIFEST);
+    let manifest = fixture.write("manifest.ini", MANIFEST);
     assert!(
-        bench
+        fixture
             .done(&["manifest", "apply", &manifest])
             .contains("revision 2 is in force")
     );
     assert!(
-        bench
+        fixture
             .done(&["manifest", "apply", &manifest])
             .contains("nothing to change")
     );
     assert!(
-        bench
+        fixture
             .done(&["manifest", "show"])
             .contains("[team.sales]\nlimit = 10")
     );
 
-    let changed = bench.write("changed.ini", &MANIFEST.replace("limit = 10", "limit = 20"));
-    let difference = bench.done(&["manifest", "diff", &changed]);
+    let changed = fixture.write("changed.ini", &MANIFEST.replace("limit = 10", "limit = 20"));
+    let difference = fixture.done(&["manifest", "diff", &changed]);
     assert_eq!(
         difference,
         "against revision 2\n[team.sales]\n- limit = 10\n+ limit = 20\n"
     );
-    let stale = bench.run(&["manifest", "apply", &changed, "--base", "1"]);
+    let stale = fixture.run(&["manifest", "apply", &changed, "--base", "1"]);
     assert_eq!(
         stale.status.code(),
         Some(4),
@@ -195,33 +195,33 @@
         "--change-id",
         "release-1",
     ];
-    assert!(bench.done(&apply).contains("revision 3 is in force"));
+    assert!(fixture.done(&apply).contains("revision 3 is in force"));
     assert!(
-        bench.done(&apply).contains("revision 3 is in force"),
+        fixture.done(&apply).contains("revision 3 is in force"),
         "repeating is harmless"
     );
 
-    let invalid = bench.write("invalid.ini", &MANIFEST.replace("share = 1", "share = 0"));
-    let refused = bench.run(&["manifest", "apply", &invalid]);
+    let invalid = fixture.write("invalid.ini", &MANIFEST.replace("share = 1", "share = 0"));
+    let refused = fixture.run(&["manifest", "apply", &invalid]);
     assert_eq!(refused.status.code(), Some(3));
 
-    let key = bench.done(&["key", "grant", "--team", "sales", "--expires", "30d"]);
+    let key = fixture.done(&["key", "grant", "--team", "sales", "--expires", "30d"]);
     let key_id = key.split('.').next().unwrap_or_default();
-    assert!(bench.done(&["key", "list"]).contains(key_id));
+    assert!(fixture.done(&["key", "list"]).contains(key_id));
     assert!(
-        bench
+        fixture
             .done(&["key", "withdraw", key_id])
             .contains("is withdrawn")
     );
-    assert!(!bench.done(&["key", "list"]).contains(key_id));
-    let unknown = bench.run(&["key", "withdraw", "k000"]);
+    assert!(!fixture.done(&["key", "list"]).contains(key_id));
+    let unknown = fixture.run(&["key", "withdraw", "k000"]);
     assert_eq!(unknown.status.code(), Some(3));
 
-    let status = bench.done(&["status"]);
+    let status = fixture.done(&["status"]);
     assert!(status.contains("deployment trial"), "{status}");
     assert!(status.contains("BELOW BUDGET"), "{status}");
     let json: serde_json::Value =
-        serde_json::from_str(&bench.done(&["status", "--json"])).expect("JSON");
+        serde_json::from_str(&fixture.done(&["status", "--json"])).expect("JSON");
     assert_eq!(json["status"]["teams"][0]["limit"], 20);
 }
 
@@ -229,14 +229,14 @@
 fn audit_of_an_operators_day() {
     // What an operator did is in the trail, with the difference, and the chain is whole. A
     // digest noted before still fits; one that does not fit ends with exit code 8.
-    let bench = Bench::start().expect("an entry host");
-    let manifest = bench.write("manifest.ini", MANIFEST);
-    bench.done(&["manifest", "apply", &manifest]);
-    let changed = bench.write("changed.ini", &MANIFEST.replace("limit = 10", "limit = 20"));
-    bench.done(&["manifest", "apply", &changed]);
+    let fixture = EntryHostFixture::start().expect("an entry host");
+    let manifest = fixture.write("manifest.ini", MANIFEST);
+    fixture.done(&["manifest", "apply", &manifest]);
+    let changed = fixture.write("changed.ini", &MANIFEST.replace("limit = 10", "limit = 20"));
+    fixture.done(&["manifest", "apply", &changed]);
     let mut trail = String::new();
     eventually("the change is audited", || {
-        trail = bench.done(&["audit"]);
+        trail = fixture.done(&["audit"]);
         trail.contains("+limit = 20")
     });
     assert!(trail.contains("-limit = 10; +limit = 20;"), "{trail}");
@@ -245,11 +245,11 @@
         .last()
         .unwrap_or_default()
         .to_owned();
-    bench.done(&["audit", "--expect", &newest]);
+    fixture.done(&["audit", "--expect", &newest]);
     let (sequence, _) = newest.split_once(':').unwrap_or_default();
     let other = format!("{sequence}:{}", "00".repeat(32));
     assert_eq!(
-        bench.run(&["audit", "--expect", &other]).status.code(),
+        fixture.run(&["audit", "--expect", &other]).status.code(),
         Some(8)
     );
 }
@@ -258,8 +258,8 @@
 fn audit_after_loss_of_every_host() {
     // A change is accepted, and the only entry host dies before it could write to the audit
     // trail. Its successor has nothing but the store, and the change is in the trail.
-    let mut bench = Bench::start().expect("an entry host");
-    let manifest = bench.write("manifest.ini", MANIFEST);
+    let mut fixture = EntryHostFixture::start().expect("an entry host");
+    let manifest = fixture.write("manifest.ini", MANIFEST);
     let apply = [
         "manifest",
         "apply",
@@ -267,11 +267,11 @@
         "--change-id",
         "the-last-change",
     ];
-    bench.done(&apply);
-    bench.restart().expect("another life");
+    fixture.done(&apply);
+    fixture.restart().expect("another life");
     let mut trail = serde_json::Value::Null;
     eventually("the change is audited", || {
-        let output = bench.run(&["audit", "--json"]);
+        let output = fixture.run(&["audit", "--json"]);
         trail = serde_json::from_slice(&output.stdout).unwrap_or_default();
         trail.to_string().contains("the-last-change")
     });
@@ -279,7 +279,7 @@
     let is_change = |entry: &&serde_json::Value| entry["change_id"] == "the-last-change";
     assert_eq!(entries.iter().filter(is_change).count(), 1);
     assert_eq!(trail["faults"], serde_json::json!([]));
-    assert!(bench.done(&["manifest", "show"]).contains("[team.sales]"));
+    assert!(fixture.done(&["manifest", "show"]).contains("[team.sales]"));
 }
 
 #[test]
@@ -287,12 +287,12 @@
     // An operator withdraws a key while the store is down. Nothing can be recorded, so the
     // command must not say that the key is withdrawn. With the store back, the same change id
     // withdraws it once.
-    let bench = Bench::start().expect("an entry host");
-    let manifest = bench.write("manifest.ini", MANIFEST);
-    bench.done(&["manifest", "apply", &manifest]);
-    let key = bench.done(&["key", "grant", "--team", "sales"]);
+    let fixture = EntryHostFixture::start().expect("an entry host");
+    let manifest = fixture.write("manifest.ini", MANIFEST);
+    fixture.done(&["manifest", "apply", &manifest]);
+    let key = fixture.done(&["key", "grant", "--team", "sales"]);
     let key_id = key.split('.').next().unwrap_or_default();
-    bench.store.set_faults(StoreFaults {
+    fixture.store.set_faults(StoreFaults {
         down: true,
         ..StoreFaults::default()
     });
@@ -305,25 +305,25 @@
         "--change-id",
         "w-1",
     ];
-    let output = bench.run(&withdraw);
+    let output = fixture.run(&withdraw);
     let code = output.status.code();
     assert!(code == Some(5) || code == Some(6), "{code:?}");
-    bench.store.set_faults(StoreFaults::default());
+    fixture.store.set_faults(StoreFaults::default());
     eventually("the key is withdrawn", || {
-        bench.run(&withdraw).status.success()
+        fixture.run(&withdraw).status.success()
     });
-    assert!(!bench.done(&["key", "list"]).contains(key_id));
-    bench.done(&withdraw);
+    assert!(!fixture.done(&["key", "list"]).contains(key_id));
+    fixture.done(&withdraw);
 }
 
 #[test]
 fn first_address_is_dead() {
     // The first entry host that an operator names is gone; the command goes on to the next.
-    let mut bench = Bench::start().expect("an entry host");
-    bench.admin = format!("http://127.0.0.1:1,{}", bench.admin);
-    let manifest = bench.write("manifest.ini", MANIFEST);
-    bench.done(&["manifest", "apply", &manifest]);
-    let status = bench.done(&["status"]);
+    let mut fixture = EntryHostFixture::start().expect("an entry host");
+    fixture.admin = format!("http://127.0.0.1:1,{}", fixture.admin);
+    let manifest = fixture.write("manifest.ini", MANIFEST);
+    fixture.done(&["manifest", "apply", &manifest]);
+    let status = fixture.done(&["status"]);
     assert!(
         status.contains("no answer from http://127.0.0.1:1"),
         "{status}"
@@ -335,22 +335,22 @@
 fn audit_of_a_large_manifest() {
     // A whole deployment is applied at once, more than the change log keeps. The trail still
     // tells under which id, by whom, and what changed.
-    let bench = Bench::start().expect("an entry host");
+    let fixture = EntryHostFixture::start().expect("an entry host");
     let teams = (0..300).map(|n| format!("[team.member-{n}]\nshare = 1\nlimit = 160\n"));
     let text = format!("{MANIFEST}{}", teams.collect::<String>());
-    let manifest = bench.write("manifest.ini", &text);
-    bench.done(&[
+    let manifest = fixture.write("manifest.ini", &text);
+    fixture.done(&[
         "manifest",
         "apply",
         &manifest,
         "--change-id",
         "first-release",
     ]);
-    let changed = bench.write(
+    let changed = fixture.write(
         "changed.ini",
         &text.replacen("limit = 160", "limit = 150", 1),
     );
-    bench.done(&[
+    fixture.done(&[
         "manifest",
         "apply",
         &changed,
@@ -359,7 +359,7 @@
     ]);
     let mut entries = Vec::new();
     eventually("both releases are audited", || {
-        let output = bench.run(&["audit", "--json"]);
+        let output = fixture.run(&["audit", "--json"]);
         let trail: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap_or_default();
         entries = trail["entries"].as_array().cloned().unwrap_or_default();
         let has = |id: &str, subject: &str| {
--- a/crates/lacewingshore/tests/proof_common/mod.rs
+++ b/crates/lacewingshore/tests/proof_common/mod.rs
@@ -23,17 +23,17 @@
 };
 
 /// Longest wait for an event that must come.
-pub const PATIENCE: Duration = Duration::from_secs(40);
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(40);
 /// Time within which an accepted change must be in force: two seconds, and half a second
 /// for requests that were already on their way to a target.
-pub const FORCE_WITHIN: Duration = Duration::from_millis(2500);
+pub const PROPAGATION_LIMIT: Duration = Duration::from_millis(2500);
 /// Time after which a draining target must get no work.
-pub const QUIET_WITHIN: Duration = Duration::from_secs(3);
+pub const DRAIN_LIMIT: Duration = Duration::from_secs(3);
 
 /// Pause between two looks at one entry host.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+const POLL_PAUSE: Duration = Duration::from_millis(50);
 /// Proofs that run side by side; they mostly wait, and more would load each other.
-const SIDE_BY_SIDE: usize = 2;
+const MAX_PARALLEL_PROOFS: usize = 2;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
 static ENDED: Condvar = Condvar::new();
@@ -48,21 +48,21 @@
 }
 
 /// Leave to run a proof, given back when dropped.
-struct ProofTurn;
+struct ProofPermit;
 
-impl ProofTurn {
+impl ProofPermit {
     fn take() -> Self {
         // A proof that failed says nothing against the next one.
         let running = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
         let mut running = ENDED
-            .wait_while(running, |running| *running >= SIDE_BY_SIDE)
+            .wait_while(running, |running| *running >= MAX_PARALLEL_PROOFS)
             .unwrap_or_else(PoisonError::into_inner);
         *running += 1;
         Self
     }
 }
 
-impl Drop for ProofTurn {
+impl Drop for ProofPermit {
     fn drop(&mut self) {
         *RUNNING.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
         ENDED.notify_one();
@@ -70,7 +70,7 @@
 }
 
 /// A fleet that serves, with two teams and a key for each.
-pub struct ProofBed {
+pub struct ProofFixture {
     /// The fleet.
     pub fleet: TestFleet,
     /// A key of `weights` and one of `coding`.
@@ -78,7 +78,7 @@
     /// Revision of the manifest.
     pub revision: u64,
     seed: u64,
-    _turn: ProofTurn,
+    _turn: ProofPermit,
 }
 
 /// Upper limits of the two teams.
@@ -101,7 +101,7 @@
     text
 }
 
-impl ProofBed {
+impl ProofFixture {
     /// Starts a fleet with limits that don't bind.
     pub fn start(seed: u64, plan: &FleetPlan) -> Self {
         Self::with_limits(seed, plan, &WIDE_LIMITS)
@@ -114,7 +114,7 @@
 
     /// Starts a fleet with a manifest of its own.
     pub fn with_manifest(seed: u64, plan: &FleetPlan, text: &str, limits: &TeamLimits) -> Self {
-        let turn = ProofTurn::take();
+        let turn = ProofPermit::take();
         println!("seed {seed}");
         let mut fleet = TestFleet::start(plan).unwrap();
         let place = &fleet.entries[0].place;
@@ -132,24 +132,24 @@
             .map(|(team, _)| operator.grant(place, &format!("grant-{team}"), team))
             .collect::<Result<Vec<_>, _>>()
             .unwrap();
-        let bed = Self {
+        let fixture = Self {
             fleet,
             keys,
             revision,
             seed,
             _turn: turn,
         };
-        for entry in &bed.fleet.entries {
-            bed.expect_answer(&entry.place);
+        for entry in &fixture.fleet.entries {
+            fixture.expect_answer(&entry.place);
         }
-        bed
+        fixture
     }
 
     /// Waits until an entry host answers a request with a right answer.
     pub fn expect_answer(&self, place: &EntryPlace) {
         let client = RequestClient::default();
         let call = self.call("probe");
-        let answers = await_true(PATIENCE, || {
+        let answers = await_true(EVENT_TIMEOUT, || {
             client.call(place, &call).outcome == RequestOutcome::Answer { is_right: true }
         });
         assert!(
@@ -200,7 +200,7 @@
     /// Looks at every entry host all the time while `work` goes on, so that the history
     /// tells what was in force where. A host that is down or cut off answers nothing, which
     /// is no observation.
-    pub fn while_looking(&mut self, work: impl FnOnce(&mut Self)) {
+    pub fn while_polling(&mut self, work: impl FnOnce(&mut Self)) {
         let stop = AtomicBool::new(false);
         let places = self.fleet.places();
         let operator = self.fleet.operator.clone();
@@ -210,7 +210,7 @@
                 scope.spawn(move || {
                     while !stop.load(Ordering::Relaxed) {
                         let _ = operator.status(place);
-                        thread::sleep(LOOK_PAUSE);
+                        thread::sleep(POLL_PAUSE);
                     }
                 });
             }
@@ -227,7 +227,7 @@
         let (text, id) = (manifest(3, &limits), format!("round-{round}"));
         let place = self.place((round + 1) % 3);
         let operator = &self.fleet.operator;
-        let accepted = await_true(PATIENCE, || {
+        let accepted = await_true(EVENT_TIMEOUT, || {
             let outcome = operator.apply(place, &id, None, &text, &limits);
             matches!(outcome, ChangeResult::Accepted { .. })
         });
@@ -238,7 +238,7 @@
     pub fn expect_withdrawn(&self, index: usize) {
         let key = &self.keys[1].key_id;
         let operator = &self.fleet.operator;
-        let withdrawn = await_true(PATIENCE, || {
+        let withdrawn = await_true(EVENT_TIMEOUT, || {
             let outcome = operator.withdraw(self.place(index), "withdraw", key);
             matches!(outcome, ChangeResult::Accepted { .. })
         });
@@ -268,7 +268,7 @@
 
     /// Waits for answers of the crew.
     pub fn expect_answers(&self, crew: &CallerCrew, more: u64) {
-        let came = crew.await_answers(more, PATIENCE);
+        let came = crew.await_answers(more, EVENT_TIMEOUT);
         assert!(
             came,
             "no answers: {:?}\n{}",
@@ -283,7 +283,7 @@
     /// A request that crosses the closing of its connection never reaches the entry host;
     /// HTTP has no way to tell the caller so. And of an id that could not be looked up, an
     /// entry host says that it may have run. Such attempts ran nothing and are printed.
-    pub fn expect_uncut(&self, tally: CrewTally) {
+    pub fn expect_no_request_cut(&self, tally: CrewTally) {
         let history = self.fleet.collect().unwrap();
         let unclear = history.requests.iter().filter(|op| is_unclear(&op.outcome));
         let (cut, not_begun): (Vec<_>, Vec<_>) = unclear.partition(|op| {
@@ -309,7 +309,7 @@
     }
 
     /// Collects the history and runs every check that holds for any history.
-    pub fn expect_sound(&self) {
+    pub fn expect_valid_history(&self) {
         let history = self.fleet.collect().unwrap();
         println!(
             "history: {} requests, {} runs, {} changes, {} looks, {} writes",
@@ -320,7 +320,7 @@
             history.writes.len(),
         );
         assert!(!history.runs.is_empty(), "nothing ran");
-        println!("most at once: {:?}", most_at_once(&history));
+        println!("most at once: {:?}", max_concurrent_runs(&history));
         let hosts = self
             .fleet
             .targets
@@ -331,16 +331,16 @@
             pool_of: hosts.map(|host| (host, "quotes".to_owned())).collect(),
         };
         let keys = KeyCheck {
-            stops_within: FORCE_WITHIN,
+            stops_within: PROPAGATION_LIMIT,
         };
         let limits = LimitCheck {
-            force_within: FORCE_WITHIN,
+            force_within: PROPAGATION_LIMIT,
         };
         let force = ForceCheck {
-            force_within: FORCE_WITHIN,
+            force_within: PROPAGATION_LIMIT,
         };
         let drains = DrainCheck {
-            quiet_within: QUIET_WITHIN,
+            quiet_within: DRAIN_LIMIT,
         };
         let checks: [&dyn HistoryCheck; 11] = [
             &OnceCheck,
@@ -379,7 +379,7 @@
 }
 
 /// Most runs at once, by team.
-pub fn most_at_once(history: &History) -> BTreeMap<String, usize> {
+pub fn max_concurrent_runs(history: &History) -> BTreeMap<String, usize> {
     let mut most = BTreeMap::new();
     for run in &history.runs {
         let at = run.run.start_ns;
--- a/crates/lacewingshore/tests/proof_jobs.rs
+++ b/crates/lacewingshore/tests/proof_jobs.rs
@@ -8,7 +8,7 @@
 
 use fake::{HostRow, StoreFaults, WorkOrder, WorkerFake, WorkerSettings};
 use proof::{EntryPlace, FleetPlan, RequestClient, await_true};
-use proof_common::{PATIENCE, ProofBed, TeamLimits, manifest};
+use proof_common::{EVENT_TIMEOUT, ProofFixture, TeamLimits, manifest};
 use serde_json::Value;
 
 const LIMITS: TeamLimits = [("weights", 60), ("coding", 60)];
@@ -16,26 +16,26 @@
 const ENDED: [&str; 5] = ["done", "failed", "cancelled", "parked", "unknown"];
 
 /// A fleet with workers beside its executors.
-struct JobBed {
-    bed: ProofBed,
+struct JobFixture {
+    fixture: ProofFixture,
     workers: Vec<WorkerFake>,
     agent: ureq::Agent,
 }
 
-impl JobBed {
+impl JobFixture {
     fn start(seed: u64) -> Self {
         let plan = FleetPlan::default();
         let text = manifest(plan.executors, &LIMITS)
             .replace("pool = quotes\n", "pool = quotes\nworker_pool = batches\n")
             + "[pool.batches]\nrole = worker\nsize = 3\nbudget = 2\n";
-        let bed = ProofBed::with_manifest(seed, &plan, &text, &LIMITS);
+        let fixture = ProofFixture::with_manifest(seed, &plan, &text, &LIMITS);
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
             .timeout_global(Some(Duration::from_secs(10)))
             .build();
         let start = |_| WorkerFake::start("127.0.0.1:0", WorkerSettings::default()).unwrap();
         let jobs = Self {
-            bed,
+            fixture,
             workers: (0..WORKERS).map(start).collect(),
             agent: config.into(),
         };
@@ -45,7 +45,7 @@
 
     fn list_workers(&self) {
         let executors = self
-            .bed
+            .fixture
             .fleet
             .targets
             .iter()
@@ -65,7 +65,7 @@
                 ..HostRow::default()
             });
         let rows: Vec<HostRow> = executors.chain(workers).collect();
-        let url = format!("{}/fake/hosts", self.bed.place(0).host_list_url);
+        let url = format!("{}/fake/hosts", self.fixture.place(0).host_list_url);
         let body = serde_json::to_string(&rows).unwrap();
         assert_eq!(self.agent.post(url).send(body).unwrap().status(), 200);
     }
@@ -74,8 +74,8 @@
     fn mint(&self, place: &EntryPlace) -> String {
         let client = RequestClient::default();
         let mut minted = None;
-        await_true(PATIENCE, || {
-            minted = client.mint(place, &self.bed.keys[0]);
+        await_true(EVENT_TIMEOUT, || {
+            minted = client.mint(place, &self.fixture.keys[0]);
             minted.is_some()
         });
         minted.unwrap()
@@ -100,12 +100,15 @@
         if !idempotent {
             id = self.mint(place);
         }
-        let accepted = await_true(PATIENCE, || {
+        let accepted = await_true(EVENT_TIMEOUT, || {
             let url = format!("{}/v1/services/quotes/jobs", place.caller_url());
             let call = self
                 .agent
                 .post(url)
-                .header("Authorization", format!("Bearer {}", self.bed.keys[0].text))
+                .header(
+                    "Authorization",
+                    format!("Bearer {}", self.fixture.keys[0].text),
+                )
                 .header("Idempotent", idempotent.to_string())
                 .header("Request-Id", &id);
             let Some(answer) = call.send(order.body(0)).ok().and_then(read_json) else {
@@ -123,17 +126,17 @@
         assert!(
             accepted,
             "{request} is not accepted\n{}",
-            self.bed.fleet.logs()
+            self.fixture.fleet.logs()
         );
         job
     }
 
     fn phase(&self, place: &EntryPlace, job: &str) -> String {
         let url = format!("{}/v1/jobs/{job}", place.caller_url());
-        let call = self
-            .agent
-            .get(url)
-            .header("Authorization", format!("Bearer {}", self.bed.keys[0].text));
+        let call = self.agent.get(url).header(
+            "Authorization",
+            format!("Bearer {}", self.fixture.keys[0].text),
+        );
         let answer = call.call().ok().and_then(read_json).unwrap_or_default();
         answer["phase"].as_str().unwrap_or_default().to_owned()
     }
@@ -142,12 +145,12 @@
         let mut phases = BTreeMap::new();
         for (job, _) in jobs {
             let mut phase = String::new();
-            let ended = await_true(PATIENCE * 2, || {
+            let ended = await_true(EVENT_TIMEOUT * 2, || {
                 phase = self.phase(place, job);
                 thread::sleep(Duration::from_millis(20));
                 ENDED.contains(&phase.as_str())
             });
-            assert!(ended, "{job} is {phase}\n{}", self.bed.fleet.logs());
+            assert!(ended, "{job} is {phase}\n{}", self.fixture.fleet.logs());
             *phases.entry(phase).or_default() += 1;
         }
         phases
@@ -174,23 +177,23 @@
     // Every entry host loses power at once, with jobs waiting, starting and running. The
     // next ones know nothing but what the store and the workers tell them. A lost batch
     // sends field staff back to respondents; one that ran twice publishes wrong numbers.
-    let mut jobs = JobBed::start(31);
+    let mut jobs = JobFixture::start(31);
     let mut submitted = Vec::new();
     for index in 0..60 {
-        let place = jobs.bed.place(index % 3);
+        let place = jobs.fixture.place(index % 3);
         let idempotent = index % 2 == 0;
         let work = Duration::from_millis(1500);
         let job = jobs.submit(place, &format!("batch-{index}"), idempotent, work);
         submitted.push((job, idempotent));
     }
-    let entries = &mut jobs.bed.fleet.entries;
+    let entries = &mut jobs.fixture.fleet.entries;
     for entry in entries.iter_mut() {
         entry.kill().unwrap();
     }
     for entry in entries.iter_mut() {
         entry.start().unwrap();
     }
-    let phases = jobs.expect_ended(jobs.bed.place(0), &submitted);
+    let phases = jobs.expect_ended(jobs.fixture.place(0), &submitted);
     let starts = jobs.starts();
     println!("{phases:?}, {} jobs started", starts.len());
     for (job, idempotent) in &submitted {
@@ -209,8 +212,8 @@
 fn jobs_refused_while_store_is_down() {
     // The store refuses every call. A job that is refused as not run must never run; one
     // that was accepted before goes on.
-    let jobs = JobBed::start(32);
-    let place = jobs.bed.place(0);
+    let jobs = JobFixture::start(32);
+    let place = jobs.fixture.place(0);
     let work = Duration::from_millis(800);
     let before = jobs.submit(place, "before", false, work);
     let during = jobs.mint(place);
@@ -218,19 +221,22 @@
         down: true,
         ..StoreFaults::default()
     };
-    jobs.bed.fleet.set_store(None, &down).unwrap();
+    jobs.fixture.fleet.set_store(None, &down).unwrap();
     let url = format!("{}/v1/services/quotes/jobs", place.caller_url());
     let call = jobs
         .agent
         .post(url)
-        .header("Authorization", format!("Bearer {}", jobs.bed.keys[0].text))
+        .header(
+            "Authorization",
+            format!("Bearer {}", jobs.fixture.keys[0].text),
+        )
         .header("Request-Id", &during);
     let answer = call.send("work us=1000 nonce=during").unwrap();
     assert_eq!(answer.status(), 503);
     let answer = read_json(answer).unwrap();
     println!("{answer}");
     let refused = answer["fate"] == "not-run";
-    jobs.bed
+    jobs.fixture
         .fleet
         .set_store(None, &StoreFaults::default())
         .unwrap();
--- a/crates/lacewingshore/tests/proof_path.rs
+++ b/crates/lacewingshore/tests/proof_path.rs
@@ -6,16 +6,16 @@
 
 use fake::{ExecutorFaults, FaultRate};
 use proof::FleetPlan;
-use proof_common::ProofBed;
+use proof_common::ProofFixture;
 
 #[test]
 fn path_without_faults() {
-    let bed = ProofBed::start(1, &FleetPlan::default());
-    let crew = bed.crew();
-    bed.expect_answers(&crew, 200);
+    let fixture = ProofFixture::start(1, &FleetPlan::default());
+    let crew = fixture.crew();
+    fixture.expect_answers(&crew, 200);
     let tally = crew.finish();
     assert_eq!(tally.unclear, 0, "{tally:?}");
-    bed.expect_sound();
+    fixture.expect_valid_history();
 }
 
 #[test]
@@ -23,7 +23,7 @@
     // A caller gets the answer to somebody else's quote, or half of its own. Executors
     // answer with a foreign request id, cut answers short, lose them after the run, and
     // send them long after; an entry host that matched answers by order would pass them on.
-    let bed = ProofBed::start(2, &FleetPlan::default());
+    let fixture = ProofFixture::start(2, &FleetPlan::default());
     for index in 0..3 {
         let faults = ExecutorFaults {
             cross_answers: FaultRate::by_chance(0.06),
@@ -34,14 +34,14 @@
             seed: index as u64,
             ..ExecutorFaults::default()
         };
-        bed.fleet.set_target(index, &faults).unwrap();
+        fixture.fleet.set_target(index, &faults).unwrap();
     }
-    let mut plan = bed.crew_plan();
+    let mut plan = fixture.crew_plan();
     plan.max_answer = 200_000;
     plan.deadline = std::time::Duration::from_secs(1);
-    let crew = bed.crew_with(plan);
-    bed.expect_answers(&crew, 300);
+    let crew = fixture.crew_with(plan);
+    fixture.expect_answers(&crew, 300);
     let tally = crew.finish();
-    bed.expect_sound();
+    fixture.expect_valid_history();
     assert!(tally.unclear > 0, "no fault struck: {tally:?}");
 }
--- a/crates/lacewingshore/tests/proof_store.rs
+++ b/crates/lacewingshore/tests/proof_store.rs
@@ -8,13 +8,14 @@
 
 use fake::{FaultRate, StoreFaults};
 use proof::{ChangeResult, FleetPlan, await_true};
-use proof_common::{PATIENCE, ProofBed, TeamLimits, manifest};
+use proof_common::{EVENT_TIMEOUT, ProofFixture, TeamLimits, manifest};
 
-fn withdraw(bed: &ProofBed, index: usize, change_id: &str) -> ChangeResult {
-    let key = &bed.keys[1].key_id;
-    bed.fleet
+fn withdraw(fixture: &ProofFixture, index: usize, change_id: &str) -> ChangeResult {
+    let key = &fixture.keys[1].key_id;
+    fixture
+        .fleet
         .operator
-        .withdraw(bed.place(index), change_id, key)
+        .withdraw(fixture.place(index), change_id, key)
 }
 
 #[test]
@@ -22,88 +23,88 @@
     // The store is away for ten lease lengths. Callers go on being served. An operator who
     // withdraws a key is told that it is not accepted, and the key works on; once the store
     // is back the same change is accepted and the key stops.
-    let bed = ProofBed::start(21, &FleetPlan::default());
-    let crew = bed.crew();
+    let fixture = ProofFixture::start(21, &FleetPlan::default());
+    let crew = fixture.crew();
     let down = StoreFaults {
         down: true,
         ..StoreFaults::default()
     };
-    bed.fleet.set_store(None, &down).unwrap();
+    fixture.fleet.set_store(None, &down).unwrap();
     for member in ["e1", "e2", "e3"] {
-        bed.fleet.set_store(Some(member), &down).unwrap();
+        fixture.fleet.set_store(Some(member), &down).unwrap();
     }
     for round in 0..5 {
         thread::sleep(Duration::from_secs(4));
-        bed.expect_answers(&crew, 40);
+        fixture.expect_answers(&crew, 40);
         if round == 2 {
-            let outcome = withdraw(&bed, 0, "withdraw");
+            let outcome = withdraw(&fixture, 0, "withdraw");
             let accepted = matches!(outcome, ChangeResult::Accepted { .. });
             assert!(!accepted, "accepted without a store: {outcome:?}");
         }
     }
-    for entry in &bed.fleet.entries {
+    for entry in &fixture.fleet.entries {
         assert!(
-            bed.fleet.operator.is_ready(&entry.place),
+            fixture.fleet.operator.is_ready(&entry.place),
             "{}",
-            bed.fleet.logs()
+            fixture.fleet.logs()
         );
     }
     let up = StoreFaults::default();
     for member in ["e1", "e2", "e3"] {
-        bed.fleet.set_store(Some(member), &up).unwrap();
+        fixture.fleet.set_store(Some(member), &up).unwrap();
     }
-    bed.expect_withdrawn(1);
+    fixture.expect_withdrawn(1);
     thread::sleep(Duration::from_secs(4));
     crew.finish();
-    bed.expect_sound();
+    fixture.expect_valid_history();
 }
 
 #[test]
 fn store_slow() {
     // Each call of the store takes 400 ms, close to the time that clients wait. Service
     // must not hang on it, and changes must still come through.
-    let bed = ProofBed::start(22, &FleetPlan::default());
-    let crew = bed.crew();
+    let fixture = ProofFixture::start(22, &FleetPlan::default());
+    let crew = fixture.crew();
     let slow = StoreFaults {
         slow_ms: 400,
         ..StoreFaults::default()
     };
-    bed.fleet.set_store(None, &slow).unwrap();
-    bed.expect_withdrawn(2);
+    fixture.fleet.set_store(None, &slow).unwrap();
+    fixture.expect_withdrawn(2);
     thread::sleep(Duration::from_secs(4));
-    bed.expect_answers(&crew, 100);
+    fixture.expect_answers(&crew, 100);
     crew.finish();
-    bed.expect_sound();
+    fixture.expect_valid_history();
 }
 
 #[test]
 fn store_answers_lost() {
     // The store takes each write and loses half of its answers. The operator repeats each
     // change under its id until it is accepted; each must be made once, at one revision.
-    let bed = ProofBed::start(23, &FleetPlan::default());
-    let crew = bed.crew();
+    let fixture = ProofFixture::start(23, &FleetPlan::default());
+    let crew = fixture.crew();
     let lossy = StoreFaults {
         lose_writes: FaultRate::by_chance(0.5),
         seed: 23,
         ..StoreFaults::default()
     };
-    bed.fleet.set_store(None, &lossy).unwrap();
+    fixture.fleet.set_store(None, &lossy).unwrap();
     for round in 0..6_u32 {
         let limits: TeamLimits = [("weights", 100 + round), ("coding", 100 + round)];
         let (text, id) = (manifest(3, &limits), format!("round-{round}"));
         let mut asked = 0;
-        let operator = &bed.fleet.operator;
-        let accepted = await_true(PATIENCE, || {
-            let place = bed.place(asked % 3);
+        let operator = &fixture.fleet.operator;
+        let accepted = await_true(EVENT_TIMEOUT, || {
+            let place = fixture.place(asked % 3);
             asked += 1;
             let outcome = operator.apply(place, &id, None, &text, &limits);
             matches!(outcome, ChangeResult::Accepted { .. })
         });
-        assert!(accepted, "round {round}\n{}", bed.fleet.logs());
+        assert!(accepted, "round {round}\n{}", fixture.fleet.logs());
     }
-    bed.expect_answers(&crew, 60);
+    fixture.expect_answers(&crew, 60);
     crew.finish();
-    bed.expect_sound();
+    fixture.expect_valid_history();
 }
 
 #[test]
@@ -111,15 +112,20 @@
     // Two operators apply different manifests against the same revision at the same time,
     // through different entry hosts. One wins and the other is told of the conflict; if
     // both were accepted, one change would silently undo the other.
-    let bed = ProofBed::start(24, &FleetPlan::default());
-    let crew = bed.crew();
-    let first = bed.fleet.operator.status(bed.place(0)).unwrap().revision;
+    let fixture = ProofFixture::start(24, &FleetPlan::default());
+    let crew = fixture.crew();
+    let first = fixture
+        .fleet
+        .operator
+        .status(fixture.place(0))
+        .unwrap()
+        .revision;
     for round in 0..40_u32 {
         let base = first + u64::from(round);
         let outcomes: Vec<ChangeResult> = thread::scope(|scope| {
-            let bed = &bed;
+            let fixture = &fixture;
             let racers: Vec<_> = (0..2_u32)
-                .map(|racer| scope.spawn(move || race(bed, round, racer, base)))
+                .map(|racer| scope.spawn(move || race(fixture, round, racer, base)))
                 .collect();
             racers
                 .into_iter()
@@ -131,37 +137,38 @@
             outcomes.iter().filter(won).count(),
             1,
             "{outcomes:?}\n{}",
-            bed.fleet.logs()
+            fixture.fleet.logs()
         );
         let lost = |outcome: &&ChangeResult| matches!(outcome, ChangeResult::Conflict { .. });
         assert_eq!(
             outcomes.iter().filter(lost).count(),
             1,
             "{outcomes:?}\n{}",
-            bed.fleet.logs()
+            fixture.fleet.logs()
         );
     }
     crew.finish();
-    bed.expect_sound();
+    fixture.expect_valid_history();
 }
 
-fn race(bed: &ProofBed, round: u32, racer: u32, base: u64) -> ChangeResult {
+fn race(fixture: &ProofFixture, round: u32, racer: u32, base: u64) -> ChangeResult {
     let units = 100 + 10 * round + racer;
     let limits: TeamLimits = [("weights", units), ("coding", units)];
     let (text, id) = (manifest(3, &limits), format!("race-{round}-{racer}"));
-    let place = bed.place(racer as usize);
+    let place = fixture.place(racer as usize);
     // A host that has not seen the base yet conflicts as well, which says nothing of the race.
-    let current = await_true(PATIENCE, || {
-        let status = bed.fleet.operator.status(place);
+    let current = await_true(EVENT_TIMEOUT, || {
+        let status = fixture.fleet.operator.status(place);
         status.is_ok_and(|status| status.revision >= base)
     });
     assert!(
         current,
         "{} lacks {base}\n{}",
         place.member,
-        bed.fleet.logs()
+        fixture.fleet.logs()
     );
-    bed.fleet
+    fixture
+        .fleet
         .operator
         .apply(place, &id, Some(base), &text, &limits)
 }
@@ -171,19 +178,19 @@
     // One entry host's watches never answer again, while its other calls do. A key is
     // withdrawn through another host. The lagging host must learn of it all the same, from
     // its peers or by reading, before the key may count as stopped.
-    let bed = ProofBed::start(25, &FleetPlan::default());
-    let crew = bed.crew();
+    let fixture = ProofFixture::start(25, &FleetPlan::default());
+    let crew = fixture.crew();
     let hung = StoreFaults {
         watch_hang: true,
         ..StoreFaults::default()
     };
-    bed.fleet.set_store(Some("e2"), &hung).unwrap();
+    fixture.fleet.set_store(Some("e2"), &hung).unwrap();
     thread::sleep(Duration::from_secs(2));
-    bed.expect_withdrawn(0);
+    fixture.expect_withdrawn(0);
     thread::sleep(Duration::from_secs(5));
-    bed.expect_answers(&crew, 20);
+    fixture.expect_answers(&crew, 20);
     crew.finish();
-    bed.expect_sound();
+    fixture.expect_valid_history();
 }
 
 #[test]
@@ -191,22 +198,22 @@
     // Watches of two entry hosts answer with the value before the newest one, as a replica
     // does that lags. A host that followed them would put back a limit that the operator
     // has changed, and its callers would see the configuration flip.
-    let mut bed = ProofBed::start(26, &FleetPlan::default());
-    let crew = bed.crew();
+    let mut fixture = ProofFixture::start(26, &FleetPlan::default());
+    let crew = fixture.crew();
     let old = StoreFaults {
         watch_old: true,
         ..StoreFaults::default()
     };
-    bed.fleet.set_store(Some("e2"), &old).unwrap();
-    bed.fleet.set_store(Some("e3"), &old).unwrap();
-    bed.while_looking(|bed| {
+    fixture.fleet.set_store(Some("e2"), &old).unwrap();
+    fixture.fleet.set_store(Some("e3"), &old).unwrap();
+    fixture.while_polling(|fixture| {
         for round in 0..4 {
-            bed.change_limits(round);
+            fixture.change_limits(round);
             thread::sleep(Duration::from_secs(1));
         }
         thread::sleep(Duration::from_secs(3));
     });
-    bed.expect_answers(&crew, 20);
+    fixture.expect_answers(&crew, 20);
     crew.finish();
-    bed.expect_sound();
+    fixture.expect_valid_history();
 }
--- a/crates/lacewingshore/tests/proof_work.rs
+++ b/crates/lacewingshore/tests/proof_work.rs
@@ -8,7 +8,7 @@
 
 use fake::{ExecutorFaults, FaultRate};
 use proof::{CrewPlan, FleetPlan};
-use proof_common::{PATIENCE, ProofBed, TeamLimits, manifest};
+use proof_common::{EVENT_TIMEOUT, ProofFixture, TeamLimits, manifest};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 const TIGHT_LIMITS: TeamLimits = [("weights", 5), ("coding", 3)];
@@ -19,82 +19,82 @@
     // killed and paused beyond their leases at random. Whoever takes over a lost host's
     // quota before the work that it started has ended exceeds the limit.
     let seed = 31;
-    let mut bed = ProofBed::with_limits(seed, &FleetPlan::default(), &TIGHT_LIMITS);
+    let mut fixture = ProofFixture::with_limits(seed, &FleetPlan::default(), &TIGHT_LIMITS);
     let plan = CrewPlan {
         callers: 30,
         service_time: Duration::from_millis(300),
         pause: Duration::from_millis(5),
         deadline: Duration::from_secs(3),
-        ..bed.crew_plan()
+        ..fixture.crew_plan()
     };
-    let crew = bed.crew_with(plan);
+    let crew = fixture.crew_with(plan);
     let mut rng = StdRng::seed_from_u64(seed);
     for _ in 0..4 {
         let index = rng.random_range(0..3);
         if rng.random_bool(0.5) {
-            bed.replace(index, Duration::from_millis(rng.random_range(0..800)));
+            fixture.replace(index, Duration::from_millis(rng.random_range(0..800)));
         } else {
-            bed.pause(index, Duration::from_millis(rng.random_range(2500..4500)));
+            fixture.pause(index, Duration::from_millis(rng.random_range(2500..4500)));
         }
-        bed.expect_answers(&crew, 15);
+        fixture.expect_answers(&crew, 15);
     }
     crew.finish();
-    bed.expect_sound();
+    fixture.expect_valid_history();
 }
 
 #[test]
 fn once_answers_lost_and_hosts_killed() {
     // A fifth of all answers is lost after the run, and entry hosts die meanwhile. Callers
     // retry the same id through other entry hosts. An order must not be placed twice.
-    let mut bed = ProofBed::start(32, &FleetPlan::default());
+    let mut fixture = ProofFixture::start(32, &FleetPlan::default());
     for index in 0..3 {
         let faults = ExecutorFaults {
             lose_answers: FaultRate::by_chance(0.2),
             seed: index as u64,
             ..ExecutorFaults::default()
         };
-        bed.fleet.set_target(index, &faults).unwrap();
+        fixture.fleet.set_target(index, &faults).unwrap();
     }
     let plan = CrewPlan {
         callers: 20,
         idempotent: 0.1,
         deadline: Duration::from_secs(2),
-        ..bed.crew_plan()
+        ..fixture.crew_plan()
     };
-    let crew = bed.crew_with(plan);
+    let crew = fixture.crew_with(plan);
     for index in 0..3 {
-        bed.expect_answers(&crew, 100);
-        bed.replace(index, Duration::from_millis(100));
+        fixture.expect_answers(&crew, 100);
+        fixture.replace(index, Duration::from_millis(100));
     }
-    bed.expect_answers(&crew, 100);
+    fixture.expect_answers(&crew, 100);
     crew.finish();
-    bed.expect_sound();
+    fixture.expect_valid_history();
 }
 
 #[test]
 fn shutdown_cuts_nothing() {
     // An entry host is told to stop while requests of half a second run through it. Each
     // gets its answer, new ones are refused as not run, and the process ends by itself.
-    let mut bed = ProofBed::start(33, &FleetPlan::default());
+    let mut fixture = ProofFixture::start(33, &FleetPlan::default());
     let plan = CrewPlan {
         service_time: Duration::from_millis(250),
-        ..bed.crew_plan()
+        ..fixture.crew_plan()
     };
-    let crew = bed.crew_with(plan);
+    let crew = fixture.crew_with(plan);
     for index in 0..3 {
-        let entry = &mut bed.fleet.entries[index];
+        let entry = &mut fixture.fleet.entries[index];
         let mut process = entry.process.take().unwrap();
         process.terminate().unwrap();
-        let status = process.wait_exit(PATIENCE).unwrap();
+        let status = process.wait_exit(EVENT_TIMEOUT).unwrap();
         assert!(status.success(), "{status}");
         entry.start().unwrap();
-        bed.fleet.await_serving(PATIENCE).unwrap();
-        let place = bed.place(index).clone();
-        bed.expect_answer(&place);
+        fixture.fleet.await_serving(EVENT_TIMEOUT).unwrap();
+        let place = fixture.place(index).clone();
+        fixture.expect_answer(&place);
     }
     let tally = crew.finish();
-    bed.expect_uncut(tally);
-    bed.expect_sound();
+    fixture.expect_no_request_cut(tally);
+    fixture.expect_valid_history();
 }
 
 #[test]
@@ -107,46 +107,51 @@
     let window = "window = always\n[service.quotes]";
     let text = manifest(3, &limits).replace("[service.quotes]", window)
         + "[window.always]\nstart = 00:00\nlength = 24h\nevery = 4s\nat_once = 1\n";
-    let bed = ProofBed::with_manifest(34, &plan, &text, &limits);
+    let fixture = ProofFixture::with_manifest(34, &plan, &text, &limits);
     // Runs as long as the steps of a drain, so that a reboot too early would meet some.
-    let crew = bed.crew_with(CrewPlan {
+    let crew = fixture.crew_with(CrewPlan {
         callers: 16,
         service_time: Duration::from_secs(2),
         deadline: Duration::from_secs(10),
-        ..bed.crew_plan()
+        ..fixture.crew_plan()
     });
     let done = proof::await_true(Duration::from_secs(90), || {
-        let history = bed.fleet.collect().unwrap();
+        let history = fixture.fleet.collect().unwrap();
         let ended = history.drains.iter().filter(|drain| drain.end_ns != 0);
         ended.count() >= 3
     });
-    assert!(done, "the wave did not end\n{}", bed.fleet.logs());
-    bed.expect_answers(&crew, 50);
+    assert!(done, "the wave did not end\n{}", fixture.fleet.logs());
+    fixture.expect_answers(&crew, 50);
     let tally = crew.finish();
-    bed.expect_uncut(tally);
-    bed.expect_sound();
+    fixture.expect_no_request_cut(tally);
+    fixture.expect_valid_history();
 }
 
 #[test]
 fn host_list_shows_leaving() {
     // The platform takes an executor away: the lagging list shows it as leaving. It must
     // get no new work from three seconds after the list shows it.
-    let mut bed = ProofBed::start(35, &FleetPlan::default());
-    let crew = bed.crew();
-    bed.fleet.targets[0].row.leaving = true;
-    bed.fleet.list_targets().unwrap();
+    let mut fixture = ProofFixture::start(35, &FleetPlan::default());
+    let crew = fixture.crew();
+    fixture.fleet.targets[0].row.leaving = true;
+    fixture.fleet.list_targets().unwrap();
     let shown_ns = fake::boot_nanos();
     thread::sleep(Duration::from_secs(6));
-    bed.expect_answers(&crew, 50);
+    fixture.expect_answers(&crew, 50);
     let tally = crew.finish();
-    bed.expect_uncut(tally);
+    fixture.expect_no_request_cut(tally);
     let quiet_ns = shown_ns + 3_000_000_000;
-    let history = bed.fleet.collect().unwrap();
+    let history = fixture.fleet.collect().unwrap();
     let late = history
         .runs
         .iter()
         .filter(|run| run.host == "x1" && run.run.start_ns > quiet_ns)
         .count();
-    assert_eq!(late, 0, "started on a leaving host\n{}", bed.fleet.logs());
-    bed.expect_sound();
+    assert_eq!(
+        late,
+        0,
+        "started on a leaving host\n{}",
+        fixture.fleet.logs()
+    );
+    fixture.expect_valid_history();
 }
