--- a/crates/model/src/cell_settings.rs
+++ b/crates/model/src/cell_settings.rs
@@ -6,40 +6,40 @@
     settings_text::read_settings,
 };
 
-/// What one process of a cell is told of its surroundings, see `docs/SETTINGS.md`.
+/// Local settings of one process of a cell, see `docs/SETTINGS.md`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CellSettings {
     /// Own id, unique among the processes of the system.
     pub member: MemberId,
     /// Own data centre.
     pub data_centre: DataCentreId,
-    /// Address on which callers are answered, as `ip:port`.
+    /// Listen address for callers, as `ip:port`.
     pub caller_address: String,
-    /// Address on which the balancer asks for readiness.
+    /// Listen address for the balancer's readiness checks.
     pub ready_address: String,
-    /// Address on which other processes of the system are answered.
+    /// Listen address for other processes of the system.
     pub peer_address: String,
-    /// Address on which metrics are served.
+    /// Listen address for metrics.
     pub metrics_address: String,
     /// Address of the platform's store.
     pub store_address: String,
-    /// Address of the control of the fleet's hosts.
+    /// Address of the service that controls the hosts of the fleet.
     pub control_address: String,
     /// Address of the advice service; empty for none.
     pub advice_address: String,
-    /// Longest time for which a target lets tasks run without a renewal.
+    /// Longest time that a target runs tasks without a renewal of their lease.
     pub task_lease: Duration,
-    /// Time within which two holders' orders to one host conflict.
+    /// Time within which orders of two successive owners to one host conflict.
     pub host_order_pause: Duration,
-    /// Part of a processor that the process may use, in cores.
+    /// Processor time that the process may use, in cores.
     pub processor_share: f64,
-    /// How many times as fast as a usual core its processor is.
+    /// Speed of the processor relative to a standard core.
     pub processor_speed: f64,
     /// Memory that the process may use, in megabytes.
     pub memory_mb: f64,
-    /// Bandwidth of the host's link, in megabits a second.
+    /// Bandwidth of the host's network link, in megabits per second.
     pub link_mbps: f64,
-    /// Least severe events that are logged.
+    /// Minimum severity of logged events.
     pub log_level: log::LevelFilter,
 }
 
@@ -77,7 +77,7 @@
     KeyRule::required(
         "data_centre",
         KeyField::Name(|settings| &mut settings.data_centre),
-        "Data centre that this process stands in.",
+        "Data centre of this process.",
     ),
     KeyRule::required(
         "address",
@@ -176,15 +176,15 @@
 ];
 
 impl CellSettings {
-    /// Reads and checks settings, see `docs/SETTINGS.md`.
+    /// Parses and checks settings, see `docs/SETTINGS.md`.
     ///
     /// # Errors
-    /// The first fault: a missing, unknown or repeated key, or a value out of range.
+    /// The first error: a missing, unknown or repeated key, or a value out of range.
     pub fn from_ini(text: &str) -> Result<Self, TextError> {
         Ok(read_settings(text, SECTIONS)?.0)
     }
 
-    /// Every setting there is, for the docs.
+    /// Returns all settings, for the docs.
     pub fn keys() -> Vec<KeyInfo> {
         SECTIONS
             .iter()
--- a/crates/model/src/event.rs
+++ b/crates/model/src/event.rs
@@ -16,19 +16,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EventCode(pub u16);
 
-/// What the catalogue says of an event.
+/// Catalogue entry of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EventInfo {
     /// The number in the log.
     pub code: EventCode,
     /// Short name, in kebab case.
     pub name: &'static str,
-    /// What it means and what an operator does about it.
+    /// What the event means and what an operator should do about it.
     pub meaning: &'static str,
 }
 
 impl EventInfo {
-    /// An entry of a catalogue.
+    /// Creates a catalogue entry.
     pub const fn new(number: u16, name: &'static str, meaning: &'static str) -> Self {
         Self {
             code: EventCode(number),
@@ -44,12 +44,12 @@
     }
 }
 
-/// Logs an event of ordinary operation; `details` are `key=value` pairs.
+/// Logs an event of normal operation; `details` are `key=value` pairs.
 pub fn info(event: &EventInfo, details: fmt::Arguments<'_>) {
     write_line(log::Level::Info, event, details);
 }
 
-/// Logs an event that an operator should know of; `details` are `key=value` pairs.
+/// Logs an event that an operator should know about; `details` are `key=value` pairs.
 pub fn warn(event: &EventInfo, details: fmt::Arguments<'_>) {
     write_line(log::Level::Warn, event, details);
 }
@@ -59,7 +59,7 @@
     write_line(log::Level::Error, event, details);
 }
 
-/// Logs an event that is too frequent for ordinary operation.
+/// Logs an event that is too frequent for the default log level; `details` are `key=value` pairs.
 pub fn debug(event: &EventInfo, details: fmt::Arguments<'_>) {
     write_line(log::Level::Debug, event, details);
 }
@@ -72,9 +72,9 @@
     log::log!(target: &code, level, "{} {details}", event.name);
 }
 
-/// Declares the events of a crate as constants, and `ALL` with every one of them.
+/// Declares the events of a crate as constants, and `ALL` as the list of them.
 ///
-/// Each line reads `CONSTANT = number, "kebab-case-name", "Meaning.";`.
+/// Each line has the form `CONSTANT = number, "kebab-case-name", "Meaning.";`.
 #[macro_export]
 macro_rules! event_catalogue {
     ($($constant:ident = $number:literal, $name:literal, $meaning:literal;)*) => {
@@ -83,7 +83,7 @@
             pub const $constant: $crate::EventInfo =
                 $crate::EventInfo::new($number, $name, $meaning);
         )*
-        /// All events of this crate, for the catalogue.
+        /// All events of this crate, for the event catalogue.
         pub const ALL: &[$crate::EventInfo] = &[$($constant),*];
     };
 }
--- a/crates/model/src/id.rs
+++ b/crates/model/src/id.rs
@@ -2,35 +2,35 @@
 
 use compact_str::CompactString;
 
-/// A team: the callers that share one set of keys, one share and one upper limit.
+/// Id of a team: callers with a common set of keys, one share and one upper limit.
 pub type TeamId = CompactString;
-/// A pool of hosts.
+/// Id of a pool of hosts.
 pub type PoolId = CompactString;
-/// A service that callers submit requests to.
+/// Id of a service that callers submit requests to.
 pub type ServiceId = CompactString;
-/// A workspace: the place within a team that a job is accounted to.
+/// Id of a workspace: the unit within a team that a job is accounted to.
 pub type WorkspaceId = CompactString;
-/// A target host, as the platform's host list names it.
+/// Id of a target host, as in the platform's host list.
 pub type HostId = CompactString;
-/// An entry host of this system.
+/// Id of an entry host of this system.
 pub type MemberId = CompactString;
-/// A data centre.
+/// Id of a data centre.
 pub type DataCentreId = CompactString;
-/// A rack, unique across data centres.
+/// Id of a rack, unique across data centres.
 pub type RackId = CompactString;
-/// The public part of a key.
+/// The public part of an access key.
 pub type KeyId = CompactString;
-/// A request, as its caller and its entry hosts name it.
+/// Id of a request, used by its caller and by the entry hosts.
 pub type RequestId = CompactString;
-/// A job that was accepted durably.
+/// Id of a durably accepted job.
 pub type JobId = CompactString;
-/// A change of configuration; chosen by the operator's tool, so that repeating it is idempotent.
+/// Id of a configuration change; the operator's tool chooses it, which makes retries idempotent.
 pub type ChangeId = CompactString;
-/// Count of accepted changes; it only grows.
+/// Number of accepted configuration changes; it only increases.
 pub type Revision = u64;
-/// Tells two lives of one member id apart; a newer life has the larger number.
+/// Distinguishes successive processes with the same member id; a later one has the larger number.
 pub type Incarnation = u64;
-/// How much work a host can carry, in thousandths of what is ample.
+/// Capacity of a host for work, in thousandths of an amply sized host.
 pub type HostStrength = u32;
-/// Time since the machine booted, suspended time included.
+/// Time since the machine booted, including time suspended.
 pub type BootTime = Duration;
--- a/crates/model/src/ini_text.rs
+++ b/crates/model/src/ini_text.rs
@@ -2,16 +2,16 @@
 
 use crate::TextError;
 
-/// Longest line that is read, in bytes.
+/// Longest accepted line, in bytes.
 const MAX_LINE: usize = 4096;
-/// Longest text that is read, in bytes; a manifest at target size takes about 100 KB.
+/// Longest accepted text, in bytes; a manifest for a fleet of the design size takes about 100 KB.
 const MAX_TEXT: usize = 512 * 1024;
-/// Most sections of a text; the search for duplicates takes time in their square.
+/// Maximum number of sections in a text; the search for duplicates is quadratic in it.
 const MAX_SECTIONS: usize = 4096;
-/// Most keys of a section.
+/// Maximum number of keys in a section.
 const MAX_ENTRIES: usize = 64;
 
-/// One section of an INI text, with the lines that its parts stand on.
+/// One section of an INI text, with line numbers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct IniSection {
     pub(crate) name: String,
@@ -28,7 +28,7 @@
 }
 
 impl IniSection {
-    /// Line of `key`, or of the section's header if the key is absent.
+    /// Returns the line of `key`, or of the section's header if the key is absent.
     pub(crate) fn line_of(&self, key: &str) -> usize {
         self.entries
             .iter()
@@ -37,10 +37,10 @@
     }
 }
 
-/// Reads INI text line by line, refusing duplicate sections and keys.
+/// Parses INI text line by line and rejects duplicate sections and keys.
 ///
-/// The library forgets the lines on which it found things, and takes a line without `=`
-/// for the beginning of the next line's key. Each line is therefore given to it alone.
+/// The library does not report line numbers, and treats a line without `=` as the start of
+/// the key on the next line. Each line is therefore parsed on its own.
 pub(crate) fn read_sections(text: &str) -> Result<Vec<IniSection>, TextError> {
     if text.len() > MAX_TEXT {
         return Err(line_error(
--- a/crates/model/src/key_rule.rs
+++ b/crates/model/src/key_rule.rs
@@ -12,22 +12,22 @@
     },
 };
 
-/// One key of a section, as the docs show it.
+/// Documentation of one key of a section.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyInfo {
     /// Section, such as `limits` or `pool.NAME`.
     pub section: &'static str,
     /// The key.
     pub key: &'static str,
-    /// What values are allowed.
+    /// Allowed values.
     pub allowed: String,
-    /// Value if the key is left out; `required` if it can't be.
+    /// Default value, or `required` if the key has none.
     pub default: String,
-    /// What it decides.
+    /// What the key controls.
     pub meaning: &'static str,
 }
 
-/// How a key of a section is read into a field of `T`.
+/// Rule for parsing one key of a section into a field of `T`.
 pub(crate) struct KeyRule<T: 'static> {
     pub(crate) key: &'static str,
     pub(crate) required: bool,
@@ -35,7 +35,7 @@
     pub(crate) meaning: &'static str,
 }
 
-/// The kind of a value with its range and the field that takes it.
+/// Type of a value, its range if any, and the accessor of the field that stores it.
 pub(crate) enum KeyField<T: 'static> {
     Name(fn(&mut T) -> &mut CompactString),
     NameText(fn(&mut T) -> &mut String),
@@ -98,7 +98,7 @@
     }
 }
 
-/// Reads a section into `target` by `rules`; unknown and missing keys are refused.
+/// Parses a section into `target` by `rules`; unknown keys and missing required keys are errors.
 pub(crate) fn fill_section<T>(
     section: &IniSection,
     rules: &[KeyRule<T>],
@@ -254,7 +254,7 @@
 }
 
 fn read_peers(text: &str) -> Result<Vec<PeerSetting>, String> {
-    /// Most entry hosts that the settings may name.
+    /// Maximum number of entry hosts in the settings.
     const MAX_PEERS: usize = 64;
     let mut peers: Vec<PeerSetting> = Vec::new();
     for part in text
--- a/crates/model/src/key_text.rs
+++ b/crates/model/src/key_text.rs
@@ -2,22 +2,22 @@
 
 use crate::KeyId;
 
-/// Bytes of salt stored with a key's digest.
+/// Length of the salt stored with a key's digest, in bytes.
 pub const KEY_SALT_LEN: usize = 16;
-/// Longest bearer text that is looked at.
+/// Longest bearer text that is parsed, in bytes; longer text is rejected.
 const MAX_KEY_TEXT: usize = 256;
 
-/// A key as its holder presents it: `ID.SECRET`.
+/// An access key as callers send it: `ID.SECRET`.
 #[derive(Clone, PartialEq, Eq)]
 pub struct KeyText {
-    /// The public part, by which the stored digest is found.
+    /// The public part, used to look up the stored digest.
     pub key_id: KeyId,
     /// The secret part; never logged or stored.
     pub secret: String,
 }
 
 impl KeyText {
-    /// Splits the text after `Authorization: Bearer`; `None` if it is not a key.
+    /// Parses the text after `Authorization: Bearer`; `None` if it is not a key.
     pub fn parse(text: &str) -> Option<Self> {
         if text.len() > MAX_KEY_TEXT {
             return None;
@@ -32,7 +32,7 @@
         })
     }
 
-    /// The digest under which the key is stored, to be compared in constant time.
+    /// Computes the salted digest that is stored for the key. Compare it in constant time.
     pub fn digest(&self, salt: &[u8]) -> [u8; 32] {
         let mut hash = Sha256::new();
         hash.update(salt);
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,8 +1,8 @@
 //! Ids, manifest, settings, error types and the event catalogue shared by every crate.
 //!
-//! Start with [`Manifest`], what operators ask for, and [`ServeSettings`], what one
-//! process is told of its surroundings. Nothing here does I/O. The words for hosts,
-//! pools and teams are mapped in `docs/GLOSSARY.md`.
+//! Start with [`Manifest`], the desired state that operators declare, and [`ServeSettings`],
+//! the local settings of one process. Nothing here does I/O. The terms for hosts, pools and
+//! teams are defined in `docs/GLOSSARY.md`.
 
 mod cell_settings;
 pub mod event;
--- a/crates/model/src/manifest.rs
+++ b/crates/model/src/manifest.rs
@@ -2,9 +2,9 @@
 
 use crate::{PoolId, ServiceId, TeamId, WorkspaceId};
 
-/// What the operators promise and allow: pools, services, teams, windows and workspaces.
+/// Desired state declared by operators: pools, services, teams, windows and workspaces.
 ///
-/// A manifest reaches the system as INI text, see `docs/MANIFEST.md`.
+/// Operators submit it as INI text, see `docs/MANIFEST.md`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Manifest {
     /// Name of the deployment.
@@ -24,7 +24,7 @@
 /// What the hosts of a pool do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum HostRole {
-    /// Answers short requests while the caller waits.
+    /// Executes short requests synchronously.
     #[default]
     Executor,
     /// Runs jobs as tasks under leases.
@@ -32,7 +32,7 @@
 }
 
 impl HostRole {
-    /// Name of the role, as manifests and the host list write it.
+    /// Name of the role in manifests and in the host list.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Executor => "executor",
@@ -46,15 +46,15 @@
 pub struct PoolSpec {
     /// What the hosts of the pool do.
     pub role: HostRole,
-    /// How many hosts the pool should have.
+    /// Desired number of hosts.
     pub size: u32,
-    /// How many hosts must be in service at every moment: the availability budget.
+    /// Availability budget: the number of hosts that must be in service at all times.
     pub budget: u32,
-    /// Slots of each host.
+    /// Slots of each host: requests or tasks that it runs concurrently.
     pub slots: u32,
-    /// Connections that each executor allows across all entry hosts.
+    /// Maximum number of connections to each executor, over all entry hosts.
     pub connections: u32,
-    /// True for the pool that lends its hosts to the others.
+    /// Whether the pool provides replacement hosts for the other pools of its role.
     pub spare: bool,
     /// Name of the maintenance window; empty for none.
     pub window: String,
@@ -86,9 +86,9 @@
 /// One team.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TeamSpec {
-    /// Weight of the team when everything is full.
+    /// Weight of the team when pools are full.
     pub share: u32,
-    /// Most requests and tasks that the team may have running across the fleet.
+    /// Maximum number of requests and tasks that the team may run at once in the whole fleet.
     pub limit: u32,
 }
 
@@ -101,16 +101,16 @@
     }
 }
 
-/// One maintenance window, a span of each day in UTC.
+/// One daily maintenance window, in UTC.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WindowSpec {
     /// Start, as time since midnight UTC.
     pub start: Duration,
-    /// Length; a whole day leaves the window always open.
+    /// Length; a window of 24 hours is always open.
     pub length: Duration,
-    /// How often each host is maintained.
+    /// Interval between two maintenances of one host.
     pub every: Duration,
-    /// Most hosts of one pool that may be out for maintenance at once.
+    /// Maximum number of hosts of one pool that may be in maintenance at once.
     pub at_once: u32,
 }
 
@@ -119,6 +119,6 @@
 pub struct WorkspaceSpec {
     /// Team that the workspace belongs to.
     pub team: TeamId,
-    /// Most tasks that the workspace may have running.
+    /// Maximum number of tasks that the workspace may run at once.
     pub limit: u32,
 }
--- a/crates/model/src/manifest_advice.rs
+++ b/crates/model/src/manifest_advice.rs
@@ -2,18 +2,18 @@
 
 use crate::{Manifest, PoolSpec};
 
-/// Hosts that a rack takes along when it fails.
+/// Number of hosts that fail together with their rack.
 const RACK_HOSTS: u32 = 4;
-/// Time that the maintenance of one host is reckoned to take: drain, reboot and check.
+/// Estimated time to maintain one host: drain, reboot and health check.
 const HOST_MAINTENANCE_TIME: Duration = Duration::from_secs(15 * 60);
 const DAY: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// Something valid in a manifest that its operator may not have meant.
+/// Warning about a valid part of a manifest that may be unintended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ManifestAdvice {
-    /// Section that it is about.
+    /// Section that the warning is about.
     pub section: String,
-    /// What will happen.
+    /// The consequence of that part.
     pub text: String,
 }
 
@@ -24,8 +24,8 @@
 }
 
 impl Manifest {
-    /// What may surprise the operator of a valid manifest, if the fleet loses
-    /// `shrink_percent` of the hosts of each pool.
+    /// Returns warnings about a valid manifest, assuming that each pool loses `shrink_percent`
+    /// of its hosts.
     pub fn advice(&self, shrink_percent: u32) -> Vec<ManifestAdvice> {
         let mut advice = Vec::new();
         for (name, pool) in &self.pools {
--- a/crates/model/src/manifest_check.rs
+++ b/crates/model/src/manifest_check.rs
@@ -1,12 +1,12 @@
 use crate::{HostRole, Manifest, ManifestError, PoolSpec, ServiceSpec, WorkspaceSpec};
 
-/// Most hosts that a manifest may ask for; ten times the size the system is built for.
+/// Maximum number of hosts in a manifest; ten times the fleet size that the system is designed for.
 const MAX_HOSTS: u64 = 20_000;
-/// Largest sum of team limits.
+/// Largest allowed sum of the team limits.
 const MAX_LIMITS: u64 = 10_000_000;
 
 impl Manifest {
-    /// Checks what no single section shows: references, sums and budgets.
+    /// Checks constraints across sections: references, sums and budgets.
     pub(crate) fn check(&self) -> Result<(), ManifestError> {
         self.check_deployment()?;
         for (name, pool) in &self.pools {
@@ -135,7 +135,7 @@
         Ok(())
     }
 
-    /// An executor answers one service, so a pool of executors can't serve two.
+    /// Checks that no executor pool is used by two services: an executor serves only one.
     fn check_executor_pools(&self) -> Result<(), ManifestError> {
         for (name, service) in &self.services {
             let earlier = self
--- a/crates/model/src/manifest_text.rs
+++ b/crates/model/src/manifest_text.rs
@@ -15,7 +15,7 @@
 
 const MINUTE: Duration = Duration::from_secs(60);
 const DAY: Duration = Duration::from_secs(24 * 60 * 60);
-/// Range of a window's interval: seconds for trials, a year at most.
+/// Allowed maintenance intervals of a window: from one second, for trials, to one year.
 const INTERVAL_RANGE: RangeInclusive<Duration> =
     Duration::from_secs(1)..=Duration::from_secs(366 * 24 * 60 * 60);
 
@@ -126,16 +126,16 @@
 ];
 
 impl Manifest {
-    /// Splits manifest text into its sections, each in a normal form: keys in order,
-    /// without comments, so that equal sections have equal text.
+    /// Splits manifest text into its sections and normalizes each: keys sorted, comments
+    /// removed. Sections with equal keys and values therefore have equal text.
     ///
     /// # Errors
-    /// The first fault of the text.
+    /// The first error in the text.
     pub fn split(text: &str) -> Result<SectionTexts, ManifestError> {
         let mut texts = SectionTexts::new();
         for section in read_sections(text)? {
             parse_section_name(&section)?;
-            // An empty text stands for a removed section in the change log.
+            // In the change log, an empty text means that the section was removed.
             if section.entries.is_empty() {
                 return Err(error_at_section(&section, "the section has no keys"));
             }
@@ -144,12 +144,12 @@
         Ok(texts)
     }
 
-    /// Reads and checks a whole manifest from its sections. No sections at all make an
-    /// empty manifest: a deployment that was given none yet.
+    /// Parses and checks a manifest from its sections. Without sections the manifest is empty,
+    /// as in a new deployment.
     ///
     /// # Errors
-    /// The first fault: an unknown key, a value out of range, a reference to nothing, or
-    /// a budget that can't be met.
+    /// The first error: an unknown key, a value out of range, a reference to a missing section,
+    /// or a budget that can't be met.
     pub fn from_sections(sections: &SectionTexts) -> Result<Self, ManifestError> {
         let mut manifest = Self::default();
         if sections.is_empty() {
@@ -166,7 +166,7 @@
         Ok(manifest)
     }
 
-    /// Reads and checks manifest text; faults name their line.
+    /// Parses and checks manifest text; errors have the line number.
     ///
     /// # Errors
     /// As for [`Manifest::split`] and [`Manifest::from_sections`].
@@ -184,7 +184,7 @@
         Ok((texts, manifest))
     }
 
-    /// Shows sections as manifest text.
+    /// Formats sections as manifest text.
     pub fn format_sections(sections: &SectionTexts) -> String {
         let mut text = String::new();
         for (name, body) in sections {
@@ -194,7 +194,7 @@
         text
     }
 
-    /// Every key there is, for the docs.
+    /// Returns all manifest keys, for the docs.
     pub fn keys() -> Vec<KeyInfo> {
         let mut keys = Vec::new();
         keys.extend(DEPLOYMENT_RULES.iter().map(|rule| rule.info("deployment")));
@@ -236,7 +236,7 @@
     Ok(())
 }
 
-/// Splits `pool.coding` into its kind and its name.
+/// Splits a section name such as `pool.coding` into kind and name, and checks both.
 fn parse_section_name(section: &IniSection) -> Result<(&str, &str), ManifestError> {
     const KINDS: [&str; 5] = ["pool", "service", "team", "window", "workspace"];
     if section.name == "deployment" {
@@ -265,7 +265,7 @@
     lines.concat()
 }
 
-/// Finds the line of a fault that was found in the sections of `text`.
+/// Adds the line number in `text` to an error that was found in one of its sections.
 fn with_line_number(text: &str, error: TextError) -> TextError {
     let sections = read_sections(text).unwrap_or_default();
     let section = sections
--- a/crates/model/src/problem.rs
+++ b/crates/model/src/problem.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-/// Whether refused or failed work was run, as callers are told.
+/// Whether refused or failed work was executed, as reported to callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunFate {
@@ -12,40 +12,40 @@
     Ran,
 }
 
-/// Why a request or a job was not answered, as callers are told; see `docs/API.md`.
+/// Why a request or a job failed, as reported to callers; see `docs/API.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ProblemKind {
     /// The request is malformed.
     BadRequest,
-    /// No key, an unknown key, an expired one or a withdrawn one.
+    /// The access key is missing, unknown, expired or revoked.
     KeyRefused,
     /// No such service, job or path.
     NotFound,
-    /// The body is larger than the limit.
+    /// The request body exceeds the size limit.
     TooLarge,
-    /// The caller sent too slowly.
+    /// The caller sent its request too slowly.
     SlowSender,
     /// The request id was used before.
     Duplicate,
-    /// The deadline passed, or can't be met.
+    /// The deadline has passed or can't be met.
     Deadline,
     /// The queue is full.
     QueueFull,
-    /// The team runs as much as its upper limit allows.
+    /// The team has reached its upper limit of running work.
     TeamLimit,
-    /// This entry host does not serve now.
+    /// This entry host is not serving at the moment.
     NotServing,
     /// The store can't be reached, so nothing can be recorded.
     StoreDown,
     /// No target could be reached.
     NoTarget,
-    /// The target failed or went away while it had the work.
+    /// The target failed or became unreachable while it had the work.
     TargetFailed,
 }
 
 impl ProblemKind {
-    /// The HTTP status that carries the problem.
+    /// Returns the HTTP status code of the problem.
     pub const fn status(self) -> u16 {
         match self {
             Self::BadRequest => 400,
--- a/crates/model/src/settings.rs
+++ b/crates/model/src/settings.rs
@@ -6,46 +6,46 @@
     settings_text::{error_without_line, read_settings},
 };
 
-/// What one entry host is told of its surroundings, see `docs/SETTINGS.md`.
+/// Local settings of one entry host, see `docs/SETTINGS.md`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServeSettings {
     /// Own id, unique among entry hosts.
     pub member: MemberId,
     /// Own data centre.
     pub data_centre: DataCentreId,
-    /// Address on which callers are answered, as `ip:port`; port 0 takes a free one.
+    /// Listen address for callers, as `ip:port`; port 0 selects a free port.
     pub caller_address: String,
-    /// Address on which operators are answered, as `ip:port`.
+    /// Listen address for operators, as `ip:port`.
     pub admin_address: String,
-    /// Digest of the administration key that counts while no other is granted, as
+    /// Digest of the administration key that is valid until another one is granted, as
     /// `ID:SALT:DIGEST` with salt and digest in hex; empty for none.
     pub bootstrap_key: String,
-    /// Address on which other entry hosts are heard, as `ip:port`.
+    /// Listen address for other entry hosts, as `ip:port`.
     pub peer_address: String,
-    /// Other entry hosts known at start, with the address at which this host dials each.
-    /// An address given here overrides the one in the member list.
+    /// Other entry hosts known at start, with the address to connect to. An address given here
+    /// overrides the one in the member list.
     pub peers: Vec<PeerSetting>,
     /// Base URL of the configuration store.
     pub store_url: String,
     /// URL of the host list.
     pub host_list_url: String,
-    /// Level of the log: error, warn, info, debug or trace.
+    /// Minimum severity of logged events: error, warn, info, debug or trace.
     pub log_level: log::LevelFilter,
     /// File that the log is appended to; empty for standard error.
     pub log_file: String,
     /// Interval of heartbeats between entry hosts.
     pub heartbeat_interval: Duration,
-    /// How long a serving lease lasts from the sending of the question that renewed it.
+    /// Length of a serving lease, counted from when the request that renewed it was sent.
     pub lease_length: Duration,
-    /// Longest wait for one answer of the store.
+    /// Timeout of one request to the store.
     pub store_timeout: Duration,
-    /// Longest deadline that a caller may ask for.
+    /// Longest deadline that a caller may set.
     pub max_deadline: Duration,
     /// Largest request body, in bytes.
     pub max_body: usize,
-    /// Most connections of callers held at once.
+    /// Maximum number of open connections from callers.
     pub max_connections: usize,
-    /// Most requests queued for one pool.
+    /// Maximum number of queued requests per pool.
     pub max_queue: usize,
 }
 
@@ -54,7 +54,7 @@
 pub struct PeerSetting {
     /// Its id.
     pub member: MemberId,
-    /// Address at which to dial it, as `ip:port`.
+    /// Address to connect to, as `ip:port`.
     pub address: String,
 }
 
@@ -83,7 +83,7 @@
     }
 }
 
-/// Why settings were refused.
+/// Error in settings.
 pub type SettingsError = TextError;
 
 type SettingRule = KeyRule<ServeSettings>;
@@ -101,7 +101,7 @@
     KeyRule::required(
         "data_centre",
         KeyField::Name(|settings| &mut settings.data_centre),
-        "Data centre that this entry host stands in.",
+        "Data centre of this entry host.",
     ),
     KeyRule::required(
         "address",
@@ -127,7 +127,7 @@
     KeyRule::required(
         "address",
         KeyField::Address(|settings| &mut settings.peer_address),
-        "Address on which other entry hosts are heard, and at which they dial this one.",
+        "Address on which this entry host listens for other entry hosts, and at which they connect to it.",
     ),
     KeyRule::optional(
         "known",
@@ -218,10 +218,10 @@
 ];
 
 impl ServeSettings {
-    /// Reads and checks settings, see `docs/SETTINGS.md`.
+    /// Parses and checks settings, see `docs/SETTINGS.md`.
     ///
     /// # Errors
-    /// The first fault: a missing, unknown or repeated key, or a value out of range.
+    /// The first error: a missing, unknown or repeated key, or a value out of range.
     pub fn from_ini(text: &str) -> Result<Self, SettingsError> {
         let (settings, sections) = read_settings(text, SECTIONS)?;
         settings.check().map_err(|mut error| {
@@ -234,7 +234,7 @@
         Ok(settings)
     }
 
-    /// Every setting there is, for the docs.
+    /// Returns all settings, for the docs.
     pub fn keys() -> Vec<KeyInfo> {
         SECTIONS
             .iter()
@@ -242,10 +242,10 @@
             .collect()
     }
 
-    /// Checks what no single key shows.
+    /// Checks constraints across several keys.
     fn check(&self) -> Result<(), SettingsError> {
-        // With fewer than three heartbeats a lease, one lost message ends the lease of a
-        // host that is well connected, and callers see refusals without a cause.
+        // With fewer than three heartbeats per lease, one lost message lets the lease of a healthy
+        // host expire, and its callers are refused for no reason.
         if self.heartbeat_interval * 3 > self.lease_length {
             let reason = "must be at most a third of lease_length";
             return Err(error_without_line("peers", "heartbeat_interval", reason));
--- a/crates/model/src/settings_text.rs
+++ b/crates/model/src/settings_text.rs
@@ -4,11 +4,11 @@
     key_rule::{KeyRule, fill_section},
 };
 
-/// The sections of a settings file with their rules.
+/// The sections of a settings file with the rules of their keys.
 pub(crate) type SectionRules<T> = [(&'static str, &'static [KeyRule<T>])];
 
-/// Reads settings of which each section is known and each required one present; returns the
-/// sections too, for faults that no single key shows.
+/// Parses settings; unknown sections and missing required sections are errors. Also returns the
+/// sections, so that checks across several keys can report a line number.
 pub(crate) fn read_settings<T: Default>(
     text: &str,
     rules: &SectionRules<T>,
@@ -31,7 +31,7 @@
     Ok((settings, sections))
 }
 
-/// A fault of a section, or of a key in it, whose line is not known yet.
+/// Creates an error for a section, or for a key in it, before its line is known.
 pub(crate) fn error_without_line(section: &str, key: &str, reason: &str) -> TextError {
     TextError {
         line: 0,
--- a/crates/model/src/step_error.rs
+++ b/crates/model/src/step_error.rs
@@ -1,19 +1,19 @@
 use std::fmt;
 
-/// An error that says in which step it arose and which peer was being talked to.
+/// An error with the step that failed and the peer of that step.
 #[derive(Debug, thiserror::Error)]
 pub struct StepError {
-    /// What was being done, as a short verb phrase such as `read key`.
+    /// The step that failed, as a short verb phrase such as `read key`.
     pub step: &'static str,
-    /// Whom it was done with: a member, a host, a URL; empty for none.
+    /// The other side of the step: a member, a host or a URL; empty for none.
     pub peer: String,
-    /// Why it failed.
+    /// The underlying error.
     #[source]
     pub cause: Box<dyn std::error::Error + Send + Sync>,
 }
 
 impl StepError {
-    /// Wraps `cause` with the step and the peer at which it arose.
+    /// Wraps `cause` with the step that failed and its peer.
     pub fn new(
         step: &'static str,
         peer: impl Into<String>,
--- a/crates/model/src/text_error.rs
+++ b/crates/model/src/text_error.rs
@@ -1,15 +1,15 @@
 use std::fmt;
 
-/// Why a text of settings or a manifest was refused.
+/// Error in the text of settings or of a manifest.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TextError {
-    /// Line of the text, from 1; 0 if the fault is not on one line.
+    /// Line of the text, from 1; 0 if the error does not belong to one line.
     pub line: usize,
-    /// Section at fault; empty if none.
+    /// Section with the error; empty if none.
     pub section: String,
-    /// Key at fault; empty if none.
+    /// Key with the error; empty if none.
     pub key: String,
-    /// What is invalid and what is allowed.
+    /// What is wrong and what is allowed.
     pub reason: String,
 }
 
@@ -30,10 +30,10 @@
 
 impl std::error::Error for TextError {}
 
-/// Reads the bytes of a file as text.
+/// Decodes the bytes of a file as UTF-8 text.
 ///
 /// # Errors
-/// Names the line on which the text stops being UTF-8.
+/// If the bytes are not UTF-8; the error has the line of the first invalid byte.
 pub fn decode_utf8(bytes: &[u8]) -> Result<&str, TextError> {
     std::str::from_utf8(bytes).map_err(|error| {
         let before = bytes.get(..error.valid_up_to()).unwrap_or_default();
--- a/crates/model/src/value_text.rs
+++ b/crates/model/src/value_text.rs
@@ -1,8 +1,8 @@
-//! Reading of single values; every error says what is allowed.
+//! Parsers of single values; every error says what is allowed.
 
 use std::{net::SocketAddr, ops::RangeInclusive, time::Duration};
 
-/// Longest name of a pool, team, host or other thing, in characters.
+/// Longest name of a pool, team, host or other item, in characters.
 pub(crate) const MAX_NAME: usize = 40;
 const DAY: Duration = Duration::from_secs(24 * 60 * 60);
 
@@ -52,7 +52,8 @@
     Ok(duration)
 }
 
-/// Shows a span as [`read_duration`] reads it, days not summed up to months.
+/// Formats a duration so that [`read_duration`] can parse it. Whole days stay days instead of
+/// becoming months.
 pub(crate) fn duration_text(duration: Duration) -> String {
     if duration >= DAY && duration.as_secs().is_multiple_of(DAY.as_secs()) {
         return format!("{}d", duration.as_secs() / DAY.as_secs());
@@ -100,7 +101,7 @@
     Ok(text.trim_end_matches('/'))
 }
 
-/// Reads a time of day such as `02:30`, as time since midnight.
+/// Parses a time of day such as `02:30` into the time since midnight.
 pub(crate) fn read_time_of_day(text: &str) -> Result<Duration, String> {
     let invalid = || format!("`{text}` is not a time of day from 00:00 to 23:59");
     let (hours, minutes) = text.split_once(':').ok_or_else(invalid)?;
--- a/crates/model/tests/manifest.rs
+++ b/crates/model/tests/manifest.rs
@@ -1,4 +1,4 @@
-//! A manifest is taken whole or refused whole, with the place of the first fault.
+//! A manifest is accepted or rejected as a whole; an error has the place of the first problem.
 
 use model::{HostRole, Manifest};
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -48,7 +48,7 @@
 
 #[test]
 fn from_sections_empty() {
-    // A fresh deployment has no manifest, and operators grant their first key in it.
+    // A new deployment has no manifest; operators grant the first key in this state.
     let manifest = Manifest::from_sections(&model::SectionTexts::new());
     assert_eq!(manifest, Ok(Manifest::default()));
     assert!(Manifest::from_ini("; nothing\n").is_err());
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn from_ini_two_spares() {
+fn from_ini_two_spare_pools() {
     let spare = "[pool.a]\nrole = worker\nsize = 4\nbudget = 0\nspare = true\n";
     let text = format!("{MANIFEST}{spare}{}", spare.replace("pool.a", "pool.b"));
     let error = Manifest::from_ini(&text).expect_err("must be refused");
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn from_ini_shared_executors() {
+fn from_ini_shared_executor_pool() {
     let text = format!("{MANIFEST}[service.stock]\npool = quote\n");
     let error = Manifest::from_ini(&text).expect_err("must be refused");
     assert_eq!(
@@ -201,7 +201,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// Any text is either read or refused, without a panic, and a fault names a line of the text.
+    /// Parsing arbitrary text never panics, and an error has a line number within the text.
     #[test]
     fn from_ini_any_text(text in "(\\[(pool|team|window)\\.[a-z]\\]|[a-z_]{1,9}|=| |\n|:|;|\\PC){0,80}") {
         if let Err(error) = Manifest::from_ini(&text) {
@@ -209,7 +209,7 @@
         }
     }
 
-    /// What one line swapped for another makes is refused, or means the same after a round trip.
+    /// A manifest with two lines swapped is rejected, or is unchanged by a round trip.
     #[test]
     fn from_ini_swapped_lines(from in 0usize..26, to in 0usize..26) {
         let mut lines: Vec<&str> = MANIFEST.lines().collect();
--- a/crates/model/tests/settings.rs
+++ b/crates/model/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are read whole or refused with the place of the fault.
+//! Settings are accepted as a whole or rejected with the place of the error.
 
 use std::time::Duration;
 
@@ -136,7 +136,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// Any text is either read or refused, without a panic, and a fault names a line of the text.
+    /// Parsing arbitrary text never panics, and an error has a line number within the text.
     #[test]
     fn from_ini_any_text(text in "(\\[[a-z.]{0,9}\\]|[a-z_]{1,9}|=| |\n|:|;|\\PC){0,80}") {
         if let Err(error) = ServeSettings::from_ini(&text) {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// A value that is swapped for another is either in range or refused at its own line.
+    /// An arbitrary value is either valid or rejected with its own line number.
     #[test]
     fn from_ini_any_value(line in 0usize..17, value in "\\PC{0,30}") {
         let mut lines: Vec<String> = SETTINGS.lines().map(str::to_owned).collect();
