--- a/crates/fleet/src/held_job.rs
+++ b/crates/fleet/src/held_job.rs
@@ -5,20 +5,20 @@
 use parking_lot::Mutex;
 use ports::{JobView, QuotaPermit};
 
-/// A job that this entry host holds.
+/// A job that a holder of this entry host manages.
 pub(crate) struct HeldJob {
     pub(crate) state: JobState,
-    /// Unit of the team's limit, held while a worker has or may have the job.
+    /// Quota permit of the team, kept while the job runs or may run on a worker.
     pub(crate) permit: Option<QuotaPermit>,
-    /// Attempt that is recorded as starting, and may be sent.
+    /// Attempt that is recorded as starting and may be sent.
     pub(crate) recorded_attempt: u32,
-    /// Attempt that was sent by this holder, 0 for none.
+    /// Last attempt sent to a worker, 0 for none. For an adopted job, the recorded attempt.
     pub(crate) sent_attempt: u32,
-    /// True for one taken over: its start may have been sent by the holder before.
+    /// True for a job taken over: the former holder may have sent its start.
     pub(crate) adopted: bool,
-    /// Since when its worker has not answered.
+    /// When the worker stopped responding; `None` while it responds.
     pub(crate) unresponsive_since: Option<BootTime>,
-    /// When its worker was last asked.
+    /// When the start of the current attempt was queued.
     pub(crate) asked_at: BootTime,
 }
 
@@ -45,10 +45,10 @@
     }
 }
 
-/// The recorded states of the jobs that this entry host holds, for looking them up.
+/// Recorded states of the jobs that this entry host holds, for lookups by callers.
 pub(crate) type JobTable = Arc<Mutex<BTreeMap<JobId, JobState>>>;
 
-/// What a caller sees of a job.
+/// Returns the view of a job that callers get.
 pub(crate) fn view_of(state: &JobState) -> JobView {
     JobView {
         job: state.spec.job.clone(),
--- a/crates/fleet/src/holder_order.rs
+++ b/crates/fleet/src/holder_order.rs
@@ -2,10 +2,10 @@
 use model::{JobId, PoolId, TeamId};
 use ports::{JobError, JobRequest, JobView};
 
-/// Answers one submission or cancellation.
+/// Channel for the result of one submission or cancellation.
 pub(crate) type ReplySender = Sender<Result<JobView, JobError>>;
 
-/// An order to the holder.
+/// A request to a job holder.
 pub(crate) enum JobOrder {
     Submit {
         request: Box<JobRequest>,
--- a/crates/fleet/src/job_call.rs
+++ b/crates/fleet/src/job_call.rs
@@ -10,12 +10,12 @@
 
 use crate::{WorkerPort, WorkerReport};
 
-/// A call to a worker, made on a thread of the call pool.
+/// A request to a worker, sent by a thread of the caller pool.
 pub(crate) struct WorkerCall {
     pub(crate) worker: HostId,
     pub(crate) address: String,
     pub(crate) kind: CallKind,
-    /// Where the answer goes.
+    /// Channel for the reply.
     pub(crate) reply: Sender<CallReply>,
 }
 
@@ -27,7 +27,7 @@
     Usage,
 }
 
-/// The answer to a call.
+/// The reply to a call.
 pub(crate) struct CallReply {
     pub(crate) worker: HostId,
     pub(crate) asked_at: BootTime,
@@ -35,12 +35,12 @@
 }
 
 pub(crate) enum ReplyKind {
-    /// What a worker said to a start or to a stop.
+    /// Response to a start or a stop.
     Task {
         task: String,
         attempt_report: AttemptReport,
     },
-    /// What it said to a renewal of these tasks, or to the question for them; `None` if it did not answer.
+    /// Response to a renewal or a poll of these tasks; `None` if the worker did not respond.
     Renewed {
         tasks: Vec<String>,
         report: Option<WorkerReport>,
@@ -48,7 +48,7 @@
     Usage(Option<WorkerUsage>),
 }
 
-/// Makes calls from the queue until it closes.
+/// Sends the calls from `queue` until the queue is closed.
 pub(crate) fn run_caller(
     port: &Arc<dyn WorkerPort>,
     clock: &Arc<dyn Clock>,
@@ -63,7 +63,7 @@
             asked_at,
             kind,
         };
-        // A holder that is gone needs no answer.
+        // Sending fails only if the job holder has stopped; the reply is not needed then.
         let _ = call.reply.send(reply);
     }
 }
--- a/crates/fleet/src/job_flush.rs
+++ b/crates/fleet/src/job_flush.rs
@@ -8,18 +8,18 @@
     AppendOutcome, event, held_job::view_of, job_holder::JobHolder, pending_flush::PendingFlush,
 };
 
-/// Most bytes of records in one page; the store takes a megabyte.
+/// Maximum bytes of records in one page. The store accepts values of up to one megabyte.
 const MAX_PAGE_BYTES: usize = 700 * 1024;
-/// Time between two tries while the store takes no writes.
+/// Time between two attempts while the store does not accept writes.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a submission waits for a write whose answer is lost.
+/// How long a submission waits for a write whose result is unknown.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl JobHolder {
-    /// Records what changed, in one write for all of it.
+    /// Writes all changed jobs in one store operation if the flush interval has passed.
     ///
-    /// Writes wait for the interval, so that the number of calls to the store depends on
-    /// the number of entry hosts and not on the number of jobs.
+    /// Changes are batched for the interval, so that the number of store calls grows with
+    /// the number of entry hosts and not with the number of jobs.
     pub(crate) fn flush_if_due(&mut self) {
         let since = self.shared.clock.boot_now().saturating_sub(self.flushed_at);
         let wait = match &self.pending {
@@ -117,8 +117,8 @@
         self.log.drop_oldest();
     }
 
-    /// After a write that certainly took no effect: new jobs are refused, and all other
-    /// changes wait for the next write.
+    /// Handles a write that definitely had no effect: new jobs are rejected, and all other
+    /// changes are marked dirty for the next write.
     fn undo_flush(&mut self, flush: PendingFlush, cause: &str) {
         model::event::warn(&event::JOB_PAGE_UNWRITTEN, format_args!("cause={cause}"));
         for (job, reply) in flush.answers {
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Answers those whose job needs no write, such as one that had ended already.
+    /// Replies to requests whose job needs no write, for example because it had already ended.
     fn reply_unchanged(&mut self) {
         if self.answers.is_empty() {
             return;
--- a/crates/fleet/src/job_holder.rs
+++ b/crates/fleet/src/job_holder.rs
@@ -21,25 +21,25 @@
     pending_flush::PendingFlush,
 };
 
-/// Answers of workers that may wait; callers wait beyond that.
+/// Capacity of the queue of worker replies; caller threads block when it is full.
 const REPLY_QUEUE: usize = 1024;
-/// Jobs that ended and can still be looked up, however lately they ended.
+/// Maximum number of ended jobs that can still be looked up, regardless of their age.
 const MAX_ENDED: usize = 5_000;
 
 /// Intervals of a job holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobTiming {
-    /// Shortest time between two writes; what happens in between shares a write.
+    /// Minimum time between two writes; changes in between are written together.
     pub flush_interval: Duration,
-    /// Time between two renewals of a worker's leases.
+    /// Time between two renewals of the leases of a worker's tasks.
     pub renew_interval: Duration,
-    /// Time between two readings of a worker's use.
+    /// Time between two reads of a worker's resource usage.
     pub usage_interval: Duration,
-    /// Time between two looks at cancellations and at other holders' logs.
+    /// Time between two checks for cancellations and for logs of unreachable holders.
     pub watch_interval: Duration,
-    /// How long a holder must be unreachable before its jobs are taken over.
+    /// How long a holder must be unreachable before its log is taken over.
     pub takeover_after: Duration,
-    /// How long a job that ended can be looked up.
+    /// How long an ended job can be looked up.
     pub ended_retention: Duration,
 }
 
@@ -56,7 +56,8 @@
     }
 }
 
-/// Holds the jobs of one log: records, starts, renews and settles them.
+/// Manages the jobs of one log: records and starts them, renews their leases and applies
+/// their results.
 pub(crate) struct JobHolder {
     pub(crate) shared: Arc<FleetShared>,
     pub(crate) timing: JobTiming,
@@ -64,11 +65,11 @@
     pub(crate) log: JobLog,
     pub(crate) job_table: JobTable,
     pub(crate) jobs: BTreeMap<JobId, HeldJob>,
-    /// Waiting jobs by team, in order of acceptance.
+    /// Waiting jobs by team, ordered by the time of acceptance.
     pub(crate) queues: BTreeMap<TeamId, BTreeSet<(Duration, JobId)>>,
-    /// Jobs that a worker has or may have.
+    /// Jobs that run or may run on a worker.
     pub(crate) placed: BTreeSet<JobId>,
-    /// Jobs that ended, in that order.
+    /// Ended jobs, ordered by the time of their end.
     pub(crate) ended: BTreeSet<(Duration, JobId)>,
     pub(crate) dirty: BTreeSet<JobId>,
     pub(crate) unsent: BTreeSet<JobId>,
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Takes over jobs that another holder recorded.
+    /// Adds jobs that another holder recorded.
     pub(crate) fn adopt_jobs(&mut self, states: Vec<JobState>) {
         for state in states {
             let job = state.spec.job.clone();
@@ -141,8 +142,8 @@
         }
     }
 
-    /// Serves orders until the service stops, the log is taken over, or `inbox` has
-    /// closed and all jobs ended long ago.
+    /// Runs until the service stops or another holder takes the log over. The holder of a
+    /// log that was taken over here also ends once it has no jobs and no orders left.
     pub(crate) fn run(mut self, inbox: &Receiver<JobOrder>) {
         while !self.shared.is_stopping() && !self.fenced {
             self.process_orders(inbox);
@@ -162,7 +163,7 @@
 }
 
 impl JobHolder {
-    /// Replaces the state of a job, to be recorded if `record` is set.
+    /// Replaces the state of a job and marks it for the next write if `record` is set.
     pub(crate) fn set_state(&mut self, job: &JobId, state: JobState, record: bool) {
         let Some(held) = self.jobs.get_mut(job) else {
             return;
@@ -183,7 +184,7 @@
         if record {
             self.dirty.insert(job.clone());
         } else if let Some(shown) = self.job_table.lock().get_mut(job) {
-            // Running is not worth a write of its own: whoever takes over asks the worker.
+            // Running is not written to the store: a holder that takes over polls the worker.
             shown.phase = state.phase;
         }
     }
@@ -194,7 +195,7 @@
         }
     }
 
-    /// True for a log that was taken over from another holder.
+    /// True if the log was taken over from another holder.
     pub(crate) fn is_taken_over(&self) -> bool {
         !self.shared.is_own_log(self.log.name())
     }
@@ -250,7 +251,7 @@
         }
     }
 
-    /// Answers whoever still waits, and removes its jobs from the job table.
+    /// Fails pending requests and removes the jobs of this holder from the job table.
     fn close(mut self) {
         for (_, reply) in self.answers.drain(..) {
             let _ = reply.send(Err(JobError::Unknown("the holder stopped".to_owned())));
@@ -270,10 +271,10 @@
         }
     }
 
-    /// Keeps the units of the team limits until what this holder started must have ended.
+    /// Delays the release of quota permits until the leases of all started tasks expired.
     ///
-    /// Whoever took the log over asks for units of its own. Were these free at once, the
-    /// team could start as many again while its tasks still run.
+    /// The next holder of the log takes permits of its own. If these were released at
+    /// once, the team could exceed its limit while its earlier tasks still run.
     fn delay_permits(&mut self) {
         let until = self.shared.clock.boot_now() + self.policy.lease + self.policy.lease_guard;
         let permits = self.jobs.values_mut().filter_map(|held| held.permit.take());
--- a/crates/fleet/src/job_keeper.rs
+++ b/crates/fleet/src/job_keeper.rs
@@ -14,16 +14,16 @@
 
 /// Key of the index of job logs.
 const INDEX_KEY: &str = "job-logs";
-/// Orders that may wait for one holder.
+/// Capacity of the order queue of one holder.
 const ORDER_QUEUE: usize = 4096;
 /// Stack of a holder's thread, in bytes.
 const STACK_SIZE: usize = 512 * 1024;
 
-/// Keeps this entry host's own job log going, and takes over those of others that are gone.
+/// Runs the job log of this entry host and takes over logs whose holder is unreachable.
 ///
-/// Each life of an entry host has a log of its own. The index in the store names every log
-/// that may hold jobs, so that all entry hosts may be replaced at once and the next ones
-/// still find them.
+/// Each incarnation of an entry host has its own log. The index in the store lists every
+/// log that may hold jobs, so that the logs are found even if all entry hosts are replaced
+/// at once.
 pub(crate) struct JobKeeper {
     pub(crate) shared: Arc<FleetShared>,
     pub(crate) job_service: Arc<JobService>,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Holds own logs, a new one whenever the one before was taken over.
+    /// Runs this entry host's log, and creates a new one whenever the last was taken over.
     pub(crate) fn run_own_logs(&self) {
         let mut generation = 0;
         while !self.shared.is_stopping() {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Looks again and again for logs whose holder is gone.
+    /// Periodically takes over logs whose holder is unreachable.
     pub(crate) fn run_takeovers(mut self) {
         while self.shared.pause(self.shared.job_timing.watch_interval) {
             if let Err(e) = self.take_over_unreachable() {
@@ -99,9 +99,9 @@
         Ok(())
     }
 
-    /// Takes one log over and holds its jobs on a thread of its own.
+    /// Takes over one log and runs its jobs on a separate thread.
     ///
-    /// The holder may be alive and only unreachable. Its next write fails, and it stops.
+    /// The former holder may be alive but unreachable. Its next write fails, and it stops.
     fn take_over(&self, name: &str) -> Result<(), StepError> {
         let own = self.holder_name();
         self.register_log(name, &own)?;
@@ -183,7 +183,8 @@
         Ok((found.version, index))
     }
 
-    /// Writes down that `holder` holds the log `name`, before anything is written to it.
+    /// Records in the index that `holder` holds the log `name`. This precedes any write to
+    /// the log.
     fn register_log(&self, name: &str, holder: &str) -> Result<(), StepError> {
         self.update_index(|logs| {
             logs.retain(|entry| entry.log != name);
@@ -194,7 +195,7 @@
         })
     }
 
-    /// Takes logs out of the index that hold no jobs any more.
+    /// Removes logs without jobs from the index.
     fn unregister_finished(&self) -> Result<(), StepError> {
         let finished = self.shared.finished_logs.lock().clone();
         if finished.is_empty() {
@@ -220,7 +221,7 @@
 }
 
 impl FleetShared {
-    /// True for a log that this process began.
+    /// True if `name` is the log into which this process currently accepts jobs.
     pub(crate) fn is_own_log(&self, name: &str) -> bool {
         *self.own_log.lock() == name
     }
--- a/crates/fleet/src/job_log.rs
+++ b/crates/fleet/src/job_log.rs
@@ -5,44 +5,44 @@
 use store::{KeyStore, StoreError};
 use wire::fleet::{JobPage, JobRecord};
 
-/// Pages beyond which each write also carries on what still counts in the oldest page.
+/// Number of pages above which each write also copies the current records of the oldest page.
 ///
-/// Most jobs have ended, and been forgotten, before their page is the oldest; fewer pages
-/// would have each record written several times.
+/// Most jobs have ended and been forgotten before their page is the oldest. With fewer
+/// pages, each record would be written several times.
 const MAX_PAGES: usize = 256;
 
-/// What became of a write to a job log.
+/// Result of a write to a job log.
 #[derive(Debug)]
 pub enum AppendOutcome {
-    /// It took effect.
+    /// The write took effect.
     Done,
-    /// Another holder took the log over; nothing may be done for its jobs here any more.
+    /// Another holder took the log over; this holder must not act on its jobs any more.
     Fenced,
     /// Nothing was written.
     Failed(StepError),
-    /// No answer: write the same page again until it settles.
+    /// The result is unknown: repeat the same write until it succeeds or fails.
     Unsettled(StepError),
 }
 
 /// The pages of one job log, written by one holder at a time.
 ///
-/// Each write makes a new page at the next number, with compare-and-swap on the number
-/// being free. Whoever takes the log over writes the next page too, so the holder before
-/// fails at that number with its next write, however long it was paused in between. The
-/// page of a take-over is never removed, or the number would become free again.
+/// Each write creates a page at the next number by compare-and-swap, which fails if the
+/// page exists. A takeover also writes the next page, so the next write of the former
+/// holder fails, however long it was paused. Pages of takeovers are never removed, because
+/// that would make their numbers available again.
 pub struct JobLog {
     store: Arc<dyn KeyStore>,
     name: String,
     holder: String,
     next: u64,
-    /// Pages that may hold the newest record of a job, with the jobs.
+    /// Jobs recorded in each page that may hold the newest record of a job.
     pages: BTreeMap<u64, Vec<JobId>>,
     newest: BTreeMap<JobId, u64>,
     takeovers: Vec<u64>,
 }
 
 impl JobLog {
-    /// A new log, which nobody else knows of.
+    /// Creates an empty log under a name that is not in use.
     pub fn create(store: Arc<dyn KeyStore>, name: &str, holder: &str) -> Self {
         Self {
             store,
@@ -55,10 +55,10 @@
         }
     }
 
-    /// Takes a log over from whoever held it, and reads its jobs.
+    /// Takes a log over from its current holder and reads its jobs.
     ///
     /// # Errors
-    /// If the store does not answer, or the holder goes on writing.
+    /// If the store does not respond, or the current holder keeps writing.
     pub fn take_over(
         store: Arc<dyn KeyStore>,
         name: &str,
@@ -81,7 +81,7 @@
     /// Reads the newest records of a log without taking it over.
     ///
     /// # Errors
-    /// If the store does not answer.
+    /// If the store does not respond.
     pub fn peek(store: Arc<dyn KeyStore>, name: &str) -> Result<Vec<JobRecord>, StepError> {
         Self::create(store, name, "").read_pages()
     }
@@ -91,13 +91,13 @@
         &self.name
     }
 
-    /// Records jobs in one write. `records` must be those of all jobs that changed.
+    /// Writes a page with `records`, which must include every job that changed.
     pub fn append(&mut self, records: Vec<JobRecord>) -> AppendOutcome {
         self.write_page(records, false)
     }
 
-    /// Jobs whose newest record would be lost with the oldest page, if it is time to
-    /// remove that.
+    /// Returns the jobs whose newest record is in the oldest page, or `None` while that page
+    /// need not be removed.
     pub fn oldest_jobs(&self) -> Option<Vec<JobId>> {
         if self.pages.len() <= MAX_PAGES {
             return None;
@@ -109,7 +109,7 @@
         Some(live.cloned().collect())
     }
 
-    /// Removes the oldest page, unless the newest record of a job is in it.
+    /// Removes the oldest page if it is due and holds no job's newest record.
     pub fn drop_oldest(&mut self) {
         if self.oldest_jobs().is_none_or(|live| !live.is_empty()) {
             return;
@@ -120,16 +120,16 @@
         if self.takeovers.contains(&page) {
             return;
         }
-        // A page that stays in the store is superseded by newer ones and does no harm.
+        // If this fails, the page stays; newer pages supersede its records.
         let _ = self.store.remove(&self.page_key(page), 1);
     }
 
-    /// Forgets a job that ended long ago, so that it is not carried on.
+    /// Drops an ended job, so that its record is not copied to newer pages.
     pub fn forget(&mut self, job: &JobId) {
         self.newest.remove(job);
     }
 
-    /// Removes all pages but those of take-overs.
+    /// Removes all pages except those of takeovers.
     pub fn clear(&mut self) {
         while let Some((page, _)) = self.pages.pop_first() {
             if !self.takeovers.contains(&page) {
@@ -139,7 +139,7 @@
     }
 }
 
-/// Tries at taking over a log that is being written.
+/// Attempts to take over a log while its holder keeps writing.
 const TAKE_OVER_TRIES: u32 = 8;
 
 impl JobLog {
@@ -183,7 +183,7 @@
         AppendOutcome::Done
     }
 
-    /// True if the page is the one that this holder wrote; its answer was lost then.
+    /// True if the stored page equals `bytes`: this holder wrote it and the response was lost.
     fn is_own_page(&self, key: &str, bytes: &[u8]) -> Result<bool, StepError> {
         let found = self
             .store
--- a/crates/fleet/src/job_order.rs
+++ b/crates/fleet/src/job_order.rs
@@ -11,13 +11,13 @@
     job_holder::JobHolder,
 };
 
-/// Longest wait for orders between two looks at everything else.
+/// Maximum wait for orders before the other work of the loop runs.
 const TICK: Duration = Duration::from_millis(20);
-/// Orders taken in one go.
+/// Maximum number of orders processed in one iteration, after the first.
 const ORDERS_AT_ONCE: usize = 1024;
-/// Jobs held at once, beyond which submissions are refused.
+/// Maximum number of unfinished jobs; further submissions are rejected.
 const MAX_JOBS: usize = 20_000;
-/// Payload bytes held at once, beyond which submissions are refused.
+/// Total payload bytes above which submissions are rejected.
 const MAX_PAYLOAD: usize = 24 * 1024 * 1024;
 
 impl JobHolder {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Queues a submission; it is answered once it is recorded.
+    /// Queues a submission; the reply is sent once the job is recorded.
     fn accept(&mut self, request: JobRequest, pool: PoolId, reply: ReplySender) {
         let key = (request.team.clone(), request.request.to_string());
         if let Some(job) = self.requests.get(&key) {
@@ -75,7 +75,7 @@
         self.answers.push((job, reply));
     }
 
-    /// Answers a repeated submission, once the first is recorded.
+    /// Replies to a repeated submission once the first is recorded.
     fn answer_repeat(&mut self, job: &JobId, reply: ReplySender) {
         let recorded = self.job_table.lock().get(job).map(view_of);
         match recorded {
@@ -96,7 +96,7 @@
         self.answers.push((job.clone(), reply.clone()));
     }
 
-    /// Cancels a job of this log; one that a worker has is stopped there.
+    /// Cancels a job of this log; if it runs on a worker, it is stopped there.
     pub(crate) fn cancel_job(&mut self, job: &JobId) {
         let Some(held) = self.jobs.get(job) else {
             return;
@@ -111,7 +111,7 @@
         self.requests.insert(key, state.spec.job.clone());
     }
 
-    /// Takes back a job that could not be recorded.
+    /// Removes a job that could not be recorded.
     pub(crate) fn remove_unrecorded(&mut self, job: &JobId) {
         let Some(held) = self.jobs.remove(job) else {
             return;
--- a/crates/fleet/src/job_service.rs
+++ b/crates/fleet/src/job_service.rs
@@ -19,23 +19,23 @@
     holder_order::{JobOrder, ReplySender},
 };
 
-/// Largest payload of a job, in bytes; one page of records holds several.
+/// Maximum payload of a job in bytes. It is small enough for several jobs to fit into one page.
 const MOST_PAYLOAD: usize = 256 * 1024;
-/// Longest wait for a holder's answer.
+/// Timeout for the reply of a job holder.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
-/// How long what was read of another holder's log is shown.
+/// How long the cached content of another holder's log is used before it is read again.
 const FOREIGN_MAX_AGE: Duration = Duration::from_secs(1);
-/// Most cancellations that wait for one holder.
+/// Maximum number of pending cancellations for one holder.
 const MAX_CANCELS: usize = 20_000;
-/// Shortest time between two writes of cancellations.
+/// Minimum time between two writes of cancellations.
 const CANCEL_INTERVAL: Duration = Duration::from_millis(100);
-/// Tries at writing cancellations while others write too.
+/// Attempts to write cancellations when concurrent writers cause conflicts.
 const CANCEL_TRIES: u32 = 8;
 
-/// Orders to the holders in this process, by log.
+/// Channels to the job holders in this process, by log name.
 pub(crate) type HolderRoutes = Mutex<BTreeMap<String, Sender<JobOrder>>>;
 
-/// Where callers' operations on jobs arrive.
+/// Handles callers' requests on jobs: submit, view and cancel.
 pub(crate) struct JobService {
     pub(crate) shared: Arc<FleetShared>,
     pub(crate) routes: HolderRoutes,
@@ -49,7 +49,7 @@
     jobs: BTreeMap<JobId, JobState>,
 }
 
-/// Cancellations for one log, each with whoever waits for it.
+/// Pending cancellations for one log, each with the channel for its result.
 type CancelBatch = Vec<(JobId, Sender<Result<(), JobError>>)>;
 
 impl JobService {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// A job of a log that this process does not hold, as the store has it.
+    /// Returns a job of a log that another process holds, as recorded in the store.
     fn foreign_job(&self, team: &TeamId, job: &JobId) -> Result<JobState, JobError> {
         let log = log_of(job).ok_or(JobError::NotFound)?;
         let mut foreign = self.foreign.lock();
@@ -113,7 +113,7 @@
             .ok_or(JobError::NotFound)
     }
 
-    /// Has a cancellation written for another holder.
+    /// Queues a cancellation for a job of another holder and waits until it is written.
     fn cancel_foreign(&self, job: &JobId) -> Result<(), JobError> {
         let log = log_of(job).ok_or(JobError::NotFound)?.to_owned();
         let (reply, answer) = crossbeam_channel::bounded(1);
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Writes the cancellations that wait, all for one log in one write.
+    /// Writes pending cancellations periodically, one write per log for all of its jobs.
     pub(crate) fn run_cancels(&self) {
         while self.shared.pause(CANCEL_INTERVAL) {
             let batches = std::mem::take(&mut *self.cancels.lock());
@@ -139,7 +139,7 @@
                 let jobs: Vec<JobId> = batch.iter().map(|(job, _)| job.clone()).collect();
                 let outcome = self.write_cancels(&log, &jobs);
                 for (_, reply) in batch {
-                    // Whoever gave up waiting asks again.
+                    // Sending fails only if the caller timed out; it retries.
                     let _ = reply.send(outcome.clone());
                 }
             }
@@ -222,7 +222,7 @@
     }
 }
 
-/// Log that a job was accepted into, which its id names.
+/// Returns the name of the log that accepted a job; it is the prefix of the job id.
 fn log_of(job: &JobId) -> Option<&str> {
     job.rsplit_once('-').map(|(log, _)| log)
 }
--- a/crates/fleet/src/job_settle.rs
+++ b/crates/fleet/src/job_settle.rs
@@ -9,9 +9,9 @@
     job_holder::JobHolder,
 };
 
-/// Tasks renewed in one call.
+/// Maximum number of tasks in one renewal or poll.
 const RENEWED_AT_ONCE: usize = 500;
-/// Answers taken in one go.
+/// Maximum number of replies processed in one iteration.
 const REPLIES_AT_ONCE: usize = 512;
 
 impl JobHolder {
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Moves a job on by what its worker said of the current attempt; answers for other
-    /// attempts come late and are dropped.
+    /// Applies a worker's report to the current attempt of a job. Late reports of other
+    /// attempts are dropped.
     fn apply_attempt_report(
         &mut self,
         worker: &HostId,
@@ -83,7 +83,7 @@
         let current = held.state.kind() == PhaseKind::Placed
             && held.state.task_id() == task
             && held.state.worker == *worker;
-        // A renewal that went out before the start proves nothing of it.
+        // A renewal sent before the start cannot show whether the start took effect.
         if !current || asked_at < held.asked_at && *attempt_report == AttemptReport::Unknown {
             return;
         }
@@ -96,7 +96,7 @@
         self.apply(&job, &attempt_report, boot);
     }
 
-    /// Silence of a worker that is not in the pool map any more is for good.
+    /// Treats an unresponsive worker as gone if it is retired or no longer in the pool map.
     fn check_host_retired(&self, worker: &HostId, attempt_report: &AttemptReport) -> AttemptReport {
         if *attempt_report != AttemptReport::Unresponsive {
             return attempt_report.clone();
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Sends a recorded start again, on a unit of the team's limit: the one that it was
-    /// recorded with may be in use elsewhere if another holder took it.
+    /// Sends a recorded start again if this holder has a quota permit for the job. After a
+    /// takeover, the permit of the former holder may be in use elsewhere.
     fn resend(&self, job: &JobId, state: &JobState) {
         let held = self.jobs.get(job);
         if held.is_some_and(|held| held.permit.is_some()) {
@@ -159,7 +159,8 @@
         }
     }
 
-    /// Learns about workers from how an attempt ended.
+    /// Updates the worker's success and failure records and logs suspect workers and parked
+    /// jobs.
     fn record_outcome(
         &mut self,
         before: &JobState,
@@ -193,8 +194,8 @@
         }
     }
 
-    /// Renews the leases of all tasks, one call for each worker, and asks for those that
-    /// must not be renewed.
+    /// Renews the leases of all tasks, batched by worker, and polls those that must not be
+    /// renewed.
     pub(crate) fn renew_leases(&mut self) {
         let now = self.shared.clock.boot_now();
         if now.saturating_sub(self.renewed_at) < self.timing.renew_interval {
@@ -225,12 +226,12 @@
         }
     }
 
-    /// True if a task's lease may be renewed: it was sent, and this holder has a unit of
-    /// the team's limit for it.
+    /// True if a task's lease may be renewed: it was sent, and this holder has a quota permit
+    /// for it.
     ///
-    /// A task that was taken over runs on the unit of the holder before, which others
-    /// may use once the task must have ended. Renewed without a unit of its own it would
-    /// run beyond that, and the team could have more running than its limit.
+    /// A task that was taken over uses the permit of the former holder, which is released
+    /// once the lease of the task has expired. Renewing the lease without a new permit would
+    /// let the team run more tasks than its limit.
     fn may_renew(&mut self, job: &JobId) -> bool {
         let Some(held) = self.jobs.get_mut(job) else {
             return false;
--- a/crates/fleet/src/job_start.rs
+++ b/crates/fleet/src/job_start.rs
@@ -15,15 +15,15 @@
     job_holder::JobHolder,
 };
 
-/// Jobs of one team looked at in one pass.
+/// Maximum number of jobs of one team considered in one pass.
 const MAX_CANDIDATES: usize = 64;
 
 impl JobHolder {
-    /// Places waiting jobs, each team as many as its share in turn.
+    /// Places waiting jobs, for each team at most as many as its share.
     ///
-    /// Placing only marks the job as starting. It is sent once that is recorded: if this
-    /// holder died in between, nobody would know that a worker may have the task, and a
-    /// non-idempotent job would be started again.
+    /// Placement only marks the job as starting. The start is sent after that is recorded.
+    /// Otherwise, if this holder crashed in between, the next holder would not know that a
+    /// worker may have the task and would start a non-idempotent job twice.
     pub(crate) fn start_jobs(&mut self) {
         if self.pending.is_some() {
             return;
@@ -91,7 +91,8 @@
             return Err(PlacementRefusal::NoRoom);
         };
         let now = self.shared.clock.boot_now();
-        // The declared size decides whether it can ever fit, the corrected one where.
+        // The declared size decides whether the job can ever fit, the corrected one which
+        // worker it fits on now.
         let corrected = self.corrected_size(state);
         match worker_table.choose_worker(corrected, &state.failed_on, now) {
             Err(PlacementRefusal::NeverFits) => {
@@ -118,7 +119,8 @@
         self.set_state(job, state.next_attempt(worker, &boot), true);
     }
 
-    /// Parks a job that no worker of its pool could take, once the pool is surely known.
+    /// Parks a job that is too large for every worker of its pool. It waits for the lease
+    /// time first, so that the workers of the pool are known.
     fn park_unfit(&mut self, job: &JobId, state: &JobState) {
         let now = self.shared.clock.unix_now();
         if now < state.spec.accepted + self.policy.lease {
@@ -136,7 +138,7 @@
         self.set_state(job, state.ended_as(JobPhase::Parked, &reason, now), true);
     }
 
-    /// Sends what is recorded as starting.
+    /// Sends the starts that have been recorded.
     pub(crate) fn send_recorded(&mut self) {
         for job in std::mem::take(&mut self.unsent) {
             let Some(held) = self.jobs.get(&job) else {
@@ -160,7 +162,7 @@
         }
     }
 
-    /// Queues the call that starts a task; false if the queue is full.
+    /// Queues the call that starts a task; returns false if the queue is full.
     pub(crate) fn send_start(&self, state: &JobState, first: bool) -> bool {
         let kind = CallKind::Start {
             job: Box::new(state.clone()),
@@ -183,7 +185,7 @@
         !matches!(self.calls.try_send(call), Err(TrySendError::Full(_)))
     }
 
-    /// Looks at workers, their use, and cancellations that other members wrote down.
+    /// Refreshes the workers and their usage, and reads cancellations of other members.
     pub(crate) fn refresh_inputs(&mut self) {
         let now = self.shared.clock.boot_now();
         if now.saturating_sub(self.usage_at) >= self.timing.usage_interval
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Applies cancellations that other members wrote down, and empties the list.
+    /// Applies cancellations that other members recorded and clears the list.
     fn apply_cancels(&mut self) {
         let key = format!("job-cancels/{}", self.log.name());
         let Ok(Some(found)) = self.shared.store.read(&key) else {
@@ -240,7 +242,7 @@
         for job in &cancels.jobs {
             self.cancel_job(&job.as_str().into());
         }
-        // Left in place it is applied again, which is harmless.
+        // If this fails, the list is applied again, which has no further effect.
         let empty = JobCancels::default().encode_to_vec();
         let _ = self.shared.store.swap(&key, found.version, &empty);
     }
--- a/crates/fleet/src/pending_flush.rs
+++ b/crates/fleet/src/pending_flush.rs
@@ -5,12 +5,12 @@
 
 use crate::holder_order::ReplySender;
 
-/// A write that was begun, with what it settles.
+/// A write in progress, with the jobs and replies that depend on it.
 pub(crate) struct PendingFlush {
     pub(crate) records: Vec<JobRecord>,
     pub(crate) states: Vec<(JobId, u32)>,
     pub(crate) answers: Vec<(JobId, ReplySender)>,
     pub(crate) began: Duration,
-    /// True once a try went unanswered: the page may be there.
+    /// True once an attempt had an unknown result: the page may exist in the store.
     pub(crate) unsettled: bool,
 }
