--- a/crates/fleet/src/duty_owner.rs
+++ b/crates/fleet/src/duty_owner.rs
@@ -1,10 +1,10 @@
 use decide::rendezvous;
 use ports::MemberSource;
 
-/// True if this entry host has the duty now, by rendezvous hashing over those reachable.
+/// True if this entry host owns `duty`, by rendezvous hashing over the reachable members.
 ///
-/// Hosts may disagree for a while, and then a duty has two owners or none. What an owner
-/// writes is guarded by compare-and-swap, so two waste work and break nothing.
+/// Members may disagree for a while, so a duty can have two owners or none. Owners write
+/// by compare-and-swap, so two owners only duplicate work.
 pub(crate) fn owns_duty(members: &dyn MemberSource, duty: &str) -> bool {
     let list = members.members();
     let reachable = list.iter().filter(|info| info.reachable && !info.leaving);
--- a/crates/fleet/src/fleet_audit.rs
+++ b/crates/fleet/src/fleet_audit.rs
@@ -4,11 +4,11 @@
 
 use crate::{fleet_shared::FleetShared, map_store::MapSnapshot};
 
-/// Hands those changes of the pool map to the audit trail that this entry host wrote and
-/// that are newer than `known`.
+/// Records the changes of the pool map that this entry host wrote and that are newer than
+/// `known` in the audit trail.
 ///
-/// The changes are taken from the head that was read and not from what was sent, so that
-/// a write whose answer was lost is noted too, and one that took no effect is not.
+/// The changes come from the stored head and not from the requests. So a write whose
+/// response was lost is recorded, and a write without effect is not.
 pub(crate) fn audit_changes(shared: &FleetShared, known: &MapSnapshot, newer: &MapSnapshot) {
     let Some(audit) = &shared.audit else {
         return;
--- a/crates/fleet/src/fleet_service.rs
+++ b/crates/fleet/src/fleet_service.rs
@@ -29,57 +29,57 @@
     target_view::TargetView,
 };
 
-/// The one shard of the pool map, see `docs/design/07-fleet.md` on why one is enough.
+/// The only shard of the pool map; `docs/design/07-fleet.md` explains why one suffices.
 const SHARD: &str = "0";
 
-/// Threads that probe hosts.
+/// Number of threads that probe hosts.
 const PROBERS: usize = 6;
 
-/// Probes that may wait; more are dropped and come back in the next round.
+/// Capacity of the probe queue; further probes are dropped and queued in a later round.
 const PROBE_QUEUE: usize = 64;
 
-/// Threads that call workers.
+/// Number of threads that call workers.
 const CALLERS: usize = 6;
 
-/// Calls to workers that may wait; more are made in a later turn.
+/// Capacity of the queue of calls to workers; starts beyond it are retried.
 const CALL_QUEUE: usize = 1024;
 
-/// Stack of a thread of the fleet, in bytes.
+/// Stack size of the threads of the fleet service, in bytes.
 const STACK_SIZE: usize = 256 * 1024;
 
-/// What the fleet needs of its surroundings.
+/// Dependencies and settings of the fleet service.
 #[derive(Clone)]
 pub struct FleetOptions {
     /// The configuration store.
     pub store: Arc<dyn KeyStore>,
-    /// The platform's host list.
+    /// Host list of the platform.
     pub hosts: Arc<dyn HostList>,
-    /// The manifest in force.
+    /// Source of the active configuration.
     pub config: Arc<dyn ConfigSource>,
-    /// The entry hosts, which share out the duties.
+    /// Members of the group of entry hosts, among which duties are distributed.
     pub members: Arc<dyn MemberSource>,
-    /// The machine's clocks.
+    /// Clocks of the machine.
     pub clock: Arc<dyn Clock>,
-    /// Where changes of the pool map are noted.
+    /// Audit trail for changes of the pool map; `None` for no audit.
     pub audit: Option<Arc<dyn AuditSink>>,
-    /// Units of team limits, one for each running task.
+    /// Source of quota permits, one for each running task.
     pub quota: Arc<dyn QuotaSource>,
-    /// Calls to hosts; `None` for HTTP.
+    /// Port for requests to hosts; `None` for HTTP.
     pub port: Option<Arc<dyn HostPort>>,
-    /// Calls to workers; `None` for HTTP.
+    /// Port for requests to workers; `None` for HTTP.
     pub workers: Option<Arc<dyn WorkerPort>>,
-    /// Intervals of the duties.
+    /// Intervals and age limits of the service.
     pub timing: FleetTiming,
     /// Intervals of job holders.
     pub job_timing: JobTiming,
-    /// How often and how soon jobs are tried again.
+    /// Leases and retries of jobs.
     pub job_policy: JobPolicy,
-    /// Times and counts by which hosts are judged.
+    /// Limits for maintenance and for lost hosts.
     pub limits: FleetLimits,
 }
 
 impl FleetOptions {
-    /// Options with the usual intervals and limits, and hosts called over HTTP.
+    /// Creates options with default intervals and limits and with HTTP ports.
     pub fn new(
         store: Arc<dyn KeyStore>,
         hosts: Arc<dyn HostList>,
@@ -105,28 +105,28 @@
         }
     }
 
-    /// Notes changes of the pool map in `audit`.
+    /// Records changes of the pool map in `audit`.
     #[must_use]
     pub fn with_audit(mut self, audit: Arc<dyn AuditSink>) -> Self {
         self.audit = Some(audit);
         self
     }
 
-    /// Calls hosts through `port`.
+    /// Sends requests to hosts through `port`.
     #[must_use]
     pub fn with_port(mut self, port: Arc<dyn HostPort>) -> Self {
         self.port = Some(port);
         self
     }
 
-    /// Calls workers through `workers`.
+    /// Sends requests to workers through `workers`.
     #[must_use]
     pub fn with_workers(mut self, workers: Arc<dyn WorkerPort>) -> Self {
         self.workers = Some(workers);
         self
     }
 
-    /// Uses other intervals and another policy for jobs.
+    /// Sets the intervals and the policy of jobs.
     #[must_use]
     pub fn with_jobs(mut self, timing: JobTiming, policy: JobPolicy) -> Self {
         self.job_timing = timing;
@@ -134,14 +134,14 @@
         self
     }
 
-    /// Uses other intervals.
+    /// Sets the intervals of the service.
     #[must_use]
     pub fn with_timing(mut self, timing: FleetTiming) -> Self {
         self.timing = timing;
         self
     }
 
-    /// Uses other limits.
+    /// Sets the limits for hosts.
     #[must_use]
     pub fn with_limits(mut self, limits: FleetLimits) -> Self {
         self.limits = limits;
@@ -149,17 +149,17 @@
     }
 }
 
-/// Pools, hosts and jobs of this entry host. Its threads end when it is dropped.
+/// Manages pools, hosts and jobs on this entry host. Its threads stop after it is dropped.
 pub struct FleetService {
     shared: Arc<FleetShared>,
     job_service: Arc<JobService>,
 }
 
 impl FleetService {
-    /// Starts the threads of the fleet.
+    /// Starts the threads of the service.
     ///
     /// # Errors
-    /// If a thread can't be started. A store or a host list that is down is no error.
+    /// If a thread can't be started. An unavailable store or host list is not an error.
     pub fn start(options: FleetOptions) -> Result<Arc<Self>, StepError> {
         let workers = options.workers.clone();
         let workers = workers.unwrap_or_else(|| Arc::new(HttpWorker::new()));
@@ -174,7 +174,7 @@
         Ok(Arc::new(service))
     }
 
-    /// Stops all threads soon; what hosts run goes on.
+    /// Signals all threads to stop. Work on hosts continues.
     pub fn stop(&self) {
         self.shared.stopping.store(true, Ordering::Release);
     }
@@ -295,7 +295,7 @@
     }
 }
 
-/// Follows the pool map with one watch at a time, which the store counts as one call.
+/// Follows the pool map with one watch at a time; the store counts each as one call.
 fn run_map_watch(shared: &Arc<FleetShared>) {
     let map_store = MapStore::new(Arc::clone(&shared.store), SHARD);
     while !shared.is_stopping() {
--- a/crates/fleet/src/fleet_shared.rs
+++ b/crates/fleet/src/fleet_shared.rs
@@ -21,23 +21,23 @@
 
 use crate::{HostPort, JobTiming, MapSnapshot, list_view::ListView, target_view::TargetView};
 
-/// Longest sleep between two looks at the stop flag.
+/// Maximum sleep between two checks of the stop flag.
 const STOP_CHECK: Duration = Duration::from_millis(50);
 
-/// Intervals of the fleet's duties.
+/// Intervals and age limits of the fleet service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetTiming {
     /// Time between two reads of the host list.
     pub list_interval: Duration,
-    /// How long one watch on the pool map waits; each counts as a call to the store.
+    /// Timeout of one watch on the pool map; each watch counts as a call to the store.
     pub watch_timeout: Duration,
     /// Time between two planning rounds.
     pub round_interval: Duration,
-    /// Age at which an answer of a health endpoint no longer counts.
+    /// Maximum age of a health report that is still used.
     pub health_age: Duration,
-    /// Time a new planner only watches, so that the one before has stopped acting.
+    /// How long a new planner only observes, so that the former one has stopped acting.
     pub takeover: Duration,
-    /// Age at which the host list no longer counts as fresh.
+    /// Maximum age of a host list that counts as fresh.
     pub list_age: Duration,
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// What the threads of the fleet share.
+/// State shared by the threads of the fleet service.
 pub(crate) struct FleetShared {
     pub(crate) store: Arc<dyn KeyStore>,
     pub(crate) hosts: Arc<dyn HostList>,
@@ -66,11 +66,11 @@
     pub(crate) port: Arc<dyn HostPort>,
     pub(crate) job_timing: JobTiming,
     pub(crate) job_policy: JobPolicy,
-    /// Log into which jobs are accepted here; empty before there is one.
+    /// Name of the log into which this entry host accepts jobs; empty before the first log.
     pub(crate) own_log: Mutex<String>,
-    /// Units of team limits that are free only after a time.
+    /// Quota permits, each with the time before which it must not be released.
     pub(crate) delayed_permits: Mutex<Vec<(BootTime, QuotaPermit)>>,
-    /// Logs taken over here that hold no jobs any more.
+    /// Logs taken over by this entry host that hold no jobs any more.
     pub(crate) finished_logs: Mutex<BTreeSet<String>>,
     pub(crate) timing: FleetTiming,
     pub(crate) limits: FleetLimits,
@@ -81,7 +81,7 @@
 }
 
 impl FleetShared {
-    /// Sleeps for `time`, or less if the service stops; false once it does.
+    /// Sleeps for `time`. Returns early with false if the service stops.
     pub(crate) fn pause(&self, time: Duration) -> bool {
         let until = self.clock.boot_now() + time;
         while !self.stopping.load(Ordering::Acquire) {
@@ -98,7 +98,7 @@
         self.stopping.load(Ordering::Acquire)
     }
 
-    /// Takes over `snapshot` unless a newer one is held, and renews the targets.
+    /// Stores `snapshot` unless the current one is newer, and rebuilds the targets.
     pub(crate) fn adopt(&self, snapshot: MapSnapshot) {
         {
             let mut held = self.snapshot.lock();
@@ -110,7 +110,7 @@
         self.rebuild_targets();
     }
 
-    /// Computes the targets of all pools from the map and the host list.
+    /// Rebuilds the targets of all pools from the pool map and the host list.
     pub(crate) fn rebuild_targets(&self) {
         let held = self.snapshot.lock();
         let list = self.list.load();
@@ -118,7 +118,7 @@
         self.targets.store(Arc::new(view));
     }
 
-    /// Gives back units of team limits whose time has come.
+    /// Releases the delayed quota permits that are due.
     pub(crate) fn release_due_permits(&self) {
         let now = self.clock.boot_now();
         self.delayed_permits
@@ -126,7 +126,7 @@
             .retain(|(until, _)| now < *until);
     }
 
-    /// True if the host list was read lately.
+    /// True if the last read of the host list is recent enough.
     pub(crate) fn list_fresh(&self) -> bool {
         let Some(read_at) = self.list.load().read_at else {
             return false;
@@ -134,7 +134,7 @@
         self.clock.boot_now().saturating_sub(read_at) <= self.timing.list_age
     }
 
-    /// What the host list says of each host of the map and of hosts that are new.
+    /// Returns the observation of each host in the pool map or the host list.
     pub(crate) fn observations(&self) -> BTreeMap<HostId, HostObservation> {
         let now = self.clock.boot_now();
         let list = self.list.load();
@@ -150,7 +150,7 @@
 }
 
 impl FleetShared {
-    /// Where a host listens, by the host list or else the pool map.
+    /// Address of a host from the host list, or else from the pool map.
     pub(crate) fn host_address(&self, host: &HostId) -> Option<String> {
         if let Some(entry) = self.list.load().entries.get(host) {
             return Some(entry.address.clone());
@@ -160,14 +160,14 @@
         Some(state.facts.address.clone())
     }
 
-    /// True for a host that was given up, and will not answer for its tasks again.
+    /// True if a host is retired or not in the pool map; its tasks will not be reported again.
     pub(crate) fn is_host_gone(&self, host: &HostId) -> bool {
         let held = self.snapshot.lock();
         let state = held.map.hosts.get(host);
         held.version > 0 && state.is_none_or(|state| state.phase == HostPhase::Retired)
     }
 
-    /// The workers of a pool, and whether each takes new work.
+    /// Returns the hosts of a pool with their facts and whether each is serving.
     pub(crate) fn pool_workers(&self, pool: &PoolId) -> Vec<(HostId, HostFacts, bool)> {
         let targets = self.targets.load().pool(pool);
         let held = self.snapshot.lock();
--- a/crates/fleet/src/host_port.rs
+++ b/crates/fleet/src/host_port.rs
@@ -3,31 +3,31 @@
 use model::StepError;
 use serde::Deserialize;
 
-/// Longest wait for an answer of a host.
+/// Timeout of a request to a host.
 const HOST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a host says of itself.
+/// Health report of a host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HealthReport {
-    /// True if it takes no new work.
+    /// True if the host accepts no new work.
     pub draining: bool,
-    /// Requests and tasks that it runs.
+    /// Number of requests and tasks that run on the host.
     pub running: u32,
 }
 
-/// Calls to hosts that concern their service and not their work.
+/// Requests to hosts for health, drain and reboot.
 pub trait HostPort: Send + Sync {
-    /// Asks a host how it is.
+    /// Reads the health of a host.
     ///
     /// # Errors
-    /// If it does not answer in time.
+    /// If the host does not respond in time.
     fn health(&self, address: &str) -> Result<HealthReport, StepError>;
-    /// Tells a host to take no new work; harmless to repeat.
+    /// Asks a host to accept no new work. Idempotent.
     ///
     /// # Errors
     /// As for [`HostPort::health`].
     fn drain(&self, address: &str) -> Result<(), StepError>;
-    /// Tells a host to take new work again; harmless to repeat.
+    /// Asks a host to accept new work again. Idempotent.
     ///
     /// # Errors
     /// As for [`HostPort::health`].
@@ -35,11 +35,11 @@
     /// Restarts a host.
     ///
     /// # Errors
-    /// As for [`HostPort::health`]; the host may restart all the same.
+    /// As for [`HostPort::health`]; the host may restart even so.
     fn reboot(&self, address: &str) -> Result<(), StepError>;
 }
 
-/// The hosts' HTTP interface, see `docs/PLATFORM.md`.
+/// Client of the HTTP interface of hosts, see `docs/PLATFORM.md`.
 pub struct HttpPort {
     agent: ureq::Agent,
 }
@@ -51,7 +51,7 @@
 }
 
 impl HttpPort {
-    /// A port with its own connections.
+    /// Creates a port with its own connections.
     pub fn new() -> Self {
         let config = ureq::Agent::config_builder()
             .timeout_global(Some(HOST_TIMEOUT))
--- a/crates/fleet/src/host_watch.rs
+++ b/crates/fleet/src/host_watch.rs
@@ -6,7 +6,7 @@
 
 use crate::{fleet_shared::FleetShared, list_view::ListView};
 
-/// Reads the host list again and again.
+/// Reads the host list periodically until the service stops.
 pub(crate) fn run_list_watch(shared: &Arc<FleetShared>) {
     loop {
         read_list(shared);
@@ -17,8 +17,8 @@
     }
 }
 
-/// Reads the list once. A list that can't be read changes nothing: hosts are not lost
-/// because the list is.
+/// Reads the list once. If that fails, the last view stays, because an unavailable list
+/// does not mean that hosts are lost.
 fn read_list(shared: &FleetShared) {
     let asked_at = shared.clock.boot_now();
     match shared.hosts.hosts() {
@@ -36,10 +36,11 @@
 }
 
 impl ListView {
-    /// The view after the list was read with `entries`; `known` are hosts of the pool map.
+    /// Returns the view after a read of `entries`; `known` are the hosts of the pool map.
     ///
-    /// A host's absence is counted from reads only. While the list is down no time is
-    /// added, and the first read after an outage does not make a host lost at once.
+    /// Absence is counted between successful reads only, and each gap between reads counts
+    /// up to a limit. So the first read after an outage of the list does not make a host
+    /// lost at once.
     pub(crate) fn after_read(
         &self,
         entries: Vec<HostEntry>,
@@ -72,7 +73,7 @@
         }
     }
 
-    /// What the list says of `host`.
+    /// Returns the facts and the absence of `host` according to the list.
     pub(crate) fn observation(&self, host: &HostId, now: BootTime) -> HostObservation {
         let entry = self.entries.get(host);
         HostObservation {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// How long the list has not shown `host`, up to the newest read.
+    /// How long `host` has been missing from the list, up to the last read.
     pub(crate) fn missing_for(&self, host: &HostId, now: BootTime) -> Duration {
         let Some(since) = self.missing.get(host) else {
             return Duration::ZERO;
@@ -92,7 +93,7 @@
         read_at.saturating_sub(*since)
     }
 
-    /// Time between two reads that counts in full towards an absence.
+    /// Maximum time between two reads that counts towards an absence.
     const MAX_COUNTED_GAP: Duration = Duration::from_secs(3);
 }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,9 +1,9 @@
 //! Pools, hosts, maintenance waves, moves and jobs on workers.
 //!
-//! Start with [`FleetService::start`]. It keeps the pool map current, tells the other
-//! areas which targets a pool has, and on one entry host at a time plans outages and
-//! carries them out. The decisions are in `decide::budget` and `decide::wave`; here they
-//! meet the store, the host list and the hosts. See `docs/design/07-fleet.md`.
+//! Start with [`FleetService::start`]. It keeps the pool map current, provides the targets
+//! of each pool, and plans and executes outages on one entry host at a time. The decisions
+//! are in `decide::budget` and `decide::wave`; this crate connects them to the store, the
+//! host list and the hosts. See `docs/design/07-fleet.md`.
 
 pub mod event;
 
--- a/crates/fleet/src/list_view.rs
+++ b/crates/fleet/src/list_view.rs
@@ -3,13 +3,14 @@
 use model::{BootTime, HostId};
 use store::HostEntry;
 
-/// The host list as this entry host last read it.
+/// The host list as last read by this entry host.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ListView {
-    /// When the newest whole list was asked for; `None` before the first.
+    /// When the last complete list was requested; `None` before the first read.
     pub(crate) read_at: Option<BootTime>,
-    /// Its entries.
+    /// Entries of the list by host.
     pub(crate) entries: BTreeMap<HostId, HostEntry>,
-    /// When each host that is not listed was first found missing.
+    /// When each unlisted host was first missing, shifted by the gaps between reads that are not
+    /// counted.
     pub(crate) missing: BTreeMap<HostId, BootTime>,
 }
--- a/crates/fleet/src/map_store.rs
+++ b/crates/fleet/src/map_store.rs
@@ -6,14 +6,14 @@
 use store::{KeyStore, StoreError, StoreVersion};
 use wire::fleet::{FleetChange, FleetRecord};
 
-/// Bytes of the head's tail above which a new base is written.
+/// Size of the tail in bytes above which a new base is written.
 ///
-/// Every entry host reads the head after each change, so this bounds what a change costs
-/// each of them; a larger value saves base writes.
+/// Every entry host reads the head after each change, so this bounds the cost of a change
+/// for each of them. A larger value needs fewer base writes.
 const TAIL_LIMIT: usize = 6 * 1024;
 
-/// Bytes of tail kept when a new base is written, so that hosts which are a few changes
-/// behind need not read the base.
+/// Bytes of the tail that are kept when a new base is written, so that entry hosts that are
+/// a few changes behind need not read the base.
 const TAIL_KEPT: usize = 2 * 1024;
 
 /// The pool map as read from the store.
@@ -21,20 +21,20 @@
 pub struct MapSnapshot {
     /// Version of the head key; 0 before it exists.
     pub version: StoreVersion,
-    /// The head.
+    /// Head record: the key of the base and the changes since.
     pub head: FleetRecord,
-    /// The map that the head and its base make.
+    /// Pool map computed from the base and the changes of the head.
     pub map: FleetMap,
 }
 
-/// What became of a change.
+/// Result of a commit.
 #[derive(Clone, Debug)]
 pub enum CommitOutcome {
-    /// It took effect.
+    /// The change took effect.
     Done(MapSnapshot),
-    /// Another change came first; plan again on what the store has now.
+    /// Another change was written first; read the map and plan again.
     Conflict,
-    /// No answer: it may have taken effect, and only a read tells.
+    /// The result is unknown: read the map to see whether the change took effect.
     Unknown,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl MapStore {
-    /// The map of `shard`.
+    /// Creates the store of the map of `shard`.
     pub fn new(store: Arc<dyn KeyStore>, shard: &str) -> Self {
         Self {
             store,
@@ -56,7 +56,7 @@
     /// Reads the map.
     ///
     /// # Errors
-    /// If the store does not answer or holds a record that can't be read.
+    /// If the store does not respond or holds an invalid record.
     pub fn read(&self, known: &MapSnapshot) -> Result<MapSnapshot, StepError> {
         let found = self.store.read(&self.head_key).map_err(|e| self.step(e))?;
         let Some(found) = found else {
@@ -65,7 +65,7 @@
         self.open(known, found.version, &found.value)
     }
 
-    /// Waits up to `timeout` for a newer map; `None` if there was none.
+    /// Waits up to `timeout` for a newer map; returns `None` on timeout.
     ///
     /// # Errors
     /// As for [`MapStore::read`].
@@ -84,10 +84,10 @@
         self.open(known, found.version, &found.value).map(Some)
     }
 
-    /// Writes `change` if the map is still the one of `known`.
+    /// Writes `change` if the stored map is still at the version of `known`.
     ///
     /// # Errors
-    /// If nothing was written because the store refused or can't be reached.
+    /// If the change was not written because the store rejected a write or is unreachable.
     pub fn commit(
         &self,
         known: &MapSnapshot,
@@ -151,10 +151,10 @@
         Ok(FleetMap::from_base(&base))
     }
 
-    /// Writes the map that is in the store now as the new base and shortens the tail.
+    /// Writes the map of `known` as the new base and shortens the tail.
     ///
-    /// The base of a revision is the same bytes whoever writes it, so a conflict or a
-    /// lost answer needs no more than the key being there.
+    /// The base of a revision has the same bytes for every writer. So a conflict, also
+    /// after an earlier write whose response was lost, means that the base exists.
     fn write_base(&self, head: &mut FleetRecord, known: &MapSnapshot) -> Result<(), StepError> {
         let base_key = format!("{}/base-{}", self.head_key, known.map.revision);
         let value = known.map.to_base().encode_to_vec();
@@ -170,12 +170,12 @@
         Ok(())
     }
 
-    /// Removes the base that `after` no longer names. Failing leaves a key that nothing reads.
+    /// Removes the base that `after` no longer refers to. If that fails, an unused key remains.
     fn drop_old_base(&self, before: &FleetRecord, after: &FleetRecord) {
         if before.base_key.is_empty() || before.base_key == after.base_key {
             return;
         }
-        // The version is read, not guessed: platforms count versions in different ways.
+        // The version is read first, because platforms assign versions in different ways.
         let removed = self
             .store
             .read(&before.base_key)
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -18,10 +18,10 @@
     probe_pool::{ProbeTable, ProbeTask},
 };
 
-/// Name of the planning duty, for choosing its owner.
+/// Name of the planning duty, by which its owner is chosen.
 const DUTY: &str = "fleet-planner";
 
-/// Plans outages and returns while this entry host has the duty.
+/// Plans outages and returns of hosts while this entry host owns the planning duty.
 pub(crate) struct Planner {
     shared: Arc<FleetShared>,
     map_store: MapStore,
@@ -29,7 +29,7 @@
     probes: Sender<ProbeTask>,
     owned_since: Option<BootTime>,
     must_read: bool,
-    /// The map up to which changes were handed to the audit trail.
+    /// Map up to which changes are recorded in the audit trail.
     audited: Option<MapSnapshot>,
 }
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Plans round after round until the service stops.
+    /// Runs planning rounds until the service stops.
     pub(crate) fn run(mut self) {
         while self.shared.pause(self.shared.timing.round_interval) {
             if self.has_duty() {
@@ -60,9 +60,9 @@
         }
     }
 
-    /// True once this host has had the duty for a while.
+    /// True once this host has owned the duty for the takeover time.
     ///
-    /// The pause lets the planner before finish calls that are on their way to hosts.
+    /// During that time, calls of the former planner to hosts can finish.
     fn has_duty(&mut self) -> bool {
         if !owns_duty(self.shared.members.as_ref(), DUTY) {
             self.owned_since = None;
@@ -121,7 +121,7 @@
         observations
     }
 
-    /// Reads the map before anything is written; false if the store does not answer.
+    /// Reads the map, which must precede any write; returns false if the read fails.
     fn read_map(&mut self) -> bool {
         let known = self.shared.snapshot.lock().clone();
         match self.map_store.read(&known) {
@@ -168,7 +168,7 @@
         self.shared.adopt(snapshot);
     }
 
-    /// Queues probes of the hosts that are out and of those that `wanted` names.
+    /// Queues probes of the hosts that are not in service and of the hosts in `wanted`.
     fn probe_hosts(&self, wanted: Vec<HostId>) {
         let held = self.shared.snapshot.lock().map.clone();
         let known: BTreeSet<HostId> = held.hosts.keys().cloned().collect();
--- a/crates/fleet/src/probe_pool.rs
+++ b/crates/fleet/src/probe_pool.rs
@@ -14,29 +14,29 @@
 
 use crate::{HealthReport, fleet_shared::FleetShared};
 
-/// Failures in a row after which a host counts as failing.
+/// Consecutive failed probes after which a host counts as failing.
 const FAILING_AFTER: u32 = 3;
 
-/// Longest time between a host's answer that it is drained and the call that reboots it.
+/// Maximum time between the start of the probe that reports a host as drained and its reboot.
 const REBOOT_WINDOW: Duration = Duration::from_millis(300);
-/// How long a drained worker waits for its reboot.
+/// How long a worker stays in the rebooting phase before it is rebooted.
 ///
-/// A worker forgets its tasks when it reboots. Holders of jobs learn of an end when they next
-/// renew, every two seconds: a job that ended right before the reboot would be shown as
-/// `unknown` although it was done.
+/// A worker loses its task states when it reboots. Job holders read results when they renew
+/// leases, every two seconds. Without this wait, a job that ended right before the reboot
+/// would be reported as `unknown` although it was done.
 const OUTCOME_WAIT: Duration = Duration::from_secs(5);
 
-/// Time between the first two calls that reboot one host; doubled after each.
+/// Time between the first two reboot requests to one host; doubled after each request.
 const REBOOT_SPACING: Duration = Duration::from_secs(5);
 
-/// One host to probe, and to push on in its phase.
+/// A host to probe and to advance in its phase.
 #[derive(Clone, Debug)]
 pub(crate) struct ProbeTask {
     pub(crate) host: HostId,
     pub(crate) state: HostState,
 }
 
-/// What probes found, by host.
+/// Probe results by host.
 #[derive(Default)]
 pub(crate) struct ProbeTable {
     probe_states: Mutex<BTreeMap<HostId, ProbeState>>,
@@ -54,8 +54,8 @@
 }
 
 impl ProbeTable {
-    /// What is known of a host's health, unless that is older than `age`, and the stay in
-    /// which the host was asked.
+    /// Returns the health of a host, unless the report is older than `age`, and the phase
+    /// entry in which the host was probed.
     pub(crate) fn health(
         &self,
         host: &HostId,
@@ -69,19 +69,19 @@
         (probe_state.health(now, age), probe_state.asked_phase)
     }
 
-    /// Forgets hosts that are not in `hosts`.
+    /// Removes the hosts that are not in `hosts`.
     pub(crate) fn retain(&self, hosts: &BTreeSet<HostId>) {
         self.probe_states
             .lock()
             .retain(|host, _| hosts.contains(host));
     }
 
-    /// Forgets everything, so that a new planner judges by its own probes.
+    /// Removes all results, so that a new planner uses only its own probes.
     pub(crate) fn clear(&self) {
         self.probe_states.lock().clear();
     }
 
-    /// Queues those of `tasks` whose turn it is, the longest overdue first.
+    /// Queues the tasks that are due, the longest overdue first.
     pub(crate) fn queue_due(
         &self,
         mut tasks: Vec<ProbeTask>,
@@ -124,7 +124,7 @@
         };
     }
 
-    /// True if a host may be told to reboot now; counts the call.
+    /// Returns true and counts the request if a host may be rebooted now.
     fn claim_reboot(&self, host: &HostId, began: BootTime, now: BootTime) -> bool {
         let mut probe_states = self.probe_states.lock();
         let probe_state = probe_states.entry(host.clone()).or_default();
@@ -158,7 +158,7 @@
     }
 }
 
-/// Probes hosts from the queue until it closes.
+/// Probes hosts from the queue until it is closed or the service stops.
 pub(crate) fn run_prober(
     shared: &Arc<FleetShared>,
     probe_table: &Arc<ProbeTable>,
@@ -186,7 +186,7 @@
     advance_phase(shared, probe_table, task, report, asked_at);
 }
 
-/// Makes the call that brings a host on in its phase, as far as its answer shows the need.
+/// Sends the request that the phase of a host and its health report require, if any.
 fn advance_phase(
     shared: &FleetShared,
     probe_table: &ProbeTable,
@@ -209,12 +209,12 @@
     }
 }
 
-/// Reboots a host that has just answered that it is drained.
+/// Reboots a host that has just reported that it is drained.
 ///
-/// Two planners may both hold the host for rebooting. The second call would hit a host
-/// that is back at work and cut off what it runs. So the call goes out only while the
-/// answer is young and the map still says that the host is to be rebooted; a host that
-/// came back is not offered work until it has settled, which is longer than that.
+/// Two planners may both want to reboot the host. The second request would interrupt work
+/// on a host that is back in service. So the request is sent only while the report is
+/// recent and the map still has the host in the rebooting phase. A host that came back
+/// gets no work until the settle time has passed, which is longer than that.
 fn reboot(shared: &FleetShared, probe_table: &ProbeTable, task: &ProbeTask, asked_at: BootTime) {
     let now = shared.clock.boot_now();
     if now.saturating_sub(asked_at) > REBOOT_WINDOW || !still_rebooting(shared, task) {
--- a/crates/fleet/src/target_view.rs
+++ b/crates/fleet/src/target_view.rs
@@ -9,7 +9,7 @@
 
 use crate::list_view::ListView;
 
-/// The targets of every pool, as the map and the host list together show them.
+/// Targets of every pool, computed from the pool map and the host list.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TargetView {
     pools: BTreeMap<PoolId, Arc<Vec<TargetHost>>>,
@@ -81,13 +81,13 @@
     }
 }
 
-/// Whether work may be sent to a host.
+/// Returns whether work may be sent to a host.
 ///
-/// The own reading of the host list can only make it stricter: a host that the list shows
-/// as leaving gets no new work from here even if the planner has not written that down.
-/// A host that only the planner lost sight of is still offered. The planner may be the
-/// one that is cut off, and a whole data centre would go out of service everywhere;
-/// whoever can't reach the host notices when dispatching.
+/// A host that this entry host's list shows as leaving gets no new work, even if the planner
+/// has not recorded that yet. A host that the planner recorded as lost but that is in the
+/// list is still offered: the planner may be the one that is cut off, and a whole data
+/// centre would go out of service for all entry hosts. A sender that can't reach the host
+/// notices that when it dispatches.
 fn target_state(
     state: &HostState,
     observation: &HostObservation,
--- a/crates/fleet/src/worker_port.rs
+++ b/crates/fleet/src/worker_port.rs
@@ -7,51 +7,51 @@
 use model::StepError;
 use serde::{Deserialize, Serialize};
 
-/// Longest wait for an answer of a worker.
+/// Timeout of a request to a worker.
 const WORKER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a worker says of several tasks.
+/// Report of a worker on several tasks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WorkerReport {
-    /// Which life of the worker answered.
+    /// Identifies the incarnation of the worker that responded.
     pub boot: String,
     /// State of each task.
     pub tasks: Vec<(String, AttemptReport)>,
 }
 
-/// Calls to workers that concern tasks.
+/// Requests to workers about tasks.
 pub trait WorkerPort: Send + Sync {
-    /// Sends the task of the current attempt. `first` says that it was not sent before;
-    /// only then does a refused connection prove that the worker does not have it.
+    /// Sends the task of the current attempt. `first` is true if it was not sent before;
+    /// only then does a refused connection prove that the worker does not have the task.
     fn start(&self, address: &str, job: &JobState, lease: Duration, first: bool) -> AttemptReport;
-    /// Renews the leases of tasks and asks for their states.
+    /// Renews the leases of tasks and returns their states.
     ///
     /// # Errors
-    /// If the worker does not answer in time.
+    /// If the worker does not respond in time.
     fn renew(
         &self,
         address: &str,
         tasks: &[String],
         lease: Duration,
     ) -> Result<WorkerReport, StepError>;
-    /// Asks for the states of tasks without renewing their leases.
+    /// Returns the states of tasks without renewing their leases.
     ///
     /// # Errors
     /// As for [`WorkerPort::renew`].
     fn poll(&self, address: &str, tasks: &[String]) -> Result<WorkerReport, StepError>;
-    /// Stops a task, and keeps it from starting later.
+    /// Stops a task and prevents a later start of it.
     ///
     /// # Errors
     /// As for [`WorkerPort::renew`].
     fn stop(&self, address: &str, task: &str) -> Result<AttemptReport, StepError>;
-    /// Reads what the worker's tasks use, and which life of it this is.
+    /// Returns the worker's incarnation and the resources that its tasks use.
     ///
     /// # Errors
     /// As for [`WorkerPort::renew`].
     fn usage(&self, address: &str) -> Result<(String, JobSize), StepError>;
 }
 
-/// The workers' HTTP interface, see `docs/PLATFORM.md`.
+/// Client of the HTTP interface of workers, see `docs/PLATFORM.md`.
 pub struct HttpWorker {
     agent: ureq::Agent,
 }
@@ -104,7 +104,7 @@
 }
 
 impl HttpWorker {
-    /// A port with its own connections.
+    /// Creates a port with its own connections.
     pub fn new() -> Self {
         let config = ureq::Agent::config_builder()
             .timeout_global(Some(WORKER_TIMEOUT))
@@ -179,8 +179,8 @@
                     answer.attempt_report()
                 }),
             Ok((_, true, reason)) => AttemptReport::NotRun(reason),
-            // Another life answers. Only if the task was never sent before is it sure
-            // that the life it was meant for did not run it either.
+            // Another incarnation responded. Only if the task was never sent before is it
+            // certain that the intended incarnation did not run it either.
             Ok((409, ..)) if first => AttemptReport::NotRun("its worker restarted".to_owned()),
             Ok((409, ..)) => AttemptReport::Unknown,
             Err(CallError::Refused) if first => {
@@ -264,11 +264,11 @@
     }
 }
 
-/// Why a call brought no answer.
+/// Why a call got no response.
 enum CallError {
-    /// No connection was made.
+    /// The connection was refused.
     Refused,
-    /// Anything else: the worker may have handled the call.
+    /// Any other failure: the worker may have handled the call.
     NoAnswer(String),
 }
 
