--- a/crates/fleet/examples/job_calls.rs
+++ b/crates/fleet/examples/job_calls.rs
@@ -1,8 +1,8 @@
-//! Prints how many calls to the store a job takes, how long its acceptance waits, and how
-//! long it takes to take a log over.
+//! Prints the number of store calls per job, the latency of acceptance, and the time to take
+//! a log over.
 //!
-//! Seven entry hosts in one process submit jobs at a given rate to workers that end each
-//! at once; the store is in memory and takes 3 ms for a call. Run it with
+//! Seven entry hosts in one process submit jobs at a given rate to workers that complete
+//! each at once. The store is in memory and takes 3 ms per call. Run it with
 //! `cargo run --release -p fleet --example job_calls`.
 #![allow(clippy::expect_used)]
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// Workers that are always well and end each task at once.
+/// Workers that are always healthy and complete each task at once.
 struct QuickWorkers;
 
 impl HostPort for QuickWorkers {
@@ -142,18 +142,18 @@
     }
 }
 
-struct Surroundings {
+struct Dependencies {
     own: MemberId,
     config: Arc<ActiveConfig>,
 }
 
-impl ConfigSource for Surroundings {
+impl ConfigSource for Dependencies {
     fn current(&self) -> Arc<ActiveConfig> {
         Arc::clone(&self.config)
     }
 }
 
-impl MemberSource for Surroundings {
+impl MemberSource for Dependencies {
     fn own_id(&self) -> MemberId {
         self.own.clone()
     }
@@ -173,7 +173,7 @@
     }
 }
 
-impl QuotaSource for Surroundings {
+impl QuotaSource for Dependencies {
     fn try_take_for(&self, _team: &TeamId, _length: Duration) -> Option<QuotaPermit> {
         Some(QuotaPermit::new(|| {}))
     }
@@ -197,7 +197,7 @@
     }
 }
 
-/// Times how long it takes to read a log and to fence its holder.
+/// Measures the time to read a log and fence its holder.
 fn measure_takeover(jobs: u64) {
     let store: Arc<dyn KeyStore> = Arc::new(SlowStore(MemoryStore::default()));
     let mut log = JobLog::create(Arc::clone(&store), "e1.1.0", "e1@1");
@@ -227,13 +227,13 @@
 fn measure(rate: u64) {
     let store = Arc::new(SlowStore(MemoryStore::default()));
     let holders: Vec<_> = (0..HOLDERS).map(|index| start(&store, index)).collect();
-    // The pool map is made, the hosts join, and each holder begins its log.
+    // Wait until the pool map exists, the hosts have joined, and each holder has a log.
     thread::sleep(Duration::from_secs(8));
     let count = |value: &AtomicU64| value.load(Ordering::SeqCst);
     let (calls, writes) = (store.0.calls(), count(&store.0.writes));
     let bytes = count(&store.0.bytes_written);
     let (accepted, waited) = submit_all(&holders, rate);
-    // What was accepted last still runs and is recorded as done.
+    // Wait until the jobs accepted last have ended and are recorded as done.
     thread::sleep(Duration::from_secs(2));
     #[expect(clippy::cast_precision_loss, reason = "small counts")]
     let per_job = |after: u64, before: u64| (after - before) as f64 / accepted as f64;
@@ -266,17 +266,17 @@
         manifest,
         ..ActiveConfig::default()
     };
-    let around = Arc::new(Surroundings {
+    let dependencies = Arc::new(Dependencies {
         own: format!("e{index}").into(),
         config: Arc::new(config),
     });
     let options = FleetOptions::new(
         store.clone(),
         Arc::new(QuickWorkers),
-        around.clone(),
-        around.clone(),
+        dependencies.clone(),
+        dependencies.clone(),
         Arc::new(BootClock),
-        around,
+        dependencies,
     )
     .with_port(Arc::new(QuickWorkers))
     .with_workers(Arc::new(QuickWorkers))
@@ -288,7 +288,7 @@
     FleetService::start(options).expect("threads start")
 }
 
-/// Submits jobs at a rate for a while; returns how many, and their waits in ms together.
+/// Submits jobs at `rate`; returns their number and the sum of their latencies in ms.
 fn submit_all(holders: &[Arc<FleetService>], rate: u64) -> (u64, u64) {
     let (accepted, waited) = (AtomicU64::new(0), AtomicU64::new(0));
     let threads = 280;
--- a/crates/fleet/tests/common/fake_fleet.rs
+++ b/crates/fleet/tests/common/fake_fleet.rs
@@ -17,16 +17,16 @@
 };
 use store::{HostEntry, HostList, HostListError};
 
-/// Waits for `condition`; the test fails if it never holds.
+/// Waits up to 30 seconds for `condition` and panics if it does not hold by then.
 pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let until = Instant::now() + Duration::from_secs(30);
     while !condition() {
-        assert!(Instant::now() < until, "never happened: {what}");
+        assert!(Instant::now() < until, "timed out waiting for: {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// One stand-in host.
+/// A fake host.
 #[derive(Clone, Debug)]
 pub struct FakeHost {
     pub entry: HostEntry,
@@ -34,14 +34,14 @@
     pub running: u32,
     pub down: bool,
     pub reboots: u32,
-    /// Work that ran when the host was rebooted: always wrong.
-    pub cut: u32,
+    /// Requests and tasks that a reboot interrupted; must stay zero.
+    pub interrupted: u32,
     pub down_until: Option<Instant>,
-    /// A reboot that it does not come back from.
+    /// True if the host stays down after a reboot.
     pub never_returns: bool,
 }
 
-/// Hosts and their list.
+/// Fake hosts and their host list.
 #[derive(Default)]
 pub struct FakeFleet {
     pub hosts: Mutex<BTreeMap<HostId, FakeHost>>,
@@ -99,7 +99,7 @@
             running: 0,
             down: false,
             reboots: 0,
-            cut: 0,
+            interrupted: 0,
             down_until: None,
             never_returns: false,
         }
@@ -126,7 +126,7 @@
         let reboot_time = self.reboot_time;
         self.answer(address, |host| {
             host.reboots += 1;
-            host.cut += host.running;
+            host.interrupted += host.running;
             host.running = 0;
             host.draining = false;
             host.down = true;
@@ -138,14 +138,14 @@
 impl HostList for FakeFleet {
     fn hosts(&self) -> Result<Vec<HostEntry>, HostListError> {
         if self.list_down.load(Ordering::SeqCst) {
-            return Err(HostListError("switched off".to_owned()));
+            return Err(HostListError("list is down".to_owned()));
         }
         let hosts = self.hosts.lock();
         Ok(hosts.values().map(|host| host.entry.clone()).collect())
     }
 }
 
-/// A configuration that the test sets.
+/// A configuration set by the test.
 pub struct FixedConfig(pub Mutex<Arc<ActiveConfig>>);
 
 impl FixedConfig {
@@ -173,7 +173,7 @@
     }
 }
 
-/// A member list that the test sets, seen by one member.
+/// A member list set by the test, as seen by one member.
 pub struct FixedMembers {
     pub own: MemberId,
     pub list: Arc<Mutex<Arc<Vec<MemberInfo>>>>,
@@ -184,7 +184,7 @@
         Self::with_others(own, &[])
     }
 
-    /// A member that hears all of `others`.
+    /// A member that reaches all of `others`.
     pub fn with_others(own: &str, others: &[&str]) -> Arc<Self> {
         let names = others.iter().chain(std::iter::once(&own));
         let infos = names.map(|name| MemberInfo {
@@ -199,7 +199,7 @@
         })
     }
 
-    /// Stops hearing a member.
+    /// Marks a member as unreachable.
     pub fn lose(&self, other: &str) {
         let mut list = self.list.lock();
         let mut infos = Vec::clone(&list);
@@ -224,17 +224,17 @@
     }
 }
 
-/// Keeps the notes that the audit trail would get.
+/// Collects the records of the audit trail.
 #[derive(Default)]
-pub struct NoteBook(pub Mutex<Vec<AuditRecord>>);
+pub struct AuditLog(pub Mutex<Vec<AuditRecord>>);
 
-impl AuditSink for NoteBook {
-    fn record(&self, note: AuditRecord) {
-        self.0.lock().push(note);
+impl AuditSink for AuditLog {
+    fn record(&self, record: AuditRecord) {
+        self.0.lock().push(record);
     }
 }
 
-/// Hands out as many units as asked for.
+/// A quota without a limit.
 pub struct FreeQuota;
 
 impl QuotaSource for FreeQuota {
--- a/crates/fleet/tests/common/fleet_scene.rs
+++ b/crates/fleet/tests/common/fleet_scene.rs
@@ -12,11 +12,11 @@
 use store::BootClock;
 use wire::fleet::FleetRecord;
 
-use super::{FakeFleet, FixedConfig, FixedMembers, FreeQuota, MemoryStore, NoteBook};
+use super::{AuditLog, FakeFleet, FixedConfig, FixedMembers, FreeQuota, MemoryStore};
 
 const DAY: Duration = Duration::from_secs(24 * 3600);
 
-/// One pool of eight executors with a budget of five, maintained in `window`.
+/// A manifest with one pool of eight executors and a budget of five, maintained in `window`.
 pub fn window_manifest(window: &str) -> Manifest {
     let mut manifest = Manifest::default();
     let pool = PoolSpec {
@@ -67,19 +67,19 @@
     fleet
 }
 
-/// Surroundings of one or more entry hosts in this process.
+/// Dependencies of one or more entry hosts in this process.
 pub struct FleetScene {
     pub store: Arc<MemoryStore>,
     pub fleet: Arc<FakeFleet>,
     pub config: Arc<FixedConfig>,
-    pub notes: Arc<NoteBook>,
+    pub audit_log: Arc<AuditLog>,
     pub limits: FleetLimits,
     /// The services started so far.
     pub services: Mutex<Vec<Arc<FleetService>>>,
 }
 
 impl FleetScene {
-    /// Surroundings with one entry host.
+    /// Starts a scene with one entry host.
     pub fn start(manifest: Manifest, fleet: FakeFleet) -> Self {
         Self::with_limits(manifest, fleet, short_limits())
     }
@@ -89,7 +89,7 @@
             store: Arc::default(),
             fleet: Arc::new(fleet),
             config: FixedConfig::new(manifest),
-            notes: Arc::default(),
+            audit_log: Arc::default(),
             limits,
             services: Mutex::default(),
         };
@@ -97,7 +97,7 @@
         scene
     }
 
-    /// Starts one more entry host, which believes to be alone and so plans too.
+    /// Starts another entry host, whose member list has only itself, so that it also plans.
     pub fn add_member(&self, member: &str) -> Arc<FleetService> {
         let options = FleetOptions::new(
             self.store.clone(),
@@ -107,7 +107,7 @@
             Arc::new(BootClock),
             Arc::new(FreeQuota),
         )
-        .with_audit(self.notes.clone())
+        .with_audit(self.audit_log.clone())
         .with_port(self.fleet.clone())
         .with_timing(timing())
         .with_limits(self.limits);
@@ -134,7 +134,7 @@
         });
     }
 
-    /// Targets that the newest entry host offers.
+    /// Number of serving targets of the entry host that was started last.
     pub fn serving(&self) -> usize {
         let service = self.services.lock().last().cloned().expect("a service");
         let targets = service.service_targets(&"quote".into());
@@ -142,7 +142,7 @@
         serving.count()
     }
 
-    /// Every map that the store ever held.
+    /// Every pool map that the store has held, in order.
     pub fn maps(&self) -> Vec<FleetMap> {
         let mut map = FleetMap::default();
         let heads = self.store.history("fleet/0");
@@ -156,7 +156,7 @@
             .collect()
     }
 
-    /// The newest map that the store holds.
+    /// The current pool map in the store.
     pub fn map(&self) -> FleetMap {
         self.maps().pop().unwrap_or_default()
     }
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Lets hosts that drain finish a piece of work each.
+    /// Finishes one unit of work on each draining host.
     pub fn finish_work(&self) {
         let mut hosts = self.fleet.hosts.lock();
         for host in hosts.values_mut().filter(|host| host.draining) {
@@ -182,8 +182,12 @@
         hosts.values().all(|host| host.reboots > 0)
     }
 
-    pub fn nothing_cut(&self) -> bool {
-        self.fleet.hosts.lock().values().all(|host| host.cut == 0)
+    pub fn no_work_interrupted(&self) -> bool {
+        self.fleet
+            .hosts
+            .lock()
+            .values()
+            .all(|host| host.interrupted == 0)
     }
 }
 
@@ -195,7 +199,7 @@
     }
 }
 
-/// Hosts in service on a map.
+/// Number of serving hosts in a map.
 pub fn serving_hosts(map: &FleetMap) -> usize {
     let hosts = map.hosts.values();
     hosts
--- a/crates/fleet/tests/common/job_scene.rs
+++ b/crates/fleet/tests/common/job_scene.rs
@@ -13,7 +13,7 @@
 
 use super::{FakeFleet, FixedConfig, FixedMembers, MemoryStore, wait_for};
 
-/// Units of one limit for all teams, shared by all entry hosts of a scene.
+/// A quota with one limit for all teams, shared by all entry hosts of a scene.
 pub struct CountedQuota {
     left: Arc<AtomicU32>,
 }
@@ -33,7 +33,7 @@
     fn report_waiting(&self, _team: &TeamId, _waiting: u32) {}
 }
 
-/// Workers of one pool, and entry hosts that hold jobs for them.
+/// Workers of one pool and the dependencies of entry hosts that run jobs on them.
 pub struct JobScene {
     pub store: Arc<MemoryStore>,
     pub workers: Vec<WorkerFake>,
@@ -92,7 +92,7 @@
         self.quota.left.store(units, Ordering::SeqCst);
     }
 
-    /// Starts an entry host and waits until it knows the workers and has a log.
+    /// Starts an entry host and waits until all workers are serving targets.
     pub fn start(&self, members: Arc<FixedMembers>) -> Arc<FleetService> {
         let options = FleetOptions::new(
             self.store.clone(),
@@ -129,7 +129,7 @@
         self.workers.iter().flat_map(WorkerFake::starts).collect()
     }
 
-    /// Starts by job.
+    /// Number of starts by job.
     pub fn starts_by_job(&self) -> BTreeMap<String, usize> {
         let mut counts = BTreeMap::new();
         for start in self.starts() {
@@ -173,7 +173,7 @@
     }
 }
 
-/// Submits a job, again and again with the same request until its outcome is known.
+/// Submits a job and retries the same request until it is accepted.
 pub fn submit(sink: &dyn JobSink, request: &JobRequest) -> JobView {
     let mut outcome = Err(JobError::QueueFull);
     wait_for("the job is accepted", || {
@@ -183,7 +183,7 @@
     outcome.expect("accepted")
 }
 
-/// Waits until a job is in one of `phases`, and tells which.
+/// Waits until a job is in one of `phases` and returns its view.
 pub fn wait_phase(sink: &dyn JobSink, view: &JobView, phases: &[&str]) -> JobView {
     let mut seen = view.clone();
     wait_for(&format!("{} in {phases:?}", view.job), || {
--- a/crates/fleet/tests/common/memory_store.rs
+++ b/crates/fleet/tests/common/memory_store.rs
@@ -7,16 +7,16 @@
 use parking_lot::{Condvar, Mutex};
 use store::{KeyStore, StoreError, StoreVersion, StoredValue};
 
-/// A store in memory that records every write and can fail in the ways a real one does.
+/// An in-memory store that records every write and can simulate failures of a real store.
 #[derive(Default)]
 pub struct MemoryStore {
     keys: Mutex<BTreeMap<String, StoredValue>>,
     changed: Condvar,
     versions: AtomicU64,
     history: Mutex<Vec<(String, Vec<u8>)>>,
-    /// All calls fail without effect while set.
+    /// While set, all calls fail without effect.
     pub down: AtomicBool,
-    /// The answers to this many writes are lost after they took effect.
+    /// Number of writes whose responses will be lost after they took effect.
     pub lose_answers: AtomicU64,
     pub reads: AtomicU64,
     pub writes: AtomicU64,
@@ -25,7 +25,7 @@
 }
 
 impl MemoryStore {
-    /// Every value that was ever written to keys with `prefix`, in order.
+    /// Returns every value written to keys with `prefix`, in order.
     pub fn history(&self, prefix: &str) -> Vec<(String, Vec<u8>)> {
         let history = self.history.lock();
         let matching = history.iter().filter(|(key, _)| key.starts_with(prefix));
@@ -38,7 +38,7 @@
 
     fn check_up(&self) -> Result<(), StoreError> {
         if self.down.load(Ordering::SeqCst) {
-            return Err(StoreError::Unavailable("switched off".to_owned()));
+            return Err(StoreError::Unavailable("store is down".to_owned()));
         }
         Ok(())
     }
@@ -86,8 +86,8 @@
         if value.len() > 1_000_000 {
             return Err(StoreError::Rejected("value too large".to_owned()));
         }
-        // One count for all keys, as some platforms have it: the first version of a key is
-        // any number.
+        // All keys share one version counter, as on some platforms, so the first version of
+        // a key can be any number.
         let version = self.versions.fetch_add(1, Ordering::SeqCst) + 1;
         let stored = StoredValue {
             version,
@@ -119,9 +119,9 @@
         &self,
         key: &str,
         after: StoreVersion,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Option<StoredValue>, StoreError> {
-        let until = Instant::now() + patience;
+        let until = Instant::now() + timeout;
         let mut keys = self.keys.lock();
         loop {
             self.check_up()?;
--- a/crates/fleet/tests/drain.rs
+++ b/crates/fleet/tests/drain.rs
@@ -1,5 +1,5 @@
-//! Drains and maintenance of a small fleet in one process, with stand-ins for store,
-//! host list and hosts.
+//! Drains and maintenance of a small fleet in one process, with fakes for the store, the
+//! host list and the hosts.
 #![allow(clippy::expect_used)]
 
 mod common;
@@ -19,9 +19,8 @@
 
 #[test]
 fn wave_reboots_every_host_within_budget() {
-    // Operators open a window; each host is rebooted while callers keep getting answers.
-    // Hosts run work when they are told to drain, and a reboot before that ended would
-    // cut it off.
+    // In an open window each host is rebooted. Hosts run work when their drain begins; a
+    // reboot must not interrupt it, and the pool must keep its budget of serving hosts.
     let scene = FleetScene::start(window_manifest(""), eight_hosts());
     wait_for("eight targets", || scene.serving() == 8);
     for host in scene.fleet.hosts.lock().values_mut() {
@@ -32,15 +31,14 @@
         scene.finish_work();
         scene.all_rebooted()
     });
-    assert!(scene.nothing_cut());
+    assert!(scene.no_work_interrupted());
     scene.assert_budget(5);
 }
 
 #[test]
-fn wave_two_planners_cut_nothing() {
-    // Two entry hosts lose sight of each other, and both plan the same pool. If both took
-    // a host out, or one rebooted what the other had brought back, callers would see
-    // refused or lost work.
+fn wave_two_planners_interrupt_no_work() {
+    // Two entry hosts can't reach each other, and both plan the same pool. They must not
+    // exceed the budget together, nor reboot a host that the other has returned to service.
     let scene = FleetScene::start(window_manifest(""), eight_hosts());
     scene.add_member("e2");
     wait_for("eight targets", || scene.serving() == 8);
@@ -52,14 +50,14 @@
         scene.finish_work();
         scene.all_rebooted()
     });
-    assert!(scene.nothing_cut());
+    assert!(scene.no_work_interrupted());
     scene.assert_budget(5);
 }
 
 #[test]
 fn wave_lost_answers_are_audited_once() {
-    // The store applies writes whose answers are lost. The planner must find out what
-    // took effect, go on from there, and miss nothing in the audit trail.
+    // The store applies writes whose responses are lost. The planner must read what took
+    // effect, continue from there, and record each change in the audit trail once.
     let scene = FleetScene::start(window_manifest(""), eight_hosts());
     wait_for("eight targets", || scene.serving() == 8);
     scene.store.lose_answers.store(6, Ordering::SeqCst);
@@ -69,21 +67,24 @@
     wait_for("eight targets again", || scene.serving() == 8);
     scene.assert_budget(5);
     assert_eq!(scene.store.lose_answers.load(Ordering::SeqCst), 0);
-    wait_for("all changes noted", || {
-        let notes = scene.notes.0.lock();
-        let noted: BTreeSet<u64> = notes.iter().map(|note| note.revision_after).collect();
-        // The first changes joined the hosts, before the planner had read the map.
-        noted.len() as u64 >= scene.map().revision - 1
+    wait_for("all changes audited", || {
+        let records = scene.audit_log.0.lock();
+        let audited: BTreeSet<u64> = records.iter().map(|record| record.revision_after).collect();
+        // The first changes added the hosts, before the planner had read the map.
+        audited.len() as u64 >= scene.map().revision - 1
     });
-    let notes = scene.notes.0.lock();
-    let ids: BTreeSet<&str> = notes.iter().map(|note| note.change_id.as_str()).collect();
-    assert_eq!(ids.len(), notes.len(), "a change was noted twice");
+    let records = scene.audit_log.0.lock();
+    let ids: BTreeSet<&str> = records
+        .iter()
+        .map(|record| record.change_id.as_str())
+        .collect();
+    assert_eq!(ids.len(), records.len(), "a change was audited twice");
 }
 
 #[test]
-fn wave_store_down_grants_nothing_and_finishes() {
-    // The store goes down in the middle of a wave. Whoever drains goes on draining, no
-    // other host goes out, and when the store is back the wave goes on.
+fn wave_store_down_permits_no_outage_and_finishes() {
+    // The store fails during a wave. Draining hosts keep draining and no other host goes out
+    // of service. When the store is back, the wave continues.
     let scene = FleetScene::start(window_manifest(""), eight_hosts());
     wait_for("eight targets", || scene.serving() == 8);
     for host in scene.fleet.hosts.lock().values_mut() {
@@ -107,14 +108,14 @@
         scene.finish_work();
         scene.all_rebooted()
     });
-    assert!(scene.nothing_cut());
+    assert!(scene.no_work_interrupted());
     scene.assert_budget(5);
 }
 
 #[test]
-fn wave_stops_when_host_stays_away() {
-    // A reboot leaves a host dead. The rest of its pool must stay in service: whatever
-    // broke the first host may break the next.
+fn wave_stops_when_hosts_do_not_return() {
+    // Hosts do not return from their reboots. The rest of the pool must stay in service,
+    // because the same failure may affect the next host.
     let mut limits = short_limits();
     limits.return_limit = Duration::from_secs(3);
     let scene = FleetScene::with_limits(window_manifest(""), eight_hosts(), limits);
@@ -123,7 +124,7 @@
         host.never_returns = true;
     }
     scene.open_window();
-    wait_for("two hosts given up", || {
+    wait_for("two failed returns", || {
         let map = scene.map();
         map.hosts
             .values()
@@ -139,14 +140,14 @@
         .values()
         .map(|host| host.reboots)
         .sum();
-    assert_eq!(rebooted, 2, "the pool lets two out at once");
+    assert_eq!(rebooted, 2, "the window allows two hosts out at once");
     assert_eq!(serving_hosts(&scene.map()), 6);
 }
 
 #[test]
 fn wave_closed_window_returns_draining_hosts() {
-    // An operator takes the window away while hosts drain. They go back to work; none is
-    // rebooted afterwards.
+    // An operator removes the window while hosts drain. They must return to service without
+    // a reboot.
     let scene = FleetScene::start(window_manifest(""), eight_hosts());
     wait_for("eight targets", || scene.serving() == 8);
     for host in scene.fleet.hosts.lock().values_mut() {
@@ -168,9 +169,9 @@
 }
 
 #[test]
-fn wave_goes_on_with_next_planner() {
-    // The entry host that plans is replaced between writing that a host is to be rebooted
-    // and the end of its return. The next one has only the map and the hosts to go by.
+fn wave_continues_with_next_planner() {
+    // The planning entry host is replaced after it recorded that a host is to be rebooted and
+    // before that host returned. The next planner has only the map and the hosts' reports.
     let scene = FleetScene::start(window_manifest(""), eight_hosts());
     wait_for("eight targets", || scene.serving() == 8);
     scene.open_window();
@@ -183,14 +184,14 @@
     scene.stop_first();
     scene.add_member("e2");
     wait_for("all rebooted", || scene.all_rebooted());
-    assert!(scene.nothing_cut());
+    assert!(scene.no_work_interrupted());
     scene.assert_budget(5);
 }
 
 #[test]
 fn leaving_host_gets_no_new_work() {
-    // The platform takes a host away. Its callers must not see it as a target any more,
-    // even if the store is down and nothing can be written about it.
+    // The platform removes a host. It must no longer be a target, even if the store is down
+    // and the change can't be recorded.
     let scene = FleetScene::start(window_manifest(""), eight_hosts());
     wait_for("eight targets", || scene.serving() == 8);
     scene.store.down.store(true, Ordering::SeqCst);
--- a/crates/fleet/tests/jobs.rs
+++ b/crates/fleet/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs on stand-in workers: accepted durably, run once, settled after failures.
+//! Jobs on fake workers: durable acceptance, single execution and results after failures.
 #![allow(clippy::expect_used)]
 
 mod common;
@@ -40,8 +40,8 @@
 
 #[test]
 fn submit_store_down_is_refused_and_not_run() {
-    // The store is down. A caller whose job were accepted now would lose it with the
-    // entry host; a caller who is told that it was not run must be able to believe it.
+    // While the store is down, an accepted job would be lost with the entry host, so
+    // submissions must be rejected. A rejected job must never run.
     let scene = JobScene::new(3);
     let service = scene.start(FixedMembers::alone("e1"));
     let view = submit(
@@ -67,8 +67,8 @@
 
 #[test]
 fn submit_lost_answers_run_once() {
-    // Answers of the store and of workers are lost after they took effect. A job that is
-    // sent again for that would be billed twice.
+    // Responses of the store and of workers are lost after the requests took effect. Each
+    // job must still start only once; a second start would be billed twice.
     let scene = JobScene::new(3);
     for worker in &scene.workers {
         worker.set_faults(WorkerFaults {
@@ -94,13 +94,13 @@
 }
 
 #[test]
-fn holder_lost_jobs_go_on() {
-    // An entry host dies with jobs in every state: waiting, starting, running. Callers
-    // ask another one. Every job must end; none that may not run twice may do so.
+fn holder_lost_jobs_continue() {
+    // An entry host fails with jobs in every state: waiting, starting, running. Callers use
+    // another one. Every job must end and start only once.
     let scene = JobScene::new(2);
     let first = scene.start(FixedMembers::with_others("e1", &["e2"]));
-    let watching = FixedMembers::with_others("e2", &["e1"]);
-    let second = scene.start(Arc::clone(&watching));
+    let second_members = FixedMembers::with_others("e2", &["e1"]);
+    let second = scene.start(Arc::clone(&second_members));
     let views: Vec<JobView> = (0..80)
         .map(|index| {
             let payload = "work us=300000 nonce=1";
@@ -110,7 +110,7 @@
         .collect();
     wait_for("some run", || !scene.starts().is_empty());
     first.stop();
-    watching.lose("e1");
+    second_members.lose("e1");
     for view in &views {
         assert_eq!(wait_phase(second.as_ref(), view, ENDED).phase, "done");
     }
@@ -120,22 +120,22 @@
 }
 
 #[test]
-fn holder_lost_outcome_needs_no_unit() {
-    // An entry host dies, and the units of the team's limit that it held are not free yet.
-    // Its tasks end meanwhile. The next holder must say so at once, though it may renew
-    // nothing and start nothing for want of units.
+fn holder_lost_result_needs_no_permit() {
+    // An entry host fails, and its quota permits are not released yet. Its tasks end in the
+    // meantime. The next holder must report their results even though it can't renew or
+    // start tasks without permits.
     let scene = JobScene::new(1);
     scene.set_quota(2);
     let first = scene.start(FixedMembers::with_others("e1", &["e2"]));
-    let watching = FixedMembers::with_others("e2", &["e1"]);
-    let second = scene.start(Arc::clone(&watching));
+    let second_members = FixedMembers::with_others("e2", &["e1"]);
+    let second = scene.start(Arc::clone(&second_members));
     let views = ["r1", "r2"].map(|name| {
         let request = job_request(name, "work us=800000 nonce=1", false);
         submit(first.as_ref(), &request)
     });
     wait_for("both run", || scene.starts().len() == 2);
     first.stop();
-    watching.lose("e1");
+    second_members.lose("e1");
     for view in &views {
         assert_eq!(wait_phase(second.as_ref(), view, ENDED).phase, "done");
     }
@@ -143,26 +143,27 @@
 }
 
 #[test]
-fn holder_unheard_stops_at_next_write() {
-    // An entry host is cut off from the others, but not from the store. Another takes its
-    // jobs over. Both would go on to start them; the first must notice when it writes.
+fn holder_unreachable_stops_at_next_write() {
+    // An entry host is cut off from the other members but not from the store, and another
+    // takes its jobs over. The next write of the first must fail, so that only one of them
+    // starts the jobs.
     let scene = JobScene::new(2);
     let first = scene.start(FixedMembers::with_others("e1", &["e2"]));
-    let watching = FixedMembers::with_others("e2", &["e1"]);
-    let second = scene.start(Arc::clone(&watching));
+    let second_members = FixedMembers::with_others("e2", &["e1"]);
+    let second = scene.start(Arc::clone(&second_members));
     let views: Vec<JobView> = (0..60)
         .map(|index| {
             let request = job_request(&format!("r{index}"), "work us=200000 nonce=1", false);
             submit(first.as_ref(), &request)
         })
         .collect();
-    watching.lose("e1");
+    second_members.lose("e1");
     for view in &views {
         assert_eq!(wait_phase(second.as_ref(), view, ENDED).phase, "done");
     }
     let starts = scene.starts_by_job();
     assert!(starts.values().all(|count| *count == 1), "{starts:?}");
-    // The host that lost its log begins another.
+    // The entry host that lost its log creates a new one.
     let view = submit(
         first.as_ref(),
         &job_request("later", "work us=1000 nonce=1", false),
@@ -171,29 +172,31 @@
 }
 
 #[test]
-fn worker_restart_is_told_apart() {
-    // A worker restarts in the middle of its tasks and forgets them. An idempotent job
-    // runs again elsewhere; for another nobody can say how far it came, and its caller is
-    // told so in place of a second run.
+fn worker_restart_reruns_only_idempotent_jobs() {
+    // A worker restarts while tasks run and loses their states. An idempotent job runs again.
+    // The result of any other job is unknown: it must be reported so and not run again.
     let scene = JobScene::new(1);
     let service = scene.start(FixedMembers::alone("e1"));
     let payload = "work us=2000000 nonce=1";
-    let safe = submit(service.as_ref(), &job_request("r1", payload, true));
-    let unsafe_one = submit(service.as_ref(), &job_request("r2", payload, false));
+    let idempotent = submit(service.as_ref(), &job_request("r1", payload, true));
+    let not_idempotent = submit(service.as_ref(), &job_request("r2", payload, false));
     wait_for("both run", || scene.starts().len() == 2);
     scene.workers[0].reboot();
-    let ended = wait_phase(service.as_ref(), &unsafe_one, ENDED);
+    let ended = wait_phase(service.as_ref(), &not_idempotent, ENDED);
     assert_eq!(ended.phase, "unknown", "{}", ended.reason);
-    assert_eq!(wait_phase(service.as_ref(), &safe, ENDED).phase, "done");
+    assert_eq!(
+        wait_phase(service.as_ref(), &idempotent, ENDED).phase,
+        "done"
+    );
     let starts = scene.starts_by_job();
-    assert_eq!(starts[safe.job.as_str()], 2);
-    assert_eq!(starts[unsafe_one.job.as_str()], 1);
+    assert_eq!(starts[idempotent.job.as_str()], 2);
+    assert_eq!(starts[not_idempotent.job.as_str()], 1);
 }
 
 #[test]
 fn bad_job_is_parked_with_reason() {
-    // A job fails wherever it runs. It must not go round for ever, nor have sound workers
-    // suspected, and its caller must learn why.
+    // Some jobs fail on every worker. They must be parked with a reason instead of retried
+    // without end, and must not make healthy workers suspect.
     let scene = JobScene::new(4);
     let service = scene.start(FixedMembers::alone("e1"));
     let bad: Vec<JobView> = (0..6)
@@ -217,9 +220,9 @@
 }
 
 #[test]
-fn faulty_worker_spoils_no_job() {
-    // One worker fails whatever it starts, and being empty it draws all work. Idempotent
-    // jobs must end well elsewhere, and none be parked for that worker's sake.
+fn faulty_worker_parks_no_job() {
+    // One worker fails every task at once, so it always has capacity and attracts jobs.
+    // Idempotent jobs must succeed on other workers, and none may be parked.
     let scene = JobScene::new(4);
     scene.workers[1].set_faults(WorkerFaults {
         fail_all: true,
@@ -264,9 +267,9 @@
 }
 
 #[test]
-fn cancel_wave_takes_few_writes() {
-    // An operator's tool cancels a wave of jobs at an entry host that does not hold them.
-    // One write each would keep the store from all other work for minutes.
+fn cancel_many_jobs_takes_few_writes() {
+    // A client cancels many jobs at an entry host that does not hold them. With one write per
+    // job, the store would be busy for minutes.
     let scene = JobScene::new(1);
     scene.set_quota(0);
     let first = scene.start(FixedMembers::with_others("e1", &["e2"]));
@@ -317,7 +320,7 @@
         service.as_ref(),
         &job_request("r1", "work us=60000000", false),
     );
-    wait_for("it runs", || scene.starts().len() == 1);
+    wait_for("the job runs", || scene.starts().len() == 1);
     service.cancel(&view.team, &view.job).expect("cancelled");
     assert_eq!(
         wait_phase(service.as_ref(), &view, ENDED).phase,
--- a/crates/fleet/tests/jobs_in_wave.rs
+++ b/crates/fleet/tests/jobs_in_wave.rs
@@ -1,4 +1,4 @@
-//! Jobs on workers that are maintained at the same time.
+//! Jobs on workers during a maintenance wave.
 #![allow(clippy::expect_used)]
 
 mod common;
@@ -13,10 +13,10 @@
 const DAY: Duration = Duration::from_secs(24 * 3600);
 
 #[test]
-fn drained_worker_keeps_outcomes() {
-    // Jobs end on a worker while it drains, and the worker is rebooted, which makes it forget
-    // them. Holders ask for outcomes only now and then: if the reboot came first, a caller
-    // would be told that a job may have run, although it was done.
+fn drained_worker_reports_results() {
+    // Jobs end on a draining worker, whose reboot then discards their states. Holders read
+    // results only at intervals. If the reboot came first, a completed job would be reported
+    // as unknown.
     let mut scene = JobScene::new(2);
     scene.timing.renew_interval = Duration::from_secs(4);
     scene.policy.lease = Duration::from_secs(12);
--- a/crates/fleet/tests/map_store.rs
+++ b/crates/fleet/tests/map_store.rs
@@ -19,8 +19,8 @@
     }
 }
 
-// The store fills up over weeks although the fleet stays as it is: each new base of the pool
-// map left the one before behind, since it was removed at a guessed version.
+// Guards against a leak of old bases in the store. They remained when a removal used a
+// guessed version instead of the stored one.
 #[test]
 fn commit_keeps_one_base() {
     let store = Arc::new(MemoryStore::default());
@@ -38,6 +38,6 @@
         bases += usize::from(known.head.base_key != before);
     }
     assert!(bases > 2, "only {bases} bases were written");
-    let kept = store.list("fleet/all/base-").expect("a list");
-    assert_eq!(kept.len(), 1);
+    let remaining = store.list("fleet/all/base-").expect("a list");
+    assert_eq!(remaining.len(), 1);
 }
