--- a/crates/fleet/src/fleet_service.rs
+++ b/crates/fleet/src/fleet_service.rs
@@ -301,7 +301,7 @@
     while !shared.is_stopping() {
         let known = shared.snapshot.lock().clone();
         match map_store.watch(&known, shared.timing.watch_timeout) {
-            Ok(Some(snapshot)) => shared.adopt(snapshot),
+            Ok(Some(snapshot)) => shared.adopt_snapshot(snapshot),
             Ok(None) => {}
             Err(e) => {
                 log::debug!(target: "E0608", "pool-map-unread cause={e}");
--- a/crates/fleet/src/fleet_shared.rs
+++ b/crates/fleet/src/fleet_shared.rs
@@ -99,7 +99,7 @@
     }
 
     /// Stores `snapshot` unless the current one is newer, and rebuilds the targets.
-    pub(crate) fn adopt(&self, snapshot: MapSnapshot) {
+    pub(crate) fn adopt_snapshot(&self, snapshot: MapSnapshot) {
         {
             let mut held = self.snapshot.lock();
             if snapshot.version < held.version {
@@ -127,7 +127,7 @@
     }
 
     /// True if the last read of the host list is recent enough.
-    pub(crate) fn list_fresh(&self) -> bool {
+    pub(crate) fn is_list_fresh(&self) -> bool {
         let Some(read_at) = self.list.load().read_at else {
             return false;
         };
--- a/crates/fleet/src/job_flush.rs
+++ b/crates/fleet/src/job_flush.rs
@@ -36,15 +36,15 @@
             Some(pending) => pending,
             None => self.collect(),
         };
-        self.write(flush);
+        self.write_flush(flush);
     }
 
     fn collect(&mut self) -> PendingFlush {
         let mut flush = PendingFlush {
             records: Vec::new(),
             states: Vec::new(),
-            answers: Vec::new(),
-            began: self.shared.clock.boot_now(),
+            pending_replies: Vec::new(),
+            started_at: self.shared.clock.boot_now(),
             unsettled: false,
         };
         let mut bytes = 0;
@@ -64,15 +64,15 @@
             flush.states.push((job.clone(), held.state.attempt));
             self.dirty.remove(&job);
         }
-        let (now, later) = std::mem::take(&mut self.answers)
+        let (now, later) = std::mem::take(&mut self.pending_replies)
             .into_iter()
             .partition(|(job, _)| flush.states.iter().any(|(flushed, _)| flushed == job));
-        flush.answers = now;
-        self.answers = later;
+        flush.pending_replies = now;
+        self.pending_replies = later;
         flush
     }
 
-    fn write(&mut self, mut flush: PendingFlush) {
+    fn write_flush(&mut self, mut flush: PendingFlush) {
         metrics::counter!("lws_job_page_writes").increment(1);
         match self.log.append(flush.records.clone()) {
             AppendOutcome::Done => self.complete_flush(flush),
@@ -82,7 +82,7 @@
                     format_args!("log={}", self.log.name()),
                 );
                 self.fenced = true;
-                for (_, reply) in flush.answers {
+                for (_, reply) in flush.pending_replies {
                     let lost = JobError::Unknown("the job log was taken over".to_owned());
                     let _ = reply.send(Err(lost));
                 }
@@ -109,19 +109,19 @@
                 self.unsent.insert(job.clone());
             }
         }
-        for (job, reply) in flush.answers {
+        for (job, reply) in flush.pending_replies {
             let view = job_table.get(&job).map(view_of);
             let _ = reply.send(view.ok_or(JobError::NotFound));
         }
         drop(job_table);
-        self.log.drop_oldest();
+        self.log.remove_oldest();
     }
 
     /// Handles a write that definitely had no effect: new jobs are rejected, and all other
     /// changes are marked dirty for the next write.
     fn undo_flush(&mut self, flush: PendingFlush, cause: &str) {
         model::event::warn(&event::JOB_PAGE_UNWRITTEN, format_args!("cause={cause}"));
-        for (job, reply) in flush.answers {
+        for (job, reply) in flush.pending_replies {
             let _ = reply.send(Err(JobError::StoreDown(cause.to_owned())));
             if !self.job_table.lock().contains_key(&job) {
                 self.remove_unrecorded(&job);
@@ -135,10 +135,16 @@
     }
 
     fn fail_waiting_replies(&self, flush: &mut PendingFlush) {
-        if self.shared.clock.boot_now().saturating_sub(flush.began) < REPLY_TIMEOUT {
+        if self
+            .shared
+            .clock
+            .boot_now()
+            .saturating_sub(flush.started_at)
+            < REPLY_TIMEOUT
+        {
             return;
         }
-        for (_, reply) in flush.answers.drain(..) {
+        for (_, reply) in flush.pending_replies.drain(..) {
             let _ = reply.send(Err(JobError::Unknown(
                 "no answer from the store".to_owned(),
             )));
@@ -147,13 +153,13 @@
 
     /// Replies to requests whose job needs no write, for example because it had already ended.
     fn reply_unchanged(&mut self) {
-        if self.answers.is_empty() {
+        if self.pending_replies.is_empty() {
             return;
         }
-        let waiting = std::mem::take(&mut self.answers);
+        let waiting = std::mem::take(&mut self.pending_replies);
         for (job, reply) in waiting {
             if self.dirty.contains(&job) || self.is_pending(&job) {
-                self.answers.push((job, reply));
+                self.pending_replies.push((job, reply));
                 continue;
             }
             let view = self.job_table.lock().get(&job).map(view_of);
--- a/crates/fleet/src/job_holder.rs
+++ b/crates/fleet/src/job_holder.rs
@@ -73,7 +73,7 @@
     pub(crate) ended: BTreeSet<(Duration, JobId)>,
     pub(crate) dirty: BTreeSet<JobId>,
     pub(crate) unsent: BTreeSet<JobId>,
-    pub(crate) answers: Vec<(JobId, ReplySender)>,
+    pub(crate) pending_replies: Vec<(JobId, ReplySender)>,
     pub(crate) pending: Option<PendingFlush>,
     pub(crate) flushed_at: BootTime,
     pub(crate) worker_tables: BTreeMap<PoolId, WorkerTable>,
@@ -81,8 +81,8 @@
     pub(crate) calls: Sender<WorkerCall>,
     pub(crate) reply_sender: Sender<CallReply>,
     pub(crate) replies: Receiver<CallReply>,
-    pub(crate) watched_at: BootTime,
-    pub(crate) usage_at: BootTime,
+    pub(crate) cancels_read_at: BootTime,
+    pub(crate) usage_requested_at: BootTime,
     pub(crate) renewed_at: BootTime,
     pub(crate) fenced: bool,
     pub(crate) jitter: u64,
@@ -111,7 +111,7 @@
             ended: BTreeSet::new(),
             dirty: BTreeSet::new(),
             unsent: BTreeSet::new(),
-            answers: Vec::new(),
+            pending_replies: Vec::new(),
             pending: None,
             flushed_at: BootTime::ZERO,
             worker_tables: BTreeMap::new(),
@@ -119,8 +119,8 @@
             calls,
             reply_sender,
             replies,
-            watched_at: BootTime::ZERO,
-            usage_at: BootTime::ZERO,
+            cancels_read_at: BootTime::ZERO,
+            usage_requested_at: BootTime::ZERO,
             renewed_at: BootTime::ZERO,
             fenced: false,
             jitter: 1,
@@ -137,7 +137,7 @@
             self.payload += state.spec.payload.len();
             self.index_request(&state);
             self.job_table.lock().insert(job.clone(), state.clone());
-            self.index(&job, &state);
+            self.index_job(&job, &state);
             self.jobs.insert(job, HeldJob::adopted(state));
         }
     }
@@ -179,8 +179,8 @@
         if was.kind() == PhaseKind::Placed && !placed {
             self.release(&was);
         }
-        self.unindex(job, &was);
-        self.index(job, &state);
+        self.unindex_job(job, &was);
+        self.index_job(job, &state);
         if record {
             self.dirty.insert(job.clone());
         } else if let Some(shown) = self.job_table.lock().get_mut(job) {
@@ -204,7 +204,7 @@
         self.jobs.is_empty() && self.dirty.is_empty() && self.pending.is_none()
     }
 
-    pub(crate) fn index(&mut self, job: &JobId, state: &JobState) {
+    pub(crate) fn index_job(&mut self, job: &JobId, state: &JobState) {
         match state.kind() {
             PhaseKind::Waiting => {
                 let queue = self.queues.entry(state.spec.team.clone()).or_default();
@@ -219,7 +219,7 @@
         }
     }
 
-    pub(crate) fn unindex(&mut self, job: &JobId, state: &JobState) {
+    pub(crate) fn unindex_job(&mut self, job: &JobId, state: &JobState) {
         match state.kind() {
             PhaseKind::Waiting => {
                 if let Some(queue) = self.queues.get_mut(&state.spec.team) {
@@ -253,7 +253,7 @@
 
     /// Fails pending requests and removes the jobs of this holder from the job table.
     fn close(mut self) {
-        for (_, reply) in self.answers.drain(..) {
+        for (_, reply) in self.pending_replies.drain(..) {
             let _ = reply.send(Err(JobError::Unknown("the holder stopped".to_owned())));
         }
         let mut job_table = self.job_table.lock();
--- a/crates/fleet/src/job_keeper.rs
+++ b/crates/fleet/src/job_keeper.rs
@@ -92,7 +92,7 @@
                 .entry(entry.log.clone())
                 .or_insert(now);
             let long = now.saturating_sub(since) >= self.shared.job_timing.takeover_after;
-            if long && self.has_duty(&entry.log) {
+            if long && self.is_takeover_owner(&entry.log) {
                 self.take_over(&entry.log)?;
             }
         }
@@ -159,7 +159,7 @@
                 .any(|info| info.reachable && name(&info.member, info.incarnation) == holder)
     }
 
-    fn has_duty(&self, log: &str) -> bool {
+    fn is_takeover_owner(&self, log: &str) -> bool {
         let members = self.shared.members.members();
         let reachable = members
             .iter()
--- a/crates/fleet/src/job_log.rs
+++ b/crates/fleet/src/job_log.rs
@@ -82,7 +82,7 @@
     ///
     /// # Errors
     /// If the store does not respond.
-    pub fn peek(store: Arc<dyn KeyStore>, name: &str) -> Result<Vec<JobRecord>, StepError> {
+    pub fn read_records(store: Arc<dyn KeyStore>, name: &str) -> Result<Vec<JobRecord>, StepError> {
         Self::create(store, name, "").read_pages()
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// Removes the oldest page if it is due and holds no job's newest record.
-    pub fn drop_oldest(&mut self) {
+    pub fn remove_oldest(&mut self) {
         if self.oldest_jobs().is_none_or(|live| !live.is_empty()) {
             return;
         }
--- a/crates/fleet/src/job_order.rs
+++ b/crates/fleet/src/job_order.rs
@@ -32,14 +32,14 @@
                     request,
                     pool,
                     reply,
-                } => self.accept(*request, pool, reply),
+                } => self.accept_submission(*request, pool, reply),
                 JobOrder::Cancel { team, job, reply } => self.cancel(&team, &job, &reply),
             }
         }
     }
 
     /// Queues a submission; the reply is sent once the job is recorded.
-    fn accept(&mut self, request: JobRequest, pool: PoolId, reply: ReplySender) {
+    fn accept_submission(&mut self, request: JobRequest, pool: PoolId, reply: ReplySender) {
         let key = (request.team.clone(), request.request.to_string());
         if let Some(job) = self.requests.get(&key) {
             self.answer_repeat(&job.clone(), reply);
@@ -69,10 +69,10 @@
         });
         self.payload += state.spec.payload.len();
         self.index_request(&state);
-        self.index(&job, &state);
+        self.index_job(&job, &state);
         self.jobs.insert(job.clone(), HeldJob::new(state));
         self.dirty.insert(job.clone());
-        self.answers.push((job, reply));
+        self.pending_replies.push((job, reply));
     }
 
     /// Replies to a repeated submission once the first is recorded.
@@ -82,7 +82,7 @@
             Some(view) => {
                 let _ = reply.send(Ok(view));
             }
-            None => self.answers.push((job.clone(), reply)),
+            None => self.pending_replies.push((job.clone(), reply)),
         }
     }
 
@@ -93,7 +93,7 @@
             return;
         }
         self.cancel_job(job);
-        self.answers.push((job.clone(), reply.clone()));
+        self.pending_replies.push((job.clone(), reply.clone()));
     }
 
     /// Cancels a job of this log; if it runs on a worker, it is stopped there.
@@ -116,7 +116,7 @@
         let Some(held) = self.jobs.remove(job) else {
             return;
         };
-        self.unindex(job, &held.state);
+        self.unindex_job(job, &held.state);
         self.release(&held.state);
         self.dirty.remove(job);
         self.unindex_request(&held.state);
--- a/crates/fleet/src/job_service.rs
+++ b/crates/fleet/src/job_service.rs
@@ -67,7 +67,7 @@
         self.routes.lock().get(log).cloned()
     }
 
-    fn order(
+    fn send_order(
         &self,
         log: &str,
         order: impl FnOnce(ReplySender) -> JobOrder,
@@ -95,7 +95,7 @@
         let mut foreign = self.foreign.lock();
         foreign.retain(|_, log| log.read_at.elapsed() < FOREIGN_MAX_AGE);
         if !foreign.contains_key(log) {
-            let records = JobLog::peek(Arc::clone(&self.shared.store), log)
+            let records = JobLog::read_records(Arc::clone(&self.shared.store), log)
                 .map_err(|e| JobError::StoreDown(e.to_string()))?;
             let states = records.into_iter().map(JobState::from_record);
             let read = ForeignLog {
@@ -186,7 +186,7 @@
             return Err(JobError::Invalid(text));
         };
         let log = self.shared.own_log.lock().clone();
-        self.order(&log, |reply| JobOrder::Submit {
+        self.send_order(&log, |reply| JobOrder::Submit {
             request: Box::new(request),
             pool,
             reply,
@@ -214,7 +214,7 @@
         let log = log_of(job).ok_or(JobError::NotFound)?;
         if self.route(log).is_some() {
             let (team, job) = (team.clone(), job.clone());
-            return self.order(log, |reply| JobOrder::Cancel { team, job, reply });
+            return self.send_order(log, |reply| JobOrder::Cancel { team, job, reply });
         }
         let state = self.foreign_job(team, job)?;
         self.cancel_foreign(job)?;
--- a/crates/fleet/src/job_settle.rs
+++ b/crates/fleet/src/job_settle.rs
@@ -93,7 +93,7 @@
             held.unresponsive_since = None;
         }
         let attempt_report = self.check_host_retired(worker, attempt_report);
-        self.apply(&job, &attempt_report, boot);
+        self.apply_to_job(&job, &attempt_report, boot);
     }
 
     /// Treats an unresponsive worker as gone if it is retired or no longer in the pool map.
@@ -107,7 +107,7 @@
         AttemptReport::Unresponsive
     }
 
-    fn apply(&mut self, job: &JobId, attempt_report: &AttemptReport, boot: &str) {
+    fn apply_to_job(&mut self, job: &JobId, attempt_report: &AttemptReport, boot: &str) {
         let Some(held) = self.jobs.get(job) else {
             return;
         };
--- a/crates/fleet/src/job_start.rs
+++ b/crates/fleet/src/job_start.rs
@@ -81,7 +81,7 @@
             if let Some(held) = self.jobs.get_mut(&job) {
                 held.permit = Some(permit);
             }
-            self.place(&job, &state, &worker);
+            self.place_job(&job, &state, &worker);
             started += 1;
         }
     }
@@ -108,7 +108,7 @@
             .corrected_size(&spec.team, &spec.service, declared_size(state))
     }
 
-    fn place(&mut self, job: &JobId, state: &JobState, worker: &HostId) {
+    fn place_job(&mut self, job: &JobId, state: &JobState, worker: &HostId) {
         let now = self.shared.clock.boot_now();
         let size = self.corrected_size(state);
         let Some(worker_table) = self.worker_tables.get_mut(&state.spec.pool) else {
@@ -188,14 +188,14 @@
     /// Refreshes the workers and their usage, and reads cancellations of other members.
     pub(crate) fn refresh_inputs(&mut self) {
         let now = self.shared.clock.boot_now();
-        if now.saturating_sub(self.usage_at) >= self.timing.usage_interval
+        if now.saturating_sub(self.usage_requested_at) >= self.timing.usage_interval
             || self.lacks_worker_table()
         {
-            self.usage_at = now;
+            self.usage_requested_at = now;
             self.refresh_workers();
         }
-        if now.saturating_sub(self.watched_at) >= self.timing.watch_interval {
-            self.watched_at = now;
+        if now.saturating_sub(self.cancels_read_at) >= self.timing.watch_interval {
+            self.cancels_read_at = now;
             self.apply_cancels();
         }
     }
--- a/crates/fleet/src/map_store.rs
+++ b/crates/fleet/src/map_store.rs
@@ -62,7 +62,7 @@
         let Some(found) = found else {
             return Ok(MapSnapshot::default());
         };
-        self.open(known, found.version, &found.value)
+        self.decode_head(known, found.version, &found.value)
     }
 
     /// Waits up to `timeout` for a newer map; returns `None` on timeout.
@@ -81,7 +81,8 @@
         let Some(found) = found else {
             return Ok(None);
         };
-        self.open(known, found.version, &found.value).map(Some)
+        self.decode_head(known, found.version, &found.value)
+            .map(Some)
     }
 
     /// Writes `change` if the stored map is still at the version of `known`.
@@ -108,7 +109,7 @@
             .swap(&self.head_key, known.version, &head.encode_to_vec());
         match outcome {
             Ok(version) => {
-                self.drop_old_base(&known.head, &head);
+                self.remove_old_base(&known.head, &head);
                 Ok(CommitOutcome::Done(MapSnapshot { version, head, map }))
             }
             Err(StoreError::Conflict { .. }) => Ok(CommitOutcome::Conflict),
@@ -119,7 +120,7 @@
 }
 
 impl MapStore {
-    fn open(
+    fn decode_head(
         &self,
         known: &MapSnapshot,
         version: StoreVersion,
@@ -171,7 +172,7 @@
     }
 
     /// Removes the base that `after` no longer refers to. If that fails, an unused key remains.
-    fn drop_old_base(&self, before: &FleetRecord, after: &FleetRecord) {
+    fn remove_old_base(&self, before: &FleetRecord, after: &FleetRecord) {
         if before.base_key.is_empty() || before.base_key == after.base_key {
             return;
         }
--- a/crates/fleet/src/pending_flush.rs
+++ b/crates/fleet/src/pending_flush.rs
@@ -9,8 +9,8 @@
 pub(crate) struct PendingFlush {
     pub(crate) records: Vec<JobRecord>,
     pub(crate) states: Vec<(JobId, u32)>,
-    pub(crate) answers: Vec<(JobId, ReplySender)>,
-    pub(crate) began: Duration,
+    pub(crate) pending_replies: Vec<(JobId, ReplySender)>,
+    pub(crate) started_at: Duration,
     /// True once an attempt had an unknown result: the page may exist in the store.
     pub(crate) unsettled: bool,
 }
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -54,7 +54,7 @@
     /// Runs planning rounds until the service stops.
     pub(crate) fn run(mut self) {
         while self.shared.pause(self.shared.timing.round_interval) {
-            if self.has_duty() {
+            if self.is_active_planner() {
                 self.plan_round();
             }
         }
@@ -63,7 +63,7 @@
     /// True once this host has owned the duty for the takeover time.
     ///
     /// During that time, calls of the former planner to hosts can finish.
-    fn has_duty(&mut self) -> bool {
+    fn is_active_planner(&mut self) -> bool {
         if !owns_duty(self.shared.members.as_ref(), DUTY) {
             self.owned_since = None;
             return false;
@@ -105,7 +105,7 @@
             map: &map,
             manifest: &config.manifest,
             observations,
-            list_fresh: self.shared.list_fresh(),
+            list_fresh: self.shared.is_list_fresh(),
             limits: &self.shared.limits,
         })
     }
@@ -165,7 +165,7 @@
             audit_changes(&self.shared, audited, &snapshot);
         }
         self.audited = Some(snapshot.clone());
-        self.shared.adopt(snapshot);
+        self.shared.adopt_snapshot(snapshot);
     }
 
     /// Queues probes of the hosts that are not in service and of the hosts in `wanted`.
