--- a/crates/decide/tests/harness/scheduler_fixture.rs
+++ b/crates/decide/tests/harness/scheduler_fixture.rs
@@ -23,7 +23,7 @@
     pub other_actions: Vec<SchedulerAction>,
     /// Entries of the job log.
     pub stored: Vec<LogEntry>,
-    /// Whether the store rejects writes.
+    /// Whether the store is unavailable; log entries then stay in `other_actions`.
     pub store_down: bool,
 }
 
--- a/crates/decide/tests/harness/world.rs
+++ b/crates/decide/tests/harness/world.rs
@@ -304,11 +304,11 @@
         let mut owners = std::mem::take(&mut self.owners);
         let max_outage = SchedulerTuning::default().store_outage_limit + OWNER_LEASE;
         owners.retain(|owner| {
-            let over = owner
+            let ended = owner
                 .lease_loss_seen_at
                 .is_some_and(|at| self.now.boot >= at);
             let since = self.cut_off_since(owner);
-            !over && since.is_none_or(|since| self.now.boot < since + max_outage)
+            !ended && since.is_none_or(|since| self.now.boot < since + max_outage)
         });
         let mut running = Vec::new();
         for mut owner in owners {
