--- a/crates/lacewingshore/src/args.rs
+++ b/crates/lacewingshore/src/args.rs
@@ -289,7 +289,8 @@
 }
 
 impl CliArguments {
-    /// Reads the command line; help and usage errors are printed and end the process.
+    /// Parses the command line. Prints help and usage errors, and returns their exit code as the
+    /// error.
     #[allow(clippy::print_stderr)]
     pub fn from_process() -> Result<Self, ExitCode> {
         let texts: Vec<String> = std::env::args_os()
--- a/crates/lacewingshore/src/cell_serve.rs
+++ b/crates/lacewingshore/src/cell_serve.rs
@@ -1,7 +1,8 @@
-//! The wiring of one process of a cell on the users' platform.
+//! Wires and runs one process of a cell on the users' platform.
 //!
-//! [`run`] runs everything on one event loop: on a quarter of a core, threads that wake each
-//! other for every call would cost three times as much; see `docs/design/13-platform.md`.
+//! [`run`] runs everything on one single-threaded event loop: on a quarter of a core, threads
+//! that wake each other for every call would cost three times as much;
+//! see `docs/design/13-platform.md`.
 
 use std::{
     net::SocketAddr,
@@ -26,10 +27,10 @@
 
 use crate::{command::read_text, exit::CommandError, line_sink::LineSink};
 
-/// How often dropped log lines are told.
+/// Interval between reports of dropped log lines.
 const DROP_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs a process of a cell until it is told to stop, and shuts it down gracefully.
+/// Runs a process of a cell until SIGTERM or SIGINT, and shuts it down gracefully.
 pub fn run(settings: CellSettings, path: PathBuf, log_sink: Arc<LineSink>) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -58,18 +59,19 @@
     }
     let served = async move {
         if let Err(error) = callers.await {
-            log::error!("the callers' server ended: {error}");
+            log::error!("caller server stopped: {error}");
         }
     };
     host.stop(served).await;
     Ok(())
 }
 
-/// Serves callers, and the balancer that asks whether to send them here.
+/// Starts the servers for callers and for the load balancer's readiness checks; returns the
+/// task of the caller server.
 fn spawn_servers(settings: &CellSettings, host: &CellHost) -> Result<JoinHandle<()>> {
     let service = host.service();
     let ready = Rc::new(ReadyPort::new(service.clone()));
-    // Readiness is told until the process ends.
+    // The readiness server answers until the process ends, also during the shutdown.
     let no_shutdown = ShutdownSignal::default();
     let ready_address = parse_address(&settings.ready_address)?;
     let limits = ServerLimits::default();
@@ -132,19 +134,20 @@
     Ok(options)
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 pub fn read_settings(path: &Path) -> Result<CellSettings, CommandError> {
     let text = read_text(path)?;
     CellSettings::from_ini(&text).map_err(|fault| CommandError::invalid_text(path, &fault))
 }
 
-/// Reads the settings again when told to. Only addresses stand there, and they change with a
-/// restart; so a change is told and waits for one.
+/// Reads the settings file again on each SIGHUP. It holds only addresses and the like, which
+/// take effect at a restart; so this only logs whether a restart is needed, or why the file is
+/// invalid.
 async fn watch_reload_signal(settings: CellSettings, path: PathBuf) {
     let mut reload = match signal(SignalKind::hangup()) {
         Ok(reload) => reload,
         Err(error) => {
-            log::error!("SIGHUP can't be heard: {error}");
+            log::error!("cannot register a SIGHUP handler: {error}");
             return;
         }
     };
@@ -179,6 +182,6 @@
 
 fn log_server_error(result: std::io::Result<()>, what: &str) {
     if let Err(error) = result {
-        log::error!("the server of {what} ended: {error}");
+        log::error!("server for {what} stopped: {error}");
     }
 }
--- a/crates/lacewingshore/src/client.rs
+++ b/crates/lacewingshore/src/client.rs
@@ -9,13 +9,13 @@
 
 use crate::{args::CliArguments, exit::CommandError};
 
-/// Longest wait for one answer; accepting a change takes some seconds at most.
+/// Timeout of one call; accepting a change takes some seconds at most.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(15);
-/// How long a reading call is repeated while no entry host serves.
+/// How long a read is retried while no entry host serves.
 const READ_RETRY_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause between two tries of a change that is not accepted yet.
+/// Pause between two rounds of attempts.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// Largest answer that is read; a status of the target fleet takes a few hundred KB.
+/// Largest response body that is read; the status of a whole fleet takes a few hundred KB.
 const MAX_RESPONSE_BYTES: u64 = 16 * 1024 * 1024;
 
 /// One call to the administration interface.
@@ -25,11 +25,11 @@
     pub method: &'static str,
     /// Path with its query.
     pub path: String,
-    /// Id of the change; empty for a reading call.
+    /// Id of the change, which makes retries idempotent; empty for a read.
     pub change_id: String,
     /// Revision that the change was made against.
     pub base_revision: Option<u64>,
-    /// The body.
+    /// Request body.
     pub body: Vec<u8>,
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// Calls the administration interface of any of several entry hosts.
+/// Client of the administration interface, with failover between several entry hosts.
 pub struct AdminClient {
     urls: Vec<String>,
     key: String,
@@ -62,16 +62,16 @@
     agent: ureq::Agent,
 }
 
-/// How one try of a call failed.
+/// How one attempt of a call failed.
 enum AttemptError {
-    /// Another entry host, or another time, may do.
+    /// A retry, possibly at another entry host, may succeed.
     Retry(CommandError),
-    /// Nothing will help.
+    /// A retry would fail in the same way.
     Permanent(CommandError),
 }
 
 impl AdminClient {
-    /// Takes the addresses and the key from the arguments or the environment.
+    /// Creates a client with the addresses and the key from the arguments or the environment.
     pub fn new(arguments: &CliArguments) -> Result<Self, CommandError> {
         let urls = arguments
             .admin
@@ -105,8 +105,10 @@
         &self.urls
     }
 
-    /// Reads from the first entry host that answers; one that has just started is given a
-    /// moment to join.
+    /// Reads from the first entry host that answers; returns the body and its revision.
+    ///
+    /// Retries for a few seconds, as an entry host that has just started may not have joined
+    /// yet.
     pub fn read_text(&self, path: &str) -> Result<(String, u64), CommandError> {
         self.call_with_retries(
             &AdminRequest::read(path),
@@ -129,13 +131,14 @@
 
     /// Makes a change and returns once it is accepted.
     ///
-    /// An answer may be lost after the change took effect. Each try carries the same change
-    /// id, so that the change is made once whichever try gets through.
+    /// A response may be lost after the change took effect. Each attempt carries the same
+    /// change id, so the change is made once whichever attempts reach an entry host.
     pub fn change<T: DeserializeOwned>(&self, request: &AdminRequest) -> Result<T, CommandError> {
         parse_json(&self.call_with_retries(request, self.retry_timeout)?.0)
     }
 
-    /// Tries each entry host in turn, again and again, until one answers.
+    /// Tries each entry host in turn until one answers, a refusal is permanent, or the timeout
+    /// has passed.
     fn call_with_retries(
         &self,
         request: &AdminRequest,
@@ -200,7 +203,7 @@
     }
 }
 
-/// An answer that did not come: a change may have been made.
+/// The error for a missing response: a change may have been made all the same.
 fn no_response(url: &str, request: &AdminRequest, error: &ureq::Error) -> CommandError {
     if request.change_id.is_empty() {
         return CommandError::Unavailable(format!("{url}: {error}"));
@@ -234,7 +237,8 @@
     }
 }
 
-/// Once one try may have made the change, no later refusal can say that nothing was done.
+/// Keeps a pending error over a later one: once an attempt may have made the change, a later
+/// refusal does not show that nothing was done.
 fn prefer_pending(last: CommandError, next: CommandError) -> CommandError {
     match last {
         CommandError::Pending(_) => last,
@@ -242,11 +246,11 @@
     }
 }
 
-/// The outcome when a later try is refused for good.
+/// The error to return after a permanent refusal.
 ///
 /// An operator may withdraw the key that the command itself presents. If that took effect
-/// and its answer was lost, the next try is refused for the key, which must not read as if
-/// the withdrawal had failed.
+/// and the response was lost, the next attempt is refused for the key. This must not be
+/// reported as a failed withdrawal, so the pending error is kept.
 fn final_error(last: CommandError, refusal: CommandError) -> CommandError {
     match (&last, &refusal) {
         (CommandError::Pending(_), CommandError::KeyRefused(_)) => last,
--- a/crates/lacewingshore/src/command/audit.rs
+++ b/crates/lacewingshore/src/command/audit.rs
@@ -13,10 +13,10 @@
     table::TextTable,
 };
 
-/// Times that a trail is read anew because it moved while it was read.
+/// Attempts to read a consistent trail while entries are added to it.
 const MAX_READS: usize = 5;
 
-/// Shows the audit trail and checks its chain here, not trusting the entry host.
+/// Shows the audit trail and verifies its hash chain locally, without trusting the entry host.
 pub fn run(arguments: &CliArguments, audit: &AuditArguments) -> Result<(), CommandError> {
     let client = AdminClient::new(arguments)?;
     let (view, entries) = read_trail(&client, audit.grants)?;
@@ -52,11 +52,10 @@
     )))
 }
 
-/// Reads the whole trail as of one moment.
+/// Reads a consistent snapshot of the whole trail.
 ///
-/// While it is read, entries may move from the head into a page, and the oldest page may be
-/// dropped. The pages are those that the head named, so only a dropped one calls for
-/// another read.
+/// Meanwhile entries may move from the head into a page, and the oldest page may be dropped.
+/// This reads the pages that the head names, so only a dropped page requires another attempt.
 fn read_trail(
     client: &AdminClient,
     grants: bool,
@@ -89,8 +88,10 @@
     ))
 }
 
-/// A trail that was rewritten from some entry on has a whole chain. Only a digest noted
-/// elsewhere shows that.
+/// Checks that the trail holds the entry of an earlier run.
+///
+/// A trail that was rewritten from some entry on has a valid chain; only a digest that was
+/// stored elsewhere reveals it.
 fn check_expected(expected: &str, entries: &[EntryView]) -> Result<Option<String>, CommandError> {
     let invalid_argument =
         || CommandError::Invalid(format!("--expect: `{expected}` is not SEQUENCE:DIGEST"));
--- a/crates/lacewingshore/src/command/cell.rs
+++ b/crates/lacewingshore/src/command/cell.rs
@@ -4,7 +4,7 @@
 
 use crate::{args::CellArguments, catalogue::event, cell_serve, exit::CommandError, log_setup};
 
-/// Names the settings file where the command line doesn't.
+/// Environment variable with the path of the settings file, used without `--settings`.
 const SETTINGS_VARIABLE: &str = "LACEWINGSHORE_SETTINGS";
 
 /// Runs a process of a cell, or only checks its settings.
--- a/crates/lacewingshore/src/command/demo/fleet_monitor.rs
+++ b/crates/lacewingshore/src/command/demo/fleet_monitor.rs
@@ -4,7 +4,7 @@
 
 use crate::{client::AdminClient, command::status::read_status, table::TextTable};
 
-/// What was seen of the fleet over time.
+/// Statistics of the fleet over the polls of its status.
 #[derive(Debug, Default)]
 pub struct FleetMonitor {
     last: StatusView,
@@ -13,7 +13,7 @@
     maintained: BTreeSet<String>,
 }
 
-/// What was seen of one pool.
+/// Statistics of one pool.
 #[derive(Clone, Debug, Default)]
 struct PoolStats {
     budget: u32,
@@ -22,12 +22,12 @@
 }
 
 impl FleetMonitor {
-    /// Nothing seen yet.
+    /// Creates a monitor without any poll.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Looks at the fleet once; an entry host that does not answer is counted.
+    /// Polls the status of the fleet once; counts the entry hosts that do not answer.
     pub fn poll(&mut self, client: &AdminClient) {
         let Ok((view, unresponsive)) = read_status(client) else {
             self.unresponsive = client.urls().len();
@@ -46,7 +46,7 @@
         self.last = view;
     }
 
-    /// What was seen last, on one line.
+    /// Summary of the last poll, on one line.
     pub fn status_line(&self) -> String {
         let count = |phases: &[&str]| {
             let hosts = self.last.hosts.iter();
@@ -68,7 +68,7 @@
         )
     }
 
-    /// Prints how near each pool came to its budget.
+    /// Prints how close each pool came to its budget.
     pub fn print(&self) {
         let mut table =
             TextTable::new(&["POOL", "BUDGET", "LOWEST IN SERVICE", "MOST IN MAINTENANCE"]);
@@ -105,7 +105,8 @@
 }
 
 impl PoolStats {
-    /// A pool counts from when it first had its budget: a fleet that starts is below it.
+    /// Adds one poll. The minimum is tracked from when the pool first meets its budget, as it is
+    /// below it while the fleet starts.
     fn record(&mut self, pool: &PoolView) {
         self.budget = pool.budget;
         self.max_maintained = self.max_maintained.max(pool.maintained);
--- a/crates/lacewingshore/src/command/demo/job_batch.rs
+++ b/crates/lacewingshore/src/command/demo/job_batch.rs
@@ -4,12 +4,12 @@
 
 /// Jobs that the demo submits.
 const JOBS: usize = 60;
-/// How long each of them runs; the stand-in of a worker reads it from the payload.
+/// Run time of each job; the stand-in of a worker reads it from the payload.
 const RUN_MS: u64 = 400;
-/// Phases in which nothing more becomes of a job.
+/// Final phases of a job.
 const END_PHASES: [&str; 5] = ["done", "failed", "cancelled", "parked", "unknown"];
 
-/// A batch of jobs, submitted over the first part of the demo and followed to its end.
+/// A batch of jobs, submitted over the first half of the demo and polled until all have ended.
 pub struct JobBatch {
     callers: Vec<String>,
     bearer: String,
@@ -18,11 +18,11 @@
     jobs: Vec<JobView>,
     sent: usize,
     refused: usize,
-    /// What the last refusal said.
+    /// Response body of the last refusal.
     refusal: String,
 }
 
-/// The part of a job that the demo looks at.
+/// The fields of a job that the demo uses.
 #[derive(Clone, Debug, Default, Deserialize)]
 struct JobView {
     job: String,
@@ -32,7 +32,7 @@
 }
 
 impl JobBatch {
-    /// A batch for `service`, submitted with `key` to each of `callers` in turn.
+    /// Creates a batch for `service`, submitted with `key` to each of `callers` in turn.
     pub fn new(callers: &str, service: &str, key: &str) -> Self {
         let agent = ureq::Agent::config_builder()
             .http_status_as_error(false)
@@ -54,10 +54,10 @@
         }
     }
 
-    /// Submits the jobs that are due at `part` of the demo, from 0 to 1, and looks what
-    /// became of one that has not ended.
+    /// Submits the jobs that are due at `fraction` of the demo, from 0 to 1, and polls those
+    /// that have not ended.
     pub fn advance(&mut self, fraction: f64) {
-        // All jobs are in by half of the demo, so that the wave meets them.
+        // All jobs are submitted by half of the demo, so that they run during the maintenance wave.
         let due_count = ((fraction * 2.0).min(1.0) * JOBS as f64).ceil() as usize;
         while self.sent < due_count {
             self.submit();
@@ -65,14 +65,14 @@
         self.refresh();
     }
 
-    /// True once every job has ended.
+    /// Returns whether every job has ended.
     pub fn all_ended(&self) -> bool {
         self.jobs
             .iter()
             .all(|job| END_PHASES.contains(&job.phase.as_str()))
     }
 
-    /// Looks at every job that has not ended.
+    /// Polls every job that has not ended.
     pub fn refresh(&mut self) {
         for index in 0..self.jobs.len() {
             let Some(job) = self.jobs.get(index) else {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Prints how many jobs ended how.
+    /// Prints the number of jobs in each phase.
     pub fn print(&self) {
         let mut phases: BTreeMap<&str, usize> = BTreeMap::new();
         for job in &self.jobs {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Jobs that were accepted and did not end as done.
+    /// Reports jobs that were accepted and did not end as done, or that none was accepted.
     pub fn violations(&self) -> Option<String> {
         if self.jobs.is_empty() {
             return Some("no job was accepted".to_owned());
--- a/crates/lacewingshore/src/command/demo/load_result.rs
+++ b/crates/lacewingshore/src/command/demo/load_result.rs
@@ -11,27 +11,27 @@
 
 use crate::{command::read_text, exit::CommandError, table::TextTable};
 
-/// Longest list of runs that is read, in bytes.
+/// Largest list of runs that is read, in bytes.
 const MAX_RUNS: u64 = 256 * 1024 * 1024;
 
-/// What callers and targets saw of the load.
+/// Results of the load, as recorded by callers and targets.
 #[derive(Debug, Default)]
 pub struct LoadResult {
     streams: Vec<StreamResult>,
-    /// Runs that the targets record.
+    /// Number of runs that the targets record.
     runs: usize,
-    /// Requests that are not idempotent and were run more than once.
+    /// Number of non-idempotent requests that ran more than once.
     repeated_requests: usize,
 }
 
-/// The part of a report of the load tool that is shown.
+/// The fields of a load tool report that are shown.
 #[derive(Debug, Default, Deserialize)]
 struct LoadReport {
     mode: String,
     streams: Vec<StreamResult>,
 }
 
-/// One team's requests.
+/// Results of one team's requests.
 #[derive(Debug, Default, Deserialize)]
 struct StreamResult {
     team: String,
@@ -108,7 +108,7 @@
         );
     }
 
-    /// What callers must never see.
+    /// Failures that must not occur: lost or wrong answers, and requests that ran twice.
     pub fn violations(&self) -> Vec<String> {
         let lost: u64 = self.streams.iter().map(|stream| stream.lost).sum();
         let wrong: u64 = self.streams.iter().map(|stream| stream.mismatched).sum();
@@ -117,14 +117,14 @@
             (wrong, "answers were not whole or not the caller's own"),
             (self.repeated_requests as u64, "requests ran twice"),
         ];
-        let broken = counts.iter().filter(|(count, _)| *count > 0);
-        broken
+        let violations = counts.iter().filter(|(count, _)| *count > 0);
+        violations
             .map(|(count, text)| format!("{count} {text}"))
             .collect()
     }
 
-    /// The part of all finished requests that is due to each team by weight, no team being
-    /// due more than it asked for.
+    /// Each team's fair fraction of all finished requests by weight, at most what the team
+    /// requested.
     fn due_shares(&self) -> Vec<f64> {
         let finished: u64 = self.streams.iter().map(|stream| stream.answered).sum();
         let claims: Vec<ShareClaim> = self
@@ -160,7 +160,7 @@
     }
 }
 
-/// Reads the runs of one stand-in; one that reboots in the wave is asked again.
+/// Reads the runs of one stand-in; retries, as it may be rebooting in the maintenance wave.
 fn read_runs(url: &str) -> Result<String, CommandError> {
     const TRIES: usize = 40;
     let read = || {
--- a/crates/lacewingshore/src/command/demo/mod.rs
+++ b/crates/lacewingshore/src/command/demo/mod.rs
@@ -1,8 +1,8 @@
-//! The demo: operates a running fleet through its main job and reports what became of it.
+//! The demo: operates a running fleet under load and reports the results.
 //!
 //! `scripts/demo` starts the stand-ins, the entry hosts and the load, because the program
 //! itself starts no process. This command changes the manifest and withdraws a key while
-//! the load and a maintenance wave run, watches the fleet, and sums up.
+//! the load and a maintenance wave run, monitors the fleet, and prints a summary.
 
 mod fleet_monitor;
 mod job_batch;
@@ -30,13 +30,13 @@
 use load_result::LoadResult;
 use propagation_timer::PropagationTimer;
 
-/// How often the fleet is looked at, and how often a line says what was seen.
+/// Intervals of the polls of the fleet and of the status lines.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 const LINE_INTERVAL: Duration = Duration::from_secs(2);
-/// How long load and jobs may take beyond their time to end.
+/// Timeout for the load and the jobs to end after the time of the demo.
 const END_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Operates a running fleet through its main job.
+/// Applies a manifest, withdraws a key and reports, while load and jobs run.
 pub fn run(arguments: &CliArguments, demo: &DemoArguments) -> Result<(), CommandError> {
     let client = AdminClient::new(arguments)?;
     let manifest = read_text(&demo.manifest)?;
@@ -84,7 +84,7 @@
     Err(anyhow::anyhow!("broken promises: {}", violations.join("; ")).into())
 }
 
-/// What goes on while the demo runs.
+/// State of a running demo.
 struct DemoRun<'a> {
     client: &'a AdminClient,
     monitor: FleetMonitor,
@@ -98,7 +98,8 @@
         println!("{:>5.1}s  {text}", self.start.elapsed().as_secs_f64());
     }
 
-    /// Submits jobs and watches the fleet until `part` of the time, with a line now and then.
+    /// Submits jobs and polls the fleet until `fraction` of the time has passed, and prints status
+    /// lines.
     fn run_until(&mut self, fraction: f64) {
         let mut next_line = self.start.elapsed();
         while self.elapsed_fraction() < fraction {
@@ -136,7 +137,7 @@
     }
 }
 
-/// True once the load tool has written its report whole.
+/// Returns whether the load tool has written its report completely.
 fn is_report(path: &Path) -> bool {
     let text = fs::read(path).unwrap_or_default();
     serde_json::from_slice::<serde_json::Value>(&text).is_ok()
--- a/crates/lacewingshore/src/command/demo/propagation_timer.rs
+++ b/crates/lacewingshore/src/command/demo/propagation_timer.rs
@@ -12,12 +12,12 @@
     exit::CommandError,
 };
 
-/// How often entry hosts are asked whether a change has arrived.
+/// Interval between polls of the entry hosts for a change.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long a change may take to arrive everywhere before the demo gives up.
+/// Timeout for a change to reach every entry host.
 const PATIENCE: Duration = Duration::from_secs(30);
 
-/// Makes changes and takes the time until they are in force on every entry host.
+/// Makes changes and measures the time until they are in force on every entry host.
 pub struct PropagationTimer<'a> {
     client: &'a AdminClient,
     callers: Vec<String>,
@@ -25,7 +25,8 @@
 }
 
 impl<'a> PropagationTimer<'a> {
-    /// A timer that asks the entry hosts of `client` and, as a caller, `callers`.
+    /// Creates a timer that polls the entry hosts of `client`, and `callers` with requests of a
+    /// caller.
     pub fn new(client: &'a AdminClient, callers: &str) -> Self {
         let agent = ureq::Agent::config_builder()
             .http_status_as_error(false)
@@ -86,7 +87,7 @@
     }
 }
 
-/// Waits until something has arrived at every one of `urls`.
+/// Waits until `has_arrived` holds for every one of `urls`.
 fn wait_for_urls(
     start: Instant,
     what: &str,
--- a/crates/lacewingshore/src/command/key.rs
+++ b/crates/lacewingshore/src/command/key.rs
@@ -45,7 +45,7 @@
     Ok(())
 }
 
-/// Grants a key that is minted here, so that its secret never travels.
+/// Grants a key that is minted locally, so that its secret is never sent; returns its text.
 pub fn grant(
     client: &AdminClient,
     team: &str,
@@ -89,7 +89,7 @@
     Ok(())
 }
 
-/// Withdraws a key and returns once that is in force.
+/// Withdraws a key and returns once no entry host admits it.
 pub fn withdraw(
     client: &AdminClient,
     key_id: &str,
@@ -145,7 +145,7 @@
     Ok(())
 }
 
-/// The end of a key that works for the time in `text`, in milliseconds of the Unix epoch.
+/// The expiry of a key with the lifetime in `text`, in milliseconds since the Unix epoch.
 fn key_expiry_unix_ms(text: &str) -> Result<u64, CommandError> {
     const MAX_LIFETIME: Duration = Duration::from_secs(10 * 366 * 24 * 60 * 60);
     let lifetime = humantime::parse_duration(text)
--- a/crates/lacewingshore/src/command/manifest.rs
+++ b/crates/lacewingshore/src/command/manifest.rs
@@ -43,8 +43,8 @@
 fn run_apply(client: &AdminClient, arguments: &ManifestApplyArguments) -> Result<(), CommandError> {
     read_manifest(&arguments.file)?;
     let text = read_text(&arguments.file)?;
-    // Without a base the change is made against what is in force when the command starts.
-    // A repeated try must name the same base, or it would undo a change made in between.
+    // Without --base the change is made against the revision in force when the command starts.
+    // Retries must name the same base, or they would undo a change made in between.
     let base = match arguments.base {
         Some(base) => base,
         None => client.read_text("/v1/manifest")?.1,
@@ -88,7 +88,7 @@
     Ok(())
 }
 
-/// The sections that differ, line by line.
+/// The removed and added lines of each section that differs.
 fn difference(before: &SectionTexts, after: &SectionTexts) -> Vec<String> {
     let mut names: Vec<&String> = before.keys().chain(after.keys()).collect();
     names.sort_unstable();
--- a/crates/lacewingshore/src/command/mod.rs
+++ b/crates/lacewingshore/src/command/mod.rs
@@ -20,10 +20,10 @@
 
 use crate::exit::CommandError;
 
-/// Largest file of settings or a manifest that is read.
+/// Largest settings or manifest file that is read, in bytes.
 const MAX_FILE: u64 = 1024 * 1024;
 
-/// Reads a text file whole.
+/// Reads a whole UTF-8 text file.
 pub fn read_text(path: &Path) -> Result<String, CommandError> {
     let size = fs::metadata(path)
         .with_context(|| format!("read {}", path.display()))?
@@ -38,7 +38,7 @@
     Ok(text.to_owned())
 }
 
-/// An id for a change, by which repeating it is harmless.
+/// Returns a random change id, which makes retries of the change idempotent.
 fn mint_change_id() -> String {
     format!("c{:016x}", rand::random::<u64>())
 }
@@ -57,5 +57,5 @@
     }
 }
 
-/// End of the year 9999, beyond which times have no usual form.
+/// End of the year 9999, the last one that RFC 3339 can express.
 const MAX_FORMATTED_MS: u64 = 253_402_300_799_000;
--- a/crates/lacewingshore/src/command/status.rs
+++ b/crates/lacewingshore/src/command/status.rs
@@ -31,8 +31,10 @@
     Ok(())
 }
 
-/// Asks every named entry host. What runs is summed up over those that answer; the rest is
-/// taken from the one with the newest configuration.
+/// Reads the status of every named entry host.
+///
+/// Counts of running requests are summed over the hosts that answer; all else is from the one
+/// with the newest configuration. Also returns the hosts that failed to answer, with the error.
 pub fn read_status(
     client: &AdminClient,
 ) -> Result<(StatusView, Vec<(String, String)>), CommandError> {
--- a/crates/lacewingshore/src/exit.rs
+++ b/crates/lacewingshore/src/exit.rs
@@ -14,7 +14,7 @@
     /// A file or a change was refused as invalid: exit code 3.
     #[error("{0}")]
     Invalid(String),
-    /// Another change came first: exit code 4.
+    /// Another change was accepted first: exit code 4.
     #[error("{0}")]
     Conflict(String),
     /// The change is not accepted yet: exit code 5.
@@ -32,7 +32,7 @@
 }
 
 impl CommandError {
-    /// A fault of the text in `file`.
+    /// An error in the text of `file`.
     pub fn invalid_text(file: &Path, fault: &TextError) -> Self {
         Self::Invalid(format!("{}: {fault}", file.display()))
     }
--- a/crates/lacewingshore/src/line_sink.rs
+++ b/crates/lacewingshore/src/line_sink.rs
@@ -8,27 +8,27 @@
 use crossbeam_channel::{Receiver, Sender, bounded};
 use parking_lot::Mutex;
 
-/// Lines that wait for a slow reader of standard output; beyond them lines are dropped. At 200
-/// bytes a line that is 800 KB.
+/// Lines queued for a slow reader of standard output; further lines are dropped. At 200 bytes a
+/// line this takes 800 KB.
 const QUEUE_CAPACITY: usize = 4096;
-/// Lines a second over a longer time. A busy owner decides on about 300 tasks a second, with a
-/// line for the start and one for the end of each.
+/// Sustained rate limit. A busy owner schedules about 300 tasks a second and logs one line for
+/// the start and one for the end of each.
 const LINES_PER_SECOND: f64 = 800.0;
-/// Lines that may come at once beyond that rate.
+/// Burst size of the rate limit, in lines.
 const BURST: f64 = 3000.0;
-/// How long lines are gathered, so that one call writes many of them.
+/// Delay before queued lines are written, so that one call writes many of them.
 const BATCH_DELAY: Duration = Duration::from_millis(20);
-/// How often the lines that were dropped are told.
+/// Shortest interval between two reports of dropped lines.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest wait for the last lines at the end of the process.
+/// Timeout for writing the last lines at the end of the process.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
-/// Stack of the writing thread.
+/// Stack size of the writer thread.
 const STACK_BYTES: usize = 64 * 1024;
 
-/// Writes log lines to standard output in a thread of its own.
+/// Writes log lines to standard output in a separate thread.
 ///
-/// Whoever logs never waits: not for a reader that has stopped reading, and not for the lines
-/// of an overload, which are dropped beyond a rate and counted.
+/// Logging never blocks, even if the reader of standard output has stopped. Lines beyond the
+/// rate limit or the queue capacity are dropped and counted.
 pub struct LineSink {
     sender: Sender<String>,
     rate_limiter: Mutex<LineRateLimiter>,
@@ -42,7 +42,7 @@
 }
 
 impl LineSink {
-    /// Starts the thread.
+    /// Starts the writer thread.
     ///
     /// # Errors
     /// If the thread can't be started.
@@ -63,15 +63,15 @@
         })
     }
 
-    /// Takes a line without its end, or drops it.
+    /// Queues a line without its line break, or drops and counts it.
     pub fn push(&self, line: String) {
         if !self.rate_limiter.lock().try_acquire() || self.sender.try_send(line).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// How many lines were dropped since this was asked last; `None` if none were, or if it
-    /// was asked a moment ago.
+    /// Returns how many lines were dropped since the last report, and resets the count; `None`
+    /// if there were none, or within `REPORT_INTERVAL` of the last report.
     pub fn take_dropped(&self) -> Option<u64> {
         let mut rate_limiter = self.rate_limiter.lock();
         if rate_limiter.last_report.elapsed() < REPORT_INTERVAL {
@@ -81,7 +81,7 @@
         Some(self.dropped.swap(0, Ordering::Relaxed)).filter(|&dropped| dropped > 0)
     }
 
-    /// Waits a little until all lines have been written.
+    /// Waits up to `FLUSH_TIMEOUT` for the queue to drain, then for the last write.
     pub fn flush(&self) {
         let started = Instant::now();
         while !self.sender.is_empty() && started.elapsed() < FLUSH_TIMEOUT {
--- a/crates/lacewingshore/src/log_setup.rs
+++ b/crates/lacewingshore/src/log_setup.rs
@@ -6,10 +6,10 @@
 
 use crate::line_sink::LineSink;
 
-/// Sends the log to the sink that the settings name, one line an event.
+/// Starts logging to the file that the settings name, or to standard error, one line per event.
 ///
 /// # Errors
-/// If the log file can't be opened.
+/// If the log file can't be opened, or logging was started before.
 pub fn start(settings: &ServeSettings) -> anyhow::Result<()> {
     let dispatch = line_format(settings.log_level);
     let dispatch = match settings.log_file.as_str() {
@@ -19,10 +19,10 @@
     dispatch.apply().context("start the log")
 }
 
-/// Sends the log to standard output through a sink that never blocks.
+/// Starts logging to standard output through a sink that never blocks the caller.
 ///
 /// # Errors
-/// If the sink can't be started.
+/// If the thread of the sink can't be started, or logging was started before.
 pub fn start_bounded(level: LevelFilter) -> anyhow::Result<Arc<LineSink>> {
     let sink = Arc::new(LineSink::start().context("start the log's thread")?);
     let lines = sink.clone();
@@ -37,7 +37,7 @@
 fn line_format(level: LevelFilter) -> fern::Dispatch {
     fern::Dispatch::new()
         .level(level)
-        // Libraries log each call they make; that would drown the events.
+        // These libraries log each call; at a lower level their lines would outnumber the events.
         .level_for("ureq", LevelFilter::Warn)
         .level_for("ureq_proto", LevelFilter::Warn)
         .level_for("mio", LevelFilter::Warn)
@@ -57,16 +57,17 @@
         })
 }
 
-/// Events have their number as the target; everything else comes from libraries.
+/// Events have their number, such as `E0001`, as the log target; all other lines come from
+/// libraries.
 fn is_event(target: &str) -> bool {
     let number = target.strip_prefix('E').unwrap_or_default();
     number.len() == 4 && number.bytes().all(|byte| byte.is_ascii_digit())
 }
 
-/// Shows control characters escaped.
+/// Displays a text with its control characters escaped.
 ///
-/// A caller's text in a line could otherwise forge further lines, and an operator would
-/// read events that never happened.
+/// Without this, a line break in a text from a caller could forge log lines for events that
+/// never happened.
 struct OneLine<'a>(&'a fmt::Arguments<'a>);
 
 impl fmt::Display for OneLine<'_> {
--- a/crates/lacewingshore/src/main.rs
+++ b/crates/lacewingshore/src/main.rs
@@ -1,8 +1,9 @@
 //! The lacewingshore program: one binary for entry hosts and for operators.
 //!
 //! Start with [`args`], the commands. `serve` runs an entry host and is wired in
-//! [`serve`], `cell` a process on the users' platform, wired in [`cell_serve`]; every other command is a client of the administration interface, or works
-//! offline. Exit codes are in [`exit`] and in `docs/GETTING-STARTED.md`.
+//! [`serve`], `cell` a process on the users' platform, wired in [`cell_serve`]; every other
+//! command is a client of the administration interface, or works offline. Exit codes are in [`exit`]
+//! and in `docs/GETTING-STARTED.md`.
 
 mod args;
 mod catalogue;
--- a/crates/lacewingshore/src/serve.rs
+++ b/crates/lacewingshore/src/serve.rs
@@ -1,8 +1,8 @@
-//! The wiring of one entry host.
+//! Wires and runs one entry host.
 //!
-//! [`run`] starts the areas in the order of their needs, waits for a signal and stops them
-//! in the reverse order. Every arrow of `ARCHITECTURE.md` inside a process is a trait
-//! object handed over here.
+//! [`run`] starts the services in the order of their dependencies, waits for a signal and
+//! shuts them down, callers first. Every arrow of `ARCHITECTURE.md` inside a process is a trait
+//! object passed here.
 
 use std::{
     net::TcpListener,
@@ -29,12 +29,12 @@
 
 use crate::catalogue::event;
 
-// Pause between two tries to reach the store at the start.
+// Pause between two attempts to reach the store at startup.
 const STORE_RETRY_PAUSE: Duration = Duration::from_millis(500);
-// How often a waiting start is logged.
+// Interval between log lines while the startup waits for the store.
 const START_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Runs an entry host until it is told to stop, and shuts it down gracefully.
+/// Runs an entry host until SIGTERM or SIGINT, and shuts it down gracefully.
 pub fn run(settings: ServeSettings) -> Result<()> {
     let metrics = install_metrics()?;
     let mut signals = Signals::new([SIGTERM, SIGINT]).context("register signals")?;
@@ -146,7 +146,7 @@
         })
     }
 
-    // Whoever started the process reads the addresses here when it let the system choose.
+    // The parent process reads the addresses from this line when the settings have port 0.
     fn print_ready_line(&self) {
         println!(
             "ready member={} caller={} admin={} peer={}",
@@ -157,8 +157,8 @@
         );
     }
 
-    // Callers first: what runs may end, then nothing starts any more, and only then this
-    // host gives back what it holds and leaves the member list.
+    // The entry server drains first: running requests may finish, and no new ones start. Only
+    // then does this host release what it holds and leave the member list.
     fn stop(mut self) {
         self.entry.shutdown(self.settings.max_deadline);
         self.members.leave();
@@ -178,8 +178,8 @@
     Ok(handle)
 }
 
-// The member list publishes the caller address, so a port that the system chooses has to
-// be known before the caller port opens.
+// Replaces port 0 by a free port. The member list publishes the caller address, so the port
+// must be known before the caller server opens it.
 fn with_chosen_port(address: &str) -> Result<String> {
     if !address.ends_with(":0") {
         return Ok(address.to_owned());
@@ -188,7 +188,8 @@
     Ok(listener.local_addr()?.to_string())
 }
 
-// A host can't be told from its predecessor without a number from the store, so it waits.
+// Retries until the store assigns an incarnation number: without one, this process can't be
+// distinguished from its predecessor on the same host.
 fn wait_for_incarnation(store: &dyn KeyStore) -> Incarnation {
     let mut logged: Option<Instant> = None;
     loop {
--- a/crates/lacewingshore/src/table.rs
+++ b/crates/lacewingshore/src/table.rs
@@ -1,11 +1,11 @@
-/// A table of text, its columns aligned.
+/// A text table with aligned columns.
 #[derive(Clone, Debug, Default)]
 pub struct TextTable {
     rows: Vec<Vec<String>>,
 }
 
 impl TextTable {
-    /// A table with a header.
+    /// Creates a table with a header row.
     pub fn new(header: &[&str]) -> Self {
         Self {
             rows: vec![header.iter().map(|text| (*text).to_owned()).collect()],
@@ -17,7 +17,7 @@
         self.rows.push(row);
     }
 
-    /// The lines of the table: numbers to the right, other text to the left.
+    /// The lines of the table: numbers are aligned to the right, other text to the left.
     pub fn lines(&self) -> Vec<String> {
         let columns = self.rows.iter().map(Vec::len).max().unwrap_or(0);
         let widths: Vec<usize> = (0..columns).map(|column| self.width(column)).collect();
