--- a/crates/lacewingshore/tests/commands.rs
+++ b/crates/lacewingshore/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The commands as an operator types them: output, errors and exit codes.
+//! Command line tests: output, errors and exit codes.
 
 use std::{
     fs,
@@ -52,8 +52,8 @@
 
 #[test]
 fn manifest_check_shrink() {
-    // The fleet loses half of its hosts. The check says in advance which pools can't hold
-    // their budgets then.
+    // Guards against a `--shrink` check that misses a pool whose remaining hosts, after a loss of
+    // half of them, are fewer than its budget.
     let file = example("karoo.ini");
     let output = run(&[
         "manifest",
@@ -112,14 +112,14 @@
 #[case::no_address(&["status"], 1)]
 #[case::no_key(&["--admin", "http://127.0.0.1:1", "status"], 1)]
 #[case::help(&["--help"], 0)]
-fn exit_codes(#[case] arguments: &[&str], #[case] expected: i32) {
+fn exit_code_by_failure(#[case] arguments: &[&str], #[case] expected: i32) {
     let output = run(arguments);
     assert_eq!(code(&output), expected, "{}", text(&output.stderr));
     assert_eq!(output.stderr.is_empty(), expected == 0);
 }
 
 #[test]
-fn status_nobody_answers() {
+fn status_no_host_reachable() {
     let key = tempfile::NamedTempFile::new().expect("a file");
     fs::write(key.path(), "k1.secret").expect("written");
     let key = key.path().to_string_lossy().into_owned();
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn key_mint_fits_settings() {
+fn key_mint_digest_valid_in_settings() {
     let output = run(&["key", "mint", "--json"]);
     let minted: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
     let digest = minted["bootstrap_key"].as_str().unwrap_or_default();
--- a/crates/lacewingshore/tests/docs.rs
+++ b/crates/lacewingshore/tests/docs.rs
@@ -1,6 +1,6 @@
-//! The operators' pages say what the binary does.
+//! Compares the operators' pages with the binary and the sources.
 //!
-//! With `LACEWINGSHORE_WRITE_DOCS=1` the tables are written anew instead of compared.
+//! With `LACEWINGSHORE_WRITE_DOCS=1` the tables are rewritten instead of compared.
 
 use std::{
     collections::BTreeMap,
@@ -24,7 +24,7 @@
     fs::read_to_string(path).unwrap_or_default()
 }
 
-/// What the binary prints on standard output.
+/// Runs the binary and returns its standard output.
 fn run(arguments: &[&str]) -> String {
     match Command::new(BINARY).args(arguments).output() {
         Ok(output) => String::from_utf8_lossy(&output.stdout).into_owned(),
@@ -32,7 +32,7 @@
     }
 }
 
-/// Compares the table of a page with what the code says, or writes it.
+/// Compares the table of a page with the expected one, or rewrites it.
 fn check_or_write_table(page: &str, table: &str) {
     let path = root().join("docs").join(page);
     let text = read(&path);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn events_distinct() {
+fn events_have_distinct_numbers_and_names() {
     let rows = catalogue();
     assert!(rows.len() > 20, "{} events", rows.len());
     let mut numbers: Vec<&str> = rows.iter().map(|row| row.event.as_str()).collect();
@@ -121,10 +121,10 @@
     }
 }
 
-/// Every event number that the sources or the pages mention is in the catalogue, and
-/// sources that write a number by hand give it the name that the catalogue has.
+/// Every event number in the sources and pages is in the catalogue, and a number that a source
+/// writes as a literal has the name from the catalogue.
 #[test]
-fn events_known() {
+fn events_mentioned_in_catalogue() {
     let rows = catalogue().into_iter();
     let names: BTreeMap<String, String> = rows.map(|row| (row.event, row.name)).collect();
     let mut files = Vec::new();
@@ -170,7 +170,7 @@
     assert_eq!(&found, name, "{number} in {}", file.display());
 }
 
-/// The page lists the metrics that the sources record, and no others.
+/// The metrics page lists exactly the metrics that the sources record.
 #[test]
 fn metrics_page_complete() {
     let mut files = Vec::new();
@@ -202,9 +202,9 @@
     assert_eq!(recorded, Vec::<String>::new(), "not in docs/METRICS.md");
 }
 
-/// Commands on the pages are commands of the binary, with options that it knows.
+/// The commands and options in the pages exist in the binary.
 #[test]
-fn commands_known() {
+fn commands_in_pages_exist() {
     let mut files = Vec::new();
     find_files(&root().join("docs"), "md", &mut files);
     files.push(root().join("README.md"));
@@ -221,7 +221,7 @@
     assert!(checked > 30, "only {checked} commands were found");
 }
 
-/// The words after `lacewingshore` in each piece of code on the line.
+/// The arguments after `lacewingshore` in each code span of the line.
 fn commands_of(line: &str) -> Vec<Vec<String>> {
     let spans: Vec<&str> = match line.starts_with("    ") {
         true => vec![line],
@@ -251,7 +251,7 @@
     let mut path: Vec<&str> = Vec::new();
     let mut help = top.to_owned();
     for word in words {
-        // `key grant|withdraw` names several commands at once.
+        // A word such as `grant|withdraw` in `key grant|withdraw` names several commands.
         let ends = word.starts_with('-') || word.contains('|');
         if ends || !help.contains("\nCommands:\n") {
             break;
@@ -282,9 +282,9 @@
     }
 }
 
-/// Pages that are named in code spans are there.
+/// Pages that are named in code spans exist.
 #[test]
-fn pages_named_exist() {
+fn pages_mentioned_exist() {
     let mut files = Vec::new();
     find_files(&root().join("docs"), "md", &mut files);
     for file in files {
--- a/crates/lacewingshore/tests/known_red.rs
+++ b/crates/lacewingshore/tests/known_red.rs
@@ -1,4 +1,4 @@
-//! The list of known failures: which lines `scripts/known-red` takes.
+//! Checks which lines `scripts/known-red` accepts in the list of known failures.
 
 use std::{
     path::{Path, PathBuf},
@@ -13,7 +13,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn check(list: &str) -> anyhow::Result<Output> {
+fn run_known_red(list: &str) -> anyhow::Result<Output> {
     let folder = tempfile::tempdir()?;
     let (list_path, names_path) = (folder.path().join("list"), folder.path().join("names"));
     std::fs::write(&list_path, list)?;
@@ -23,10 +23,10 @@
 }
 
 #[test]
-fn known_red_names_tests() -> anyhow::Result<()> {
+fn known_red_prints_test_names() -> anyhow::Result<()> {
     let list = "test one_case | cargo test one_case | panics | issue 7\n\
                 play | bench run site day --seed 3 | a rule broken | issue 8\n";
-    let output = check(list)?;
+    let output = run_known_red(list)?;
     assert!(output.status.success(), "{output:?}");
     assert_eq!(String::from_utf8_lossy(&output.stdout), "one_case\n");
     Ok(())
@@ -42,8 +42,8 @@
 #[case::play_without_seed("play | bench run site day | a rule broken | issue 7")]
 #[case::neither_kind("one_case | cargo test | panics | issue 7")]
 #[case::blank_line("\n")]
-fn known_red_refuses(#[case] list: &str) -> anyhow::Result<()> {
-    let output = check(list)?;
+fn known_red_rejects_invalid_line(#[case] list: &str) -> anyhow::Result<()> {
+    let output = run_known_red(list)?;
     assert!(!output.status.success(), "{output:?}");
     Ok(())
 }
--- a/crates/lacewingshore/tests/module_circles.rs
+++ b/crates/lacewingshore/tests/module_circles.rs
@@ -1,10 +1,10 @@
-//! `scripts/module-circles`, which finds files of a crate that use each other.
+//! Tests of `scripts/module-circles`, which finds cyclic dependencies between files of a crate.
 
 use std::{fs, path::Path, process::Command};
 
 const SCRIPT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scripts/module-circles");
 
-/// Whether the script finds a crate of these files in order, and what it says.
+/// Runs the script on a crate of these files; returns whether it found no cycle, and its output.
 fn circles(files: &[(&str, &str)]) -> anyhow::Result<(bool, String)> {
     let folder = tempfile::tempdir()?;
     for (name, text) in files {
@@ -17,8 +17,8 @@
     Ok((output.status.success(), said))
 }
 
-/// Guards against a circle that is not found since its paths stand in trees, over several lines, or
-/// begin at another module.
+/// Guards against missed cycles whose `use` paths are in trees, span several lines, or begin at
+/// another module.
 #[test]
 fn circles_found_through_trees() -> anyhow::Result<()> {
     let (clean, said) = circles(&[
@@ -37,8 +37,8 @@
     Ok(())
 }
 
-/// Guards against a circle that is told of where a file only uses the root of its module, or names
-/// another in a comment.
+/// Guards against false cycles where a file only uses the root of its module, or names another
+/// file in a comment.
 #[test]
 fn circles_not_seen_in_roots() -> anyhow::Result<()> {
     let (clean, said) = circles(&[
--- a/crates/lacewingshore/tests/operate.rs
+++ b/crates/lacewingshore/tests/operate.rs
@@ -1,4 +1,4 @@
-//! An operator and one entry host in processes of their own, with stand-ins of the platform.
+//! Operator commands against one entry host, in separate processes, with fakes of the platform.
 
 use std::{
     fs,
@@ -27,7 +27,7 @@
 limit = 10
 ";
 
-/// Starts an entry host; returns it with the address that operators reach.
+/// Starts an entry host; returns its process and the URL of its administration interface.
 fn start_host(settings: &Path) -> anyhow::Result<(Child, String)> {
     let mut host = Command::new(BINARY)
         .args(["serve", "--settings"])
@@ -44,7 +44,7 @@
     Ok((host, format!("http://{}", admin.unwrap_or_default())))
 }
 
-/// Runs `is_true` until it holds; the other side has its own time.
+/// Polls `is_true` until it holds, for at most 30 seconds.
 fn eventually(what: &str, mut is_true: impl FnMut() -> bool) {
     for _ in 0..300 {
         if is_true() {
@@ -55,7 +55,7 @@
     panic!("never: {what}");
 }
 
-/// A running entry host; ended when dropped.
+/// A running entry host with fakes of the platform; killed when dropped.
 struct EntryHostFixture {
     host: Child,
     admin: String,
@@ -109,7 +109,7 @@
         let _ = self.host.wait();
     }
 
-    /// Starts the entry host anew, with nothing but its settings.
+    /// Kills the entry host and starts it again; only its settings file remains.
     fn restart(&mut self) -> anyhow::Result<()> {
         self.kill();
         let file = self.dir.path().join("entry.ini");
@@ -130,8 +130,8 @@
         }
     }
 
-    /// Standard output of a command that has to succeed.
-    fn done(&self, arguments: &[&str]) -> String {
+    /// Runs a command that must succeed; returns its standard output.
+    fn run_ok(&self, arguments: &[&str]) -> String {
         let output = self.run(arguments);
         let shown = String::from_utf8_lossy(&output.stderr);
         assert!(output.status.success(), "{arguments:?}: {shown}");
@@ -146,9 +146,9 @@
 }
 
 #[test]
-fn operate_one_host() {
+fn commands_against_one_host() {
     let fixture = EntryHostFixture::start().expect("an entry host");
-    let operator = fixture.done(&["key", "grant", "--operator"]);
+    let operator = fixture.run_ok(&["key", "grant", "--operator"]);
     assert_eq!(
         fixture.run(&["key", "list"]).status.code(),
         Some(7),
@@ -159,22 +159,22 @@
     let manifest = fixture.write("manifest.ini", MANIFEST);
     assert!(
         fixture
-            .done(&["manifest", "apply", &manifest])
+            .run_ok(&["manifest", "apply", &manifest])
             .contains("revision 2 is in force")
     );
     assert!(
         fixture
-            .done(&["manifest", "apply", &manifest])
+            .run_ok(&["manifest", "apply", &manifest])
             .contains("nothing to change")
     );
     assert!(
         fixture
-            .done(&["manifest", "show"])
+            .run_ok(&["manifest", "show"])
             .contains("[team.sales]\nlimit = 10")
     );
 
     let changed = fixture.write("changed.ini", &MANIFEST.replace("limit = 10", "limit = 20"));
-    let difference = fixture.done(&["manifest", "diff", &changed]);
+    let difference = fixture.run_ok(&["manifest", "diff", &changed]);
     assert_eq!(
         difference,
         "against revision 2\n[team.sales]\n- limit = 10\n+ limit = 20\n"
@@ -195,9 +195,9 @@
         "--change-id",
         "release-1",
     ];
-    assert!(fixture.done(&apply).contains("revision 3 is in force"));
+    assert!(fixture.run_ok(&apply).contains("revision 3 is in force"));
     assert!(
-        fixture.done(&apply).contains("revision 3 is in force"),
+        fixture.run_ok(&apply).contains("revision 3 is in force"),
         "repeating is harmless"
     );
 
@@ -205,38 +205,38 @@
     let refused = fixture.run(&["manifest", "apply", &invalid]);
     assert_eq!(refused.status.code(), Some(3));
 
-    let key = fixture.done(&["key", "grant", "--team", "sales", "--expires", "30d"]);
+    let key = fixture.run_ok(&["key", "grant", "--team", "sales", "--expires", "30d"]);
     let key_id = key.split('.').next().unwrap_or_default();
-    assert!(fixture.done(&["key", "list"]).contains(key_id));
+    assert!(fixture.run_ok(&["key", "list"]).contains(key_id));
     assert!(
         fixture
-            .done(&["key", "withdraw", key_id])
+            .run_ok(&["key", "withdraw", key_id])
             .contains("is withdrawn")
     );
-    assert!(!fixture.done(&["key", "list"]).contains(key_id));
+    assert!(!fixture.run_ok(&["key", "list"]).contains(key_id));
     let unknown = fixture.run(&["key", "withdraw", "k000"]);
     assert_eq!(unknown.status.code(), Some(3));
 
-    let status = fixture.done(&["status"]);
+    let status = fixture.run_ok(&["status"]);
     assert!(status.contains("deployment trial"), "{status}");
     assert!(status.contains("BELOW BUDGET"), "{status}");
     let json: serde_json::Value =
-        serde_json::from_str(&fixture.done(&["status", "--json"])).expect("JSON");
+        serde_json::from_str(&fixture.run_ok(&["status", "--json"])).expect("JSON");
     assert_eq!(json["status"]["teams"][0]["limit"], 20);
 }
 
 #[test]
-fn audit_of_an_operators_day() {
-    // What an operator did is in the trail, with the difference, and the chain is whole. A
-    // digest noted before still fits; one that does not fit ends with exit code 8.
+fn audit_shows_difference_and_checks_digest() {
+    // Guards against an audit trail that lacks the difference of a change, and against an
+    // `--expect` that rejects the right digest or accepts a wrong one (exit code 8).
     let fixture = EntryHostFixture::start().expect("an entry host");
     let manifest = fixture.write("manifest.ini", MANIFEST);
-    fixture.done(&["manifest", "apply", &manifest]);
+    fixture.run_ok(&["manifest", "apply", &manifest]);
     let changed = fixture.write("changed.ini", &MANIFEST.replace("limit = 10", "limit = 20"));
-    fixture.done(&["manifest", "apply", &changed]);
+    fixture.run_ok(&["manifest", "apply", &changed]);
     let mut trail = String::new();
     eventually("the change is audited", || {
-        trail = fixture.done(&["audit"]);
+        trail = fixture.run_ok(&["audit"]);
         trail.contains("+limit = 20")
     });
     assert!(trail.contains("-limit = 10; +limit = 20;"), "{trail}");
@@ -245,7 +245,7 @@
         .last()
         .unwrap_or_default()
         .to_owned();
-    fixture.done(&["audit", "--expect", &newest]);
+    fixture.run_ok(&["audit", "--expect", &newest]);
     let (sequence, _) = newest.split_once(':').unwrap_or_default();
     let other = format!("{sequence}:{}", "00".repeat(32));
     assert_eq!(
@@ -256,8 +256,8 @@
 
 #[test]
 fn audit_after_loss_of_every_host() {
-    // A change is accepted, and the only entry host dies before it could write to the audit
-    // trail. Its successor has nothing but the store, and the change is in the trail.
+    // The only entry host dies after accepting a change, before it could write the audit trail.
+    // Its successor must add the change to the trail from the store alone.
     let mut fixture = EntryHostFixture::start().expect("an entry host");
     let manifest = fixture.write("manifest.ini", MANIFEST);
     let apply = [
@@ -267,8 +267,8 @@
         "--change-id",
         "the-last-change",
     ];
-    fixture.done(&apply);
-    fixture.restart().expect("another life");
+    fixture.run_ok(&apply);
+    fixture.restart().expect("a restarted entry host");
     let mut trail = serde_json::Value::Null;
     eventually("the change is audited", || {
         let output = fixture.run(&["audit", "--json"]);
@@ -279,18 +279,21 @@
     let is_change = |entry: &&serde_json::Value| entry["change_id"] == "the-last-change";
     assert_eq!(entries.iter().filter(is_change).count(), 1);
     assert_eq!(trail["faults"], serde_json::json!([]));
-    assert!(fixture.done(&["manifest", "show"]).contains("[team.sales]"));
+    assert!(
+        fixture
+            .run_ok(&["manifest", "show"])
+            .contains("[team.sales]")
+    );
 }
 
 #[test]
 fn withdraw_while_store_is_down() {
-    // An operator withdraws a key while the store is down. Nothing can be recorded, so the
-    // command must not say that the key is withdrawn. With the store back, the same change id
-    // withdraws it once.
+    // While the store is down, the withdrawal of a key can't be recorded and must not be
+    // reported as done. Once the store is back, the same change id withdraws the key once.
     let fixture = EntryHostFixture::start().expect("an entry host");
     let manifest = fixture.write("manifest.ini", MANIFEST);
-    fixture.done(&["manifest", "apply", &manifest]);
-    let key = fixture.done(&["key", "grant", "--team", "sales"]);
+    fixture.run_ok(&["manifest", "apply", &manifest]);
+    let key = fixture.run_ok(&["key", "grant", "--team", "sales"]);
     let key_id = key.split('.').next().unwrap_or_default();
     fixture.store.set_faults(StoreFaults {
         down: true,
@@ -312,18 +315,18 @@
     eventually("the key is withdrawn", || {
         fixture.run(&withdraw).status.success()
     });
-    assert!(!fixture.done(&["key", "list"]).contains(key_id));
-    fixture.done(&withdraw);
+    assert!(!fixture.run_ok(&["key", "list"]).contains(key_id));
+    fixture.run_ok(&withdraw);
 }
 
 #[test]
-fn first_address_is_dead() {
-    // The first entry host that an operator names is gone; the command goes on to the next.
+fn commands_first_address_down() {
+    // The first of the named entry hosts is down; commands must fail over to the next.
     let mut fixture = EntryHostFixture::start().expect("an entry host");
     fixture.admin = format!("http://127.0.0.1:1,{}", fixture.admin);
     let manifest = fixture.write("manifest.ini", MANIFEST);
-    fixture.done(&["manifest", "apply", &manifest]);
-    let status = fixture.done(&["status"]);
+    fixture.run_ok(&["manifest", "apply", &manifest]);
+    let status = fixture.run_ok(&["status"]);
     assert!(
         status.contains("no answer from http://127.0.0.1:1"),
         "{status}"
@@ -332,14 +335,14 @@
 }
 
 #[test]
-fn audit_of_a_large_manifest() {
-    // A whole deployment is applied at once, more than the change log keeps. The trail still
-    // tells under which id, by whom, and what changed.
+fn audit_large_manifest() {
+    // A manifest that exceeds the limit of the change log is applied at once. The trail must
+    // still record its change id, author and subject.
     let fixture = EntryHostFixture::start().expect("an entry host");
     let teams = (0..300).map(|n| format!("[team.member-{n}]\nshare = 1\nlimit = 160\n"));
     let text = format!("{MANIFEST}{}", teams.collect::<String>());
     let manifest = fixture.write("manifest.ini", &text);
-    fixture.done(&[
+    fixture.run_ok(&[
         "manifest",
         "apply",
         &manifest,
@@ -350,7 +353,7 @@
         "changed.ini",
         &text.replacen("limit = 160", "limit = 150", 1),
     );
-    fixture.done(&[
+    fixture.run_ok(&[
         "manifest",
         "apply",
         &changed,
--- a/crates/lacewingshore/tests/proof_common/mod.rs
+++ b/crates/lacewingshore/tests/proof_common/mod.rs
@@ -1,5 +1,5 @@
-//! What every proof in real processes shares: a fleet with a manifest and keys, and the
-//! checks that hold for any history.
+//! Fixture of the tests with real processes: a fleet with a manifest and keys, and the checks
+//! that hold for any history.
 
 #![allow(dead_code, reason = "each proof uses its part")]
 
@@ -22,7 +22,7 @@
     WholeCheck, await_true,
 };
 
-/// Longest wait for an event that must come.
+/// Timeout for an event that must occur.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(40);
 /// Time within which an accepted change must be in force: two seconds, and half a second
 /// for requests that were already on their way to a target.
@@ -30,15 +30,15 @@
 /// Time after which a draining target must get no work.
 pub const DRAIN_LIMIT: Duration = Duration::from_secs(3);
 
-/// Pause between two looks at one entry host.
+/// Pause between two polls of one entry host.
 const POLL_PAUSE: Duration = Duration::from_millis(50);
-/// Proofs that run side by side; they mostly wait, and more would load each other.
+/// Limit of concurrent tests; they mostly wait, but more would slow each other down.
 const MAX_PARALLEL_PROOFS: usize = 2;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
 static ENDED: Condvar = Condvar::new();
 
-/// Ends lookers.
+/// Stops the polling threads when dropped.
 struct StopGuard<'a>(&'a AtomicBool);
 
 impl Drop for StopGuard<'_> {
@@ -47,12 +47,12 @@
     }
 }
 
-/// Leave to run a proof, given back when dropped.
+/// Permit to run a test, released when dropped.
 struct ProofPermit;
 
 impl ProofPermit {
     fn take() -> Self {
-        // A proof that failed says nothing against the next one.
+        // A panic of one test poisons the lock, which must not fail the others.
         let running = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
         let mut running = ENDED
             .wait_while(running, |running| *running >= MAX_PARALLEL_PROOFS)
@@ -69,22 +69,22 @@
     }
 }
 
-/// A fleet that serves, with two teams and a key for each.
+/// A running fleet with two teams and a key for each.
 pub struct ProofFixture {
     /// The fleet.
     pub fleet: TestFleet,
-    /// A key of `weights` and one of `coding`.
+    /// The key of `weights`, then the one of `coding`.
     pub keys: Vec<TeamKey>,
     /// Revision of the manifest.
     pub revision: u64,
     seed: u64,
-    _turn: ProofPermit,
+    _permit: ProofPermit,
 }
 
 /// Upper limits of the two teams.
 pub type TeamLimits = [(&'static str, u32); 2];
 
-/// Limits that never bind.
+/// Limits that the callers never reach.
 pub const WIDE_LIMITS: TeamLimits = [("weights", 200), ("coding", 200)];
 
 /// A manifest with one pool of executors and two teams.
@@ -102,19 +102,19 @@
 }
 
 impl ProofFixture {
-    /// Starts a fleet with limits that don't bind.
+    /// Starts a fleet with [`WIDE_LIMITS`].
     pub fn start(seed: u64, plan: &FleetPlan) -> Self {
         Self::with_limits(seed, plan, &WIDE_LIMITS)
     }
 
-    /// Starts a fleet.
+    /// Starts a fleet with these limits.
     pub fn with_limits(seed: u64, plan: &FleetPlan, limits: &TeamLimits) -> Self {
         Self::with_manifest(seed, plan, &manifest(plan.executors, limits), limits)
     }
 
-    /// Starts a fleet with a manifest of its own.
+    /// Starts a fleet with this manifest.
     pub fn with_manifest(seed: u64, plan: &FleetPlan, text: &str, limits: &TeamLimits) -> Self {
-        let turn = ProofPermit::take();
+        let permit = ProofPermit::take();
         println!("seed {seed}");
         let mut fleet = TestFleet::start(plan).unwrap();
         let place = &fleet.entries[0].place;
@@ -137,7 +137,7 @@
             keys,
             revision,
             seed,
-            _turn: turn,
+            _permit: permit,
         };
         for entry in &fixture.fleet.entries {
             fixture.expect_answer(&entry.place);
@@ -145,7 +145,7 @@
         fixture
     }
 
-    /// Waits until an entry host answers a request with a right answer.
+    /// Waits until an entry host answers a request correctly.
     pub fn expect_answer(&self, place: &EntryPlace) {
         let client = RequestClient::default();
         let call = self.call("probe");
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Where the entry host with this index listens.
+    /// The addresses of the entry host with this index.
     pub fn place(&self, index: usize) -> &EntryPlace {
         &self.fleet.entries[index].place
     }
@@ -197,9 +197,8 @@
         process.resume().unwrap();
     }
 
-    /// Looks at every entry host all the time while `work` goes on, so that the history
-    /// tells what was in force where. A host that is down or cut off answers nothing, which
-    /// is no observation.
+    /// Polls every entry host during `work`, so that the history records which configuration was
+    /// in force where. A host that is down or cut off gives no observation.
     pub fn while_polling(&mut self, work: impl FnOnce(&mut Self)) {
         let stop = AtomicBool::new(false);
         let places = self.fleet.places();
@@ -214,13 +213,13 @@
                     }
                 });
             }
-            // Ends the lookers also when the work panics.
+            // Stops the polling threads also if `work` panics.
             let _guard = StopGuard(&stop);
             work(self);
         });
     }
 
-    /// Changes the limits to wide ones that differ by round, until that is accepted.
+    /// Changes the limits to wide ones that differ by round; retries until accepted.
     pub fn change_limits(&self, round: usize) {
         let units = 100 + u32::try_from(round).unwrap();
         let limits: TeamLimits = [("weights", units), ("coding", units)];
@@ -234,7 +233,7 @@
         assert!(accepted, "round {round}\n{}", self.fleet.logs());
     }
 
-    /// Withdraws the key of the second team through one entry host, until that is accepted.
+    /// Withdraws the key of the second team through one entry host; retries until accepted.
     pub fn expect_withdrawn(&self, index: usize) {
         let key = &self.keys[1].key_id;
         let operator = &self.fleet.operator;
@@ -245,7 +244,7 @@
         assert!(withdrawn, "not withdrawn\n{}", self.fleet.logs());
     }
 
-    /// A plan for callers of both teams.
+    /// The default plan for callers of both teams.
     pub fn crew_plan(&self) -> CrewPlan {
         CrewPlan {
             seed: self.seed,
@@ -254,19 +253,19 @@
         }
     }
 
-    /// Sets callers of both teams to work, and waits until they get answers.
+    /// Starts callers of both teams, and waits until they get answers.
     pub fn crew(&self) -> CallerCrew {
         self.crew_with(self.crew_plan())
     }
 
-    /// Sets callers to work, and waits until they get answers.
+    /// Starts callers by this plan, and waits until they get answers.
     pub fn crew_with(&self, plan: CrewPlan) -> CallerCrew {
         let crew = CallerCrew::start(plan, self.fleet.places(), &self.fleet.log);
         self.expect_answers(&crew, 20);
         crew
     }
 
-    /// Waits for answers of the crew.
+    /// Waits until the callers have got `more` answers.
     pub fn expect_answers(&self, crew: &CallerCrew, more: u64) {
         let came = crew.await_answers(more, EVENT_TIMEOUT);
         assert!(
@@ -277,12 +276,12 @@
         );
     }
 
-    /// No request may have been cut off: no run may have started within an attempt that got
-    /// no clear answer.
+    /// Checks that no request was cut off: no run started within an attempt that got no clear
+    /// answer.
     ///
-    /// A request that crosses the closing of its connection never reaches the entry host;
-    /// HTTP has no way to tell the caller so. And of an id that could not be looked up, an
-    /// entry host says that it may have run. Such attempts ran nothing and are printed.
+    /// Two kinds of unclear attempts ran nothing and are only printed: a request sent while the
+    /// entry host closes the connection, which HTTP can't report to the caller, and a request
+    /// whose id could not be looked up, for which the entry host answers that it may have run.
     pub fn expect_no_request_cut(&self, tally: CrewTally) {
         let history = self.fleet.collect().unwrap();
         let unclear = history.requests.iter().filter(|op| is_unclear(&op.outcome));
@@ -298,7 +297,7 @@
         assert!(cut.is_empty(), "{tally:?} {cut:#?}\n{}", self.fleet.logs());
     }
 
-    /// What callers were told last, with how often.
+    /// The latest outcomes of callers, with their counts.
     fn last_outcomes(&self) -> BTreeMap<String, usize> {
         let mut counts = BTreeMap::new();
         for op in self.fleet.log.history().requests.iter().rev().take(2_000) {
@@ -312,7 +311,7 @@
     pub fn expect_valid_history(&self) {
         let history = self.fleet.collect().unwrap();
         println!(
-            "history: {} requests, {} runs, {} changes, {} looks, {} writes",
+            "history: {} requests, {} runs, {} changes, {} polls, {} writes",
             history.requests.len(),
             history.runs.len(),
             history.changes.len(),
@@ -320,7 +319,10 @@
             history.writes.len(),
         );
         assert!(!history.runs.is_empty(), "nothing ran");
-        println!("most at once: {:?}", max_concurrent_runs(&history));
+        println!(
+            "maximum concurrent runs: {:?}",
+            max_concurrent_runs(&history)
+        );
         let hosts = self
             .fleet
             .targets
@@ -378,7 +380,7 @@
     }
 }
 
-/// Most runs at once, by team.
+/// Maximum number of concurrent runs, by team.
 pub fn max_concurrent_runs(history: &History) -> BTreeMap<String, usize> {
     let mut most = BTreeMap::new();
     for run in &history.runs {
--- a/crates/lacewingshore/tests/proof_hosts.rs
+++ b/crates/lacewingshore/tests/proof_hosts.rs
@@ -1,4 +1,4 @@
-//! Entry hosts are killed, paused, cut off and replaced while callers work.
+//! Kills, pauses, isolates and replaces entry hosts under load.
 
 #![allow(clippy::unwrap_used, reason = "tests end on what should not fail")]
 
@@ -10,7 +10,7 @@
 use proof::{ChangeResult, CrewPlan, FleetPlan, await_true};
 use proof_common::{EVENT_TIMEOUT, ProofFixture, TeamLimits, manifest};
 
-/// Limits well below what the callers would run.
+/// Limits well below the demand of the callers.
 const TIGHT_LIMITS: TeamLimits = [("weights", 4), ("coding", 3)];
 
 fn eager_callers(fixture: &ProofFixture) -> CrewPlan {
@@ -24,9 +24,9 @@
 
 #[test]
 fn hosts_killed_in_turn() {
-    // Franchisees quote while every entry host loses power once and comes back empty. A
-    // new life that took its predecessor's quota while that one's requests still run
-    // would let a team exceed its limit; one that forgot its minted ids would run twice.
+    // Every entry host is killed once and restarts without state. If a new incarnation took its
+    // predecessor's quota while that one's requests still run, a team would exceed its limit;
+    // if it forgot the ids that it minted, requests would run twice.
     let mut fixture = ProofFixture::with_limits(11, &FleetPlan::default(), &TIGHT_LIMITS);
     let crew = fixture.crew_with(eager_callers(&fixture));
     for index in 0..3 {
@@ -41,9 +41,9 @@
 
 #[test]
 fn host_paused_beyond_lease() {
-    // One entry host stands still for three lease lengths with requests under way. Meanwhile
-    // the operator lowers a limit and withdraws a key, and both are accepted. When the host
-    // goes on it must notice that its leases have lapsed before it starts anything.
+    // One entry host is paused for three lease lengths with requests in flight. Meanwhile a
+    // limit is lowered and a key withdrawn, and both are accepted. On resuming, the host must
+    // notice that its leases have expired before it starts anything.
     let fixture = ProofFixture::with_limits(12, &FleetPlan::default(), &TIGHT_LIMITS);
     let crew = fixture.crew_with(eager_callers(&fixture));
     let paused = fixture.fleet.entries[1].process.as_ref().unwrap();
@@ -69,9 +69,9 @@
 
 #[test]
 fn host_cut_off() {
-    // Packets to and from one entry host vanish, but callers still reach it. A key is
-    // withdrawn, accepted by the rest. The lone host can't know, so it has to stop by its
-    // lease, say so on its readiness endpoint, and refuse truthfully until it is back.
+    // One entry host is isolated, but callers still reach it. The others accept the withdrawal
+    // of a key. The isolated host can't know of it, so it must stop serving when its lease
+    // expires, report not ready, and refuse requests as not run until the link is back.
     let plan = FleetPlan {
         with_relay: true,
         ..FleetPlan::default()
@@ -82,13 +82,13 @@
     fixture.while_polling(|fixture| {
         fixture.fleet.isolate("e3", LinkMode::Silent).unwrap();
         fixture.expect_withdrawn(0);
-        let lone = fixture.place(2);
+        let isolated = fixture.place(2);
         let operator = &fixture.fleet.operator;
-        stopped = await_true(Duration::from_secs(10), || !operator.is_ready(lone));
+        stopped = await_true(Duration::from_secs(10), || !operator.is_ready(isolated));
         fixture.expect_answers(&crew, 100);
         thread::sleep(Duration::from_secs(3));
         fixture.fleet.isolate("e3", LinkMode::Open).unwrap();
-        fixture.expect_answer(lone);
+        fixture.expect_answer(isolated);
     });
     crew.finish();
     fixture.expect_valid_history();
@@ -97,9 +97,9 @@
 
 #[test]
 fn config_over_replacement() {
-    // Operators change the manifest while all entry hosts are replaced in turn, then all
-    // at once. A host that came back with an older revision than it had shown, or served
-    // without one accepted long before, would undo an operator's change for its callers.
+    // The manifest changes while all entry hosts are replaced in turn, then all at once. Guards
+    // against a restarted host that serves an older revision than it had before, or one that
+    // lacks a change accepted long ago.
     let mut fixture = ProofFixture::start(14, &FleetPlan::default());
     let crew = fixture.crew();
     fixture.while_polling(|fixture| {
--- a/crates/lacewingshore/tests/proof_jobs.rs
+++ b/crates/lacewingshore/tests/proof_jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs in real processes: every entry host is lost at once while workers run them.
+//! Jobs in real processes: all entry hosts are killed at once, and the store is down.
 
 #![allow(clippy::unwrap_used, reason = "tests end on what should not fail")]
 
@@ -15,7 +15,7 @@
 const WORKERS: usize = 3;
 const ENDED: [&str; 5] = ["done", "failed", "cancelled", "parked", "unknown"];
 
-/// A fleet with workers beside its executors.
+/// A fleet with workers in addition to its executors.
 struct JobFixture {
     fixture: ProofFixture,
     workers: Vec<WorkerFake>,
@@ -70,7 +70,7 @@
         assert_eq!(self.agent.post(url).send(body).unwrap().status(), 200);
     }
 
-    /// An id that an entry host minted, as non-idempotent work needs.
+    /// Mints a request id at an entry host, as non-idempotent work requires.
     fn mint(&self, place: &EntryPlace) -> String {
         let client = RequestClient::default();
         let mut minted = None;
@@ -81,8 +81,8 @@
         minted.unwrap()
     }
 
-    /// Submits a job until it is known to be recorded; returns its id. Only after a refusal
-    /// as not run is a non-idempotent job submitted under another request id.
+    /// Submits a job, with retries until it is accepted; returns its id. A non-idempotent job gets
+    /// a new request id only after a refusal as not run.
     fn submit(
         &self,
         place: &EntryPlace,
@@ -156,7 +156,7 @@
         phases
     }
 
-    /// Starts of each job, by the workers' own records.
+    /// Number of starts of each job, from the workers' records.
     fn starts(&self) -> BTreeMap<String, usize> {
         let mut starts = BTreeMap::new();
         for start in self.workers.iter().flat_map(WorkerFake::starts) {
@@ -174,9 +174,9 @@
 
 #[test]
 fn jobs_outlive_all_entry_hosts() {
-    // Every entry host loses power at once, with jobs waiting, starting and running. The
-    // next ones know nothing but what the store and the workers tell them. A lost batch
-    // sends field staff back to respondents; one that ran twice publishes wrong numbers.
+    // All entry hosts are killed at once, with jobs waiting, starting and running. Their
+    // successors must recover from the store and the workers alone, without losing a job or
+    // running a non-idempotent one twice.
     let mut jobs = JobFixture::start(31);
     let mut submitted = Vec::new();
     for index in 0..60 {
@@ -210,8 +210,8 @@
 
 #[test]
 fn jobs_refused_while_store_is_down() {
-    // The store refuses every call. A job that is refused as not run must never run; one
-    // that was accepted before goes on.
+    // The store refuses every call. A job refused as not run must never run; a job accepted
+    // before must finish.
     let jobs = JobFixture::start(32);
     let place = jobs.fixture.place(0);
     let work = Duration::from_millis(800);
@@ -245,5 +245,8 @@
     let starts = jobs.starts();
     assert_eq!(starts.get(&before), Some(&1));
     assert_eq!(starts.get(&after), Some(&1));
-    assert!(!refused || starts.len() == 2, "a job told as not run ran");
+    assert!(
+        !refused || starts.len() == 2,
+        "a job refused as not run ran"
+    );
 }
--- a/crates/lacewingshore/tests/proof_path.rs
+++ b/crates/lacewingshore/tests/proof_path.rs
@@ -1,4 +1,4 @@
-//! The whole path in real processes, without and with faults of the targets.
+//! The whole request path in real processes, with and without faults of the targets.
 
 #![allow(clippy::unwrap_used, reason = "tests end on what should not fail")]
 
@@ -20,9 +20,9 @@
 
 #[test]
 fn path_wrong_answers() {
-    // A caller gets the answer to somebody else's quote, or half of its own. Executors
-    // answer with a foreign request id, cut answers short, lose them after the run, and
-    // send them long after; an entry host that matched answers by order would pass them on.
+    // Guards against callers that get another request's answer or a truncated one. Executors
+    // answer with a wrong request id, truncate answers, lose them after the run, and send them
+    // late; an entry host that matched answers by order would forward them.
     let fixture = ProofFixture::start(2, &FleetPlan::default());
     for index in 0..3 {
         let faults = ExecutorFaults {
@@ -43,5 +43,5 @@
     fixture.expect_answers(&crew, 300);
     let tally = crew.finish();
     fixture.expect_valid_history();
-    assert!(tally.unclear > 0, "no fault struck: {tally:?}");
+    assert!(tally.unclear > 0, "no fault took effect: {tally:?}");
 }
--- a/crates/lacewingshore/tests/proof_store.rs
+++ b/crates/lacewingshore/tests/proof_store.rs
@@ -1,4 +1,4 @@
-//! The store is down, slow, loses answers or hangs, and operators make conflicting changes.
+//! The store is down, slow, loses responses or hangs, and operators make conflicting changes.
 
 #![allow(clippy::unwrap_used, reason = "tests end on what should not fail")]
 
@@ -20,9 +20,9 @@
 
 #[test]
 fn store_down_long() {
-    // The store is away for ten lease lengths. Callers go on being served. An operator who
-    // withdraws a key is told that it is not accepted, and the key works on; once the store
-    // is back the same change is accepted and the key stops.
+    // The store is down for ten lease lengths; callers must still be served. The withdrawal of a
+    // key must not be accepted, and the key stays valid; once the store is back, the same change
+    // is accepted and the key stops working.
     let fixture = ProofFixture::start(21, &FleetPlan::default());
     let crew = fixture.crew();
     let down = StoreFaults {
@@ -61,8 +61,8 @@
 
 #[test]
 fn store_slow() {
-    // Each call of the store takes 400 ms, close to the time that clients wait. Service
-    // must not hang on it, and changes must still come through.
+    // Each call of the store takes 400 ms, close to the client timeout. Requests must not wait
+    // for the store, and changes must still be accepted.
     let fixture = ProofFixture::start(22, &FleetPlan::default());
     let crew = fixture.crew();
     let slow = StoreFaults {
@@ -79,8 +79,8 @@
 
 #[test]
 fn store_answers_lost() {
-    // The store takes each write and loses half of its answers. The operator repeats each
-    // change under its id until it is accepted; each must be made once, at one revision.
+    // The store applies each write and loses half of the responses. The operator retries each
+    // change under its id until it is accepted; each must be applied once, at one revision.
     let fixture = ProofFixture::start(23, &FleetPlan::default());
     let crew = fixture.crew();
     let lossy = StoreFaults {
@@ -110,7 +110,7 @@
 #[test]
 fn operators_race() {
     // Two operators apply different manifests against the same revision at the same time,
-    // through different entry hosts. One wins and the other is told of the conflict; if
+    // through different entry hosts. One must win and the other get a conflict; if
     // both were accepted, one change would silently undo the other.
     let fixture = ProofFixture::start(24, &FleetPlan::default());
     let crew = fixture.crew();
@@ -156,7 +156,7 @@
     let limits: TeamLimits = [("weights", units), ("coding", units)];
     let (text, id) = (manifest(3, &limits), format!("race-{round}-{racer}"));
     let place = fixture.place(racer as usize);
-    // A host that has not seen the base yet conflicts as well, which says nothing of the race.
+    // A host that does not have the base revision yet would also answer with a conflict.
     let current = await_true(EVENT_TIMEOUT, || {
         let status = fixture.fleet.operator.status(place);
         status.is_ok_and(|status| status.revision >= base)
@@ -175,9 +175,9 @@
 
 #[test]
 fn watch_hangs() {
-    // One entry host's watches never answer again, while its other calls do. A key is
-    // withdrawn through another host. The lagging host must learn of it all the same, from
-    // its peers or by reading, before the key may count as stopped.
+    // The store watches of one entry host hang, while its other calls work. A key is withdrawn
+    // through another host. The first host must learn of it from its peers or by reading the
+    // store before the withdrawal counts as in force.
     let fixture = ProofFixture::start(25, &FleetPlan::default());
     let crew = fixture.crew();
     let hung = StoreFaults {
@@ -195,9 +195,9 @@
 
 #[test]
 fn watch_shows_old_values() {
-    // Watches of two entry hosts answer with the value before the newest one, as a replica
-    // does that lags. A host that followed them would put back a limit that the operator
-    // has changed, and its callers would see the configuration flip.
+    // The watches of two entry hosts return the value before the newest one, as a lagging
+    // replica of the store does. A host that applied it would revert a limit that the operator
+    // has changed, and its configuration would alternate between the two.
     let mut fixture = ProofFixture::start(26, &FleetPlan::default());
     let crew = fixture.crew();
     let old = StoreFaults {
--- a/crates/lacewingshore/tests/proof_work.rs
+++ b/crates/lacewingshore/tests/proof_work.rs
@@ -1,4 +1,4 @@
-//! Limits, single runs and graceful shutdown under faults that come together.
+//! Limits, at-most-once runs, graceful shutdown and maintenance under combined faults.
 
 #![allow(clippy::unwrap_used, reason = "tests end on what should not fail")]
 
@@ -15,9 +15,9 @@
 
 #[test]
 fn limit_under_kills_and_pauses() {
-    // Both teams want far more than their limits, from all entry hosts at once. Hosts are
-    // killed and paused beyond their leases at random. Whoever takes over a lost host's
-    // quota before the work that it started has ended exceeds the limit.
+    // Both teams request far more than their limits, from all entry hosts at once. Hosts are
+    // killed, or paused beyond their leases, at random. The limit is exceeded if another host
+    // takes over the quota of a lost host before the work that it started has ended.
     let seed = 31;
     let mut fixture = ProofFixture::with_limits(seed, &FleetPlan::default(), &TIGHT_LIMITS);
     let plan = CrewPlan {
@@ -44,8 +44,8 @@
 
 #[test]
 fn once_answers_lost_and_hosts_killed() {
-    // A fifth of all answers is lost after the run, and entry hosts die meanwhile. Callers
-    // retry the same id through other entry hosts. An order must not be placed twice.
+    // A fifth of all answers is lost after the run, and entry hosts are killed. Callers retry
+    // the same request id through other entry hosts; it must not run twice.
     let mut fixture = ProofFixture::start(32, &FleetPlan::default());
     for index in 0..3 {
         let faults = ExecutorFaults {
@@ -73,8 +73,8 @@
 
 #[test]
 fn shutdown_cuts_nothing() {
-    // An entry host is told to stop while requests of half a second run through it. Each
-    // gets its answer, new ones are refused as not run, and the process ends by itself.
+    // An entry host gets SIGTERM while requests with a run time of half a second are in flight.
+    // Each must get its answer, new ones are refused as not run, and the process must exit.
     let mut fixture = ProofFixture::start(33, &FleetPlan::default());
     let plan = CrewPlan {
         service_time: Duration::from_millis(250),
@@ -99,16 +99,16 @@
 
 #[test]
 fn wave_cuts_nothing() {
-    // Every executor is due for maintenance all the time, and callers work meanwhile. Drains
-    // and reboots must follow one another: no request may be cut off by a reboot, and at
-    // most one executor of three may be out at any moment.
+    // Every executor is always due for maintenance, under load. Drains and reboots must be
+    // sequential: no request may be cut off by a reboot, and at most one executor of three may
+    // be out of service at any time.
     let plan = FleetPlan::default();
     let limits = proof_common::WIDE_LIMITS;
     let window = "window = always\n[service.quotes]";
     let text = manifest(3, &limits).replace("[service.quotes]", window)
         + "[window.always]\nstart = 00:00\nlength = 24h\nevery = 4s\nat_once = 1\n";
     let fixture = ProofFixture::with_manifest(34, &plan, &text, &limits);
-    // Runs as long as the steps of a drain, so that a reboot too early would meet some.
+    // Runs take as long as the steps of a drain, so that a premature reboot would cut some off.
     let crew = fixture.crew_with(CrewPlan {
         callers: 16,
         service_time: Duration::from_secs(2),
@@ -129,8 +129,8 @@
 
 #[test]
 fn host_list_shows_leaving() {
-    // The platform takes an executor away: the lagging list shows it as leaving. It must
-    // get no new work from three seconds after the list shows it.
+    // The platform removes an executor, and the host list, which lags, shows it as leaving. It
+    // must get no new work from three seconds after that.
     let mut fixture = ProofFixture::start(35, &FleetPlan::default());
     let crew = fixture.crew();
     fixture.fleet.targets[0].row.leaving = true;
--- a/crates/lacewingshore/tests/soak.rs
+++ b/crates/lacewingshore/tests/soak.rs
@@ -12,7 +12,7 @@
 const FIRST_BEGIN: Duration = Duration::from_secs(2);
 const FAULT_LENGTH: Duration = Duration::from_millis(1800);
 
-/// Faults one after the other, each beginning before the one before it has ended.
+/// Schedules the faults in sequence, each beginning before the previous one ends.
 fn in_series(kinds: &[FaultKind]) -> Vec<PlannedFault> {
     let mut begin = FIRST_BEGIN;
     let mut plan = Vec::new();
@@ -29,7 +29,7 @@
     plan
 }
 
-/// The owner can't reach the store while half of the targets can only be reached by it.
+/// The owner loses its link to the store, while half of the targets are reachable only from it.
 fn owner_apart() -> Vec<PlannedFault> {
     let fault = |kind, target| PlannedFault {
         kind,
@@ -43,8 +43,8 @@
     store.into_iter().chain(targets).collect()
 }
 
-/// A process that works while all is well breaks promises when its store, its targets or itself
-/// fails: work is done twice or lost, or orders cross with those of a successor.
+/// Guards against work that runs twice or is lost, and orders that conflict with those of a
+/// successor, while the store, targets or the process itself fail.
 #[rstest]
 #[case::first_half(1, in_series(&FAULT_KINDS[..10]))]
 #[case::second_half(2, in_series(&FAULT_KINDS[10..]))]
