--- a/crates/load/src/load_args.rs
+++ b/crates/load/src/load_args.rs
@@ -9,17 +9,17 @@
 ///
 /// A stream is written as team=T,key=K,rate=R with optional parts service_ms=5,
 /// urgent=0.1 (fraction), idempotent=1 (fraction), body=100 (bytes), answer=100 (bytes),
-/// peak=5 (times the mean, in turns of period_s=4, a twentieth in between) and share=1
-/// (for the report).
+/// peak=5 (times the mean rate, once every period_s=4 seconds; a twentieth of the mean
+/// between peaks) and share=1 (weight of the team, for the report).
 #[derive(Debug, FromArgs)]
 pub struct LoadArgs {
-    /// base URL of an entry host; may be repeated, requests take turns
+    /// base URL of an entry host; may be repeated, requests rotate over them
     #[argh(option)]
     pub url: Vec<String>,
     /// base URL of an executor to measure directly first, for comparison; may be repeated
     #[argh(option)]
     pub baseline: Vec<String>,
-    /// service to ask
+    /// service to call
     #[argh(option)]
     pub service: String,
     /// one team's load; may be repeated
@@ -34,7 +34,7 @@
     /// deadline of each request in milliseconds (default 10000)
     #[argh(option, default = "10_000")]
     pub deadline_ms: u64,
-    /// most requests of one stream in flight at once (default 256); beyond it they wait here
+    /// maximum requests of one stream in flight (default 256); further ones are queued here
     #[argh(option, default = "256")]
     pub threads: usize,
     /// seed of the arrivals (default 1)
@@ -46,17 +46,17 @@
 }
 
 impl LoadArgs {
-    /// The streams, checked.
+    /// Parses and validates the streams.
     ///
     /// # Errors
-    /// The first part of a stream that can't be read.
+    /// If `--url` or `--stream` is missing, or a part of a stream is invalid.
     pub fn streams(&self) -> Result<Vec<StreamPlan>> {
         ensure!(!self.url.is_empty(), "--url is missing");
         ensure!(!self.stream.is_empty(), "--stream is missing");
         self.stream.iter().map(|text| parse_stream(text)).collect()
     }
 
-    /// Length of the load.
+    /// Duration of the load.
     pub fn length(&self) -> Duration {
         Duration::from_secs_f64(self.seconds)
     }
--- a/crates/load/src/load_report.rs
+++ b/crates/load/src/load_report.rs
@@ -9,64 +9,65 @@
     stream_plan::StreamPlan,
 };
 
-/// Longest latency that is told apart, in microseconds. A recorder without a bound starts
-/// with room for a few microseconds, and saturating records never make it grow.
-const LONGEST_MICROS: u64 = 3_600_000_000;
+/// Upper bound of the latency histogram, in microseconds. A histogram without a bound starts
+/// with a range of a few microseconds, and saturating records never make it grow.
+const MAX_LATENCY_MICROS: u64 = 3_600_000_000;
 
 const SHARE_WINDOW: Duration = Duration::from_secs(10);
 const SHARE_STEP: Duration = Duration::from_secs(1);
 
-/// What one run of the load showed.
+/// Results of one run of the load.
 #[derive(Debug, Serialize)]
 pub struct LoadReport {
     /// `direct` for executors called without the system, `through` for entry hosts.
     pub mode: &'static str,
     /// Seed of the arrivals.
     pub seed: u64,
-    /// Seconds that the figures cover.
+    /// Measured time in seconds, without the warm-up.
     pub seconds: f64,
-    /// Greatest difference between the part of the slot time that a stream got and the part
-    /// due to it, in any ten seconds; means something only while all want more than is due.
+    /// Largest difference between a stream's fraction of the slot time and its fair share, in
+    /// any ten seconds; meaningful only while all streams ask for more than their share.
     pub worst_share_error: f64,
-    /// One row for each stream, then one for all.
+    /// One row per stream, then one for all streams.
     pub streams: Vec<StreamReport>,
 }
 
-/// What one stream showed.
+/// Results of one stream.
 #[derive(Debug, Default, Serialize)]
 pub struct StreamReport {
     /// The team, or `all`.
     pub team: String,
     /// Requests sent.
     pub sent: u64,
-    /// Right answers.
+    /// Expected responses.
     pub answered: u64,
-    /// Answers that were not the right ones.
+    /// Successful responses with an unexpected body.
     pub mismatched: u64,
-    /// Requests that got no whole HTTP answer.
+    /// Requests without a complete HTTP response.
     pub lost: u64,
     /// Refusals by problem and fate.
     pub refused: BTreeMap<String, u64>,
-    /// Right answers a second.
+    /// Expected responses per second.
     pub answered_per_second: f64,
-    /// Latency of right answers from when the request was due, in milliseconds.
+    /// Median latency of expected responses from the planned send time, in milliseconds.
     pub p50_ms: f64,
     /// The same, 99th percentile.
     pub p99_ms: f64,
-    /// The same, greatest.
+    /// The same, maximum.
     pub max_ms: f64,
     /// The same for urgent requests only, 99th percentile.
     pub urgent_p99_ms: f64,
-    /// The same for urgent requests only, greatest.
+    /// The same for urgent requests only, maximum.
     pub urgent_max_ms: f64,
-    /// Part of all slot time that went to this team.
+    /// Fraction of all slot time that this team received.
     pub share_got: f64,
-    /// Part due to this team by weight, if all teams want more than their share.
+    /// Fair share of this team by weight, if all teams ask for more than their share.
     pub share_due: f64,
 }
 
 impl LoadReport {
-    /// Sums up the outcomes that were due after the warm-up and ended within the load.
+    /// Summarises the requests that were due after the warm-up. Shares count only the responses
+    /// that arrived before the end of the load.
     pub fn new(
         mode: &'static str,
         args: &LoadArgs,
@@ -84,11 +85,11 @@
         let total: f64 = (0..streams.len()).map(slot_time).sum();
         let mut rows = Vec::new();
         for (index, stream) in streams.iter().enumerate() {
-            let own = counted
+            let stream_outcomes = counted
                 .iter()
                 .copied()
                 .filter(|outcome| outcome.planned.stream == index);
-            let mut row = StreamReport::new(&stream.team, seconds, own);
+            let mut row = StreamReport::new(&stream.team, seconds, stream_outcomes);
             row.share_got = if 0.0 < total {
                 slot_time(index) / total
             } else {
@@ -107,7 +108,7 @@
         }
     }
 
-    /// The report as an aligned table.
+    /// Formats the report as an aligned table.
     pub fn table(&self) -> String {
         let mut text = format!(
             "{:<8} {:<12} {:>7} {:>8} {:>6} {:>5} {:>8} {:>8} {:>8} {:>8} {:>9} {:>7} {:>7}\n",
@@ -178,7 +179,7 @@
     worst
 }
 
-// Slot time of the right answers of a stream that ended between two times.
+// Slot time of a stream's expected responses that ended between `from` and `until`.
 fn slot_time(
     streams: &[StreamPlan],
     outcomes: &[RequestOutcome],
@@ -206,8 +207,8 @@
             team: team.to_owned(),
             ..Self::default()
         };
-        let mut all = LatencyTable::default();
-        let mut urgent = LatencyTable::default();
+        let mut all = LatencyHistogram::default();
+        let mut urgent = LatencyHistogram::default();
         for outcome in outcomes {
             report.sent += 1;
             match &outcome.end {
@@ -229,34 +230,34 @@
             }
         }
         report.answered_per_second = report.answered as f64 / seconds.max(f64::EPSILON);
-        report.p50_ms = all.at(0.5);
-        report.p99_ms = all.at(0.99);
-        report.max_ms = all.at(1.0);
-        report.urgent_p99_ms = urgent.at(0.99);
-        report.urgent_max_ms = urgent.at(1.0);
+        report.p50_ms = all.quantile_ms(0.5);
+        report.p99_ms = all.quantile_ms(0.99);
+        report.max_ms = all.quantile_ms(1.0);
+        report.urgent_p99_ms = urgent.quantile_ms(0.99);
+        report.urgent_max_ms = urgent.quantile_ms(1.0);
         report
     }
 }
 
 #[derive(Default)]
-struct LatencyTable {
+struct LatencyHistogram {
     histogram: Option<Histogram<u64>>,
 }
 
-impl LatencyTable {
+impl LatencyHistogram {
     fn add(&mut self, outcome: &RequestOutcome) {
         let latency = outcome.ended.saturating_sub(outcome.planned.due);
         let micros = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
         if self.histogram.is_none() {
-            self.histogram = Histogram::new_with_bounds(1, LONGEST_MICROS, 3).ok();
+            self.histogram = Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, 3).ok();
         }
         if let Some(histogram) = &mut self.histogram {
-            // An auto-resizing histogram takes any value that fits in memory.
+            // A latency above the bound is not recorded.
             let _ = histogram.record(micros);
         }
     }
 
-    fn at(&self, quantile: f64) -> f64 {
+    fn quantile_ms(&self, quantile: f64) -> f64 {
         let Some(histogram) = &self.histogram else {
             return 0.0;
         };
--- a/crates/load/src/load_run.rs
+++ b/crates/load/src/load_run.rs
@@ -18,32 +18,32 @@
 };
 
 const STACK_BYTES: usize = 512 * 1024;
-// Beyond the deadline, for an answer that is on its way.
-const ANSWER_MARGIN: Duration = Duration::from_secs(5);
-const ANSWER_LIMIT: u64 = 16 * 1024 * 1024;
+// Time beyond the deadline for a response that is already on its way.
+const RESPONSE_GRACE: Duration = Duration::from_secs(5);
+const MAX_RESPONSE_BYTES: u64 = 16 * 1024 * 1024;
 
 /// How one request ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndKind {
-    /// The right answer.
+    /// The expected response.
     Answered,
-    /// An answer that is not the right one.
+    /// A successful response with an unexpected body.
     Mismatched,
-    /// A problem, with its kind and the fate it states.
+    /// An error response, with its problem kind and what it says about the execution.
     Refused {
-        /// The problem, in kebab case.
+        /// Problem kind, in kebab case, or `status-` and the HTTP status.
         problem: String,
-        /// `not-run`, `may-have-run` or `ran`.
+        /// `not-run`, `may-have-run` or `ran`; empty if the response states none.
         fate: String,
     },
-    /// No whole HTTP answer.
+    /// No complete HTTP response.
     Lost,
 }
 
-/// One request that was sent.
+/// The result of one request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestOutcome {
-    /// What was planned.
+    /// The request as planned.
     pub planned: PlannedRequest,
     /// When it ended, from the start of the load.
     pub ended: Duration,
@@ -52,7 +52,7 @@
 }
 
 #[derive(Deserialize)]
-struct ProblemText {
+struct ProblemBody {
     problem: String,
     fate: String,
 }
@@ -67,10 +67,10 @@
     seed: u64,
 }
 
-/// Sends the load to `urls` and returns what came of it, in the order of the ends.
+/// Sends the load to `urls` and returns the results in order of completion.
 ///
 /// # Errors
-/// If a thread can't be started.
+/// If `--threads` is 0 or a thread can't be started.
 pub fn run(
     args: &LoadArgs,
     streams: &[StreamPlan],
@@ -84,7 +84,7 @@
     let start = Instant::now();
     let mut threads = Vec::new();
     let mut queues = Vec::new();
-    // Threads of its own for each stream: a team that waits long must not hold back another.
+    // Each stream has its own threads, so that slow responses of one team don't delay another.
     for _ in streams {
         let (queue, work) = bounded(plan.len().max(1));
         queues.push(queue);
@@ -92,8 +92,8 @@
             let sender = Arc::clone(&sender);
             let work = work.clone();
             let outcomes = Arc::clone(&outcomes);
-            let duty = move || send_all(&sender, &work, start, &outcomes);
-            threads.push(thread::Builder::new().stack_size(STACK_BYTES).spawn(duty)?);
+            let send = move || send_all(&sender, &work, start, &outcomes);
+            threads.push(thread::Builder::new().stack_size(STACK_BYTES).spawn(send)?);
         }
     }
     for (number, planned) in plan.into_iter().enumerate() {
@@ -139,7 +139,7 @@
 
 impl Sender {
     fn new(args: &LoadArgs, streams: &[StreamPlan], urls: &[String], direct: bool) -> Self {
-        let timeout = Duration::from_millis(args.deadline_ms) + ANSWER_MARGIN;
+        let timeout = Duration::from_millis(args.deadline_ms) + RESPONSE_GRACE;
         let config = Agent::config_builder()
             .timeout_global(Some(timeout))
             .http_status_as_error(false)
@@ -188,24 +188,24 @@
             return EndKind::Lost;
         };
         let status = response.status().as_u16();
-        let reader = response.body_mut().with_config().limit(ANSWER_LIMIT);
+        let reader = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES);
         let Ok(answer) = reader.read_to_vec() else {
             return EndKind::Lost;
         };
-        judge(status, &body, &answer)
+        classify_response(status, &body, &answer)
     }
 }
 
-fn judge(status: u16, body: &[u8], answer: &[u8]) -> EndKind {
+fn classify_response(status: u16, body: &[u8], answer: &[u8]) -> EndKind {
     if status == 200 {
-        let right = answer == expected_answer(body);
-        return if right {
+        let is_expected = answer == expected_answer(body);
+        return if is_expected {
             EndKind::Answered
         } else {
             EndKind::Mismatched
         };
     }
-    match serde_json::from_slice::<ProblemText>(answer) {
+    match serde_json::from_slice::<ProblemBody>(answer) {
         Ok(text) => EndKind::Refused {
             problem: text.problem,
             fate: text.fate,
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,8 +1,8 @@
-//! Open-loop load tool: sends requests at seeded arrival times and reports what came back.
+//! Open-loop load generator: sends requests at seeded arrival times and reports the results.
 //!
-//! Start with [`LoadArgs`] for what can be asked. Arrivals do not wait for answers, and a
-//! latency counts from when the request was due, so that a stalled system can't hide its
-//! delays. Answers are checked byte by byte against what the stand-in executor must say.
+//! [`LoadArgs`] lists the options. Arrivals do not wait for responses, and latency is
+//! measured from the time a request was due, so that a stalled system can't hide its delays.
+//! Responses are compared byte by byte with the expected response of the fake executor.
 
 mod load_args;
 mod load_report;
--- a/crates/load/src/stream_plan.rs
+++ b/crates/load/src/stream_plan.rs
@@ -2,29 +2,29 @@
 
 use rand::{Rng, rngs::StdRng};
 
-/// Factor of the mean rate outside a peak.
-const TROUGH: f64 = 0.05;
+/// Rate between peaks, as a factor of the mean rate.
+const OFF_PEAK_FACTOR: f64 = 0.05;
 
 /// The load of one team.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StreamPlan {
-    /// The team, for the report.
+    /// Name of the team, for the report.
     pub team: String,
-    /// Its key, as sent with each request.
+    /// API key of the team, sent with each request.
     pub key: String,
-    /// Mean requests a second.
+    /// Mean requests per second.
     pub rate: f64,
-    /// Service time asked of the executor.
+    /// Service time that each request asks the executor to take.
     pub service: Duration,
     /// Fraction of requests that are urgent.
     pub urgent: f64,
     /// Fraction of requests that are idempotent.
     pub idempotent: f64,
-    /// Bytes of a request's body.
+    /// Size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Bytes of an answer.
+    /// Size of a response body, in bytes.
     pub answer_bytes: usize,
-    /// Peak rate over mean; 1 for a steady rate.
+    /// Ratio of the peak rate to the mean rate; 1 for a steady rate.
     pub peak: f64,
     /// Time from one peak to the next.
     pub period: Duration,
@@ -32,12 +32,12 @@
     pub share: f64,
 }
 
-/// One request that is to be sent.
+/// A request to be sent at a planned time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlannedRequest {
-    /// When it is due, from the start of the load.
+    /// Planned send time, from the start of the load.
     pub due: Duration,
-    /// Index of its stream.
+    /// Index of the stream it belongs to.
     pub stream: usize,
     /// Whether it is urgent.
     pub urgent: bool,
@@ -64,7 +64,7 @@
 }
 
 impl StreamPlan {
-    /// Requests with exponential gaps over `length`; `stream` is the index of this plan.
+    /// Generates requests over `length` by a Poisson process; `stream` is the index of this plan.
     pub fn requests(
         &self,
         stream: usize,
@@ -72,16 +72,17 @@
         random: &mut StdRng,
     ) -> Vec<PlannedRequest> {
         let mut requests = Vec::new();
-        let top_rate = self.rate * self.peak.max(1.0);
+        let peak_rate = self.rate * self.peak.max(1.0);
         let mut due = 0.0;
         loop {
             let uniform: f64 = random.random_range(f64::EPSILON..1.0);
-            due -= uniform.ln() / top_rate;
+            due -= uniform.ln() / peak_rate;
             if length.as_secs_f64() <= due {
                 return requests;
             }
-            // Thinning: gaps of the top rate, of which the rate of the moment is kept.
-            if random.random::<f64>() < self.rate_at(due) / top_rate {
+            // Thinning: arrivals are drawn at the peak rate and kept in proportion to the
+            // current rate.
+            if random.random::<f64>() < self.rate_at(due) / peak_rate {
                 requests.push(PlannedRequest {
                     due: Duration::from_secs_f64(due),
                     stream,
@@ -92,14 +93,18 @@
         }
     }
 
-    // A peak fills the part of the period that keeps the mean.
+    // The peak lasts for the fraction of the period that makes the mean equal to `rate`.
     fn rate_at(&self, time: f64) -> f64 {
         if self.peak <= 1.0 {
             return self.rate;
         }
-        let peak_part = (1.0 - TROUGH) / (self.peak - TROUGH);
+        let peak_fraction = (1.0 - OFF_PEAK_FACTOR) / (self.peak - OFF_PEAK_FACTOR);
         let phase = (time / self.period.as_secs_f64()).fract();
-        let factor = if phase < peak_part { self.peak } else { TROUGH };
+        let factor = if phase < peak_fraction {
+            self.peak
+        } else {
+            OFF_PEAK_FACTOR
+        };
         self.rate * factor
     }
 }
