--- a/crates/cell/src/cell_host.rs
+++ b/crates/cell/src/cell_host.rs
@@ -15,6 +15,7 @@
     cell_options::CellOptions,
     cell_ports::CellPorts,
     election::Candidate,
+    election_promise::ElectionPromise,
     event,
     fleet_view::FleetView,
     member_directory::MemberDirectory,
@@ -22,7 +23,6 @@
     owner_view::OwnerView,
     peer_service::{CurrentTerm, PeerService},
     prefix_watch::watch_prefix,
-    stand_pledge::ElectionPromise,
     stored_cancellation::CancellationWriter,
     term::TermContext,
 };
--- a/crates/cell/src/election.rs
+++ b/crates/cell/src/election.rs
@@ -8,11 +8,11 @@
 use tokio::time::sleep;
 
 use crate::{
+    election_promise::ElectionPromise,
     event,
     log_reader::fetch_new_pages,
     owner_view::{OwnerView, address_entry, decode_owner},
     peer_service::CurrentTerm,
-    stand_pledge::ElectionPromise,
     term::{Term, TermContext, TermLease},
     term_run::run_term,
 };
--- a/crates/cell/src/peer_service.rs
+++ b/crates/cell/src/peer_service.rs
@@ -10,8 +10,8 @@
 use wire::work::{AnswerKind, OwnerAnswer, OwnerCall, OwnerRecord, owner_call::Ask};
 
 use crate::{
-    event, owner_service, owner_view::OwnerView, peer_call::OWNER_PATH,
-    stand_pledge::ElectionPromise, term::Term,
+    election_promise::ElectionPromise, event, owner_service, owner_view::OwnerView,
+    peer_call::OWNER_PATH, term::Term,
 };
 
 /// The term that this process runs while it owns the cell.
--- a/crates/cell/src/store_check.rs
+++ b/crates/cell/src/store_check.rs
@@ -4,7 +4,7 @@
 use tokio::{task::JoinSet, time::sleep};
 use wire::work::{OwnerCall, owner_call::Ask};
 
-use crate::{stand_pledge::PROMISE_TRUSTED, step_aside::StepDownKind, term::Term};
+use crate::{election_promise::PROMISE_TRUSTED, step_down::StepDownKind, term::Term};
 
 /// How often an owner that does not reach the store asks the other processes whether they do.
 const ASK_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/cell/src/target_orders.rs
+++ b/crates/cell/src/target_orders.rs
@@ -10,8 +10,8 @@
 use crate::{
     call_limiter::CallPermit,
     event, metric,
-    target_lane::TargetChannel,
-    target_look::{channel_to, log_failure, next_poll, poll_once, target_address},
+    target_channel::TargetChannel,
+    target_poll::{channel_to, log_failure, next_poll, poll_once, target_address},
     term::Term,
 };
 
--- a/crates/cell/src/target_look.rs
+++ b/crates/cell/src/target_poll.rs
@@ -9,7 +9,7 @@
 };
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-use crate::{call_limiter::CallPermit, event, metric, target_lane::TargetChannel, term::Term};
+use crate::{call_limiter::CallPermit, event, metric, target_channel::TargetChannel, term::Term};
 
 /// How often an idle target is considered for a poll.
 const IDLE_INTERVAL: Duration = Duration::from_millis(200);
--- a/crates/cell/src/term.rs
+++ b/crates/cell/src/term.rs
@@ -31,7 +31,7 @@
     log_cache::LogCache,
     log_queue::{LogQueue, record_order},
     member_directory::MemberDirectory,
-    target_lane::TargetChannel,
+    target_channel::TargetChannel,
 };
 
 /// Part of the lease that the owner does not rely on, because the clocks of the store and the host
--- a/crates/cell/src/term_run.rs
+++ b/crates/cell/src/term_run.rs
@@ -15,11 +15,11 @@
     log_reader::read_log,
     log_writer::write_log,
     metric,
-    step_aside::{StepDownKind, step_down},
+    step_down::{StepDownKind, step_down},
     store_check::check_with_members,
     stored_cancellation::watch_cancellations,
-    target_look::open_channel,
     target_orders::send_order,
+    target_poll::open_channel,
     target_watch::watch_targets,
     term::Term,
 };
--- a/crates/decide/src/work/mod.rs
+++ b/crates/decide/src/work/mod.rs
@@ -7,13 +7,6 @@
 
 mod compacted_log;
 mod demand_meter;
-mod desk_admit;
-mod desk_index;
-mod desk_life;
-mod desk_sight;
-mod desk_stop;
-mod desk_tick;
-mod desk_tuning;
 mod host_moves;
 mod host_planner;
 mod host_replacements;
@@ -27,13 +20,20 @@
 mod pick;
 mod ranked_steps;
 mod scheduler_action;
+mod scheduler_admit;
 mod scheduler_advice;
 mod scheduler_answer;
 mod scheduler_claim;
 mod scheduler_end;
 mod scheduler_evacuate;
+mod scheduler_incarnation;
+mod scheduler_index;
 mod scheduler_plan;
+mod scheduler_report;
 mod scheduler_start;
+mod scheduler_stop;
+mod scheduler_tick;
+mod scheduler_tuning;
 mod scheduler_unreachable;
 mod share_meter;
 mod start_forecast;
@@ -47,8 +47,6 @@
 
 pub use compacted_log::CompactedLog;
 pub use demand_meter::DemandMeter;
-pub use desk_index::WorkCounters;
-pub use desk_tuning::SchedulerTuning;
 pub use host_planner::{HostOrder, HostPlanner};
 pub use job_record::{plan_of_record, record_of_plan};
 pub use job_table::JobTable;
@@ -56,6 +54,8 @@
 pub use scheduler_action::{
     EndOrigin, LogAppend, PlacementInputs, SchedulerAction, SchedulerEvent,
 };
+pub use scheduler_index::WorkCounters;
+pub use scheduler_tuning::SchedulerTuning;
 pub use start_forecast::StartForecast;
 pub use target_state::{HostDrainState, TargetIncarnation, TargetState};
 pub use tracked_map::TrackedMap;
--- a/crates/decide/src/work/work_scheduler.rs
+++ b/crates/decide/src/work/work_scheduler.rs
@@ -13,7 +13,7 @@
 use super::{
     EndOrigin, HostDrainState, JobTable, LogAppend, SchedulerAction, SchedulerEvent,
     SchedulerTuning, StartForecast, TargetState, WorkCounters, WorkJob, WorkPhase,
-    desk_index::SchedulerIndex, scheduler_evacuate::StrandedTask, share_meter::ShareMeter,
+    scheduler_evacuate::StrandedTask, scheduler_index::SchedulerIndex, share_meter::ShareMeter,
     step_key::StepKey, target_state::RunKey, tracked_map::TrackedMap,
 };
 
