--- a/crates/proof/src/soak/fault_drive.rs
+++ b/crates/proof/src/soak/fault_drive.rs
@@ -243,7 +243,7 @@
         return LinkMode::Open;
     }
     match fault.kind {
-        FaultKind::TargetUnresponsive => LinkMode::Silent,
+        FaultKind::TargetSilent => LinkMode::Silent,
         FaultKind::TargetUnanswered => LinkMode::Unanswered,
         FaultKind::TargetApart if active.process != process => LinkMode::Silent,
         _ => LinkMode::Open,
--- a/crates/proof/src/soak/fault_plan.rs
+++ b/crates/proof/src/soak/fault_plan.rs
@@ -36,7 +36,7 @@
     /// Few bytes a second pass between a process and the store.
     StoreLinkNarrow,
     /// Nothing passes between the processes and a target.
-    TargetUnresponsive,
+    TargetSilent,
     /// A target is reached by one process only.
     TargetApart,
     /// A target's answers don't come back.
@@ -64,7 +64,7 @@
     FaultKind::StoreLinkUnanswered,
     FaultKind::StoreLinkReset,
     FaultKind::StoreLinkNarrow,
-    FaultKind::TargetUnresponsive,
+    FaultKind::TargetSilent,
     FaultKind::TargetApart,
     FaultKind::TargetUnanswered,
     FaultKind::TargetCrash,
