--- a/crates/decide/src/work/work_scheduler.rs
+++ b/crates/decide/src/work/work_scheduler.rs
@@ -13,7 +13,7 @@
 use super::{
     EndOrigin, HostDrainState, JobTable, LogAppend, SchedulerAction, SchedulerEvent,
     SchedulerTuning, StartForecast, TargetState, WorkCounters, WorkJob, WorkPhase,
-    desk_index::SchedulerIndex, scheduler_evacuate::StrandedTask, share_meter::ShareMeter,
+    scheduler_evacuate::StrandedTask, scheduler_index::SchedulerIndex, share_meter::ShareMeter,
     step_key::StepKey, target_state::RunKey, tracked_map::TrackedMap,
 };
 
@@ -143,9 +143,9 @@
     ///
     /// Running tasks continue meanwhile, but no task is started and no new incarnation of a target
     /// is given this owner's token ([`WorkScheduler::plan_starts`]).
-    pub fn set_ownership_uncertain(&mut self, alone: bool) {
-        self.replan_needed |= self.ownership_uncertain && !alone;
-        self.ownership_uncertain = alone;
+    pub fn set_ownership_uncertain(&mut self, uncertain: bool) {
+        self.replan_needed |= self.ownership_uncertain && !uncertain;
+        self.ownership_uncertain = uncertain;
     }
 
     /// Fencing token of this term.
--- a/crates/decide/tests/common/fleet_world.rs
+++ b/crates/decide/tests/common/fleet_simulation.rs
@@ -10,27 +10,27 @@
 const STEP: Duration = Duration::from_millis(500);
 const HEALTH_AGE: Duration = Duration::from_secs(4);
 
-/// A guard that a test takes away, to see that the checks notice.
+/// A guard that a test disables to verify that the checks detect its absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GuardFault {
-    /// All guards work.
+    /// All guards are enabled.
     None,
     /// The map is written without comparing versions.
     WriteUnguarded,
     /// Lost hosts are counted as in service.
     LossesIgnored,
-    /// Health that is long out of date counts as fresh.
+    /// Stale health counts as current.
     OldHealth,
-    /// Hosts are rebooted as soon as they are told to drain.
+    /// Hosts reboot as soon as draining begins.
     RebootUndrained,
-    /// Racks are not told apart.
+    /// All hosts count as in one rack.
     OneDomain,
-    /// An answer from before a host's phase counts for the phase.
+    /// A probe from before a host's current phase counts for that phase.
     HealthOfOtherPhase,
 }
 
 #[derive(Clone, Debug)]
-pub struct WorldOptions {
+pub struct SimulationOptions {
     pub pools: usize,
     pub hosts_per_pool: usize,
     pub budget: u32,
@@ -38,12 +38,12 @@
     pub every: Duration,
     pub losses_per_hour: f64,
     pub store_outages: bool,
-    /// Part of the reboots that a host does not come back from.
+    /// Share of reboots after which a host does not return.
     pub never_returns: f64,
     pub fault: GuardFault,
 }
 
-impl Default for WorldOptions {
+impl Default for SimulationOptions {
     fn default() -> Self {
         Self {
             pools: 3,
@@ -72,20 +72,20 @@
 #[derive(Clone, Debug, Default)]
 struct PlannerState {
     map: FleetMap,
-    probed: BTreeMap<HostId, ProbeNote>,
-    wanted: Vec<HostId>,
+    probed: BTreeMap<HostId, ProbeRecord>,
+    probes_due: Vec<HostId>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct ProbeNote {
+struct ProbeRecord {
     at: Duration,
     health: HealthStatus,
     failures: u32,
-    stay: PhaseEntry,
+    phase_entry: PhaseEntry,
 }
 
-/// Hosts, a list that lags, and two planners that both believe to have the duty.
-pub struct FleetWorld {
+/// A simulation of hosts, a delayed host list and two planners that are both active.
+pub struct FleetSimulation {
     pub now: Duration,
     pub map: FleetMap,
     pub manifest: Manifest,
@@ -93,7 +93,7 @@
     pub violations: Vec<String>,
     pub planned_outages: u32,
     pub conflicts: u32,
-    options: WorldOptions,
+    options: SimulationOptions,
     machines: BTreeMap<HostId, Machine>,
     planners: [PlannerState; 2],
     missing_since: BTreeMap<HostId, Duration>,
@@ -102,8 +102,8 @@
     random: StdRng,
 }
 
-impl FleetWorld {
-    pub fn new(options: WorldOptions, seed: u64) -> Self {
+impl FleetSimulation {
+    pub fn new(options: SimulationOptions, seed: u64) -> Self {
         let mut manifest = Manifest::default();
         let window = WindowSpec {
             start: Duration::ZERO,
@@ -150,13 +150,13 @@
         let until = self.now + time;
         while self.now < until {
             self.now += STEP;
-            self.strike();
-            self.age_machines();
+            self.inject_faults();
+            self.advance_machines();
             let order = if self.random.random() { [0, 1] } else { [1, 0] };
             for planner in order {
-                // A planner that misses rounds holds an old map for a while.
+                // A planner that skips rounds uses an outdated map for a while.
                 if self.random.random_bool(0.6) {
-                    self.plan(planner);
+                    self.run_planner(planner);
                 }
             }
         }
@@ -171,7 +171,7 @@
         hosts.filter(|state| state.failed_return()).count()
     }
 
-    fn strike(&mut self) {
+    fn inject_faults(&mut self) {
         let per_step = self.options.losses_per_hour * STEP.as_secs_f64() / 3600.0;
         if self.random.random_bool(per_step.min(1.0)) {
             let index = self.random.random_range(0..self.machines.len());
@@ -186,10 +186,10 @@
         }
     }
 
-    fn age_machines(&mut self) {
+    fn advance_machines(&mut self) {
         for (host, machine) in &mut self.machines {
-            machine.age(self.now, &mut self.random);
-            // The list shows a host that is down for longer than some seconds as gone.
+            machine.advance(self.now, &mut self.random);
+            // The list omits a host that has been down for 10 s or longer.
             let listed = machine
                 .down_since
                 .is_none_or(|since| self.now < since + Duration::from_secs(10));
@@ -201,10 +201,10 @@
         }
     }
 
-    fn plan(&mut self, index: usize) {
+    fn run_planner(&mut self, index: usize) {
         let store_up = self.now >= self.store_down_until;
         let mut planner = std::mem::take(&mut self.planners[index]);
-        self.probe(&mut planner);
+        self.probe_hosts(&mut planner);
         let observations = self.observations(&planner);
         let view_map = self.view_map(&planner.map);
         let manifest = self.view_manifest();
@@ -216,12 +216,12 @@
             list_fresh: true,
             limits: &self.limits,
         });
-        planner.wanted = plan.probes;
+        planner.probes_due = plan.probes;
         if store_up {
             if !plan.change.is_empty() {
                 self.commit(&planner.map, &plan.change);
             }
-            // Most rounds end with a fresh map; some writes are not seen at once.
+            // Most rounds end with the current map; some writes are seen later.
             if self.random.random_bool(0.7) {
                 planner.map = self.map.clone();
             }
@@ -284,7 +284,7 @@
                 leaving: false,
                 missing_for: missing.map_or(Duration::ZERO, |since| self.now - *since),
                 health,
-                probed_in: planner.asked_in(host, self.options.fault),
+                probed_in: planner.probed_in(host, self.options.fault),
             }
         };
         let machines = self.machines.iter();
@@ -293,28 +293,28 @@
             .collect()
     }
 
-    /// Probes the hosts that the last plan asked for, and pushes them on in their phase.
-    fn probe(&mut self, planner: &mut PlannerState) {
-        for host in std::mem::take(&mut planner.wanted) {
+    /// Probes the hosts that the last plan requested and advances them in their phase.
+    fn probe_hosts(&mut self, planner: &mut PlannerState) {
+        for host in std::mem::take(&mut planner.probes_due) {
             let Some(machine) = self.machines.get_mut(&host) else {
                 continue;
             };
             let Some(state) = planner.map.hosts.get(&host) else {
                 continue;
             };
-            let note = planner.probed.entry(host.clone()).or_default();
-            if note.stay != state.phase_entry() {
-                *note = ProbeNote::default();
+            let probe = planner.probed.entry(host.clone()).or_default();
+            if probe.phase_entry != state.phase_entry() {
+                *probe = ProbeRecord::default();
             }
-            note.stay = state.phase_entry();
-            note.at = self.now;
+            probe.phase_entry = state.phase_entry();
+            probe.at = self.now;
             if machine.down_since.is_some() {
-                note.health = HealthStatus::Unknown;
-                note.failures += 1;
+                probe.health = HealthStatus::Unknown;
+                probe.failures += 1;
                 continue;
             }
-            note.failures = 0;
-            note.health = HealthStatus::Answering {
+            probe.failures = 0;
+            probe.health = HealthStatus::Answering {
                 draining: machine.draining,
                 running: machine.running,
             };
@@ -324,7 +324,7 @@
                 HostPhase::Rebooting if machine.draining => {
                     if machine.running > 0 {
                         self.violations
-                            .push(format!("{host} rebooted while it ran work"));
+                            .push(format!("{host} rebooted while it was running tasks"));
                     }
                     let returns = !self.random.random_bool(self.options.never_returns);
                     let length = if returns { 30 } else { 1_000_000 };
@@ -341,7 +341,7 @@
             self.conflicts += 1;
             return;
         }
-        let change = self.true_racks(change);
+        let change = self.restore_racks(change);
         let before = std::mem::take(&mut self.map);
         let mut after = before.with_change(&change);
         let mut reread = before.clone();
@@ -353,7 +353,7 @@
         reread.catch_up(&head).expect("the next revision");
         if reread != after {
             self.violations
-                .push("a map changed on its way through the store".to_owned());
+                .push("a map differs after a round trip through the store".to_owned());
         }
         std::mem::swap(&mut self.map, &mut after);
         for (host, state) in &change.hosts {
@@ -367,14 +367,14 @@
             if state.maintained == self.now && before.hosts.contains_key(host) {
                 let reboots = self.machines[host].reboots;
                 if self.reboots_before.get(host) == Some(&reboots) {
-                    let text = format!("{host} passed for maintained without a reboot");
+                    let text = format!("{host} counts as maintained without a reboot");
                     self.violations.push(text);
                 }
             }
         }
     }
 
-    fn true_racks(&self, change: &MapChange) -> MapChange {
+    fn restore_racks(&self, change: &MapChange) -> MapChange {
         let mut change = change.clone();
         for (host, state) in &mut change.hosts {
             state.facts = self.machines[host].facts.clone();
@@ -382,13 +382,14 @@
         change
     }
 
-    /// Checks a pool right after one of its hosts was taken out by plan.
+    /// Checks a pool directly after a planned outage of one of its hosts began.
     fn check_outage(&mut self, host: &HostId, pool: &PoolId) {
         let mut serving = 0;
         let mut planned_racks = Vec::new();
         for (other, state) in self.map.pool_hosts(pool) {
             let machine = &self.machines[other];
-            // Whatever was down for longer than a health answer counts must be known.
+            // A host that has been down for longer than its last health is valid must be known as
+            // down.
             let down = machine
                 .down_since
                 .is_some_and(|since| self.now > since + HEALTH_AGE + STEP);
@@ -399,14 +400,15 @@
         }
         let budget = self.manifest.pools[pool].budget;
         if serving < budget {
-            self.violations
-                .push(format!("{host} left {pool} with {serving} of {budget}"));
+            self.violations.push(format!(
+                "{host} left {pool} with {serving} serving hosts of {budget} required"
+            ));
         }
         planned_racks.sort();
         planned_racks.dedup();
         if planned_racks.len() > 1 {
             self.violations
-                .push(format!("{pool} has two racks out by plan"));
+                .push(format!("{pool} has planned outages in two racks"));
         }
     }
 }
@@ -414,26 +416,26 @@
 impl PlannerState {
     fn health(&self, host: &HostId, now: Duration, age: Duration) -> HealthStatus {
         match self.probed.get(host) {
-            Some(note) if note.failures >= 3 => HealthStatus::Failing,
-            Some(note) if now - note.at <= age => note.health,
+            Some(probe) if probe.failures >= 3 => HealthStatus::Failing,
+            Some(probe) if now - probe.at <= age => probe.health,
             _ => HealthStatus::Unknown,
         }
     }
 
-    /// The stay in which a host was asked; with the guard away, whatever the map says.
-    fn asked_in(&self, host: &HostId, fault: GuardFault) -> PhaseEntry {
+    /// The phase entry in which a host was probed. If the guard is disabled, that of the map.
+    fn probed_in(&self, host: &HostId, fault: GuardFault) -> PhaseEntry {
         let state = self.map.hosts.get(host);
-        let held = state.map(HostState::phase_entry).unwrap_or_default();
+        let current_entry = state.map(HostState::phase_entry).unwrap_or_default();
         match fault {
-            GuardFault::HealthOfOtherPhase => return held,
-            GuardFault::LossesIgnored if held.0 == HostPhase::Lost => {
-                return (HostPhase::Serving, held.1);
+            GuardFault::HealthOfOtherPhase => return current_entry,
+            GuardFault::LossesIgnored if current_entry.0 == HostPhase::Lost => {
+                return (HostPhase::Serving, current_entry.1);
             }
-            GuardFault::LossesIgnored => return held,
+            GuardFault::LossesIgnored => return current_entry,
             _ => {}
         }
-        let note = self.probed.get(host);
-        note.map(|note| note.stay).unwrap_or_default()
+        let probe = self.probed.get(host);
+        probe.map(|probe| probe.phase_entry).unwrap_or_default()
     }
 }
 
@@ -466,7 +468,7 @@
         self.fail(now, until);
     }
 
-    fn age(&mut self, now: Duration, random: &mut StdRng) {
+    fn advance(&mut self, now: Duration, random: &mut StdRng) {
         if self.down_since.is_some() {
             if now >= self.down_until {
                 self.down_since = None;
--- a/crates/decide/tests/work_schedule.rs
+++ b/crates/decide/tests/work_schedule.rs
@@ -1,33 +1,33 @@
 //! Owners, targets and the log under seeded faults. A failing case prints its seed.
 
-mod desk;
+mod harness;
 
 use std::time::Duration;
 
-use desk::{DeskWorld, WorldFaults};
+use harness::{Simulation, WorldFaults};
 use rstest::rstest;
 
 const BUSY: Duration = Duration::from_secs(40);
 const CALM: Duration = Duration::from_secs(300);
 const SEEDS: u64 = 60;
 
-fn run(seeds: std::ops::Range<u64>, faults: WorldFaults) {
+fn run_seeds(seeds: std::ops::Range<u64>, faults: WorldFaults) {
     let mut jobs = 0;
     for seed in seeds {
-        let mut world = DeskWorld::new(seed, 5, faults);
+        let mut world = Simulation::new(seed, 5, faults);
         world.run(BUSY, CALM);
         jobs += world.jobs();
         assert!(
-            world.faults_found.is_empty(),
+            world.violations.is_empty(),
             "seed {seed}: {:#?}",
-            world.faults_found
+            world.violations
         );
     }
     assert!(jobs > 0);
 }
 
-/// Callers see each job completed, no task runs twice or before its turn, no target and no
-/// workspace holds more than it may, whatever owners, targets and orders do.
+/// Each job completes, no task runs twice or before the steps that it depends on, and no target or
+/// workspace exceeds its limit, whatever faults hit owners, targets and orders.
 #[rstest]
 #[case::calm(WorldFaults::CALM)]
 #[case::all(WorldFaults::default())]
@@ -40,11 +40,11 @@
 #[case::lanes(WorldFaults { lanes: true, lost_calls: 0.15, late_calls: 0.1, ..WorldFaults::CANCELS })]
 #[case::lists(WorldFaults { target_crash: 0.1, target_cut: 0.1, lists: true, ..WorldFaults::default() })]
 #[case::everything(WorldFaults { short_log: true, lanes: true, lists: true, ..WorldFaults::LOG })]
-fn promises_hold(#[case] faults: WorldFaults) {
-    run(0..SEEDS, faults);
+fn scheduler_invariants_hold(#[case] faults: WorldFaults) {
+    run_seeds(0..SEEDS, faults);
 }
 
-/// Seeds beyond the first that broke a promise once.
+/// Seeds outside the range above that once violated an invariant.
 #[rstest]
 #[case::lone_owner_and_new_life(265, WorldFaults { target_crash: 0.1, target_cut: 0.1, ..WorldFaults::default() })]
 #[case::limit_of_two_owners(88, WorldFaults { owner_kill: 0.15, owner_cut: 0.15, ..WorldFaults::default() })]
@@ -56,6 +56,6 @@
 #[case::later_run_than_missed(128, WorldFaults { short_log: true, ..WorldFaults::LOG })]
 #[case::later_run_than_missed_and_heard(148, WorldFaults { owner_kill: 0.15, owner_cut: 0.15, ..WorldFaults::CANCELS })]
 #[case::limit_beside_cancelled_before(471, WorldFaults { owner_kill: 0.15, owner_cut: 0.15, short_log: true, ..WorldFaults::LOG })]
-fn promises_hold_again(#[case] seed: u64, #[case] faults: WorldFaults) {
-    run(seed..seed + 1, faults);
+fn scheduler_invariants_hold_for_seed(#[case] seed: u64, #[case] faults: WorldFaults) {
+    run_seeds(seed..seed + 1, faults);
 }
--- a/crates/entry/src/caller/connection_limiter.rs
+++ b/crates/entry/src/caller/connection_limiter.rs
@@ -2,71 +2,72 @@
 
 use parking_lot::Mutex;
 
-/// Counts the connections of callers, in total and for each source address.
+/// Limits the connections of callers, in total and per source address.
 ///
-/// A flood from one address is refused at the address's own bound, so that it leaves room
+/// A flood from one address is refused at the limit per address, so that connections remain
 /// for the others.
 #[derive(Debug)]
 pub(crate) struct ConnectionLimiter {
     total: usize,
     per_address: usize,
-    open: Mutex<OpenConnections>,
+    held: Mutex<HeldConnections>,
 }
 
 #[derive(Debug, Default)]
-struct OpenConnections {
+struct HeldConnections {
     sum: usize,
     addresses: HashMap<IpAddr, usize>,
 }
 
-/// One counted connection, uncounted when dropped.
+/// A counted connection; dropping it removes it from the count.
 #[derive(Debug)]
 pub(crate) struct ConnectionPermit {
-    count: Arc<ConnectionLimiter>,
+    limiter: Arc<ConnectionLimiter>,
     address: IpAddr,
 }
 
 impl ConnectionLimiter {
-    /// Admits `total` connections, and `each` from one address.
+    /// Creates a limiter that allows `total` connections, and `per_address` from one
+    /// address.
     pub fn new(total: usize, per_address: usize) -> Arc<Self> {
         Arc::new(Self {
             total,
             per_address,
-            open: Mutex::new(OpenConnections::default()),
+            held: Mutex::new(HeldConnections::default()),
         })
     }
 
-    /// Counts a connection from `address`; `None` if it is one too many.
+    /// Counts a connection from `address`; `None` if it would exceed a limit.
     pub fn try_acquire(self: &Arc<Self>, address: IpAddr) -> Option<ConnectionPermit> {
-        let mut open = self.open.lock();
-        let from_address = open.addresses.get(&address).copied().unwrap_or_default();
-        if open.sum >= self.total || from_address >= self.per_address {
+        let mut held = self.held.lock();
+        let from_address = held.addresses.get(&address).copied().unwrap_or_default();
+        if held.sum >= self.total || from_address >= self.per_address {
             return None;
         }
-        open.sum += 1;
-        open.addresses.insert(address, from_address + 1);
+        held.sum += 1;
+        held.addresses.insert(address, from_address + 1);
         Some(ConnectionPermit {
-            count: Arc::clone(self),
+            limiter: Arc::clone(self),
             address,
         })
     }
 
-    /// Connections now held.
+    /// Number of open connections.
     pub fn open_count(&self) -> usize {
-        self.open.lock().sum
+        self.held.lock().sum
     }
 }
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        let mut open = self.count.open.lock();
-        open.sum = open.sum.saturating_sub(1);
-        let Some(from_address) = open.addresses.get_mut(&self.address) else {
+        let mut held = self.limiter.held.lock();
+        held.sum = held.sum.saturating_sub(1);
+        let Some(from_address) = held.addresses.get_mut(&self.address) else {
             return;
         };
         *from_address = from_address.saturating_sub(1);
         if *from_address == 0 {
-            open.addresses.remove(&self.address);
+            held.addresses.remove(&self.address);
         }
     }
 }
--- a/crates/fleet/src/fleet_audit.rs
+++ b/crates/fleet/src/fleet_audit.rs
@@ -4,11 +4,11 @@
 
 use crate::{fleet_shared::FleetShared, map_store::MapSnapshot};
 
-/// Hands those changes of the pool map to the audit trail that this entry host wrote and
-/// that are newer than `known`.
+/// Records the changes of the pool map that this entry host wrote and that are newer than
+/// `known` in the audit trail.
 ///
-/// The changes are taken from the head that was read and not from what was sent, so that
-/// a write whose answer was lost is noted too, and one that took no effect is not.
+/// The changes come from the stored head and not from the requests. So a write whose
+/// response was lost is recorded, and a write without effect is not.
 pub(crate) fn audit_changes(shared: &FleetShared, known: &MapSnapshot, newer: &MapSnapshot) {
     let Some(audit) = &shared.audit else {
         return;
@@ -20,8 +20,8 @@
             continue;
         }
         if change.author == own_id {
-            for note in notes_of(&map, change) {
-                audit.record(note);
+            for record in audit_records(&map, change) {
+                audit.record(record);
             }
         }
         let mut upto = newer.head.clone();
@@ -33,7 +33,7 @@
     }
 }
 
-fn notes_of(before: &FleetMap, change: &FleetChange) -> Vec<AuditRecord> {
+fn audit_records(before: &FleetMap, change: &FleetChange) -> Vec<AuditRecord> {
     let moved = change.hosts.iter().map(|record| {
         let next = HostState::from_record(record);
         let was = before.hosts.get(record.host.as_str());
--- a/crates/fleet/src/host_watch.rs
+++ b/crates/fleet/src/host_watch.rs
@@ -6,19 +6,19 @@
 
 use crate::{fleet_shared::FleetShared, list_view::ListView};
 
-/// Reads the host list again and again.
+/// Reads the host list periodically until the service stops.
 pub(crate) fn run_list_watch(shared: &Arc<FleetShared>) {
     loop {
         read_list(shared);
-        shared.free_permits();
+        shared.release_due_permits();
         if !shared.pause(shared.timing.list_interval) {
             return;
         }
     }
 }
 
-/// Reads the list once. A list that can't be read changes nothing: hosts are not lost
-/// because the list is.
+/// Reads the list once. If that fails, the last view stays, because an unavailable list
+/// does not mean that hosts are lost.
 fn read_list(shared: &FleetShared) {
     let asked_at = shared.clock.boot_now();
     match shared.hosts.hosts() {
@@ -26,7 +26,7 @@
             let known: Vec<HostId> = shared.snapshot.lock().map.hosts.keys().cloned().collect();
             let view = shared.list.load().after_read(entries, &known, asked_at);
             shared.list.store(Arc::new(view));
-            shared.renew_targets();
+            shared.rebuild_targets();
         }
         Err(e) => {
             metrics::counter!("lws_fleet_list_errors").increment(1);
@@ -36,10 +36,11 @@
 }
 
 impl ListView {
-    /// The view after the list was read with `entries`; `known` are hosts of the pool map.
+    /// Returns the view after a read of `entries`; `known` are the hosts of the pool map.
     ///
-    /// A host's absence is counted from reads only. While the list is down no time is
-    /// added, and the first read after an outage does not make a host lost at once.
+    /// Absence is counted between successful reads only, and each gap between reads counts
+    /// up to a limit. So the first read after an outage of the list does not make a host
+    /// lost at once.
     pub(crate) fn after_read(
         &self,
         entries: Vec<HostEntry>,
@@ -53,7 +54,7 @@
         let unread = self
             .read_at
             .map_or(Duration::ZERO, |read_at| asked_at.saturating_sub(read_at));
-        let gap = unread.saturating_sub(Self::LONGEST_GAP);
+        let gap = unread.saturating_sub(Self::MAX_COUNTED_GAP);
         let missing = known
             .iter()
             .filter(|host| !entries.contains_key(*host))
@@ -72,7 +73,7 @@
         }
     }
 
-    /// What the list says of `host`.
+    /// Returns the facts and the absence of `host` according to the list.
     pub(crate) fn observation(&self, host: &HostId, now: BootTime) -> HostObservation {
         let entry = self.entries.get(host);
         HostObservation {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// How long the list has not shown `host`, up to the newest read.
+    /// How long `host` has been missing from the list, up to the last read.
     pub(crate) fn missing_for(&self, host: &HostId, now: BootTime) -> Duration {
         let Some(since) = self.missing.get(host) else {
             return Duration::ZERO;
@@ -92,8 +93,8 @@
         read_at.saturating_sub(*since)
     }
 
-    /// Time between two reads that counts in full towards an absence.
-    const LONGEST_GAP: Duration = Duration::from_secs(3);
+    /// Maximum time between two reads that counts towards an absence.
+    const MAX_COUNTED_GAP: Duration = Duration::from_secs(3);
 }
 
 fn facts_of(entry: &HostEntry) -> HostFacts {
--- a/crates/fleet/src/job_flush.rs
+++ b/crates/fleet/src/job_flush.rs
@@ -8,18 +8,18 @@
     AppendOutcome, event, held_job::view_of, job_holder::JobHolder, pending_flush::PendingFlush,
 };
 
-/// Most bytes of records in one page; the store takes a megabyte.
-const MOST_BYTES: usize = 700 * 1024;
-/// Time between two tries while the store takes no writes.
+/// Maximum bytes of records in one page. The store accepts values of up to one megabyte.
+const MAX_PAGE_BYTES: usize = 700 * 1024;
+/// Time between two attempts while the store does not accept writes.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a submission waits for a write whose answer is lost.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// How long a submission waits for a write whose result is unknown.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl JobHolder {
-    /// Records what changed, in one write for all of it.
+    /// Writes all changed jobs in one store operation if the flush interval has passed.
     ///
-    /// Writes wait for the interval, so that the number of calls to the store depends on
-    /// the number of entry hosts and not on the number of jobs.
+    /// Changes are batched for the interval, so that the number of store calls grows with
+    /// the number of entry hosts and not with the number of jobs.
     pub(crate) fn flush_if_due(&mut self) {
         let since = self.shared.clock.boot_now().saturating_sub(self.flushed_at);
         let wait = match &self.pending {
@@ -28,7 +28,7 @@
         };
         let work = self.pending.is_some() || !self.dirty.is_empty();
         if !work || since < wait {
-            self.answer_unchanged();
+            self.reply_unchanged();
             return;
         }
         self.flushed_at = self.shared.clock.boot_now();
@@ -36,15 +36,15 @@
             Some(pending) => pending,
             None => self.collect(),
         };
-        self.write(flush);
+        self.write_flush(flush);
     }
 
     fn collect(&mut self) -> PendingFlush {
         let mut flush = PendingFlush {
             records: Vec::new(),
             states: Vec::new(),
-            answers: Vec::new(),
-            began: self.shared.clock.boot_now(),
+            pending_replies: Vec::new(),
+            started_at: self.shared.clock.boot_now(),
             unsettled: false,
         };
         let mut bytes = 0;
@@ -55,7 +55,7 @@
                 self.dirty.remove(&job);
                 continue;
             };
-            if bytes >= MOST_BYTES {
+            if bytes >= MAX_PAGE_BYTES {
                 break;
             }
             let record = held.state.to_record();
@@ -64,25 +64,25 @@
             flush.states.push((job.clone(), held.state.attempt));
             self.dirty.remove(&job);
         }
-        let (now, later) = std::mem::take(&mut self.answers)
+        let (now, later) = std::mem::take(&mut self.pending_replies)
             .into_iter()
             .partition(|(job, _)| flush.states.iter().any(|(flushed, _)| flushed == job));
-        flush.answers = now;
-        self.answers = later;
+        flush.pending_replies = now;
+        self.pending_replies = later;
         flush
     }
 
-    fn write(&mut self, mut flush: PendingFlush) {
+    fn write_flush(&mut self, mut flush: PendingFlush) {
         metrics::counter!("lws_job_page_writes").increment(1);
         match self.log.append(flush.records.clone()) {
-            AppendOutcome::Done => self.settle_flush(flush),
+            AppendOutcome::Done => self.complete_flush(flush),
             AppendOutcome::Fenced => {
                 model::event::warn(
                     &event::JOB_LOG_LOST,
                     format_args!("log={}", self.log.name()),
                 );
                 self.fenced = true;
-                for (_, reply) in flush.answers {
+                for (_, reply) in flush.pending_replies {
                     let lost = JobError::Unknown("the job log was taken over".to_owned());
                     let _ = reply.send(Err(lost));
                 }
@@ -91,40 +91,40 @@
             AppendOutcome::Failed(e) | AppendOutcome::Unsettled(e) => {
                 model::event::warn(&event::JOB_PAGE_UNSETTLED, format_args!("cause={e}"));
                 flush.unsettled = true;
-                self.give_up_waiting(&mut flush);
+                self.fail_waiting_replies(&mut flush);
                 self.pending = Some(flush);
             }
         }
     }
 
-    fn settle_flush(&mut self, flush: PendingFlush) {
-        let mut board = self.board.lock();
+    fn complete_flush(&mut self, flush: PendingFlush) {
+        let mut job_table = self.job_table.lock();
         for (job, attempt) in &flush.states {
             let Some(held) = self.jobs.get_mut(job) else {
                 continue;
             };
-            board.insert(job.clone(), held.state.clone());
+            job_table.insert(job.clone(), held.state.clone());
             held.recorded_attempt = *attempt;
             if held.state.phase == JobPhase::Starting && held.sent_attempt != held.state.attempt {
                 self.unsent.insert(job.clone());
             }
         }
-        for (job, reply) in flush.answers {
-            let view = board.get(&job).map(view_of);
+        for (job, reply) in flush.pending_replies {
+            let view = job_table.get(&job).map(view_of);
             let _ = reply.send(view.ok_or(JobError::NotFound));
         }
-        drop(board);
-        self.log.drop_oldest();
+        drop(job_table);
+        self.log.remove_oldest();
     }
 
-    /// After a write that certainly took no effect: new jobs are refused, and all other
-    /// changes wait for the next write.
+    /// Handles a write that definitely had no effect: new jobs are rejected, and all other
+    /// changes are marked dirty for the next write.
     fn undo_flush(&mut self, flush: PendingFlush, cause: &str) {
         model::event::warn(&event::JOB_PAGE_UNWRITTEN, format_args!("cause={cause}"));
-        for (job, reply) in flush.answers {
+        for (job, reply) in flush.pending_replies {
             let _ = reply.send(Err(JobError::StoreDown(cause.to_owned())));
-            if !self.board.lock().contains_key(&job) {
-                self.withdraw(&job);
+            if !self.job_table.lock().contains_key(&job) {
+                self.remove_unrecorded(&job);
             }
         }
         for (job, _) in flush.states {
@@ -134,29 +134,35 @@
         }
     }
 
-    fn give_up_waiting(&self, flush: &mut PendingFlush) {
-        if self.shared.clock.boot_now().saturating_sub(flush.began) < PATIENCE {
+    fn fail_waiting_replies(&self, flush: &mut PendingFlush) {
+        if self
+            .shared
+            .clock
+            .boot_now()
+            .saturating_sub(flush.started_at)
+            < REPLY_TIMEOUT
+        {
             return;
         }
-        for (_, reply) in flush.answers.drain(..) {
+        for (_, reply) in flush.pending_replies.drain(..) {
             let _ = reply.send(Err(JobError::Unknown(
                 "no answer from the store".to_owned(),
             )));
         }
     }
 
-    /// Answers those whose job needs no write, such as one that had ended already.
-    fn answer_unchanged(&mut self) {
-        if self.answers.is_empty() {
+    /// Replies to requests whose job needs no write, for example because it had already ended.
+    fn reply_unchanged(&mut self) {
+        if self.pending_replies.is_empty() {
             return;
         }
-        let waiting = std::mem::take(&mut self.answers);
+        let waiting = std::mem::take(&mut self.pending_replies);
         for (job, reply) in waiting {
             if self.dirty.contains(&job) || self.is_pending(&job) {
-                self.answers.push((job, reply));
+                self.pending_replies.push((job, reply));
                 continue;
             }
-            let view = self.board.lock().get(&job).map(view_of);
+            let view = self.job_table.lock().get(&job).map(view_of);
             let _ = reply.send(view.ok_or(JobError::NotFound));
         }
     }
--- a/crates/fleet/src/job_holder.rs
+++ b/crates/fleet/src/job_holder.rs
@@ -21,26 +21,26 @@
     pending_flush::PendingFlush,
 };
 
-/// Answers of workers that may wait; callers wait beyond that.
+/// Capacity of the queue of worker replies; caller threads block when it is full.
 const REPLY_QUEUE: usize = 1024;
-/// Jobs that ended and can still be looked up, however lately they ended.
-const MOST_ENDED: usize = 5_000;
+/// Maximum number of ended jobs that can still be looked up, regardless of their age.
+const MAX_ENDED: usize = 5_000;
 
 /// Intervals of a job holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobTiming {
-    /// Shortest time between two writes; what happens in between shares a write.
+    /// Minimum time between two writes; changes in between are written together.
     pub flush_interval: Duration,
-    /// Time between two renewals of a worker's leases.
+    /// Time between two renewals of the leases of a worker's tasks.
     pub renew_interval: Duration,
-    /// Time between two readings of a worker's use.
+    /// Time between two reads of a worker's resource usage.
     pub usage_interval: Duration,
-    /// Time between two looks at cancellations and at other holders' logs.
+    /// Time between two checks for cancellations and for logs of unreachable holders.
     pub watch_interval: Duration,
-    /// How long a holder must be unheard before its jobs are taken over.
+    /// How long a holder must be unreachable before its log is taken over.
     pub takeover_after: Duration,
-    /// How long a job that ended can be looked up.
-    pub keep_ended: Duration,
+    /// How long an ended job can be looked up.
+    pub ended_retention: Duration,
 }
 
 impl Default for JobTiming {
@@ -51,37 +51,38 @@
             usage_interval: Duration::from_secs(3),
             watch_interval: Duration::from_secs(2),
             takeover_after: Duration::from_secs(5),
-            keep_ended: Duration::from_secs(600),
+            ended_retention: Duration::from_secs(600),
         }
     }
 }
 
-/// Holds the jobs of one log: records, starts, renews and settles them.
+/// Manages the jobs of one log: records and starts them, renews their leases and applies
+/// their results.
 pub(crate) struct JobHolder {
     pub(crate) shared: Arc<FleetShared>,
     pub(crate) timing: JobTiming,
     pub(crate) policy: JobPolicy,
     pub(crate) log: JobLog,
-    pub(crate) board: JobTable,
+    pub(crate) job_table: JobTable,
     pub(crate) jobs: BTreeMap<JobId, HeldJob>,
-    /// Waiting jobs by team, in order of acceptance.
+    /// Waiting jobs by team, ordered by the time of acceptance.
     pub(crate) queues: BTreeMap<TeamId, BTreeSet<(Duration, JobId)>>,
-    /// Jobs that a worker has or may have.
+    /// Jobs that run or may run on a worker.
     pub(crate) placed: BTreeSet<JobId>,
-    /// Jobs that ended, in that order.
+    /// Ended jobs, ordered by the time of their end.
     pub(crate) ended: BTreeSet<(Duration, JobId)>,
     pub(crate) dirty: BTreeSet<JobId>,
     pub(crate) unsent: BTreeSet<JobId>,
-    pub(crate) answers: Vec<(JobId, ReplySender)>,
+    pub(crate) pending_replies: Vec<(JobId, ReplySender)>,
     pub(crate) pending: Option<PendingFlush>,
     pub(crate) flushed_at: BootTime,
-    pub(crate) books: BTreeMap<PoolId, WorkerTable>,
+    pub(crate) worker_tables: BTreeMap<PoolId, WorkerTable>,
     pub(crate) sizes: SizeEstimates,
     pub(crate) calls: Sender<WorkerCall>,
     pub(crate) reply_sender: Sender<CallReply>,
     pub(crate) replies: Receiver<CallReply>,
-    pub(crate) watched_at: BootTime,
-    pub(crate) usage_at: BootTime,
+    pub(crate) cancels_read_at: BootTime,
+    pub(crate) usage_requested_at: BootTime,
     pub(crate) renewed_at: BootTime,
     pub(crate) fenced: bool,
     pub(crate) jitter: u64,
@@ -94,7 +95,7 @@
     pub(crate) fn new(
         shared: Arc<FleetShared>,
         log: JobLog,
-        board: JobTable,
+        job_table: JobTable,
         calls: Sender<WorkerCall>,
     ) -> Self {
         let (reply_sender, replies) = crossbeam_channel::bounded(REPLY_QUEUE);
@@ -103,23 +104,23 @@
             policy: shared.job_policy,
             shared,
             log,
-            board,
+            job_table,
             jobs: BTreeMap::new(),
             queues: BTreeMap::new(),
             placed: BTreeSet::new(),
             ended: BTreeSet::new(),
             dirty: BTreeSet::new(),
             unsent: BTreeSet::new(),
-            answers: Vec::new(),
+            pending_replies: Vec::new(),
             pending: None,
             flushed_at: BootTime::ZERO,
-            books: BTreeMap::new(),
+            worker_tables: BTreeMap::new(),
             sizes: SizeEstimates::default(),
             calls,
             reply_sender,
             replies,
-            watched_at: BootTime::ZERO,
-            usage_at: BootTime::ZERO,
+            cancels_read_at: BootTime::ZERO,
+            usage_requested_at: BootTime::ZERO,
             renewed_at: BootTime::ZERO,
             fenced: false,
             jitter: 1,
@@ -129,31 +130,31 @@
         }
     }
 
-    /// Takes over jobs that another holder recorded.
-    pub(crate) fn inherit(&mut self, states: Vec<JobState>) {
+    /// Adds jobs that another holder recorded.
+    pub(crate) fn adopt_jobs(&mut self, states: Vec<JobState>) {
         for state in states {
             let job = state.spec.job.clone();
             self.payload += state.spec.payload.len();
-            self.note_request(&state);
-            self.board.lock().insert(job.clone(), state.clone());
-            self.index(&job, &state);
-            self.jobs.insert(job, HeldJob::inherited(state));
+            self.index_request(&state);
+            self.job_table.lock().insert(job.clone(), state.clone());
+            self.index_job(&job, &state);
+            self.jobs.insert(job, HeldJob::adopted(state));
         }
     }
 
-    /// Serves orders until the service stops, the log is taken over, or `inbox` has
-    /// closed and all jobs ended long ago.
+    /// Runs until the service stops or another holder takes the log over. The holder of a
+    /// log that was taken over here also ends once it has no jobs and no orders left.
     pub(crate) fn run(mut self, inbox: &Receiver<JobOrder>) {
         while !self.shared.is_stopping() && !self.fenced {
-            self.take_orders(inbox);
-            self.take_replies();
-            self.watch_surroundings();
+            self.process_orders(inbox);
+            self.process_replies();
+            self.refresh_inputs();
             self.renew_leases();
             self.start_jobs();
             self.flush_if_due();
             self.send_recorded();
             self.forget_ended();
-            if self.is_idle() && inbox.is_empty() && self.is_orphan() {
+            if self.is_idle() && inbox.is_empty() && self.is_taken_over() {
                 break;
             }
         }
@@ -162,7 +163,7 @@
 }
 
 impl JobHolder {
-    /// Replaces the state of a job, to be recorded if `record` is set.
+    /// Replaces the state of a job and marks it for the next write if `record` is set.
     pub(crate) fn set_state(&mut self, job: &JobId, state: JobState, record: bool) {
         let Some(held) = self.jobs.get_mut(job) else {
             return;
@@ -171,31 +172,31 @@
         let placed = held.state.kind() == PhaseKind::Placed;
         if !placed {
             held.permit = None;
-            held.silent_since = None;
-            held.inherited = false;
+            held.unresponsive_since = None;
+            held.adopted = false;
         }
         let state = held.state.clone();
         if was.kind() == PhaseKind::Placed && !placed {
             self.release(&was);
         }
-        self.unindex(job, &was);
-        self.index(job, &state);
+        self.unindex_job(job, &was);
+        self.index_job(job, &state);
         if record {
             self.dirty.insert(job.clone());
-        } else if let Some(shown) = self.board.lock().get_mut(job) {
-            // Running is not worth a write of its own: whoever takes over asks the worker.
+        } else if let Some(shown) = self.job_table.lock().get_mut(job) {
+            // Running is not written to the store: a holder that takes over polls the worker.
             shown.phase = state.phase;
         }
     }
 
     pub(crate) fn release(&mut self, was: &JobState) {
-        if let Some(book) = self.books.get_mut(&was.spec.pool) {
-            book.record_released(&was.worker, &was.spec.job);
+        if let Some(worker_table) = self.worker_tables.get_mut(&was.spec.pool) {
+            worker_table.record_released(&was.worker, &was.spec.job);
         }
     }
 
-    /// True for a log that was taken over from another holder.
-    pub(crate) fn is_orphan(&self) -> bool {
+    /// True if the log was taken over from another holder.
+    pub(crate) fn is_taken_over(&self) -> bool {
         !self.shared.is_own_log(self.log.name())
     }
 
@@ -203,7 +204,7 @@
         self.jobs.is_empty() && self.dirty.is_empty() && self.pending.is_none()
     }
 
-    pub(crate) fn index(&mut self, job: &JobId, state: &JobState) {
+    pub(crate) fn index_job(&mut self, job: &JobId, state: &JobState) {
         match state.kind() {
             PhaseKind::Waiting => {
                 let queue = self.queues.entry(state.spec.team.clone()).or_default();
@@ -218,7 +219,7 @@
         }
     }
 
-    pub(crate) fn unindex(&mut self, job: &JobId, state: &JobState) {
+    pub(crate) fn unindex_job(&mut self, job: &JobId, state: &JobState) {
         match state.kind() {
             PhaseKind::Waiting => {
                 if let Some(queue) = self.queues.get_mut(&state.spec.team) {
@@ -237,31 +238,31 @@
     fn forget_ended(&mut self) {
         let now = self.shared.clock.unix_now();
         while let Some((at, job)) = self.ended.first().cloned() {
-            let kept = now < at + self.timing.keep_ended && self.ended.len() <= MOST_ENDED;
+            let kept = now < at + self.timing.ended_retention && self.ended.len() <= MAX_ENDED;
             if kept || self.dirty.contains(&job) {
                 return;
             }
             self.ended.remove(&(at, job.clone()));
             if let Some(held) = self.jobs.remove(&job) {
-                self.drop_request(&held.state);
+                self.unindex_request(&held.state);
             }
-            self.board.lock().remove(&job);
+            self.job_table.lock().remove(&job);
             self.log.forget(&job);
         }
     }
 
-    /// Answers whoever still waits, and leaves nothing behind on the board.
+    /// Fails pending requests and removes the jobs of this holder from the job table.
     fn close(mut self) {
-        for (_, reply) in self.answers.drain(..) {
+        for (_, reply) in self.pending_replies.drain(..) {
             let _ = reply.send(Err(JobError::Unknown("the holder stopped".to_owned())));
         }
-        let mut board = self.board.lock();
+        let mut job_table = self.job_table.lock();
         for job in self.jobs.keys() {
-            board.remove(job);
+            job_table.remove(job);
         }
-        drop(board);
-        self.keep_permits();
-        if self.is_orphan() && self.jobs.is_empty() && !self.fenced {
+        drop(job_table);
+        self.delay_permits();
+        if self.is_taken_over() && self.jobs.is_empty() && !self.fenced {
             self.log.clear();
             self.shared
                 .finished_logs
@@ -270,14 +271,14 @@
         }
     }
 
-    /// Keeps the units of the team limits until what this holder started must have ended.
+    /// Delays the release of quota permits until the leases of all started tasks expired.
     ///
-    /// Whoever took the log over asks for units of its own. Were these free at once, the
-    /// team could start as many again while its tasks still run.
-    fn keep_permits(&mut self) {
+    /// The next holder of the log takes permits of its own. If these were released at
+    /// once, the team could exceed its limit while its earlier tasks still run.
+    fn delay_permits(&mut self) {
         let until = self.shared.clock.boot_now() + self.policy.lease + self.policy.lease_guard;
         let permits = self.jobs.values_mut().filter_map(|held| held.permit.take());
-        let mut late = self.shared.late_permits.lock();
+        let mut late = self.shared.delayed_permits.lock();
         late.extend(permits.map(|permit| (until, permit)));
     }
 }
--- a/crates/fleet/src/job_order.rs
+++ b/crates/fleet/src/job_order.rs
@@ -11,17 +11,17 @@
     job_holder::JobHolder,
 };
 
-/// Longest wait for orders between two looks at everything else.
+/// Maximum wait for orders before the other work of the loop runs.
 const TICK: Duration = Duration::from_millis(20);
-/// Orders taken in one go.
+/// Maximum number of orders processed in one iteration, after the first.
 const ORDERS_AT_ONCE: usize = 1024;
-/// Jobs held at once, beyond which submissions are refused.
-const MOST_JOBS: usize = 20_000;
-/// Payload bytes held at once, beyond which submissions are refused.
-const MOST_PAYLOAD: usize = 24 * 1024 * 1024;
+/// Maximum number of unfinished jobs; further submissions are rejected.
+const MAX_JOBS: usize = 20_000;
+/// Total payload bytes above which submissions are rejected.
+const MAX_PAYLOAD: usize = 24 * 1024 * 1024;
 
 impl JobHolder {
-    pub(crate) fn take_orders(&mut self, inbox: &Receiver<JobOrder>) {
+    pub(crate) fn process_orders(&mut self, inbox: &Receiver<JobOrder>) {
         let Ok(first) = inbox.recv_timeout(TICK) else {
             return;
         };
@@ -32,21 +32,21 @@
                     request,
                     pool,
                     reply,
-                } => self.accept(*request, pool, reply),
+                } => self.accept_submission(*request, pool, reply),
                 JobOrder::Cancel { team, job, reply } => self.cancel(&team, &job, &reply),
             }
         }
     }
 
-    /// Queues a submission; it is answered once it is recorded.
-    fn accept(&mut self, request: JobRequest, pool: PoolId, reply: ReplySender) {
+    /// Queues a submission; the reply is sent once the job is recorded.
+    fn accept_submission(&mut self, request: JobRequest, pool: PoolId, reply: ReplySender) {
         let key = (request.team.clone(), request.request.to_string());
         if let Some(job) = self.requests.get(&key) {
             self.answer_repeat(&job.clone(), reply);
             return;
         }
-        if self.jobs.len().saturating_sub(self.ended.len()) >= MOST_JOBS
-            || self.payload >= MOST_PAYLOAD
+        if self.jobs.len().saturating_sub(self.ended.len()) >= MAX_JOBS
+            || self.payload >= MAX_PAYLOAD
         {
             let _ = reply.send(Err(JobError::QueueFull));
             return;
@@ -68,21 +68,21 @@
             accepted: self.shared.clock.unix_now(),
         });
         self.payload += state.spec.payload.len();
-        self.note_request(&state);
-        self.index(&job, &state);
+        self.index_request(&state);
+        self.index_job(&job, &state);
         self.jobs.insert(job.clone(), HeldJob::new(state));
         self.dirty.insert(job.clone());
-        self.answers.push((job, reply));
+        self.pending_replies.push((job, reply));
     }
 
-    /// Answers a repeated submission, once the first is recorded.
+    /// Replies to a repeated submission once the first is recorded.
     fn answer_repeat(&mut self, job: &JobId, reply: ReplySender) {
-        let recorded = self.board.lock().get(job).map(view_of);
+        let recorded = self.job_table.lock().get(job).map(view_of);
         match recorded {
             Some(view) => {
                 let _ = reply.send(Ok(view));
             }
-            None => self.answers.push((job.clone(), reply)),
+            None => self.pending_replies.push((job.clone(), reply)),
         }
     }
 
@@ -93,10 +93,10 @@
             return;
         }
         self.cancel_job(job);
-        self.answers.push((job.clone(), reply.clone()));
+        self.pending_replies.push((job.clone(), reply.clone()));
     }
 
-    /// Cancels a job of this log; one that a worker has is stopped there.
+    /// Cancels a job of this log; if it runs on a worker, it is stopped there.
     pub(crate) fn cancel_job(&mut self, job: &JobId) {
         let Some(held) = self.jobs.get(job) else {
             return;
@@ -106,23 +106,23 @@
         self.set_state(job, next, true);
     }
 
-    pub(crate) fn note_request(&mut self, state: &JobState) {
+    pub(crate) fn index_request(&mut self, state: &JobState) {
         let key = (state.spec.team.clone(), state.spec.request.to_string());
         self.requests.insert(key, state.spec.job.clone());
     }
 
-    /// Takes back a job that could not be recorded.
-    pub(crate) fn withdraw(&mut self, job: &JobId) {
+    /// Removes a job that could not be recorded.
+    pub(crate) fn remove_unrecorded(&mut self, job: &JobId) {
         let Some(held) = self.jobs.remove(job) else {
             return;
         };
-        self.unindex(job, &held.state);
+        self.unindex_job(job, &held.state);
         self.release(&held.state);
         self.dirty.remove(job);
-        self.drop_request(&held.state);
+        self.unindex_request(&held.state);
     }
 
-    pub(crate) fn drop_request(&mut self, state: &JobState) {
+    pub(crate) fn unindex_request(&mut self, state: &JobState) {
         self.payload = self.payload.saturating_sub(state.spec.payload.len());
         let key = (state.spec.team.clone(), state.spec.request.to_string());
         self.requests.remove(&key);
--- a/crates/fleet/src/job_desk.rs
+++ b/crates/fleet/src/job_service.rs
@@ -19,29 +19,29 @@
     holder_order::{JobOrder, ReplySender},
 };
 
-/// Largest payload of a job, in bytes; one page of records holds several.
+/// Maximum payload of a job in bytes. It is small enough for several jobs to fit into one page.
 const MOST_PAYLOAD: usize = 256 * 1024;
-/// Longest wait for a holder's answer.
-const ANSWER_TIME: Duration = Duration::from_secs(8);
-/// How long what was read of another holder's log is shown.
-const FOREIGN_AGE: Duration = Duration::from_secs(1);
-/// Most cancellations that wait for one holder.
-const MOST_CANCELS: usize = 20_000;
-/// Shortest time between two writes of cancellations.
+/// Timeout for the reply of a job holder.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
+/// How long the cached content of another holder's log is used before it is read again.
+const FOREIGN_MAX_AGE: Duration = Duration::from_secs(1);
+/// Maximum number of pending cancellations for one holder.
+const MAX_CANCELS: usize = 20_000;
+/// Minimum time between two writes of cancellations.
 const CANCEL_INTERVAL: Duration = Duration::from_millis(100);
-/// Tries at writing cancellations while others write too.
+/// Attempts to write cancellations when concurrent writers cause conflicts.
 const CANCEL_TRIES: u32 = 8;
 
-/// Orders to the holders in this process, by log.
+/// Channels to the job holders in this process, by log name.
 pub(crate) type HolderRoutes = Mutex<BTreeMap<String, Sender<JobOrder>>>;
 
-/// Where callers' operations on jobs arrive.
-pub(crate) struct JobDesk {
+/// Handles callers' requests on jobs: submit, view and cancel.
+pub(crate) struct JobService {
     pub(crate) shared: Arc<FleetShared>,
     pub(crate) routes: HolderRoutes,
-    pub(crate) board: JobTable,
+    pub(crate) job_table: JobTable,
     foreign: Mutex<BTreeMap<String, ForeignLog>>,
-    cancels: Mutex<BTreeMap<String, CancelWave>>,
+    cancels: Mutex<BTreeMap<String, CancelBatch>>,
 }
 
 struct ForeignLog {
@@ -49,15 +49,15 @@
     jobs: BTreeMap<JobId, JobState>,
 }
 
-/// Cancellations for one log, each with whoever waits for it.
-type CancelWave = Vec<(JobId, Sender<Result<(), JobError>>)>;
+/// Pending cancellations for one log, each with the channel for its result.
+type CancelBatch = Vec<(JobId, Sender<Result<(), JobError>>)>;
 
-impl JobDesk {
+impl JobService {
     pub(crate) fn new(shared: Arc<FleetShared>) -> Self {
         Self {
             shared,
             routes: Mutex::default(),
-            board: JobTable::default(),
+            job_table: JobTable::default(),
             foreign: Mutex::default(),
             cancels: Mutex::default(),
         }
@@ -67,7 +67,7 @@
         self.routes.lock().get(log).cloned()
     }
 
-    fn order(
+    fn send_order(
         &self,
         log: &str,
         order: impl FnOnce(ReplySender) -> JobOrder,
@@ -83,19 +83,19 @@
                 return Err(JobError::StoreDown("the job log was lost".to_owned()));
             }
         }
-        match answer.recv_timeout(ANSWER_TIME) {
+        match answer.recv_timeout(ANSWER_TIMEOUT) {
             Ok(outcome) => outcome,
             Err(_) => Err(JobError::Unknown("no answer in time".to_owned())),
         }
     }
 
-    /// A job of a log that this process does not hold, as the store has it.
+    /// Returns a job of a log that another process holds, as recorded in the store.
     fn foreign_job(&self, team: &TeamId, job: &JobId) -> Result<JobState, JobError> {
         let log = log_of(job).ok_or(JobError::NotFound)?;
         let mut foreign = self.foreign.lock();
-        foreign.retain(|_, log| log.read_at.elapsed() < FOREIGN_AGE);
+        foreign.retain(|_, log| log.read_at.elapsed() < FOREIGN_MAX_AGE);
         if !foreign.contains_key(log) {
-            let records = JobLog::peek(Arc::clone(&self.shared.store), log)
+            let records = JobLog::read_records(Arc::clone(&self.shared.store), log)
                 .map_err(|e| JobError::StoreDown(e.to_string()))?;
             let states = records.into_iter().map(JobState::from_record);
             let read = ForeignLog {
@@ -113,33 +113,33 @@
             .ok_or(JobError::NotFound)
     }
 
-    /// Has a cancellation written for another holder.
+    /// Queues a cancellation for a job of another holder and waits until it is written.
     fn cancel_foreign(&self, job: &JobId) -> Result<(), JobError> {
         let log = log_of(job).ok_or(JobError::NotFound)?.to_owned();
         let (reply, answer) = crossbeam_channel::bounded(1);
         {
             let mut cancels = self.cancels.lock();
-            let wave = cancels.entry(log).or_default();
-            if wave.len() >= MOST_CANCELS {
+            let batch = cancels.entry(log).or_default();
+            if batch.len() >= MAX_CANCELS {
                 return Err(JobError::QueueFull);
             }
-            wave.push((job.clone(), reply));
+            batch.push((job.clone(), reply));
         }
-        match answer.recv_timeout(ANSWER_TIME) {
+        match answer.recv_timeout(ANSWER_TIMEOUT) {
             Ok(outcome) => outcome,
             Err(_) => Err(JobError::Unknown("no answer in time".to_owned())),
         }
     }
 
-    /// Writes the cancellations that wait, all for one log in one write.
+    /// Writes pending cancellations periodically, one write per log for all of its jobs.
     pub(crate) fn run_cancels(&self) {
         while self.shared.pause(CANCEL_INTERVAL) {
-            let waves = std::mem::take(&mut *self.cancels.lock());
-            for (log, wave) in waves {
-                let jobs: Vec<JobId> = wave.iter().map(|(job, _)| job.clone()).collect();
+            let batches = std::mem::take(&mut *self.cancels.lock());
+            for (log, batch) in batches {
+                let jobs: Vec<JobId> = batch.iter().map(|(job, _)| job.clone()).collect();
                 let outcome = self.write_cancels(&log, &jobs);
-                for (_, reply) in wave {
-                    // Whoever gave up waiting asks again.
+                for (_, reply) in batch {
+                    // Sending fails only if the caller timed out; it retries.
                     let _ = reply.send(outcome.clone());
                 }
             }
@@ -156,7 +156,7 @@
             let bytes = found.map_or_else(Vec::new, |found| found.value);
             let mut cancels = JobCancels::decode(bytes.as_slice()).unwrap_or_default();
             cancels.jobs.extend(waiting.iter().map(ToString::to_string));
-            if cancels.jobs.len() > MOST_CANCELS {
+            if cancels.jobs.len() > MAX_CANCELS {
                 return Err(JobError::QueueFull);
             }
             match store.swap(&key, version, &cancels.encode_to_vec()) {
@@ -172,7 +172,7 @@
     }
 }
 
-impl JobSink for JobDesk {
+impl JobSink for JobService {
     fn submit(&self, request: JobRequest) -> Result<JobView, JobError> {
         if request.payload.len() > MOST_PAYLOAD {
             let text = format!("the payload has {} bytes", request.payload.len());
@@ -186,7 +186,7 @@
             return Err(JobError::Invalid(text));
         };
         let log = self.shared.own_log.lock().clone();
-        self.order(&log, |reply| JobOrder::Submit {
+        self.send_order(&log, |reply| JobOrder::Submit {
             request: Box::new(request),
             pool,
             reply,
@@ -194,14 +194,14 @@
     }
 
     fn find(&self, team: &TeamId, request: &RequestId) -> Option<JobView> {
-        let board = self.board.lock();
+        let job_table = self.job_table.lock();
         let is_wanted =
             |state: &&JobState| state.spec.team == *team && state.spec.request == *request;
-        board.values().find(is_wanted).map(view_of)
+        job_table.values().find(is_wanted).map(view_of)
     }
 
     fn view(&self, team: &TeamId, job: &JobId) -> Result<JobView, JobError> {
-        if let Some(state) = self.board.lock().get(job) {
+        if let Some(state) = self.job_table.lock().get(job) {
             if state.spec.team == *team {
                 return Ok(view_of(state));
             }
@@ -214,7 +214,7 @@
         let log = log_of(job).ok_or(JobError::NotFound)?;
         if self.route(log).is_some() {
             let (team, job) = (team.clone(), job.clone());
-            return self.order(log, |reply| JobOrder::Cancel { team, job, reply });
+            return self.send_order(log, |reply| JobOrder::Cancel { team, job, reply });
         }
         let state = self.foreign_job(team, job)?;
         self.cancel_foreign(job)?;
@@ -222,7 +222,7 @@
     }
 }
 
-/// Log that a job was accepted into, which its id names.
+/// Returns the name of the log that accepted a job; it is the prefix of the job id.
 fn log_of(job: &JobId) -> Option<&str> {
     job.rsplit_once('-').map(|(log, _)| log)
 }
--- a/crates/fleet/src/job_settle.rs
+++ b/crates/fleet/src/job_settle.rs
@@ -9,13 +9,13 @@
     job_holder::JobHolder,
 };
 
-/// Tasks renewed in one call.
+/// Maximum number of tasks in one renewal or poll.
 const RENEWED_AT_ONCE: usize = 500;
-/// Answers taken in one go.
+/// Maximum number of replies processed in one iteration.
 const REPLIES_AT_ONCE: usize = 512;
 
 impl JobHolder {
-    pub(crate) fn take_replies(&mut self) {
+    pub(crate) fn process_replies(&mut self) {
         for _ in 0..REPLIES_AT_ONCE {
             let Ok(reply) = self.replies.try_recv() else {
                 return;
@@ -30,14 +30,14 @@
                     task,
                     attempt_report,
                 } => {
-                    self.settle(&worker, &task, &attempt_report, "", asked_at);
+                    self.apply_attempt_report(&worker, &task, &attempt_report, "", asked_at);
                 }
                 ReplyKind::Renewed { tasks, report } => {
-                    self.settle_report(&worker, &tasks, report, asked_at);
+                    self.apply_worker_report(&worker, &tasks, report, asked_at);
                 }
                 ReplyKind::Usage(Some(usage)) => {
-                    for book in self.books.values_mut() {
-                        book.record_usage(&worker, usage.clone());
+                    for worker_table in self.worker_tables.values_mut() {
+                        worker_table.record_usage(&worker, usage.clone());
                     }
                 }
                 ReplyKind::Usage(None) => {}
@@ -45,7 +45,7 @@
         }
     }
 
-    fn settle_report(
+    fn apply_worker_report(
         &mut self,
         worker: &HostId,
         tasks: &[String],
@@ -54,18 +54,18 @@
     ) {
         let Some(report) = report else {
             for task in tasks {
-                self.settle(worker, task, &AttemptReport::Unresponsive, "", asked_at);
+                self.apply_attempt_report(worker, task, &AttemptReport::Unresponsive, "", asked_at);
             }
             return;
         };
         for (task, attempt_report) in &report.tasks {
-            self.settle(worker, task, attempt_report, &report.boot, asked_at);
+            self.apply_attempt_report(worker, task, attempt_report, &report.boot, asked_at);
         }
     }
 
-    /// Moves a job on by what its worker said of the current attempt; answers for other
-    /// attempts come late and are dropped.
-    fn settle(
+    /// Applies a worker's report to the current attempt of a job. Late reports of other
+    /// attempts are dropped.
+    fn apply_attempt_report(
         &mut self,
         worker: &HostId,
         task: &str,
@@ -83,21 +83,21 @@
         let current = held.state.kind() == PhaseKind::Placed
             && held.state.task_id() == task
             && held.state.worker == *worker;
-        // A renewal that went out before the start proves nothing of it.
+        // A renewal sent before the start cannot show whether the start took effect.
         if !current || asked_at < held.asked_at && *attempt_report == AttemptReport::Unknown {
             return;
         }
         if *attempt_report == AttemptReport::Unresponsive {
-            held.silent_since.get_or_insert(asked_at);
+            held.unresponsive_since.get_or_insert(asked_at);
         } else {
-            held.silent_since = None;
+            held.unresponsive_since = None;
         }
-        let attempt_report = self.gone_or(worker, attempt_report);
-        self.apply(&job, &attempt_report, boot);
+        let attempt_report = self.check_host_retired(worker, attempt_report);
+        self.apply_to_job(&job, &attempt_report, boot);
     }
 
-    /// Silence of a worker that is not in the pool map any more is for good.
-    fn gone_or(&self, worker: &HostId, attempt_report: &AttemptReport) -> AttemptReport {
+    /// Treats an unresponsive worker as gone if it is retired or no longer in the pool map.
+    fn check_host_retired(&self, worker: &HostId, attempt_report: &AttemptReport) -> AttemptReport {
         if *attempt_report != AttemptReport::Unresponsive {
             return attempt_report.clone();
         }
@@ -107,14 +107,14 @@
         AttemptReport::Unresponsive
     }
 
-    fn apply(&mut self, job: &JobId, attempt_report: &AttemptReport, boot: &str) {
+    fn apply_to_job(&mut self, job: &JobId, attempt_report: &AttemptReport, boot: &str) {
         let Some(held) = self.jobs.get(job) else {
             return;
         };
         let before = held.state.clone();
-        let facts = self.sight_facts(job, &before, boot);
+        let facts = self.report_context(job, &before, boot);
         let (next, action) = before.after_report(attempt_report, &facts, &self.policy);
-        self.note_outcome(&before, &next, attempt_report);
+        self.record_outcome(&before, &next, attempt_report);
         if next != before {
             let record = next.phase != JobPhase::Running;
             self.set_state(job, next.clone(), record);
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Sends a recorded start again, on a unit of the team's limit: the one that it was
-    /// recorded with may be in use elsewhere if another holder took it.
+    /// Sends a recorded start again if this holder has a quota permit for the job. After a
+    /// takeover, the permit of the former holder may be in use elsewhere.
     fn resend(&self, job: &JobId, state: &JobState) {
         let held = self.jobs.get(job);
         if held.is_some_and(|held| held.permit.is_some()) {
@@ -140,37 +140,44 @@
         }
     }
 
-    fn sight_facts(&mut self, job: &JobId, state: &JobState, boot: &str) -> ReportContext {
+    fn report_context(&mut self, job: &JobId, state: &JobState, boot: &str) -> ReportContext {
         self.jitter = self
             .jitter
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1);
         let now = self.shared.clock.boot_now();
-        let silent_since = self.jobs.get(job).and_then(|held| held.silent_since);
-        let book = self.books.get(&state.spec.pool);
+        let unresponsive_since = self.jobs.get(job).and_then(|held| held.unresponsive_since);
+        let worker_table = self.worker_tables.get(&state.spec.pool);
         ReportContext {
             now: self.shared.clock.unix_now(),
             boot: boot.to_owned(),
-            unresponsive_for: silent_since
+            unresponsive_for: unresponsive_since
                 .map_or_else(Default::default, |at| now.saturating_sub(at)),
-            worker_suspect: book.is_some_and(|book| book.is_suspect(&state.worker)),
+            worker_suspect: worker_table
+                .is_some_and(|worker_table| worker_table.is_suspect(&state.worker)),
             jitter: self.jitter >> 33,
         }
     }
 
-    /// Learns about workers from how an attempt ended.
-    fn note_outcome(&mut self, before: &JobState, next: &JobState, attempt_report: &AttemptReport) {
+    /// Updates the worker's success and failure records and logs suspect workers and parked
+    /// jobs.
+    fn record_outcome(
+        &mut self,
+        before: &JobState,
+        next: &JobState,
+        attempt_report: &AttemptReport,
+    ) {
         let now = self.shared.clock.boot_now();
-        let Some(book) = self.books.get_mut(&before.spec.pool) else {
+        let Some(worker_table) = self.worker_tables.get_mut(&before.spec.pool) else {
             return;
         };
         match attempt_report {
-            AttemptReport::Done => book.record_success(&before.worker),
+            AttemptReport::Done => worker_table.record_success(&before.worker),
             AttemptReport::Failed(_) => {
-                let was_suspect = book.is_suspect(&before.worker);
+                let was_suspect = worker_table.is_suspect(&before.worker);
                 let job = &before.spec.job;
-                book.record_failure(&before.worker, job, &before.failed_on, now);
-                if !was_suspect && book.is_suspect(&before.worker) {
+                worker_table.record_failure(&before.worker, job, &before.failed_on, now);
+                if !was_suspect && worker_table.is_suspect(&before.worker) {
                     model::event::warn(
                         &event::WORKER_SUSPECT,
                         format_args!("worker={}", before.worker),
@@ -187,8 +194,8 @@
         }
     }
 
-    /// Renews the leases of all tasks, one call for each worker, and asks for those that
-    /// must not be renewed.
+    /// Renews the leases of all tasks, batched by worker, and polls those that must not be
+    /// renewed.
     pub(crate) fn renew_leases(&mut self) {
         let now = self.shared.clock.boot_now();
         if now.saturating_sub(self.renewed_at) < self.timing.renew_interval {
@@ -212,19 +219,19 @@
                 let kind = if renewed {
                     CallKind::Renew { tasks }
                 } else {
-                    CallKind::Look { tasks }
+                    CallKind::Poll { tasks }
                 };
                 self.queue_call(&worker, kind);
             }
         }
     }
 
-    /// True if a task's lease may be renewed: it was sent, and this holder has a unit of
-    /// the team's limit for it.
+    /// True if a task's lease may be renewed: it was sent, and this holder has a quota permit
+    /// for it.
     ///
-    /// A task that was taken over runs on the unit of the holder before, which others
-    /// may use once the task must have ended. Renewed without a unit of its own it would
-    /// run beyond that, and the team could have more running than its limit.
+    /// A task that was taken over uses the permit of the former holder, which is released
+    /// once the lease of the task has expired. Renewing the lease without a new permit would
+    /// let the team run more tasks than its limit.
     fn may_renew(&mut self, job: &JobId) -> bool {
         let Some(held) = self.jobs.get_mut(job) else {
             return false;
--- a/crates/fleet/src/job_start.rs
+++ b/crates/fleet/src/job_start.rs
@@ -15,15 +15,15 @@
     job_holder::JobHolder,
 };
 
-/// Jobs of one team looked at in one pass.
-const LOOKED_AT: usize = 64;
+/// Maximum number of jobs of one team considered in one pass.
+const MAX_CANDIDATES: usize = 64;
 
 impl JobHolder {
-    /// Places waiting jobs, each team as many as its share in turn.
+    /// Places waiting jobs, for each team at most as many as its share.
     ///
-    /// Placing only marks the job as starting. It is sent once that is recorded: if this
-    /// holder died in between, nobody would know that a worker may have the task, and a
-    /// non-idempotent job would be started again.
+    /// Placement only marks the job as starting. The start is sent after that is recorded.
+    /// Otherwise, if this holder crashed in between, the next holder would not know that a
+    /// worker may have the task and would start a non-idempotent job twice.
     pub(crate) fn start_jobs(&mut self) {
         if self.pending.is_some() {
             return;
@@ -47,13 +47,13 @@
         let Some(queue) = self.queues.get(team) else {
             return;
         };
-        let looked_at: Vec<JobId> = queue
+        let candidates: Vec<JobId> = queue
             .iter()
-            .take(LOOKED_AT)
+            .take(MAX_CANDIDATES)
             .map(|(_, job)| job.clone())
             .collect();
         let mut started = 0;
-        for job in looked_at {
+        for job in candidates {
             let Some(held) = self.jobs.get(&job) else {
                 continue;
             };
@@ -81,21 +81,22 @@
             if let Some(held) = self.jobs.get_mut(&job) {
                 held.permit = Some(permit);
             }
-            self.place(&job, &state, &worker);
+            self.place_job(&job, &state, &worker);
             started += 1;
         }
     }
 
     fn choose_worker(&self, state: &JobState) -> Result<HostId, PlacementRefusal> {
-        let Some(book) = self.books.get(&state.spec.pool) else {
+        let Some(worker_table) = self.worker_tables.get(&state.spec.pool) else {
             return Err(PlacementRefusal::NoRoom);
         };
         let now = self.shared.clock.boot_now();
-        // The declared size decides whether it can ever fit, the corrected one where.
+        // The declared size decides whether the job can ever fit, the corrected one which
+        // worker it fits on now.
         let corrected = self.corrected_size(state);
-        match book.choose_worker(corrected, &state.failed_on, now) {
+        match worker_table.choose_worker(corrected, &state.failed_on, now) {
             Err(PlacementRefusal::NeverFits) => {
-                book.choose_worker(declared_size(state), &state.failed_on, now)
+                worker_table.choose_worker(declared_size(state), &state.failed_on, now)
             }
             other => other,
         }
@@ -107,18 +108,19 @@
             .corrected_size(&spec.team, &spec.service, declared_size(state))
     }
 
-    fn place(&mut self, job: &JobId, state: &JobState, worker: &HostId) {
+    fn place_job(&mut self, job: &JobId, state: &JobState, worker: &HostId) {
         let now = self.shared.clock.boot_now();
         let size = self.corrected_size(state);
-        let Some(book) = self.books.get_mut(&state.spec.pool) else {
+        let Some(worker_table) = self.worker_tables.get_mut(&state.spec.pool) else {
             return;
         };
-        book.record_placed(worker, job, size, now);
-        let boot = book.boot_of(worker).unwrap_or_default().to_owned();
+        worker_table.record_placed(worker, job, size, now);
+        let boot = worker_table.boot_of(worker).unwrap_or_default().to_owned();
         self.set_state(job, state.next_attempt(worker, &boot), true);
     }
 
-    /// Parks a job that no worker of its pool could take, once the pool is surely known.
+    /// Parks a job that is too large for every worker of its pool. It waits for the lease
+    /// time first, so that the workers of the pool are known.
     fn park_unfit(&mut self, job: &JobId, state: &JobState) {
         let now = self.shared.clock.unix_now();
         if now < state.spec.accepted + self.policy.lease {
@@ -136,7 +138,7 @@
         self.set_state(job, state.ended_as(JobPhase::Parked, &reason, now), true);
     }
 
-    /// Sends what is recorded as starting.
+    /// Sends the starts that have been recorded.
     pub(crate) fn send_recorded(&mut self) {
         for job in std::mem::take(&mut self.unsent) {
             let Some(held) = self.jobs.get(&job) else {
@@ -160,7 +162,7 @@
         }
     }
 
-    /// Queues the call that starts a task; false if the queue is full.
+    /// Queues the call that starts a task; returns false if the queue is full.
     pub(crate) fn send_start(&self, state: &JobState, first: bool) -> bool {
         let kind = CallKind::Start {
             job: Box::new(state.clone()),
@@ -183,25 +185,27 @@
         !matches!(self.calls.try_send(call), Err(TrySendError::Full(_)))
     }
 
-    /// Looks at workers, their use, and cancellations that other members wrote down.
-    pub(crate) fn watch_surroundings(&mut self) {
+    /// Refreshes the workers and their usage, and reads cancellations of other members.
+    pub(crate) fn refresh_inputs(&mut self) {
         let now = self.shared.clock.boot_now();
-        if now.saturating_sub(self.usage_at) >= self.timing.usage_interval || self.lacks_books() {
-            self.usage_at = now;
+        if now.saturating_sub(self.usage_requested_at) >= self.timing.usage_interval
+            || self.lacks_worker_table()
+        {
+            self.usage_requested_at = now;
             self.refresh_workers();
         }
-        if now.saturating_sub(self.watched_at) >= self.timing.watch_interval {
-            self.watched_at = now;
-            self.read_cancels();
+        if now.saturating_sub(self.cancels_read_at) >= self.timing.watch_interval {
+            self.cancels_read_at = now;
+            self.apply_cancels();
         }
     }
 
-    fn lacks_books(&self) -> bool {
+    fn lacks_worker_table(&self) -> bool {
         let first = |queue: &BTreeSet<(Duration, JobId)>| queue.first().map(|(_, job)| job.clone());
         let mut jobs = self.queues.values().filter_map(first);
         jobs.any(|job| {
             let held = self.jobs.get(&job);
-            held.is_some_and(|held| !self.books.contains_key(&held.state.spec.pool))
+            held.is_some_and(|held| !self.worker_tables.contains_key(&held.state.spec.pool))
         })
     }
 
@@ -218,13 +222,13 @@
                     self.queue_call(host, CallKind::Usage);
                 }
             }
-            let book = self.books.entry(pool).or_default();
-            book.set_workers(workers);
+            let worker_table = self.worker_tables.entry(pool).or_default();
+            worker_table.set_workers(workers);
         }
     }
 
-    /// Applies cancellations that other members wrote down, and empties the list.
-    fn read_cancels(&mut self) {
+    /// Applies cancellations that other members recorded and clears the list.
+    fn apply_cancels(&mut self) {
         let key = format!("job-cancels/{}", self.log.name());
         let Ok(Some(found)) = self.shared.store.read(&key) else {
             return;
@@ -238,7 +242,7 @@
         for job in &cancels.jobs {
             self.cancel_job(&job.as_str().into());
         }
-        // Left in place it is applied again, which is harmless.
+        // If this fails, the list is applied again, which has no further effect.
         let empty = JobCancels::default().encode_to_vec();
         let _ = self.shared.store.swap(&key, found.version, &empty);
     }
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -15,21 +15,21 @@
     fleet_audit::audit_changes,
     fleet_shared::FleetShared,
     map_store::{CommitOutcome, MapSnapshot, MapStore},
-    probe_pool::{ProbeBook, ProbeTask},
+    probe_pool::{ProbeTable, ProbeTask},
 };
 
-/// Name of the planning duty, for choosing its owner.
+/// Name of the planning duty, by which its owner is chosen.
 const DUTY: &str = "fleet-planner";
 
-/// Plans outages and returns while this entry host has the duty.
+/// Plans outages and returns of hosts while this entry host owns the planning duty.
 pub(crate) struct Planner {
     shared: Arc<FleetShared>,
     map_store: MapStore,
-    book: Arc<ProbeBook>,
+    probe_table: Arc<ProbeTable>,
     probes: Sender<ProbeTask>,
     owned_since: Option<BootTime>,
     must_read: bool,
-    /// The map up to which changes were handed to the audit trail.
+    /// Map up to which changes are recorded in the audit trail.
     audited: Option<MapSnapshot>,
 }
 
@@ -37,13 +37,13 @@
     pub(crate) fn new(
         shared: Arc<FleetShared>,
         map_store: MapStore,
-        book: Arc<ProbeBook>,
+        probe_table: Arc<ProbeTable>,
         probes: Sender<ProbeTask>,
     ) -> Self {
         Self {
             shared,
             map_store,
-            book,
+            probe_table,
             probes,
             owned_since: None,
             must_read: true,
@@ -51,19 +51,19 @@
         }
     }
 
-    /// Plans round after round until the service stops.
+    /// Runs planning rounds until the service stops.
     pub(crate) fn run(mut self) {
         while self.shared.pause(self.shared.timing.round_interval) {
-            if self.has_duty() {
+            if self.is_active_planner() {
                 self.plan_round();
             }
         }
     }
 
-    /// True once this host has had the duty for a while.
+    /// True once this host has owned the duty for the takeover time.
     ///
-    /// The pause lets the planner before finish calls that are on their way to hosts.
-    fn has_duty(&mut self) -> bool {
+    /// During that time, calls of the former planner to hosts can finish.
+    fn is_active_planner(&mut self) -> bool {
         if !owns_duty(self.shared.members.as_ref(), DUTY) {
             self.owned_since = None;
             return false;
@@ -74,7 +74,7 @@
             self.owned_since = Some(now);
             self.must_read = true;
             self.audited = None;
-            self.book.clear();
+            self.probe_table.clear();
             return false;
         };
         now.saturating_sub(since) >= self.shared.timing.takeover
@@ -105,7 +105,7 @@
             map: &map,
             manifest: &config.manifest,
             observations,
-            list_fresh: self.shared.list_fresh(),
+            list_fresh: self.shared.is_list_fresh(),
             limits: &self.shared.limits,
         })
     }
@@ -115,17 +115,18 @@
         let mut observations = self.shared.observations();
         for (host, observation) in &mut observations {
             let health_age = self.shared.timing.health_age;
-            (observation.health, observation.probed_in) = self.book.health(host, now, health_age);
+            (observation.health, observation.probed_in) =
+                self.probe_table.health(host, now, health_age);
         }
         observations
     }
 
-    /// Reads the map before anything is written; false if the store does not answer.
+    /// Reads the map, which must precede any write; returns false if the read fails.
     fn read_map(&mut self) -> bool {
         let known = self.shared.snapshot.lock().clone();
         match self.map_store.read(&known) {
             Ok(snapshot) => {
-                self.take_over(snapshot);
+                self.apply_snapshot(snapshot);
                 self.must_read = false;
                 true
             }
@@ -149,7 +150,7 @@
                     snapshot.map.revision,
                     change.hosts.len() + change.removed.len()
                 );
-                self.take_over(snapshot);
+                self.apply_snapshot(snapshot);
             }
             Ok(CommitOutcome::Conflict | CommitOutcome::Unknown) => self.must_read = true,
             Err(e) => {
@@ -159,19 +160,19 @@
         }
     }
 
-    fn take_over(&mut self, snapshot: MapSnapshot) {
+    fn apply_snapshot(&mut self, snapshot: MapSnapshot) {
         if let Some(audited) = &self.audited {
             audit_changes(&self.shared, audited, &snapshot);
         }
         self.audited = Some(snapshot.clone());
-        self.shared.adopt(snapshot);
+        self.shared.adopt_snapshot(snapshot);
     }
 
-    /// Queues probes of the hosts that are out and of those that `wanted` names.
+    /// Queues probes of the hosts that are not in service and of the hosts in `wanted`.
     fn probe_hosts(&self, wanted: Vec<HostId>) {
         let held = self.shared.snapshot.lock().map.clone();
         let known: BTreeSet<HostId> = held.hosts.keys().cloned().collect();
-        self.book.retain(&known);
+        self.probe_table.retain(&known);
         let wanted: BTreeSet<HostId> = wanted.into_iter().collect();
         let tasks = held
             .hosts
@@ -180,6 +181,6 @@
             .map(|(host, state)| ProbeTask { host, state })
             .collect();
         let now = self.shared.clock.boot_now();
-        self.book.queue_due(tasks, &self.probes, now);
+        self.probe_table.queue_due(tasks, &self.probes, now);
     }
 }
--- a/crates/lacewingshore/src/cell_serve.rs
+++ b/crates/lacewingshore/src/cell_serve.rs
@@ -1,7 +1,8 @@
-//! The wiring of one process of a cell on the users' platform.
+//! Wires and runs one process of a cell on the users' platform.
 //!
-//! [`run`] runs everything on one event loop: on a quarter of a core, threads that wake each
-//! other for every call would cost three times as much; see `docs/design/13-platform.md`.
+//! [`run`] runs everything on one single-threaded event loop: on a quarter of a core, threads
+//! that wake each other for every call would cost three times as much;
+//! see `docs/design/13-platform.md`.
 
 use std::{
     net::SocketAddr,
@@ -26,71 +27,72 @@
 
 use crate::{command::read_text, exit::CommandError, line_sink::LineSink};
 
-/// How often dropped log lines are told.
-const DROPS_EVERY: Duration = Duration::from_secs(1);
+/// Interval between reports of dropped log lines.
+const DROP_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs a process of a cell until it is told to stop, and shuts it down gracefully.
-pub fn run(settings: CellSettings, path: PathBuf, lines: Arc<LineSink>) -> Result<()> {
+/// Runs a process of a cell until SIGTERM or SIGINT, and shuts it down gracefully.
+pub fn run(settings: CellSettings, path: PathBuf, log_sink: Arc<LineSink>) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .context("start the event loop")?;
     let local = LocalSet::new();
-    local.block_on(&runtime, serve(settings, path, lines))
+    local.block_on(&runtime, serve(settings, path, log_sink))
 }
 
-async fn serve(settings: CellSettings, path: PathBuf, lines: Arc<LineSink>) -> Result<()> {
+async fn serve(settings: CellSettings, path: PathBuf, log_sink: Arc<LineSink>) -> Result<()> {
     let metrics = PrometheusBuilder::new()
         .install_recorder()
         .context("install metrics")?;
     let mut stop = signal(SignalKind::terminate()).context("hear SIGTERM")?;
     let mut interrupt = signal(SignalKind::interrupt()).context("hear SIGINT")?;
     let client = CallClient::default();
-    let options = options_of(&settings)?;
-    let host = CellHost::new(options, ports_of(&settings, &client), client);
+    let options = cell_options(&settings)?;
+    let host = CellHost::new(options, cell_ports(&settings, &client), client);
     host.start(metrics);
-    let callers = open_doors(&settings, &host)?;
-    tokio::task::spawn_local(tell_drops(lines));
-    tokio::task::spawn_local(hear_reloads(settings, path));
+    let callers = spawn_servers(&settings, &host)?;
+    tokio::task::spawn_local(report_dropped_lines(log_sink));
+    tokio::task::spawn_local(watch_reload_signal(settings, path));
     tokio::select! {
         _ = stop.recv() => {}
         _ = interrupt.recv() => {}
     }
     let served = async move {
         if let Err(error) = callers.await {
-            log::error!("the callers' server ended: {error}");
+            log::error!("caller server stopped: {error}");
         }
     };
     host.stop(served).await;
     Ok(())
 }
 
-/// Serves callers, and the balancer that asks whether to send them here.
-fn open_doors(settings: &CellSettings, host: &CellHost) -> Result<JoinHandle<()>> {
+/// Starts the servers for callers and for the load balancer's readiness checks; returns the
+/// task of the caller server.
+fn spawn_servers(settings: &CellSettings, host: &CellHost) -> Result<JoinHandle<()>> {
     let service = host.service();
     let ready = Rc::new(ReadyPort::new(service.clone()));
-    // Readiness is told until the process ends.
-    let never = ShutdownSignal::default();
-    let ready_address = address_of(&settings.ready_address)?;
+    // The readiness server answers until the process ends, also during the shutdown.
+    let no_shutdown = ShutdownSignal::default();
+    let ready_address = parse_address(&settings.ready_address)?;
     let limits = ServerLimits::default();
     tokio::task::spawn_local(async move {
-        report(
-            serve_http(ready_address, ready, limits, never).await,
+        log_server_error(
+            serve_http(ready_address, ready, limits, no_shutdown).await,
             "readiness",
         );
     });
     let callers = Rc::new(CallerPort::new(service));
-    let caller_address = address_of(&settings.caller_address)?;
+    let caller_address = parse_address(&settings.caller_address)?;
     let stopping = host.stopping();
     Ok(tokio::task::spawn_local(async move {
-        report(
+        log_server_error(
             serve_http(caller_address, callers, limits, stopping).await,
             "callers",
         );
     }))
 }
 
-fn ports_of(settings: &CellSettings, client: &CallClient) -> CellPorts {
+fn cell_ports(settings: &CellSettings, client: &CallClient) -> CellPorts {
     let PlatformPorts {
         store,
         codec,
@@ -112,9 +114,9 @@
     }
 }
 
-fn options_of(settings: &CellSettings) -> Result<CellOptions> {
-    let peers = address_of(&settings.peer_address)?;
-    let metrics = address_of(&settings.metrics_address)?;
+fn cell_options(settings: &CellSettings) -> Result<CellOptions> {
+    let peers = parse_address(&settings.peer_address)?;
+    let metrics = parse_address(&settings.metrics_address)?;
     let mut options = CellOptions::new(settings.member.clone(), peers, metrics);
     let default = SchedulerTuning::default();
     options.scheduler = SchedulerTuning {
@@ -132,19 +134,20 @@
     Ok(options)
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 pub fn read_settings(path: &Path) -> Result<CellSettings, CommandError> {
     let text = read_text(path)?;
     CellSettings::from_ini(&text).map_err(|fault| CommandError::invalid_text(path, &fault))
 }
 
-/// Reads the settings again when told to. Only addresses stand there, and they change with a
-/// restart; so a change is told and waits for one.
-async fn hear_reloads(settings: CellSettings, path: PathBuf) {
+/// Reads the settings file again on each SIGHUP. It holds only addresses and the like, which
+/// take effect at a restart; so this only logs whether a restart is needed, or why the file is
+/// invalid.
+async fn watch_reload_signal(settings: CellSettings, path: PathBuf) {
     let mut reload = match signal(SignalKind::hangup()) {
         Ok(reload) => reload,
         Err(error) => {
-            log::error!("SIGHUP can't be heard: {error}");
+            log::error!("cannot register a SIGHUP handler: {error}");
             return;
         }
     };
@@ -162,23 +165,23 @@
     }
 }
 
-async fn tell_drops(lines: Arc<LineSink>) {
-    let mut ticks = interval(DROPS_EVERY);
+async fn report_dropped_lines(log_sink: Arc<LineSink>) {
+    let mut ticks = interval(DROP_REPORT_INTERVAL);
     loop {
         ticks.tick().await;
-        if let Some(dropped) = lines.take_dropped() {
+        if let Some(dropped) = log_sink.take_dropped() {
             metrics::counter!("lws_cell_log_lines_dropped").increment(dropped);
             log_event::warn(&cell::event::LINES_DROPPED, format_args!("lines={dropped}"));
         }
     }
 }
 
-fn address_of(text: &str) -> Result<SocketAddr> {
+fn parse_address(text: &str) -> Result<SocketAddr> {
     text.parse().with_context(|| format!("read address {text}"))
 }
 
-fn report(served: std::io::Result<()>, what: &str) {
-    if let Err(error) = served {
-        log::error!("the server of {what} ended: {error}");
+fn log_server_error(result: std::io::Result<()>, what: &str) {
+    if let Err(error) = result {
+        log::error!("server for {what} stopped: {error}");
     }
 }
--- a/crates/lacewingshore/src/command/audit.rs
+++ b/crates/lacewingshore/src/command/audit.rs
@@ -8,15 +8,15 @@
 use crate::{
     args::{AuditArguments, CliArguments},
     client::AdminClient,
-    command::{print_json, show_time},
+    command::{format_time, print_json},
     exit::CommandError,
     table::TextTable,
 };
 
-/// Times that a trail is read anew because it moved while it was read.
+/// Attempts to read a consistent trail while entries are added to it.
 const MAX_READS: usize = 5;
 
-/// Shows the audit trail and checks its chain here, not trusting the entry host.
+/// Shows the audit trail and verifies its hash chain locally, without trusting the entry host.
 pub fn run(arguments: &CliArguments, audit: &AuditArguments) -> Result<(), CommandError> {
     let client = AdminClient::new(arguments)?;
     let (view, entries) = read_trail(&client, audit.grants)?;
@@ -52,11 +52,10 @@
     )))
 }
 
-/// Reads the whole trail as of one moment.
+/// Reads a consistent snapshot of the whole trail.
 ///
-/// While it is read, entries may move from the head into a page, and the oldest page may be
-/// dropped. The pages are those that the head named, so only a dropped one calls for
-/// another read.
+/// Meanwhile entries may move from the head into a page, and the oldest page may be dropped.
+/// This reads the pages that the head names, so only a dropped page requires another attempt.
 fn read_trail(
     client: &AdminClient,
     grants: bool,
@@ -66,15 +65,15 @@
     for _ in 0..MAX_READS {
         let view: AuditView = client.read(&head)?;
         let mut entries = Vec::new();
-        let mut is_whole = true;
+        let mut is_complete = true;
         for page in view.first_page..view.next_page {
             match client.read::<AuditView>(&format!("{head}&page={page}")) {
                 Ok(part) => entries.extend(part.entries),
-                Err(CommandError::Invalid(_)) => is_whole = false,
+                Err(CommandError::Invalid(_)) => is_complete = false,
                 Err(error) => return Err(error),
             }
         }
-        if is_whole {
+        if is_complete {
             entries.extend(view.entries.iter().cloned());
             return Ok((view, entries));
         }
@@ -89,12 +88,15 @@
     ))
 }
 
-/// A trail that was rewritten from some entry on has a whole chain. Only a digest noted
-/// elsewhere shows that.
+/// Checks that the trail holds the entry of an earlier run.
+///
+/// A trail that was rewritten from some entry on has a valid chain; only a digest that was
+/// stored elsewhere reveals it.
 fn check_expected(expected: &str, entries: &[EntryView]) -> Result<Option<String>, CommandError> {
-    let wrong = || CommandError::Invalid(format!("--expect: `{expected}` is not SEQUENCE:DIGEST"));
-    let (sequence, digest) = expected.split_once(':').ok_or_else(wrong)?;
-    let sequence: u64 = sequence.parse().map_err(|_| wrong())?;
+    let invalid_argument =
+        || CommandError::Invalid(format!("--expect: `{expected}` is not SEQUENCE:DIGEST"));
+    let (sequence, digest) = expected.split_once(':').ok_or_else(invalid_argument)?;
+    let sequence: u64 = sequence.parse().map_err(|_| invalid_argument())?;
     let found = entries.iter().find(|entry| entry.sequence == sequence);
     Ok(match found {
         Some(entry) if entry.digest == digest => None,
@@ -110,7 +112,7 @@
     for entry in entries {
         table.add(vec![
             entry.sequence.to_string(),
-            show_time(entry.unix_ms),
+            format_time(entry.unix_ms),
             entry.author.clone(),
             entry.subject.clone(),
             format!("{}>{}", entry.revision_before, entry.revision_after),
--- a/crates/lacewingshore/src/command/mod.rs
+++ b/crates/lacewingshore/src/command/mod.rs
@@ -20,10 +20,10 @@
 
 use crate::exit::CommandError;
 
-/// Largest file of settings or a manifest that is read.
+/// Largest settings or manifest file that is read, in bytes.
 const MAX_FILE: u64 = 1024 * 1024;
 
-/// Reads a text file whole.
+/// Reads a whole UTF-8 text file.
 pub fn read_text(path: &Path) -> Result<String, CommandError> {
     let size = fs::metadata(path)
         .with_context(|| format!("read {}", path.display()))?
@@ -34,11 +34,11 @@
     }
     let bytes = fs::read(path).with_context(|| format!("read {}", path.display()))?;
     let text =
-        model::text_of_bytes(&bytes).map_err(|fault| CommandError::invalid_text(path, &fault))?;
+        model::decode_utf8(&bytes).map_err(|fault| CommandError::invalid_text(path, &fault))?;
     Ok(text.to_owned())
 }
 
-/// An id for a change, by which repeating it is harmless.
+/// Returns a random change id, which makes retries of the change idempotent.
 fn mint_change_id() -> String {
     format!("c{:016x}", rand::random::<u64>())
 }
@@ -49,13 +49,13 @@
     Ok(())
 }
 
-fn show_time(unix_ms: u64) -> String {
+fn format_time(unix_ms: u64) -> String {
     let time = UNIX_EPOCH.checked_add(Duration::from_millis(unix_ms));
-    match time.filter(|_| unix_ms < MAX_SHOWN_MS) {
+    match time.filter(|_| unix_ms < MAX_FORMATTED_MS) {
         Some(time) => humantime::format_rfc3339_seconds(time).to_string(),
         None => "far future".to_owned(),
     }
 }
 
-/// End of the year 9999, beyond which times have no usual form.
-const MAX_SHOWN_MS: u64 = 253_402_300_799_000;
+/// End of the year 9999, the last one that RFC 3339 can express.
+const MAX_FORMATTED_MS: u64 = 253_402_300_799_000;
--- a/crates/lacewingshore/src/exit.rs
+++ b/crates/lacewingshore/src/exit.rs
@@ -1,6 +1,6 @@
 use std::{path::Path, process::ExitCode};
 
-use model::TextFault;
+use model::TextError;
 
 /// Exit code after wrong arguments.
 pub const USAGE_CODE: u8 = 2;
@@ -14,7 +14,7 @@
     /// A file or a change was refused as invalid: exit code 3.
     #[error("{0}")]
     Invalid(String),
-    /// Another change came first: exit code 4.
+    /// Another change was accepted first: exit code 4.
     #[error("{0}")]
     Conflict(String),
     /// The change is not accepted yet: exit code 5.
@@ -32,8 +32,8 @@
 }
 
 impl CommandError {
-    /// A fault of the text in `file`.
-    pub fn invalid_text(file: &Path, fault: &TextFault) -> Self {
+    /// An error in the text of `file`.
+    pub fn invalid_text(file: &Path, fault: &TextError) -> Self {
         Self::Invalid(format!("{}: {fault}", file.display()))
     }
 
--- a/crates/lacewingshore/tests/proof_common/mod.rs
+++ b/crates/lacewingshore/tests/proof_common/mod.rs
@@ -1,5 +1,5 @@
-//! What every proof in real processes shares: a fleet with a manifest and keys, and the
-//! checks that hold for any history.
+//! Fixture of the tests with real processes: a fleet with a manifest and keys, and the checks
+//! that hold for any history.
 
 #![allow(dead_code, reason = "each proof uses its part")]
 
@@ -22,23 +22,23 @@
     WholeCheck, await_true,
 };
 
-/// Longest wait for an event that must come.
-pub const PATIENCE: Duration = Duration::from_secs(40);
+/// Timeout for an event that must occur.
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(40);
 /// Time within which an accepted change must be in force: two seconds, and half a second
 /// for requests that were already on their way to a target.
-pub const FORCE_WITHIN: Duration = Duration::from_millis(2500);
+pub const PROPAGATION_LIMIT: Duration = Duration::from_millis(2500);
 /// Time after which a draining target must get no work.
-pub const QUIET_WITHIN: Duration = Duration::from_secs(3);
+pub const DRAIN_LIMIT: Duration = Duration::from_secs(3);
 
-/// Pause between two looks at one entry host.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
-/// Proofs that run side by side; they mostly wait, and more would load each other.
-const SIDE_BY_SIDE: usize = 2;
+/// Pause between two polls of one entry host.
+const POLL_PAUSE: Duration = Duration::from_millis(50);
+/// Limit of concurrent tests; they mostly wait, but more would slow each other down.
+const MAX_PARALLEL_PROOFS: usize = 2;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
 static ENDED: Condvar = Condvar::new();
 
-/// Ends lookers.
+/// Stops the polling threads when dropped.
 struct StopGuard<'a>(&'a AtomicBool);
 
 impl Drop for StopGuard<'_> {
@@ -47,44 +47,44 @@
     }
 }
 
-/// Leave to run a proof, given back when dropped.
-struct ProofTurn;
+/// Permit to run a test, released when dropped.
+struct ProofPermit;
 
-impl ProofTurn {
+impl ProofPermit {
     fn take() -> Self {
-        // A proof that failed says nothing against the next one.
+        // A panic of one test poisons the lock, which must not fail the others.
         let running = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
         let mut running = ENDED
-            .wait_while(running, |running| *running >= SIDE_BY_SIDE)
+            .wait_while(running, |running| *running >= MAX_PARALLEL_PROOFS)
             .unwrap_or_else(PoisonError::into_inner);
         *running += 1;
         Self
     }
 }
 
-impl Drop for ProofTurn {
+impl Drop for ProofPermit {
     fn drop(&mut self) {
         *RUNNING.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
         ENDED.notify_one();
     }
 }
 
-/// A fleet that serves, with two teams and a key for each.
-pub struct ProofBed {
+/// A running fleet with two teams and a key for each.
+pub struct ProofFixture {
     /// The fleet.
     pub fleet: TestFleet,
-    /// A key of `weights` and one of `coding`.
+    /// The key of `weights`, then the one of `coding`.
     pub keys: Vec<TeamKey>,
     /// Revision of the manifest.
     pub revision: u64,
     seed: u64,
-    _turn: ProofTurn,
+    _permit: ProofPermit,
 }
 
 /// Upper limits of the two teams.
 pub type TeamLimits = [(&'static str, u32); 2];
 
-/// Limits that never bind.
+/// Limits that the callers never reach.
 pub const WIDE_LIMITS: TeamLimits = [("weights", 200), ("coding", 200)];
 
 /// A manifest with one pool of executors and two teams.
@@ -101,20 +101,20 @@
     text
 }
 
-impl ProofBed {
-    /// Starts a fleet with limits that don't bind.
+impl ProofFixture {
+    /// Starts a fleet with [`WIDE_LIMITS`].
     pub fn start(seed: u64, plan: &FleetPlan) -> Self {
         Self::with_limits(seed, plan, &WIDE_LIMITS)
     }
 
-    /// Starts a fleet.
+    /// Starts a fleet with these limits.
     pub fn with_limits(seed: u64, plan: &FleetPlan, limits: &TeamLimits) -> Self {
         Self::with_manifest(seed, plan, &manifest(plan.executors, limits), limits)
     }
 
-    /// Starts a fleet with a manifest of its own.
+    /// Starts a fleet with this manifest.
     pub fn with_manifest(seed: u64, plan: &FleetPlan, text: &str, limits: &TeamLimits) -> Self {
-        let turn = ProofTurn::take();
+        let permit = ProofPermit::take();
         println!("seed {seed}");
         let mut fleet = TestFleet::start(plan).unwrap();
         let place = &fleet.entries[0].place;
@@ -132,24 +132,24 @@
             .map(|(team, _)| operator.grant(place, &format!("grant-{team}"), team))
             .collect::<Result<Vec<_>, _>>()
             .unwrap();
-        let bed = Self {
+        let fixture = Self {
             fleet,
             keys,
             revision,
             seed,
-            _turn: turn,
+            _permit: permit,
         };
-        for entry in &bed.fleet.entries {
-            bed.expect_answer(&entry.place);
+        for entry in &fixture.fleet.entries {
+            fixture.expect_answer(&entry.place);
         }
-        bed
+        fixture
     }
 
-    /// Waits until an entry host answers a request with a right answer.
+    /// Waits until an entry host answers a request correctly.
     pub fn expect_answer(&self, place: &EntryPlace) {
         let client = RequestClient::default();
         let call = self.call("probe");
-        let answers = await_true(PATIENCE, || {
+        let answers = await_true(EVENT_TIMEOUT, || {
             client.call(place, &call).outcome == RequestOutcome::Answer { is_right: true }
         });
         assert!(
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Where the entry host with this index listens.
+    /// The addresses of the entry host with this index.
     pub fn place(&self, index: usize) -> &EntryPlace {
         &self.fleet.entries[index].place
     }
@@ -197,10 +197,9 @@
         process.resume().unwrap();
     }
 
-    /// Looks at every entry host all the time while `work` goes on, so that the history
-    /// tells what was in force where. A host that is down or cut off answers nothing, which
-    /// is no observation.
-    pub fn while_looking(&mut self, work: impl FnOnce(&mut Self)) {
+    /// Polls every entry host during `work`, so that the history records which configuration was
+    /// in force where. A host that is down or cut off gives no observation.
+    pub fn while_polling(&mut self, work: impl FnOnce(&mut Self)) {
         let stop = AtomicBool::new(false);
         let places = self.fleet.places();
         let operator = self.fleet.operator.clone();
@@ -210,42 +209,42 @@
                 scope.spawn(move || {
                     while !stop.load(Ordering::Relaxed) {
                         let _ = operator.status(place);
-                        thread::sleep(LOOK_PAUSE);
+                        thread::sleep(POLL_PAUSE);
                     }
                 });
             }
-            // Ends the lookers also when the work panics.
+            // Stops the polling threads also if `work` panics.
             let _guard = StopGuard(&stop);
             work(self);
         });
     }
 
-    /// Changes the limits to wide ones that differ by round, until that is accepted.
+    /// Changes the limits to wide ones that differ by round; retries until accepted.
     pub fn change_limits(&self, round: usize) {
         let units = 100 + u32::try_from(round).unwrap();
         let limits: TeamLimits = [("weights", units), ("coding", units)];
         let (text, id) = (manifest(3, &limits), format!("round-{round}"));
         let place = self.place((round + 1) % 3);
         let operator = &self.fleet.operator;
-        let accepted = await_true(PATIENCE, || {
+        let accepted = await_true(EVENT_TIMEOUT, || {
             let outcome = operator.apply(place, &id, None, &text, &limits);
             matches!(outcome, ChangeResult::Accepted { .. })
         });
         assert!(accepted, "round {round}\n{}", self.fleet.logs());
     }
 
-    /// Withdraws the key of the second team through one entry host, until that is accepted.
+    /// Withdraws the key of the second team through one entry host; retries until accepted.
     pub fn expect_withdrawn(&self, index: usize) {
         let key = &self.keys[1].key_id;
         let operator = &self.fleet.operator;
-        let withdrawn = await_true(PATIENCE, || {
+        let withdrawn = await_true(EVENT_TIMEOUT, || {
             let outcome = operator.withdraw(self.place(index), "withdraw", key);
             matches!(outcome, ChangeResult::Accepted { .. })
         });
         assert!(withdrawn, "not withdrawn\n{}", self.fleet.logs());
     }
 
-    /// A plan for callers of both teams.
+    /// The default plan for callers of both teams.
     pub fn crew_plan(&self) -> CrewPlan {
         CrewPlan {
             seed: self.seed,
@@ -254,21 +253,21 @@
         }
     }
 
-    /// Sets callers of both teams to work, and waits until they get answers.
+    /// Starts callers of both teams, and waits until they get answers.
     pub fn crew(&self) -> CallerCrew {
         self.crew_with(self.crew_plan())
     }
 
-    /// Sets callers to work, and waits until they get answers.
+    /// Starts callers by this plan, and waits until they get answers.
     pub fn crew_with(&self, plan: CrewPlan) -> CallerCrew {
         let crew = CallerCrew::start(plan, self.fleet.places(), &self.fleet.log);
         self.expect_answers(&crew, 20);
         crew
     }
 
-    /// Waits for answers of the crew.
+    /// Waits until the callers have got `more` answers.
     pub fn expect_answers(&self, crew: &CallerCrew, more: u64) {
-        let came = crew.await_answers(more, PATIENCE);
+        let came = crew.await_answers(more, EVENT_TIMEOUT);
         assert!(
             came,
             "no answers: {:?}\n{}",
@@ -277,13 +276,13 @@
         );
     }
 
-    /// No request may have been cut off: no run may have started within an attempt that got
-    /// no clear answer.
+    /// Checks that no request was cut off: no run started within an attempt that got no clear
+    /// answer.
     ///
-    /// A request that crosses the closing of its connection never reaches the entry host;
-    /// HTTP has no way to tell the caller so. And of an id that could not be looked up, an
-    /// entry host says that it may have run. Such attempts ran nothing and are printed.
-    pub fn expect_uncut(&self, tally: CrewTally) {
+    /// Two kinds of unclear attempts ran nothing and are only printed: a request sent while the
+    /// entry host closes the connection, which HTTP can't report to the caller, and a request
+    /// whose id could not be looked up, for which the entry host answers that it may have run.
+    pub fn expect_no_request_cut(&self, tally: CrewTally) {
         let history = self.fleet.collect().unwrap();
         let unclear = history.requests.iter().filter(|op| is_unclear(&op.outcome));
         let (cut, not_begun): (Vec<_>, Vec<_>) = unclear.partition(|op| {
@@ -298,7 +297,7 @@
         assert!(cut.is_empty(), "{tally:?} {cut:#?}\n{}", self.fleet.logs());
     }
 
-    /// What callers were told last, with how often.
+    /// The latest outcomes of callers, with their counts.
     fn last_outcomes(&self) -> BTreeMap<String, usize> {
         let mut counts = BTreeMap::new();
         for op in self.fleet.log.history().requests.iter().rev().take(2_000) {
@@ -309,10 +308,10 @@
     }
 
     /// Collects the history and runs every check that holds for any history.
-    pub fn expect_sound(&self) {
+    pub fn expect_valid_history(&self) {
         let history = self.fleet.collect().unwrap();
         println!(
-            "history: {} requests, {} runs, {} changes, {} looks, {} writes",
+            "history: {} requests, {} runs, {} changes, {} polls, {} writes",
             history.requests.len(),
             history.runs.len(),
             history.changes.len(),
@@ -320,7 +319,10 @@
             history.writes.len(),
         );
         assert!(!history.runs.is_empty(), "nothing ran");
-        println!("most at once: {:?}", most_at_once(&history));
+        println!(
+            "maximum concurrent runs: {:?}",
+            max_concurrent_runs(&history)
+        );
         let hosts = self
             .fleet
             .targets
@@ -331,16 +333,16 @@
             pool_of: hosts.map(|host| (host, "quotes".to_owned())).collect(),
         };
         let keys = KeyCheck {
-            stops_within: FORCE_WITHIN,
+            stops_within: PROPAGATION_LIMIT,
         };
         let limits = LimitCheck {
-            force_within: FORCE_WITHIN,
+            force_within: PROPAGATION_LIMIT,
         };
         let force = ForceCheck {
-            force_within: FORCE_WITHIN,
+            force_within: PROPAGATION_LIMIT,
         };
         let drains = DrainCheck {
-            quiet_within: QUIET_WITHIN,
+            quiet_within: DRAIN_LIMIT,
         };
         let checks: [&dyn HistoryCheck; 11] = [
             &OnceCheck,
@@ -378,8 +380,8 @@
     }
 }
 
-/// Most runs at once, by team.
-pub fn most_at_once(history: &History) -> BTreeMap<String, usize> {
+/// Maximum number of concurrent runs, by team.
+pub fn max_concurrent_runs(history: &History) -> BTreeMap<String, usize> {
     let mut most = BTreeMap::new();
     for run in &history.runs {
         let at = run.run.start_ns;
--- a/crates/member/src/quota_book.rs
+++ b/crates/member/src/local_quota.rs
@@ -9,13 +9,13 @@
 use parking_lot::Mutex;
 use ports::{ActiveConfig, QuotaPermit, TeamStatus};
 
-/// Hands out units of the grants that this host holds.
-pub(crate) struct QuotaBook {
+/// Hands out units of the team limits that are granted to this host.
+pub(crate) struct LocalQuota {
     machine: Arc<Mutex<QuotaMachine>>,
     wake: (Sender<()>, Receiver<()>),
 }
 
-impl QuotaBook {
+impl LocalQuota {
     pub(crate) fn new(settings: &ServeSettings, own: MemberId, incarnation: Incarnation) -> Self {
         let options = QuotaOptions {
             lease_length: settings.lease_length,
@@ -61,17 +61,17 @@
         }))
     }
 
-    pub(crate) fn note_waiting(&self, team: &TeamId, waiting: u32) {
+    pub(crate) fn set_waiting(&self, team: &TeamId, waiting: u32) {
         self.machine.lock().set_waiting(team, waiting);
         if waiting > 0 {
             self.wake();
         }
     }
 
-    /// What operators see of the teams of `force`.
-    pub(crate) fn status(&self, force: &ActiveConfig) -> Vec<TeamStatus> {
+    /// Status of the teams of `config` for operators.
+    pub(crate) fn status(&self, config: &ActiveConfig) -> Vec<TeamStatus> {
         let machine = self.machine.lock();
-        let teams = force.manifest.teams.iter().map(|(team, spec)| {
+        let teams = config.manifest.teams.iter().map(|(team, spec)| {
             let (running, granted) = machine.usage(team);
             TeamStatus {
                 team: team.clone(),
@@ -84,7 +84,7 @@
         teams.collect()
     }
 
-    /// Wakes whoever waits at [`QuotaBook::wakes`].
+    /// Wakes the receiver of [`LocalQuota::wakes`].
     pub(crate) fn wake(&self) {
         let _ = self.wake.0.try_send(());
     }
--- a/crates/member/src/store_duty.rs
+++ b/crates/member/src/store_loop.rs
@@ -17,27 +17,27 @@
     event,
     incarnation::claim_incarnation,
     shared_state::SharedState,
-    store_key::{CONFIG, MEMBERS, read_record, store_fault},
+    store_key::{CONFIG, MEMBERS, read_record, store_step_error},
 };
 
-/// How often the duty looks whether there is something to do.
-const ROUND: Duration = Duration::from_millis(200);
+/// Interval at which the loop checks whether a read is due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How often the store is read although nothing asks for it, so that a lost hint heals.
-const IDLE_READ: Duration = Duration::from_secs(15);
+/// Interval of reads without a hint, which make up for lost hints.
+const IDLE_READ_INTERVAL: Duration = Duration::from_secs(15);
 
-/// Distance of reads that only hints ask for.
-const HINT_DISTANCE: Duration = Duration::from_millis(100);
+/// Minimum time between reads.
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Reads list and configuration from the store when the lease or a hint asks for it, and
-/// keeps the member list: joins, rejoins, removes members that are gone.
-pub(crate) struct StoreDuty {
+/// Reads member list and configuration from the store when the lease or a hint requires it, and
+/// maintains the member list: joins, rejoins and removes members that are gone.
+pub(crate) struct StoreLoop {
     shared: Arc<SharedState>,
     read_at: Option<BootTime>,
     failing: bool,
 }
 
-impl StoreDuty {
+impl StoreLoop {
     pub(crate) fn new(shared: Arc<SharedState>) -> Self {
         Self {
             shared,
@@ -46,28 +46,28 @@
         }
     }
 
-    /// Runs until the service stops, then takes this host out of the list.
+    /// Runs until the service stops, then removes this host from the list.
     pub(crate) fn run(mut self) {
         while !self.shared.is_stopping() {
             if self.is_due() {
-                let outcome = self.round();
-                self.report(outcome);
+                let outcome = self.run_round();
+                self.log_outcome(outcome);
             }
-            self.shared.await_store_wake(ROUND);
+            self.shared.await_store_wake(CHECK_INTERVAL);
         }
         if let Err(error) = self.leave_list() {
             log_event::warn(&event::MEMBER_LEAVE_FAILED, format_args!("cause={error}"));
         }
     }
 
-    /// Reads are due while a majority does not renew the lease, after hints, and rarely.
+    /// Reads are due while no majority renews the lease, after hints, and at long intervals.
     fn is_due(&self) -> bool {
         let now = self.shared.now();
         let since_read = self.read_at.map(|at| now.saturating_sub(at));
         let Some(since_read) = since_read else {
             return true;
         };
-        if since_read < HINT_DISTANCE {
+        if since_read < MIN_READ_INTERVAL {
             return false;
         }
         let lease = self.shared.lease.lock();
@@ -77,29 +77,29 @@
         !lease.is_listed()
             || lease.is_behind()
             || !renewed && since_read >= length / 4
-            || since_read >= IDLE_READ
-            || !lease.list().is_settled() && since_read >= self.settle_distance(&lease)
-            || self.has_lost(&lease, now) && since_read >= length / 4
+            || since_read >= IDLE_READ_INTERVAL
+            || !lease.list().is_settled() && since_read >= self.settle_interval(&lease)
+            || self.has_lost_members(&lease, now) && since_read >= length / 4
     }
 
-    fn has_lost(&self, lease: &LeaseMachine, now: BootTime) -> bool {
+    fn has_lost_members(&self, lease: &LeaseMachine, now: BootTime) -> bool {
         let acks = self.shared.acks.lock();
         !lease.lost_members(now).is_empty()
             || lease.list().members().iter().any(|m| acks.has_ended(m))
     }
 
-    /// How long this host waits between attempts to settle the list: its place in the list
-    /// decides, so that one host mostly does it.
-    fn settle_distance(&self, lease: &LeaseMachine) -> Duration {
+    /// Interval between this host's attempts to settle the list. It grows with the host's
+    /// position in the list, so that usually a single host writes.
+    fn settle_interval(&self, lease: &LeaseMachine) -> Duration {
         let members = lease.list().members();
-        let place = members
+        let position = members
             .iter()
             .position(|m| m.id == self.shared.own.as_str());
-        let place = u32::try_from(place.unwrap_or(members.len())).unwrap_or(u32::MAX);
-        ROUND.saturating_mul(1 + 4 * place)
+        let position = u32::try_from(position.unwrap_or(members.len())).unwrap_or(u32::MAX);
+        CHECK_INTERVAL.saturating_mul(1 + 4 * position)
     }
 
-    fn round(&mut self) -> Result<(), StepError> {
+    fn run_round(&mut self) -> Result<(), StepError> {
         let sent = self.shared.now();
         self.read_at = Some(sent);
         let (version, list) = self.read_all(sent)?;
@@ -110,32 +110,32 @@
         if self.remove_lost(version, &list)? {
             return Ok(());
         }
-        self.settle(version, &list)
+        self.settle_list(version, &list)
     }
 
-    /// Reads the list and then the configuration, in this order: the configuration read is
-    /// at least that of the list's floor, and a list written from here may name it as floor.
+    /// Reads the list before the configuration. So the configuration is at least at the revision
+    /// of the list's floor, and a list written by this host may use it as floor.
     fn read_all(&self, sent: BootTime) -> Result<(StoreVersion, MemberList), StepError> {
         let store = self.shared.store();
         let (version, record) = read_record::<MemberRecord>(store, MEMBERS)
-            .map_err(|error| store_fault("read member list", error))?;
+            .map_err(|error| store_step_error("read member list", error))?;
         let (_, config) = read_record::<ConfigRecord>(store, CONFIG)
-            .map_err(|error| store_fault("read configuration", error))?;
+            .map_err(|error| store_step_error("read configuration", error))?;
         self.shared
-            .follow_config(&config)
-            .map_err(|error| store_fault("follow configuration", error))?;
+            .apply_config(&config)
+            .map_err(|error| store_step_error("follow configuration", error))?;
         let held = self.shared.lease.lock().list().revision();
-        if config.revision < self.shared.holder.force().revision || record.revision < held {
-            // A store that went back proves nothing fresh.
+        if config.revision < self.shared.holder.active_config().revision || record.revision < held {
+            // The store may have been restored from an old copy: this read must not renew the lease.
             let error = StoreError::Rejected(format!(
                 "old revisions: configuration {}, members {}",
                 config.revision, record.revision
             ));
-            return Err(store_fault("read list and configuration", error));
+            return Err(store_step_error("read list and configuration", error));
         }
         let list = MemberList::new(record);
-        self.shared.follow_list(&list);
-        self.note_own_list();
+        self.shared.apply_list(&list);
+        self.ack_own_list();
         let mut lease = self.shared.lease.lock();
         if lease.list().revision() >= list.revision() {
             lease.record_store_read(sent);
@@ -143,7 +143,7 @@
         Ok((version, list))
     }
 
-    fn note_own_list(&self) {
+    fn ack_own_list(&self) {
         let revision = self.shared.lease.lock().list().revision();
         self.shared
             .acks
@@ -151,9 +151,9 @@
             .record_held(&self.shared.own, self.shared.incarnation(), revision);
     }
 
-    /// Joins the list. A listed newer life means that another process has this id; an older
-    /// one is this host before its restart. A host that was listed and is no more begins a
-    /// new life, because the grants of the old one may have been given away.
+    /// Joins the list. A newer incarnation in the list means that another process uses this id;
+    /// an older one is this host before its restart. A host that was removed from the list starts
+    /// a new incarnation, because the grants of the old one may have been reassigned.
     fn join(&self, version: StoreVersion, list: &MemberList) -> Result<(), StepError> {
         if self.shared.is_leaving() {
             return Ok(());
@@ -162,7 +162,7 @@
             self.begin_incarnation()?;
             return Ok(());
         }
-        let floor = self.shared.holder.force().revision;
+        let floor = self.shared.holder.active_config().revision;
         let next = match list.join(self.shared.own_member(), floor) {
             Ok(next) => next,
             Err(ListRefusal::NewerIncarnation(incarnation)) => {
@@ -204,7 +204,7 @@
         Ok(())
     }
 
-    /// Removes one member that is lost; true if there was one.
+    /// Removes one lost member; true if there was one.
     fn remove_lost(&self, version: StoreVersion, list: &MemberList) -> Result<bool, StepError> {
         let now = self.shared.now();
         let lost = self.shared.lease.lock().lost_members(now);
@@ -214,15 +214,15 @@
             return Ok(false);
         };
         let (id, incarnation) = (MemberId::from(member.id.as_str()), member.incarnation);
-        self.remove(version, list, &id, incarnation, "remove lost member")?;
+        self.remove_member(version, list, &id, incarnation, "remove lost member")?;
         Ok(true)
     }
 
-    /// Settles the list. Any member may; the first of the list goes ahead, the others only
-    /// step in when it does not, so that they do not write all at once.
-    fn settle(&self, version: StoreVersion, list: &MemberList) -> Result<(), StepError> {
+    /// Settles the list. Any member may do so. The first in the list does it first, and the
+    /// others only after longer intervals, so that they don't all write at the same time.
+    fn settle_list(&self, version: StoreVersion, list: &MemberList) -> Result<(), StepError> {
         let acks = self.shared.acks.lock().clone();
-        let floor = self.shared.holder.force().revision;
+        let floor = self.shared.holder.active_config().revision;
         let Ok(next) = list.settle(&acks, floor) else {
             return Ok(());
         };
@@ -230,7 +230,7 @@
         Ok(())
     }
 
-    /// Takes this host out of the list: it has stopped serving, so it needs no majority.
+    /// Removes this host from the list. It has stopped serving, so this needs no majority.
     fn leave_list(&self) -> Result<(), StepError> {
         let own = &self.shared.own;
         let incarnation = self.shared.incarnation();
@@ -240,9 +240,9 @@
             if !list.contains(own, incarnation) {
                 return Ok(());
             }
-            match self.remove(version, &list, own, incarnation, "leave member list") {
+            match self.remove_member(version, &list, own, incarnation, "leave member list") {
                 Ok(()) => {
-                    self.say_farewell(&list);
+                    self.send_last_beats(&list);
                     return Ok(());
                 }
                 Err(error) => {
@@ -253,8 +253,8 @@
         Ok(())
     }
 
-    /// A last beat tells the others that the list changed; after it none comes from here.
-    fn say_farewell(&self, list: &MemberList) {
+    /// Sends a last heartbeat, so that the other members learn of the changed list.
+    fn send_last_beats(&self, list: &MemberList) {
         let now = self.shared.now();
         let own = self.shared.own.as_str();
         for member in list.members().iter().filter(|m| m.id != own) {
@@ -264,7 +264,7 @@
         }
     }
 
-    fn remove(
+    fn remove_member(
         &self,
         version: StoreVersion,
         list: &MemberList,
@@ -272,7 +272,7 @@
         incarnation: Incarnation,
         step: &'static str,
     ) -> Result<(), StepError> {
-        let floor = self.shared.holder.force().revision;
+        let floor = self.shared.holder.active_config().revision;
         let Ok(next) = list.remove(member, incarnation, floor) else {
             return Ok(());
         };
@@ -290,8 +290,8 @@
         Ok(())
     }
 
-    /// Writes the list; false if another host was first. What a lost answer left is found by
-    /// the next read.
+    /// Writes the list; false if another host wrote first. After a lost response, the next read
+    /// shows whether the write took effect.
     fn write_list(
         &self,
         version: StoreVersion,
@@ -301,19 +301,19 @@
         let bytes = next.record().encode_to_vec();
         match self.shared.store().swap(MEMBERS, version, &bytes) {
             Ok(_) => {
-                self.shared.follow_list(next);
-                self.note_own_list();
+                self.shared.apply_list(next);
+                self.ack_own_list();
                 Ok(true)
             }
             Err(StoreError::Conflict { .. }) => {
                 self.shared.wake_store();
                 Ok(false)
             }
-            Err(error) => Err(store_fault(step, error)),
+            Err(error) => Err(store_step_error(step, error)),
         }
     }
 
-    /// Notes a change of the list for the audit trail.
+    /// Writes a change of the list to the audit trail.
     fn audit(&self, member: &MemberId, incarnation: Incarnation, change: &str, list: &MemberList) {
         self.shared.audit(AuditRecord {
             author: self.shared.own.to_string(),
@@ -325,7 +325,7 @@
         });
     }
 
-    fn report(&mut self, outcome: Result<(), StepError>) {
+    fn log_outcome(&mut self, outcome: Result<(), StepError>) {
         match outcome {
             Ok(()) if self.failing => {
                 self.failing = false;
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,8 +1,8 @@
 //! Ids, manifest, settings, error types and the event catalogue shared by every crate.
 //!
-//! Start with [`Manifest`], what operators ask for, and [`ServeSettings`], what one
-//! process is told of its surroundings. Nothing here does I/O. The words for hosts,
-//! pools and teams are mapped in `docs/GLOSSARY.md`.
+//! Start with [`Manifest`], the desired state that operators declare, and [`ServeSettings`],
+//! the local settings of one process. Nothing here does I/O. The terms for hosts, pools and
+//! teams are defined in `docs/GLOSSARY.md`.
 
 mod cell_settings;
 pub mod event;
@@ -18,7 +18,7 @@
 mod settings;
 mod settings_text;
 mod step_error;
-mod text_fault;
+mod text_error;
 mod value_text;
 pub mod work;
 
@@ -38,4 +38,4 @@
 pub use problem::{ProblemKind, RunFate};
 pub use settings::{PeerSetting, ServeSettings, SettingsError};
 pub use step_error::StepError;
-pub use text_fault::{TextFault, text_of_bytes};
+pub use text_error::{TextError, decode_utf8};
--- a/crates/model/src/manifest_advice.rs
+++ b/crates/model/src/manifest_advice.rs
@@ -2,18 +2,18 @@
 
 use crate::{Manifest, PoolSpec};
 
-/// Hosts that a rack takes along when it fails.
+/// Number of hosts that fail together with their rack.
 const RACK_HOSTS: u32 = 4;
-/// Time that the maintenance of one host is reckoned to take: drain, reboot and check.
-const HOST_OUTAGE: Duration = Duration::from_secs(15 * 60);
+/// Estimated time to maintain one host: drain, reboot and health check.
+const HOST_MAINTENANCE_TIME: Duration = Duration::from_secs(15 * 60);
 const DAY: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// Something valid in a manifest that its operator may not have meant.
+/// Warning about a valid part of a manifest that may be unintended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ManifestAdvice {
-    /// Section that it is about.
+    /// Section that the warning is about.
     pub section: String,
-    /// What will happen.
+    /// The consequence of that part.
     pub text: String,
 }
 
@@ -24,15 +24,15 @@
 }
 
 impl Manifest {
-    /// What may surprise the operator of a valid manifest, if the fleet loses
-    /// `shrink_percent` of the hosts of each pool.
+    /// Returns warnings about a valid manifest, assuming that each pool loses `shrink_percent`
+    /// of its hosts.
     pub fn advice(&self, shrink_percent: u32) -> Vec<ManifestAdvice> {
         let mut advice = Vec::new();
         for (name, pool) in &self.pools {
             let lost = (pool.size * shrink_percent.min(100)).div_ceil(100);
             let size = pool.size - lost;
             let texts = [
-                self.use_advice(name, pool),
+                self.unused_pool_advice(name, pool),
                 budget_advice(pool, size, lost),
                 self.window_advice(pool, size),
                 rack_advice(pool, size),
@@ -45,7 +45,7 @@
         advice
     }
 
-    fn use_advice(&self, name: &str, pool: &PoolSpec) -> Option<String> {
+    fn unused_pool_advice(&self, name: &str, pool: &PoolSpec) -> Option<String> {
         let is_used = self
             .services
             .values()
@@ -65,14 +65,18 @@
             ));
         }
         let days = window.every.div_duration_f64(DAY).max(1.0);
-        let per_day = f64::from(at_once) * window.length.div_duration_f64(HOST_OUTAGE).floor();
+        let per_day = f64::from(at_once)
+            * window
+                .length
+                .div_duration_f64(HOST_MAINTENANCE_TIME)
+                .floor();
         let reach = per_day * days;
         (reach < f64::from(size)).then(|| {
             format!(
                 "[window.{}] has time for {reach:.0} hosts in its interval, at {} minutes each; \
                  the pool has {size}",
                 pool.window,
-                HOST_OUTAGE.as_secs() / 60
+                HOST_MAINTENANCE_TIME.as_secs() / 60
             )
         })
     }
--- a/crates/model/tests/manifest.rs
+++ b/crates/model/tests/manifest.rs
@@ -1,4 +1,4 @@
-//! A manifest is taken whole or refused whole, with the place of the first fault.
+//! A manifest is accepted or rejected as a whole; an error has the place of the first problem.
 
 use model::{HostRole, Manifest};
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -34,7 +34,7 @@
 ";
 
 #[test]
-fn from_ini_whole() {
+fn from_ini_valid() {
     let (sections, manifest) = Manifest::from_ini(MANIFEST).expect("a valid manifest");
     assert_eq!(manifest.name, "trial");
     assert_eq!(manifest.pools["plan"].role, HostRole::Worker);
@@ -47,17 +47,17 @@
 }
 
 #[test]
-fn from_sections_none() {
-    // A fresh deployment has no manifest, and operators grant their first key in it.
+fn from_sections_empty() {
+    // A new deployment has no manifest; operators grant the first key in this state.
     let manifest = Manifest::from_sections(&model::SectionTexts::new());
     assert_eq!(manifest, Ok(Manifest::default()));
     assert!(Manifest::from_ini("; nothing\n").is_err());
 }
 
 #[test]
-fn text_of_round_trip() {
+fn format_sections_round_trip() {
     let sections = Manifest::split(MANIFEST).expect("valid text");
-    let again = Manifest::split(&Manifest::text_of(&sections)).expect("valid text");
+    let again = Manifest::split(&Manifest::format_sections(&sections)).expect("valid text");
     assert_eq!(sections, again);
 }
 
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn from_ini_two_spares() {
+fn from_ini_two_spare_pools() {
     let spare = "[pool.a]\nrole = worker\nsize = 4\nbudget = 0\nspare = true\n";
     let text = format!("{MANIFEST}{spare}{}", spare.replace("pool.a", "pool.b"));
     let error = Manifest::from_ini(&text).expect_err("must be refused");
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn from_ini_shared_executors() {
+fn from_ini_shared_executor_pool() {
     let text = format!("{MANIFEST}[service.stock]\npool = quote\n");
     let error = Manifest::from_ini(&text).expect_err("must be refused");
     assert_eq!(
@@ -201,7 +201,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// Any text is either read or refused, without a panic, and a fault names a line of the text.
+    /// Parsing arbitrary text never panics, and an error has a line number within the text.
     #[test]
     fn from_ini_any_text(text in "(\\[(pool|team|window)\\.[a-z]\\]|[a-z_]{1,9}|=| |\n|:|;|\\PC){0,80}") {
         if let Err(error) = Manifest::from_ini(&text) {
@@ -209,13 +209,13 @@
         }
     }
 
-    /// What one line swapped for another makes is refused, or means the same after a round trip.
+    /// A manifest with two lines swapped is rejected, or is unchanged by a round trip.
     #[test]
     fn from_ini_swapped_lines(from in 0usize..26, to in 0usize..26) {
         let mut lines: Vec<&str> = MANIFEST.lines().collect();
         lines.swap(from, to);
         if let Ok((sections, manifest)) = Manifest::from_ini(&lines.join("\n")) {
-            let again = Manifest::from_ini(&Manifest::text_of(&sections));
+            let again = Manifest::from_ini(&Manifest::format_sections(&sections));
             prop_assert_eq!(again, Ok((sections, manifest)));
         }
     }
@@ -225,7 +225,7 @@
 #[case::none(0, &["losing a rack of 4 leaves 4 hosts, fewer than the budget of 6"])]
 #[case::fifth(20, &["losing a rack of 4 leaves 2 hosts, fewer than the budget of 6", "with 6 hosts none can be maintained within a budget of 6"])]
 #[case::third(33, &["without 3 of its hosts the pool has 5, fewer than its budget of 6"])]
-fn advice_shrink(#[case] percent: u32, #[case] expected: &[&str]) {
+fn advice_lost_hosts(#[case] percent: u32, #[case] expected: &[&str]) {
     let (_, manifest) = Manifest::from_ini(MANIFEST).expect("a valid manifest");
     let advice: Vec<String> = manifest
         .advice(percent)
--- a/crates/model/tests/settings.rs
+++ b/crates/model/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are read whole or refused with the place of the fault.
+//! Settings are accepted as a whole or rejected with the place of the error.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 host_list_url = http://10.0.1.2:7200
 ";
 
-fn refusal(text: &str) -> SettingsError {
+fn expect_refused(text: &str) -> SettingsError {
     let Err(error) = ServeSettings::from_ini(text) else {
         panic!("these settings must be refused:\n{text}");
     };
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn from_ini_whole() {
+fn from_ini_valid() {
     let settings = ServeSettings::from_ini(SETTINGS).expect("valid settings");
     assert_eq!(settings.member, "e1");
     assert_eq!(settings.store_url, "http://10.0.1.1:7100");
@@ -107,18 +107,21 @@
 )]
 fn from_ini_refused(#[case] old: &str, #[case] new: &str, #[case] message: &str) {
     let text = SETTINGS.replacen(old, new, 1);
-    let shown = refusal(&text).to_string();
+    let shown = expect_refused(&text).to_string();
     assert!(shown.ends_with(message), "{shown}");
 }
 
 #[test]
 fn from_ini_empty() {
-    assert_eq!(refusal("").to_string(), "[entry] the section is required");
+    assert_eq!(
+        expect_refused("").to_string(),
+        "[entry] the section is required"
+    );
 }
 
 #[test]
-fn text_of_bytes_not_utf8() {
-    let error = model::text_of_bytes(b"[entry]\nmember = \xff").expect_err("not UTF-8");
+fn decode_utf8_invalid() {
+    let error = model::decode_utf8(b"[entry]\nmember = \xff").expect_err("not UTF-8");
     assert_eq!(error.to_string(), "line 2: the text is not UTF-8");
 }
 
@@ -133,7 +136,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// Any text is either read or refused, without a panic, and a fault names a line of the text.
+    /// Parsing arbitrary text never panics, and an error has a line number within the text.
     #[test]
     fn from_ini_any_text(text in "(\\[[a-z.]{0,9}\\]|[a-z_]{1,9}|=| |\n|:|;|\\PC){0,80}") {
         if let Err(error) = ServeSettings::from_ini(&text) {
@@ -141,7 +144,7 @@
         }
     }
 
-    /// A value that is swapped for another is either in range or refused at its own line.
+    /// An arbitrary value is either valid or rejected with its own line number.
     #[test]
     fn from_ini_any_value(line in 0usize..17, value in "\\PC{0,30}") {
         let mut lines: Vec<String> = SETTINGS.lines().map(str::to_owned).collect();
--- a/crates/share/src/service.rs
+++ b/crates/share/src/service.rs
@@ -18,33 +18,33 @@
 use wire::peer::{SlotDemand, SlotGrant, envelope::Body};
 
 use crate::{
-    broker_desk::{BrokerDesk, DeskPool},
+    broker_sessions::BrokerSessions,
     demand_merge::merge_report,
     event,
-    pool_terms::{pool_owners, team_weights},
-    session_book::SessionBook,
+    pool_brokers::{BrokeredPool, PoolBrokers},
+    pool_config::{assign_brokers, team_weights},
 };
 
 const STACK_BYTES: usize = 256 * 1024;
-// Not a valid member id, so no member is taken for it.
+// Not a valid member id, so it can't be mistaken for a member.
 const UNKNOWN_HOLDER: &str = "?";
 
-/// Times of the share service.
+/// Intervals and timeouts of the share service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShareTimes {
-    /// How often the duty looks for work.
+    /// Interval at which the share loop checks for due work.
     pub tick: Duration,
-    /// Interval of demands to a broker while something changes or queues.
+    /// Interval of demands to a broker while demand changes or requests are queued.
     pub interval: Duration,
-    /// Interval of demands that only renew what is held.
+    /// Interval of demands that only renew the slots held.
     pub idle_interval: Duration,
-    /// Shortest time between two demands to a broker when requests begin to queue.
-    pub gap: Duration,
-    /// Shortest time between two requests to a holder to ask again.
-    pub nudge_gap: Duration,
-    /// How long a grant may be used, counted from when its demand was sent.
+    /// Minimum time between two demands to a broker when requests begin to queue.
+    pub min_gap: Duration,
+    /// Minimum time between two nudges to a holder, which ask it for a new demand.
+    pub min_nudge_gap: Duration,
+    /// How long a grant is valid, counted from the sending of its demand.
     pub lease: Duration,
-    /// Added to the lease before slots of a silent holder are given to others.
+    /// Safety margin after the lease of an unresponsive holder before its slots are reassigned.
     pub guard: Duration,
 }
 
@@ -54,29 +54,29 @@
             tick: Duration::from_millis(25),
             interval: Duration::from_millis(250),
             idle_interval: Duration::from_millis(800),
-            gap: Duration::from_millis(50),
-            nudge_gap: Duration::from_millis(100),
+            min_gap: Duration::from_millis(50),
+            min_nudge_gap: Duration::from_millis(100),
             lease: Duration::from_secs(3),
             guard: Duration::from_millis(500),
         }
     }
 }
 
-/// What the share service works with.
+/// Dependencies and settings of the share service.
 pub struct ShareOptions {
-    /// Sends to other entry hosts.
+    /// Link for messages to other entry hosts.
     pub link: Arc<dyn PeerLink>,
-    /// Demands and grants from other entry hosts.
+    /// Received demands and grants of other entry hosts.
     pub inbound: Receiver<InboundMessage>,
-    /// The member list.
+    /// Source of the member list.
     pub members: Arc<dyn MemberSource>,
-    /// Pools, slots and weights.
+    /// Source of pools, slots per target and team weights.
     pub config: Arc<dyn ConfigSource>,
-    /// Targets of the pools.
+    /// Source of the targets of each pool.
     pub targets: Arc<dyn TargetSource>,
-    /// The boot clock.
+    /// Clock for leases and sessions.
     pub clock: Arc<dyn Clock>,
-    /// Times.
+    /// Intervals and timeouts.
     pub times: ShareTimes,
 }
 
@@ -86,28 +86,28 @@
     reports: Arc<Mutex<BTreeMap<PoolId, PoolDemand>>>,
     wake: Sender<()>,
     stop: Option<Sender<()>>,
-    duty: Option<JoinHandle<()>>,
+    thread: Option<JoinHandle<()>>,
 }
 
 impl ShareService {
-    /// Starts the duty.
+    /// Starts the thread of the service.
     ///
     /// # Errors
     /// If the thread can't be started.
     pub fn start(options: ShareOptions) -> Result<Arc<Self>, StepError> {
         let leases = Arc::new(RwLock::new(HashMap::new()));
         let reports = Arc::new(Mutex::new(BTreeMap::new()));
-        let (wake, woken) = bounded(1);
-        let (stop, stopped) = bounded(0);
-        let duty = ShareDuty::new(options, Arc::clone(&leases), Arc::clone(&reports));
-        let handle = spawn_duty(duty, woken, stopped)
+        let (wake, wake_rx) = bounded(1);
+        let (stop, stop_rx) = bounded(0);
+        let share_loop = ShareLoop::new(options, Arc::clone(&leases), Arc::clone(&reports));
+        let handle = spawn_loop(share_loop, wake_rx, stop_rx)
             .map_err(|error| StepError::new("start share duty", "", error))?;
         Ok(Arc::new(Self {
             leases,
             reports,
             wake,
             stop: Some(stop),
-            duty: Some(handle),
+            thread: Some(handle),
         }))
     }
 }
@@ -121,7 +121,7 @@
         let queued = demand.teams.iter().any(|team| 0 < team.queued);
         merge_report(&mut self.reports.lock(), demand);
         if queued {
-            // A full channel means that the duty is about to look anyway.
+            // If the channel is full, a wake-up is already pending.
             let _ = self.wake.try_send(());
         }
     }
@@ -130,30 +130,30 @@
 impl Drop for ShareService {
     fn drop(&mut self) {
         drop(self.stop.take());
-        if let Some(duty) = self.duty.take() {
-            let _ = duty.join();
+        if let Some(thread) = self.thread.take() {
+            let _ = thread.join();
         }
     }
 }
 
-struct ShareDuty {
+struct ShareLoop {
     options: ShareOptions,
     own: MemberId,
     leases: Arc<RwLock<HashMap<PoolId, Arc<SlotLease>>>>,
     reports: Arc<Mutex<BTreeMap<PoolId, PoolDemand>>>,
-    desk: BrokerDesk,
-    book: SessionBook,
+    brokers: PoolBrokers,
+    sessions: BrokerSessions,
     started: BootTime,
-    refreshed: BootTime,
-    // Which life of each member was first seen when.
-    ages: BTreeMap<MemberId, (Incarnation, BootTime)>,
-    // When each holder was last asked to ask again.
-    nudged: BTreeMap<MemberId, BootTime>,
-    // Members that may hold slots, with the time each was last listed.
+    last_refresh: BootTime,
+    // Incarnation of each member and when it was first seen.
+    first_seen: BTreeMap<MemberId, (Incarnation, BootTime)>,
+    // When each holder was last nudged to send a new demand.
+    last_nudge: BTreeMap<MemberId, BootTime>,
+    // Members that may hold slots, and when each was last listed.
     holders: BTreeMap<MemberId, BootTime>,
 }
 
-impl ShareDuty {
+impl ShareLoop {
     fn new(
         options: ShareOptions,
         leases: Arc<RwLock<HashMap<PoolId, Arc<SlotLease>>>>,
@@ -170,29 +170,29 @@
             own: options.members.own_id(),
             leases,
             reports,
-            desk: BrokerDesk::new(broker_options),
-            book: SessionBook::new(first_session, HolderOptions { lease: times.lease }),
+            brokers: PoolBrokers::new(broker_options),
+            sessions: BrokerSessions::new(first_session, HolderOptions { lease: times.lease }),
             started: options.clock.boot_now(),
-            refreshed: BootTime::ZERO,
-            ages: BTreeMap::new(),
-            nudged: BTreeMap::new(),
+            last_refresh: BootTime::ZERO,
+            first_seen: BTreeMap::new(),
+            last_nudge: BTreeMap::new(),
             holders: BTreeMap::new(),
             options,
         }
     }
 
-    fn run(mut self, woken: &Receiver<()>, stopped: &Receiver<()>) {
+    fn run(mut self, wake_rx: &Receiver<()>, stop_rx: &Receiver<()>) {
         let inbound = self.options.inbound.clone();
         let mut inbound = &inbound;
-        let silent = never();
+        let closed = never();
         loop {
             select! {
-                recv(stopped) -> _ => return,
+                recv(stop_rx) -> _ => return,
                 recv(inbound) -> message => match message {
-                    Ok(message) => self.take_message(message),
-                    Err(_) => inbound = &silent,
+                    Ok(message) => self.handle_message(message),
+                    Err(_) => inbound = &closed,
                 },
-                recv(woken) -> _ => {}
+                recv(wake_rx) -> _ => {}
                 default(self.options.times.tick) => {}
             }
             self.step();
@@ -201,117 +201,118 @@
 
     fn step(&mut self) {
         let now = self.options.clock.boot_now();
-        if self.refreshed + self.options.times.interval <= now {
-            self.refreshed = now;
+        if self.last_refresh + self.options.times.interval <= now {
+            self.last_refresh = now;
             self.refresh(now);
         }
         let reports = std::mem::take(&mut *self.reports.lock());
         for demand in reports.into_values() {
-            self.book.report(demand);
+            self.sessions.report(demand);
         }
         let times = self.options.times;
-        for (broker, demand) in self.book.due(now, &times) {
+        for (broker, demand) in self.sessions.due(now, &times) {
             self.send_demand(now, &broker, demand);
         }
     }
 
-    // Follows the member list, the configuration and the targets.
+    // Applies the current member list, configuration and targets.
     fn refresh(&mut self, now: BootTime) {
         let config = self.options.config.current();
         let members = self.options.members.members();
-        self.note_holders(now, &members);
-        let fit = self.fit_brokers(now, &members);
-        let owners = pool_owners(&config, &fit);
-        let own_pools: BTreeMap<PoolId, DeskPool> = owners
+        self.update_holders(now, &members);
+        let eligible = self.eligible_brokers(now, &members);
+        let broker_of_pool = assign_brokers(&config, &eligible);
+        let own_pools: BTreeMap<PoolId, BrokeredPool> = broker_of_pool
             .iter()
-            .filter(|(_, owner)| **owner == self.own)
-            .map(|(pool, _)| (pool.clone(), self.desk_pool(&config, pool)))
+            .filter(|(_, broker)| **broker == self.own)
+            .map(|(pool, _)| (pool.clone(), self.brokered_pool(&config, pool)))
             .collect();
-        self.desk.set_pools(now, &own_pools);
+        self.brokers.set_pools(now, &own_pools);
         let may_hold: BTreeSet<MemberId> = self.holders.keys().cloned().collect();
-        self.desk.set_parties(&team_weights(&config), &may_hold);
-        self.desk.expire(now);
-        self.book.set_owners(owners);
+        self.brokers
+            .set_weights_and_members(&team_weights(&config), &may_hold);
+        self.brokers.expire(now);
+        self.sessions.set_brokers(broker_of_pool);
         self.leases
             .write()
             .retain(|pool, _| config.manifest.pools.contains_key(pool));
-        metrics::gauge!("lws_share_brokered_pools").set(self.desk.pool_count() as f64);
+        metrics::gauge!("lws_share_brokered_pools").set(self.brokers.pool_count() as f64);
     }
 
-    // A member that was removed may use its slots until they lapse, so brokers wait for its
-    // report as if it were listed. A process younger than that cannot know who was removed
-    // before it began, and counts an unknown holder that never reports.
-    fn note_holders(&mut self, now: BootTime, members: &[MemberInfo]) {
+    // A removed member may use its slots until its lease expires, so brokers wait for its
+    // report as if it were still listed. A process that started more recently than that cannot
+    // know which members were removed before; it counts one unknown holder that never reports.
+    fn update_holders(&mut self, now: BootTime, members: &[MemberInfo]) {
         for member in members {
             self.holders.insert(member.member.clone(), now);
         }
-        let lapse = self.options.times.lease + self.options.times.guard;
-        if now < self.started + lapse {
+        let expiry = self.options.times.lease + self.options.times.guard;
+        if now < self.started + expiry {
             self.holders
                 .insert(MemberId::const_new(UNKNOWN_HOLDER), self.started);
         }
-        self.holders.retain(|_, listed| now < *listed + lapse);
+        self.holders.retain(|_, listed| now < *listed + expiry);
     }
 
-    // A broker that has just started grants nothing new until all earlier grants have
-    // lapsed, so a young member gets no pools while there are older ones.
-    fn fit_brokers(&mut self, now: BootTime, members: &[MemberInfo]) -> Vec<MemberId> {
-        self.ages
+    // A broker that has just started grants no new slots until all earlier grants have expired.
+    // So a recently started member gets no pools while older members are available.
+    fn eligible_brokers(&mut self, now: BootTime, members: &[MemberInfo]) -> Vec<MemberId> {
+        self.first_seen
             .retain(|id, _| members.iter().any(|member| member.member == *id));
         for member in members {
             let age = self
-                .ages
+                .first_seen
                 .entry(member.member.clone())
                 .or_insert((member.incarnation, now));
             if age.0 != member.incarnation {
                 *age = (member.incarnation, now);
             }
         }
-        let lapse = self.options.times.lease + self.options.times.guard;
-        let own_is_young = now < self.started + lapse;
-        let is_settled = |member: &&MemberInfo| {
-            if own_is_young {
+        let expiry = self.options.times.lease + self.options.times.guard;
+        let recently_started = now < self.started + expiry;
+        let is_established = |member: &&MemberInfo| {
+            if recently_started {
                 return member.member != self.own;
             }
-            let age = self.ages.get(&member.member);
-            age.is_some_and(|(_, seen)| *seen + lapse <= now)
+            let age = self.first_seen.get(&member.member);
+            age.is_some_and(|(_, seen)| *seen + expiry <= now)
         };
-        let usable = || {
+        let available = || {
             members
                 .iter()
                 .filter(|member| member.reachable && !member.leaving)
         };
-        let settled: Vec<MemberId> = usable()
-            .filter(is_settled)
+        let established: Vec<MemberId> = available()
+            .filter(is_established)
             .map(|member| member.member.clone())
             .collect();
-        if !settled.is_empty() {
-            return settled;
+        if !established.is_empty() {
+            return established;
         }
-        usable().map(|member| member.member.clone()).collect()
+        available().map(|member| member.member.clone()).collect()
     }
 
-    fn desk_pool(&self, config: &ActiveConfig, pool: &PoolId) -> DeskPool {
+    fn brokered_pool(&self, config: &ActiveConfig, pool: &PoolId) -> BrokeredPool {
         let slots = config.manifest.pools.get(pool).map_or(0, |spec| spec.slots);
         let targets = self.options.targets.pool_targets(pool);
         let serving = targets
             .iter()
             .filter(|target| target.state == TargetState::Serving);
         let targets: SlotMap = serving.map(|target| (target.host.clone(), slots)).collect();
-        DeskPool { targets }
+        BrokeredPool { targets }
     }
 
-    fn take_message(&mut self, message: InboundMessage) {
+    fn handle_message(&mut self, message: InboundMessage) {
         let now = self.options.clock.boot_now();
         match message.body {
             Body::SlotDemand(demand) => {
-                if let Some(answer) = self.desk.answer(now, &message.from, &demand) {
+                if let Some(answer) = self.brokers.answer(now, &message.from, &demand) {
                     let is_renewal = demand.pools.is_empty() && answer.grant.pools.is_empty();
                     self.send(&message.from, Body::SlotGrant(answer.grant), is_renewal);
                     self.send_nudges(now, answer.nudges);
                 }
             }
-            Body::SlotGrant(grant) => self.take_grant(&message.from, &grant),
+            Body::SlotGrant(grant) => self.update_leases(&message.from, &grant),
             _ => {}
         }
     }
@@ -322,39 +323,39 @@
             self.send(broker, Body::SlotDemand(demand), is_renewal);
             return;
         }
-        if let Some(answer) = self.desk.answer(now, broker, &demand) {
-            self.take_grant(broker, &answer.grant);
+        if let Some(answer) = self.brokers.answer(now, broker, &demand) {
+            self.update_leases(broker, &answer.grant);
             self.send_nudges(now, answer.nudges);
         }
     }
 
     fn send_nudges(&mut self, now: BootTime, nudges: BTreeMap<MemberId, SlotGrant>) {
         for (holder, grant) in nudges {
-            let nudged = self.nudged.entry(holder.clone()).or_default();
-            if now < *nudged + self.options.times.nudge_gap {
+            let nudged = self.last_nudge.entry(holder.clone()).or_default();
+            if now < *nudged + self.options.times.min_nudge_gap {
                 continue;
             }
             *nudged = now;
             if holder == self.own {
-                self.take_grant(&holder, &grant);
+                self.update_leases(&holder, &grant);
             } else {
                 self.send(&holder, Body::SlotGrant(grant), false);
             }
         }
     }
 
-    fn take_grant(&mut self, broker: &MemberId, grant: &SlotGrant) {
-        let changed = self.book.apply(broker, grant);
+    fn update_leases(&mut self, broker: &MemberId, grant: &SlotGrant) {
+        let changed = self.sessions.apply(broker, grant);
         let mut leases = self.leases.write();
         for pool in changed {
-            if let Some(lease) = self.book.lease(&pool) {
+            if let Some(lease) = self.sessions.lease(&pool) {
                 leases.insert(pool, lease);
             }
         }
     }
 
-    // A lost message is made up for by the next round. One that only renews goes along with
-    // a heartbeat: for an idle pool messages of their own would cost more than all else.
+    // The next round replaces a lost message. A message that only renews is sent with the next
+    // heartbeat, because separate messages for idle pools would dominate the network traffic.
     fn send(&self, to: &MemberId, body: Body, is_renewal: bool) {
         let link = &self.options.link;
         let sent = if is_renewal {
@@ -371,13 +372,13 @@
     }
 }
 
-fn spawn_duty(
-    duty: ShareDuty,
-    woken: Receiver<()>,
-    stopped: Receiver<()>,
+fn spawn_loop(
+    share_loop: ShareLoop,
+    wake_rx: Receiver<()>,
+    stop_rx: Receiver<()>,
 ) -> io::Result<JoinHandle<()>> {
     thread::Builder::new()
         .name("share".to_owned())
         .stack_size(STACK_BYTES)
-        .spawn(move || duty.run(&woken, &stopped))
+        .spawn(move || share_loop.run(&wake_rx, &stop_rx))
 }
--- a/crates/store/src/retry_store.rs
+++ b/crates/store/src/retry_store.rs
@@ -8,31 +8,32 @@
 use parking_lot::Mutex;
 
 use crate::{
-    CallPace, CircuitVerdict, Clock, KeyStore, StoreCircuit, StoreError, StoreVersion, StoredValue,
+    CallRateLimiter, CircuitVerdict, Clock, KeyStore, StoreCircuit, StoreError, StoreVersion,
+    StoredValue,
 };
 
-/// How a [`RetryStore`] repeats calls.
+/// Settings of the retries, the circuit breaker and the rate limit of a [`RetryStore`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetrySettings {
-    /// Longest that one operation may take with its repetitions; the last call may exceed
-    /// it by the client's own timeout.
-    pub patience: Duration,
-    /// First back-off; later ones double. Each wait is random between nothing and the back-off.
+    /// Timeout of one operation including its retries; the last call may exceed it by the
+    /// timeout of the underlying client.
+    pub operation_timeout: Duration,
+    /// First back-off; later ones double. Each wait is random between zero and the back-off.
     pub first_backoff: Duration,
-    /// Longest back-off.
+    /// Maximum back-off.
     pub longest_backoff: Duration,
-    /// First pause of the circuit, see [`StoreCircuit`].
+    /// First pause of the circuit breaker, see [`StoreCircuit`].
     pub first_pause: Duration,
-    /// Longest pause of the circuit.
+    /// Maximum pause of the circuit breaker.
     pub longest_pause: Duration,
-    /// Most calls a second, repetitions and watches included.
+    /// Maximum calls per second, retries and watches included.
     pub calls_per_second: u32,
 }
 
 impl Default for RetrySettings {
     fn default() -> Self {
         Self {
-            patience: Duration::from_millis(1500),
+            operation_timeout: Duration::from_millis(1500),
             first_backoff: Duration::from_millis(40),
             longest_backoff: Duration::from_millis(400),
             first_pause: Duration::from_millis(200),
@@ -42,29 +43,29 @@
     }
 }
 
-/// A store that repeats what may be repeated, and settles writes whose answer was lost.
+/// A store client that retries calls and finds out whether a write with a lost response took
+/// effect.
 ///
-/// How a lost answer is settled, and when that is sound, is argued in
-/// `docs/design/08-platform.md`. In short: a repeated compare-and-swap on the same version
-/// takes effect at most once, since versions never come back; and a record that holds
-/// exactly the bytes asked for is what the caller wanted, whoever wrote them. Records that
-/// must tell *who* wrote them carry that in their bytes.
+/// `docs/design/08-platform.md` explains how and why this is safe. In short: a repeated
+/// compare-and-swap on the same version takes effect at most once, because versions are never
+/// reused. A record that holds exactly the bytes of the write counts as written, even if
+/// another client wrote it. Records that must identify their writer include it in their bytes.
 pub struct RetryStore {
     inner: Arc<dyn KeyStore>,
     clock: Arc<dyn Clock>,
     settings: RetrySettings,
     circuit: Mutex<StoreCircuit>,
-    pace: Mutex<CallPace>,
+    rate_limiter: Mutex<CallRateLimiter>,
 }
 
-/// What became of a write whose answer was lost.
-enum WriteFate {
-    /// The record is as asked for, at this version.
-    Done(StoreVersion),
-    /// It had not taken effect; it may be repeated.
-    NotYet,
-    /// Another value is there: ours may have been there before it.
-    Unclear,
+/// Result of reading a key after the response to a write was lost.
+enum WriteResolution {
+    /// The record holds the written value, at this version.
+    Applied(StoreVersion),
+    /// The write has not taken effect and may be repeated.
+    NotApplied,
+    /// The record holds another value, which may have overwritten ours.
+    Ambiguous,
 }
 
 impl RetryStore {
@@ -80,45 +81,45 @@
         settings: RetrySettings,
     ) -> Self {
         let circuit = StoreCircuit::new(settings.first_pause, settings.longest_pause);
-        let pace = CallPace::new(settings.calls_per_second);
+        let rate_limiter = CallRateLimiter::new(settings.calls_per_second);
         Self {
             inner,
             clock,
             circuit: Mutex::new(circuit),
-            pace: Mutex::new(pace),
+            rate_limiter: Mutex::new(rate_limiter),
             settings,
         }
     }
 
-    /// True while calls fail at once because the store has not answered.
+    /// True while the circuit is open: calls fail immediately because earlier ones failed.
     pub fn is_open(&self) -> bool {
         self.circuit.lock().is_open()
     }
 
-    /// One call through circuit and ceiling.
-    fn once<T>(&self, call: impl Fn() -> Result<T, StoreError>) -> Result<T, StoreError> {
-        self.wait_for_pace()?;
+    /// Makes one call, subject to the rate limit and the circuit breaker.
+    fn call_once<T>(&self, call: impl Fn() -> Result<T, StoreError>) -> Result<T, StoreError> {
+        self.wait_for_rate()?;
         if self.circuit.lock().admit(self.clock.boot_now()) == CircuitVerdict::Fail {
             return Err(StoreError::Unavailable("not asked: it is down".to_owned()));
         }
         let result = call();
         match &result {
             Err(StoreError::Unavailable(cause) | StoreError::Unknown(cause)) => {
-                self.note_failure(cause);
+                self.record_failure(cause);
             }
-            _ => self.note_answer(),
+            _ => self.record_answer(),
         }
         result
     }
 
-    fn wait_for_pace(&self) -> Result<(), StoreError> {
+    fn wait_for_rate(&self) -> Result<(), StoreError> {
         let begin = Instant::now();
         loop {
-            let Err(wait) = self.pace.lock().take(self.clock.boot_now()) else {
+            let Err(wait) = self.rate_limiter.lock().try_acquire(self.clock.boot_now()) else {
                 return Ok(());
             };
             counter!("lws_store_paced").increment(1);
-            if begin.elapsed() + wait > self.settings.patience {
+            if begin.elapsed() + wait > self.settings.operation_timeout {
                 let cause = "not asked: too many calls from here".to_owned();
                 return Err(StoreError::Unavailable(cause));
             }
@@ -126,70 +127,73 @@
         }
     }
 
-    fn note_answer(&self) {
-        if self.circuit.lock().note_answer() {
+    fn record_answer(&self) {
+        if self.circuit.lock().record_answer() {
             gauge!("lws_store_circuit_open").set(0.0);
             log::info!(target: "E0101", "store-answers-again");
         }
     }
 
-    fn note_failure(&self, cause: &str) {
+    fn record_failure(&self, cause: &str) {
         let now = self.clock.boot_now();
-        if self.circuit.lock().note_failure(now, rand::random()) {
+        if self.circuit.lock().record_failure(now, rand::random()) {
             gauge!("lws_store_circuit_open").set(1.0);
             log::warn!(target: "E0100", "store-down cause={cause:?}");
         }
     }
 
-    /// Repeats an operation that does no harm when repeated.
-    fn repeat<T>(&self, call: impl Fn() -> Result<T, StoreError>) -> Result<T, StoreError> {
+    /// Retries an idempotent operation until it succeeds or its timeout ends.
+    fn retry_idempotent<T>(
+        &self,
+        call: impl Fn() -> Result<T, StoreError>,
+    ) -> Result<T, StoreError> {
         let mut backoff = RetryBackoff::new(&self.settings);
         loop {
-            let result = self.once(&call);
+            let result = self.call_once(&call);
             let Err(StoreError::Unavailable(_) | StoreError::Unknown(_)) = &result else {
                 return result;
             };
-            // With the circuit open a repetition would only be refused here again.
+            // With the circuit open, a retry would fail without reaching the store.
             if self.is_open() || !backoff.wait() {
                 return result;
             }
         }
     }
 
-    /// Repeats a write until its fate is clear or patience ends.
-    fn settle<T>(
+    /// Retries a write until its outcome is known or its timeout ends.
+    fn retry_write<T>(
         &self,
         write: impl Fn() -> Result<T, StoreError>,
-        find_fate: impl Fn() -> Result<WriteFate, StoreError>,
+        read_back: impl Fn() -> Result<WriteResolution, StoreError>,
         done: impl Fn(StoreVersion) -> T,
     ) -> Result<T, StoreError> {
         let mut backoff = RetryBackoff::new(&self.settings);
-        // From the first lost answer on, a conflict may be our own doing, and a refused
-        // call no longer means that nothing was recorded.
-        let mut lost: Option<StoreError> = None;
+        // After a lost response, a conflict may be caused by our own write, and a refused call
+        // no longer means that nothing was written.
+        let mut lost_response: Option<StoreError> = None;
         loop {
-            let result = self.once(&write);
-            match (&result, &lost) {
-                (Err(StoreError::Unknown(_)), None) => lost = result.err(),
+            let result = self.call_once(&write);
+            match (&result, &lost_response) {
+                (Err(StoreError::Unknown(_)), None) => lost_response = result.err(),
                 (Err(StoreError::Conflict { .. }), Some(_))
                 | (Err(StoreError::Unavailable(_) | StoreError::Unknown(_)), _) => {}
                 _ => return result,
             }
-            if let Some(unknown) = &lost {
-                match find_fate() {
-                    Ok(WriteFate::Done(version)) => {
+            if let Some(unknown) = &lost_response {
+                match read_back() {
+                    Ok(WriteResolution::Applied(version)) => {
                         counter!("lws_store_settled").increment(1);
                         log::info!(target: "E0102", "store-write-settled version={version}");
                         return Ok(done(version));
                     }
-                    Ok(WriteFate::Unclear) => return Err(unknown.clone()),
-                    Ok(WriteFate::NotYet) | Err(_) => {}
+                    Ok(WriteResolution::Ambiguous) => return Err(unknown.clone()),
+                    Ok(WriteResolution::NotApplied) | Err(_) => {}
                 }
             }
-            let hopeless = lost.is_none() && self.is_open();
-            if hopeless || !backoff.wait() {
+            let give_up = lost_response.is_none() && self.is_open();
+            if give_up || !backoff.wait() {
                 let never_sent = StoreError::Unavailable("it did not answer".to_owned());
-                return Err(lost.unwrap_or(never_sent));
+                return Err(lost_response.unwrap_or(never_sent));
             }
         }
     }
@@ -197,7 +201,7 @@
 
 impl KeyStore for RetryStore {
     fn read(&self, key: &str) -> Result<Option<StoredValue>, StoreError> {
-        self.repeat(|| self.inner.read(key))
+        self.retry_idempotent(|| self.inner.read(key))
     }
 
     fn swap(
@@ -206,14 +210,16 @@
         expect: StoreVersion,
         value: &[u8],
     ) -> Result<StoreVersion, StoreError> {
-        self.settle(
+        self.retry_write(
             || self.inner.swap(key, expect, value),
             || {
-                Ok(match self.once(|| self.inner.read(key))? {
-                    Some(stored) if stored.version == expect => WriteFate::NotYet,
-                    None if expect == 0 => WriteFate::NotYet,
-                    Some(stored) if stored.value == value => WriteFate::Done(stored.version),
-                    _ => WriteFate::Unclear,
+                Ok(match self.call_once(|| self.inner.read(key))? {
+                    Some(stored) if stored.version == expect => WriteResolution::NotApplied,
+                    None if expect == 0 => WriteResolution::NotApplied,
+                    Some(stored) if stored.value == value => {
+                        WriteResolution::Applied(stored.version)
+                    }
+                    _ => WriteResolution::Ambiguous,
                 })
             },
             |version| version,
@@ -221,42 +227,42 @@
     }
 
     fn remove(&self, key: &str, expect: StoreVersion) -> Result<(), StoreError> {
-        self.settle(
+        self.retry_write(
             || self.inner.remove(key, expect),
             || {
-                Ok(match self.once(|| self.inner.read(key))? {
-                    Some(stored) if stored.version == expect => WriteFate::NotYet,
-                    Some(_) => WriteFate::Unclear,
-                    None => WriteFate::Done(0),
+                Ok(match self.call_once(|| self.inner.read(key))? {
+                    Some(stored) if stored.version == expect => WriteResolution::NotApplied,
+                    Some(_) => WriteResolution::Ambiguous,
+                    None => WriteResolution::Applied(0),
                 })
             },
             |_| (),
         )
     }
 
-    /// Waits once: whoever watches asks again anyway. A watch that hangs says nothing of
-    /// the store's health, so that the circuit does not hear of it.
+    /// Makes a single attempt, because callers watch in a loop. A watch that hangs says nothing
+    /// about the store's health, so its result does not affect the circuit breaker.
     fn watch(
         &self,
         key: &str,
         after: StoreVersion,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<Option<StoredValue>, StoreError> {
-        self.wait_for_pace()?;
+        self.wait_for_rate()?;
         if self.is_open() {
             let cause = "not watched: it is down".to_owned();
             return Err(StoreError::Unavailable(cause));
         }
-        self.inner.watch(key, after, patience)
+        self.inner.watch(key, after, max_wait)
     }
 
     fn list(&self, prefix: &str) -> Result<Vec<(String, StoredValue)>, StoreError> {
-        self.repeat(|| self.inner.list(prefix))
+        self.retry_idempotent(|| self.inner.list(prefix))
     }
 }
 
-/// Exponential back-off with full jitter: each wait is random between nothing and a limit
-/// that doubles, so that clients that failed together do not come back together.
+/// Exponential back-off with full jitter: each wait is random between zero and a limit that
+/// doubles, so that clients that failed at the same time do not retry at the same time.
 struct RetryBackoff {
     deadline: Instant,
     limit: Duration,
@@ -266,13 +272,13 @@
 impl RetryBackoff {
     fn new(settings: &RetrySettings) -> Self {
         Self {
-            deadline: Instant::now() + settings.patience,
+            deadline: Instant::now() + settings.operation_timeout,
             limit: settings.first_backoff,
             longest: settings.longest_backoff,
         }
     }
 
-    /// Waits; false at once if the wait would outlast the patience.
+    /// Sleeps before the next retry; false immediately if the sleep would pass the deadline.
     fn wait(&mut self) -> bool {
         let wait = self.limit.mul_f64(rand::random());
         if Instant::now() + wait >= self.deadline {
