--- a/crates/cell/src/caller_gateway.rs
+++ b/crates/cell/src/caller_gateway.rs
@@ -2,12 +2,12 @@
 
 use compact_str::CompactString;
 use decide::work::record_of_plan;
-use link::{CallClient, CallError};
+use link::{CallClient, HttpCallError};
 use model::{
     event as log_event,
     work::{FencingToken, FleetPolicy, JobPlan},
 };
-use ports::{CallerAnswer, CallerCall, CallerRequest, CallerService, JobProgress, PortFuture};
+use ports::{CallerAction, CallerAnswer, CallerCall, CallerService, JobProgress, PortFuture};
 use store::{BootClock, Clock};
 use tokio::time::{Instant, timeout_at};
 use wire::work::{AnswerKind, JobPhase, JobRecord, OwnerAnswer, OwnerCall, owner_call::Ask};
@@ -106,15 +106,15 @@
             .map(|space| space.name.clone())
             .unwrap_or_default();
         let ask = match &call.request {
-            CallerRequest::Submit(job, plan) => {
+            CallerAction::Submit(job, plan) => {
                 if let Err(fault) = plan.check() {
                     return without_owner(CallerAnswer::Invalid(fault.to_string()));
                 }
                 Ask::Submit(self.job_record(job, plan, queue, &workspace))
             }
-            CallerRequest::Status(job) => Ask::Look(job.to_string()),
-            CallerRequest::Cancel(job) => return self.cancel_detached(job, call.timeout).await,
-            CallerRequest::Pending => Ask::Pending(queue.name.to_string()),
+            CallerAction::Status(job) => Ask::Look(job.to_string()),
+            CallerAction::Cancel(job) => return self.cancel_detached(job, call.timeout).await,
+            CallerAction::Pending => Ask::Pending(queue.name.to_string()),
         };
         self.ask_owner(ask, call.timeout).await
     }
@@ -229,11 +229,11 @@
         let call = owner_call(ask, owner.token, timeout.saturating_sub(OWNER_CALL_MARGIN));
         match call_peer(&self.client, &owner.address, &call, timeout).await {
             Ok(answer) => self.caller_answer(&answer, owner.token, state),
-            Err(CallError::NotSent(error)) => {
+            Err(HttpCallError::NotSent(error)) => {
                 log::debug!("{error}");
                 None
             }
-            Err(CallError::Unanswered(error)) => {
+            Err(HttpCallError::Unanswered(error)) => {
                 log::debug!("{error}");
                 if matches!(ask, Ask::Submit(_) | Ask::Cancel(_)) {
                     state.unanswered_by = Some(owner.token);
@@ -282,10 +282,10 @@
 
     fn log_call(&self, call: &CallerCall, answer: &CallerAnswer, owner: &str, started_at: Instant) {
         let (wish, job) = match &call.request {
-            CallerRequest::Submit(job, _) => ("submit", job.as_str()),
-            CallerRequest::Status(job) => ("look", job.as_str()),
-            CallerRequest::Cancel(job) => ("cancel", job.as_str()),
-            CallerRequest::Pending => ("pending", ""),
+            CallerAction::Submit(job, _) => ("submit", job.as_str()),
+            CallerAction::Status(job) => ("look", job.as_str()),
+            CallerAction::Cancel(job) => ("cancel", job.as_str()),
+            CallerAction::Pending => ("pending", ""),
         };
         let (name, refused) = answer_name(answer);
         let took = started_at.elapsed();
--- a/crates/cell/src/election.rs
+++ b/crates/cell/src/election.rs
@@ -2,7 +2,7 @@
 
 use link::ShutdownSignal;
 use model::{BootTime, event as log_event};
-use ports::{LeaseId, StoreChange, StoreError, StoreOutcome};
+use ports::{LeaseId, LeaseStoreError, StoreChange, StoreOutcome};
 use rand::Rng;
 use store::{BootClock, Clock};
 use tokio::time::sleep;
@@ -137,7 +137,7 @@
         }
     }
 
-    async fn read_new_pages(&self) -> Result<(), StoreError> {
+    async fn read_new_pages(&self) -> Result<(), LeaseStoreError> {
         let TermContext {
             options,
             ports,
@@ -195,7 +195,7 @@
     }
 
     /// Writes the entry of the owner, if there is none.
-    async fn acquire_ownership(&self) -> Result<Option<TermLease>, StoreError> {
+    async fn acquire_ownership(&self) -> Result<Option<TermLease>, LeaseStoreError> {
         let sent = BootClock.boot_now();
         let TermContext { options, ports, .. } = &self.context;
         let lease = ports.store.take_lease(options.owner_lease).await?;
--- a/crates/cell/src/log_reader.rs
+++ b/crates/cell/src/log_reader.rs
@@ -3,7 +3,7 @@
 use compact_str::CompactString;
 use decide::work::{SchedulerTime, WorkScheduler};
 use model::event as log_event;
-use ports::{LeaseStore, StoreError, StoreItem};
+use ports::{LeaseStore, LeaseStoreError, StoreItem};
 use tokio::time::sleep;
 
 use crate::{
@@ -52,7 +52,7 @@
     store: &dyn LeaseStore,
     options: &CellOptions,
     log_cache: &LogCache,
-) -> Result<(), StoreError> {
+) -> Result<(), LeaseStoreError> {
     let prefix = options.log_prefix();
     let last = log_cache.last_page();
     let after = last.map_or_else(CompactString::default, |page| page_key(options, page));
@@ -79,7 +79,7 @@
     number
 }
 
-fn log_fault(error: &StoreError) {
+fn log_fault(error: &LeaseStoreError) {
     log_event::warn(
         &event::RECORD_FAILED,
         format_args!("step=\"read log\" cause=\"{error}\" next=retry"),
--- a/crates/cell/src/log_writer.rs
+++ b/crates/cell/src/log_writer.rs
@@ -1,7 +1,7 @@
 use std::{rc::Rc, time::Duration};
 
 use model::event as log_event;
-use ports::{StoreError, StoreOutcome};
+use ports::{LeaseStoreError, StoreOutcome};
 use prost::Message;
 use tokio::time::{Instant, sleep, timeout};
 use wire::work::{JobRecord, LogEntry, StepRecord, log_entry::Event};
@@ -118,7 +118,7 @@
                 return None;
             }
             Err(error) => {
-                batch.sent = unconfirmed || !matches!(error, StoreError::Refused(_));
+                batch.sent = unconfirmed || !matches!(error, LeaseStoreError::Refused(_));
                 log_fault(term, page, &error, batch.sent);
                 sleep(RETRY_DELAY).await;
             }
@@ -233,7 +233,7 @@
     job.steps.iter().map(step).collect::<Vec<_>>().join("+")
 }
 
-fn log_fault(term: &Term, page: u64, error: &StoreError, unsure: bool) {
+fn log_fault(term: &Term, page: u64, error: &LeaseStoreError, unsure: bool) {
     metrics::counter!(metric::LOG_WRITES, "outcome" => "failed").increment(1);
     if !term.log_queue.failing.replace(true) {
         log_event::warn(
--- a/crates/cell/src/member_directory.rs
+++ b/crates/cell/src/member_directory.rs
@@ -10,7 +10,7 @@
 use link::CallClient;
 use model::HostStrength;
 use ports::{
-    LeaseId, LeaseStore, StoreChange, StoreError, StoreEvent, StoreItem, StoreOutcome,
+    LeaseId, LeaseStore, LeaseStoreError, StoreChange, StoreEvent, StoreItem, StoreOutcome,
     StoreRevision,
 };
 use prost::Message;
@@ -114,7 +114,7 @@
         &self,
         store: &dyn LeaseStore,
         lease: Option<LeaseId>,
-    ) -> Result<Option<LeaseId>, StoreError> {
+    ) -> Result<Option<LeaseId>, LeaseStoreError> {
         if let Some(current) = lease
             && store.renew_lease(current).await?
         {
@@ -123,7 +123,7 @@
         self.register(store).await
     }
 
-    async fn register(&self, store: &dyn LeaseStore) -> Result<Option<LeaseId>, StoreError> {
+    async fn register(&self, store: &dyn LeaseStore) -> Result<Option<LeaseId>, LeaseStoreError> {
         let lease = store.take_lease(ENTRY_LEASE).await?;
         let change = StoreChange {
             expect: Vec::new(),
--- a/crates/cell/src/prefix_watch.rs
+++ b/crates/cell/src/prefix_watch.rs
@@ -2,7 +2,7 @@
 
 use compact_str::CompactString;
 use model::{BootTime, event as log_event};
-use ports::{LeaseStore, StoreError, StoreEvent, StoreItem, StoreRevision};
+use ports::{LeaseStore, LeaseStoreError, StoreEvent, StoreItem, StoreRevision};
 use store::{BootClock, Clock};
 use tokio::time::sleep;
 
@@ -45,7 +45,7 @@
                         .for_each(|event| observer.apply(event));
                     observer.caught_up_to(sent);
                 }
-                Err(StoreError::HistoryGone) => {
+                Err(LeaseStoreError::HistoryGone) => {
                     log_event::info(
                         &event::WATCH_RESET,
                         format_args!("prefix={prefix} revision={revision}"),
@@ -116,7 +116,10 @@
     }
 
     /// Reads the next page.
-    pub(crate) async fn read_page(&mut self, store: &dyn LeaseStore) -> Result<(), StoreError> {
+    pub(crate) async fn read_page(
+        &mut self,
+        store: &dyn LeaseStore,
+    ) -> Result<(), LeaseStoreError> {
         let mut page = store.list(self.prefix, &self.after).await?;
         self.revision.get_or_insert(page.revision);
         if let Some(item) = page.items.last() {
--- a/crates/cell/src/stored_cancellation.rs
+++ b/crates/cell/src/stored_cancellation.rs
@@ -8,7 +8,7 @@
 
 use model::{BootTime, JobId, event as log_event};
 use ports::{
-    LeaseStore, StoreChange, StoreError, StoreEvent, StoreItem, StoreRevision, StoreWrite,
+    LeaseStore, LeaseStoreError, StoreChange, StoreEvent, StoreItem, StoreRevision, StoreWrite,
 };
 use tokio::{
     sync::Notify,
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     /// If it is not known to be stored.
-    pub(crate) async fn persist(&self, job: &str) -> Result<(), StoreError> {
+    pub(crate) async fn persist(&self, job: &str) -> Result<(), LeaseStoreError> {
         self.write(&[job.into()]).await
     }
 
@@ -118,7 +118,7 @@
         pending.iter().take(MAX_KEYS_PER_CHANGE).cloned().collect()
     }
 
-    async fn write(&self, jobs: &[JobId]) -> Result<(), StoreError> {
+    async fn write(&self, jobs: &[JobId]) -> Result<(), LeaseStoreError> {
         let write = |job: &JobId| StoreWrite {
             key: self.options.cancellation_key(job),
             value: job.as_bytes().to_vec(),
--- a/crates/cell/tests/cancels.rs
+++ b/crates/cell/tests/cancels.rs
@@ -9,7 +9,7 @@
     wait_for_progress,
 };
 use model::work::JobPlan;
-use ports::{CallerAnswer, CallerRequest, CallerService, JobProgress};
+use ports::{CallerAction, CallerAnswer, CallerService, JobProgress};
 use tokio::time::{Instant, sleep};
 
 const LOG: &str = "cell/log/";
@@ -20,9 +20,7 @@
 const SETTLED: Duration = Duration::from_secs(2);
 
 async fn cancel(service: &Rc<dyn CallerService>, job: &str) -> CallerAnswer {
-    service
-        .answer(call(CallerRequest::Cancel(job.into())))
-        .await
+    service.answer(call(CallerAction::Cancel(job.into()))).await
 }
 
 async fn wait_for_cancelled(service: &Rc<dyn CallerService>, job: &str) {
@@ -87,7 +85,7 @@
         cell.targets.delay_starts(Duration::from_millis(400));
         let mut wide = plan();
         wide.steps[0].count = 8;
-        let request = CallerRequest::Submit("job1".into(), JobPlan { ..wide });
+        let request = CallerAction::Submit("job1".into(), JobPlan { ..wide });
         wait_for_answer(&service, request, CallerAnswer::Accepted).await;
         cell.targets.wait_for_started(1).await;
         let sent = cell.targets.start_count();
@@ -150,7 +148,7 @@
         cell.targets.delay_starts(Duration::from_millis(1500));
         let mut wide = plan();
         wide.steps[0].count = 8;
-        let request = CallerRequest::Submit("job1".into(), wide);
+        let request = CallerAction::Submit("job1".into(), wide);
         wait_for_answer(&service, request, CallerAnswer::Accepted).await;
         handle.set_unreadable_prefix(CANCELLATIONS);
         sleep(Duration::from_secs(5)).await;
@@ -174,7 +172,7 @@
         let service = cell.start_host_on("a", &handle).service();
         submit_until_accepted(&service, "job1").await;
         let completed = CallerAnswer::Found(JobProgress::Completed);
-        wait_for_answer(&service, CallerRequest::Status("job1".into()), completed).await;
+        wait_for_answer(&service, CallerAction::Status("job1".into()), completed).await;
     });
 }
 
--- a/crates/cell/tests/cell_host.rs
+++ b/crates/cell/tests/cell_host.rs
@@ -8,7 +8,7 @@
     KEY, LIMIT, StoreMode, TestCell, call, policy_text, run_local, submit, submit_until_accepted,
     wait_for_answer, wait_for_progress,
 };
-use ports::{CallerAnswer, CallerCall, CallerRequest, JobProgress};
+use ports::{CallerAction, CallerAnswer, CallerCall, JobProgress};
 use tokio::time::sleep;
 
 #[test]
@@ -21,7 +21,7 @@
         assert_eq!(cell.targets.starts_by_task.borrow().len(), 6);
         assert!(cell.targets.started_once());
         let unknown = service
-            .answer(call(CallerRequest::Status("other".into())))
+            .answer(call(CallerAction::Status("other".into())))
             .await;
         assert_eq!(unknown, CallerAnswer::NoJob);
         let foreign = CallerCall {
@@ -92,7 +92,7 @@
         sleep(Duration::from_millis(100)).await;
         wait_for_answer(
             &service,
-            CallerRequest::Status("job2".into()),
+            CallerAction::Status("job2".into()),
             CallerAnswer::NoJob,
         )
         .await;
@@ -171,14 +171,14 @@
             .put("op/terms", policy_text(5, "another").as_bytes());
         wait_for_answer(
             &service,
-            CallerRequest::Status("job1".into()),
+            CallerAction::Status("job1".into()),
             CallerAnswer::KeyRefused,
         )
         .await;
         cell.store.put("op/terms", policy_text(4, KEY).as_bytes());
         sleep(Duration::from_millis(200)).await;
         let answer = service
-            .answer(call(CallerRequest::Status("job1".into())))
+            .answer(call(CallerAction::Status("job1".into())))
             .await;
         assert_eq!(answer, CallerAnswer::KeyRefused);
     });
--- a/crates/cell/tests/common/caller_calls.rs
+++ b/crates/cell/tests/common/caller_calls.rs
@@ -1,12 +1,12 @@
 use std::time::Duration;
 
 use model::work::{JobPlan, ResourceVector, StepPlan};
-use ports::{CallerCall, CallerRequest};
+use ports::{CallerAction, CallerCall};
 
 /// The key of the only workspace.
 pub const KEY: &str = "secret";
 
-pub fn call(request: CallerRequest) -> CallerCall {
+pub fn call(request: CallerAction) -> CallerCall {
     CallerCall {
         host: "jobs.example".into(),
         path: "/queue/".into(),
@@ -36,5 +36,5 @@
 }
 
 pub fn submit(job: &str) -> CallerCall {
-    call(CallerRequest::Submit(job.into(), plan()))
+    call(CallerAction::Submit(job.into(), plan()))
 }
--- a/crates/cell/tests/common/memory_store.rs
+++ b/crates/cell/tests/common/memory_store.rs
@@ -6,8 +6,8 @@
 };
 
 use ports::{
-    LeaseId, LeaseStore, PortFuture, StoreChange, StoreChanges, StoreError, StoreEvent, StoreItem,
-    StoreOutcome, StorePage, StoreRevision,
+    LeaseId, LeaseStore, LeaseStoreError, PortFuture, StoreChange, StoreChanges, StoreEvent,
+    StoreItem, StoreOutcome, StorePage, StoreRevision,
 };
 use tokio::{
     sync::Notify,
@@ -118,14 +118,14 @@
         self.change_bytes.set(bytes);
     }
 
-    async fn check_change_size(&self, change: &StoreChange) -> Result<(), StoreError> {
+    async fn check_change_size(&self, change: &StoreChange) -> Result<(), LeaseStoreError> {
         let bytes: usize = change.writes.iter().map(|write| write.value.len()).sum();
         let most = self.change_bytes.get();
         if most == 0 || bytes <= most {
             return Ok(());
         }
         sleep(CHANGE_TIMEOUT).await;
-        Err(StoreError::Unanswered("timed out".to_owned()))
+        Err(LeaseStoreError::Unanswered("timed out".to_owned()))
     }
 
     /// Lets lists and watches of this prefix fail through this handle; empty for none.
@@ -133,9 +133,9 @@
         *self.unreadable_prefix.borrow_mut() = prefix.to_owned();
     }
 
-    fn check_readable(&self, prefix: &str) -> Result<(), StoreError> {
+    fn check_readable(&self, prefix: &str) -> Result<(), LeaseStoreError> {
         if !prefix.is_empty() && prefix == *self.unreadable_prefix.borrow() {
-            return Err(StoreError::Unanswered("timed out".to_owned()));
+            return Err(LeaseStoreError::Unanswered("timed out".to_owned()));
         }
         Ok(())
     }
@@ -161,14 +161,14 @@
     }
 
     /// Maximum number of keys in the next list.
-    fn list_limit(&self, prefix: &str) -> Result<usize, StoreError> {
+    fn list_limit(&self, prefix: &str) -> Result<usize, LeaseStoreError> {
         let mut fault = self.list_fault.borrow_mut();
         if prefix != fault.prefix {
             return Ok(LIST_KEYS);
         }
         fault.calls += 1;
         if (fault.calls - 1).checked_rem(fault.fail_every) == Some(0) {
-            return Err(StoreError::Unanswered("timed out".to_owned()));
+            return Err(LeaseStoreError::Unanswered("timed out".to_owned()));
         }
         Ok(match fault.page {
             0 => LIST_KEYS,
@@ -193,10 +193,10 @@
         self.cut_off.set(cut_off);
     }
 
-    async fn call(&self) -> Result<(), StoreError> {
+    async fn call(&self) -> Result<(), LeaseStoreError> {
         self.state.call().await?;
         if self.cut_off.get() {
-            return Err(StoreError::Refused("status 503".to_owned()));
+            return Err(LeaseStoreError::Refused("status 503".to_owned()));
         }
         Ok(())
     }
@@ -290,11 +290,11 @@
         over.into_iter().for_each(|lease| self.end_lease(lease));
     }
 
-    async fn call(&self) -> Result<(), StoreError> {
+    async fn call(&self) -> Result<(), LeaseStoreError> {
         sleep(Duration::from_millis(1)).await;
         self.expire_leases();
         match self.mode.get() {
-            StoreMode::Refuses => Err(StoreError::Refused("status 503".to_owned())),
+            StoreMode::Refuses => Err(LeaseStoreError::Refused("status 503".to_owned())),
             StoreMode::Normal | StoreMode::LosesAnswers => Ok(()),
         }
     }
@@ -345,7 +345,7 @@
 }
 
 impl LeaseStore for MemoryStore {
-    fn read(&self, key: &str) -> PortFuture<Result<Option<StoreItem>, StoreError>> {
+    fn read(&self, key: &str) -> PortFuture<Result<Option<StoreItem>, LeaseStoreError>> {
         let (state, key) = (self.state.clone(), key.to_owned());
         let handle = self.clone();
         Box::pin(async move {
@@ -356,7 +356,7 @@
         })
     }
 
-    fn list(&self, prefix: &str, after: &str) -> PortFuture<Result<StorePage, StoreError>> {
+    fn list(&self, prefix: &str, after: &str) -> PortFuture<Result<StorePage, LeaseStoreError>> {
         let (state, prefix, after) = (self.state.clone(), prefix.to_owned(), after.to_owned());
         let handle = self.clone();
         Box::pin(async move {
@@ -377,7 +377,7 @@
         prefix: &str,
         after: StoreRevision,
         timeout_after: Duration,
-    ) -> PortFuture<Result<StoreChanges, StoreError>> {
+    ) -> PortFuture<Result<StoreChanges, LeaseStoreError>> {
         let (state, prefix) = (self.state.clone(), prefix.to_owned());
         let handle = self.clone();
         Box::pin(async move {
@@ -397,7 +397,7 @@
         })
     }
 
-    fn change(&self, change: StoreChange) -> PortFuture<Result<StoreOutcome, StoreError>> {
+    fn change(&self, change: StoreChange) -> PortFuture<Result<StoreOutcome, LeaseStoreError>> {
         let state = self.state.clone();
         let handle = self.clone();
         Box::pin(async move {
@@ -406,13 +406,13 @@
             handle.check_change_size(&change).await?;
             let outcome = state.apply(change);
             if state.mode.get() == StoreMode::LosesAnswers {
-                return Err(StoreError::Unanswered("timed out".to_owned()));
+                return Err(LeaseStoreError::Unanswered("timed out".to_owned()));
             }
             Ok(outcome)
         })
     }
 
-    fn take_lease(&self, length: Duration) -> PortFuture<Result<LeaseId, StoreError>> {
+    fn take_lease(&self, length: Duration) -> PortFuture<Result<LeaseId, LeaseStoreError>> {
         let state = self.state.clone();
         let handle = self.clone();
         Box::pin(async move {
@@ -427,7 +427,7 @@
         })
     }
 
-    fn renew_lease(&self, lease: LeaseId) -> PortFuture<Result<bool, StoreError>> {
+    fn renew_lease(&self, lease: LeaseId) -> PortFuture<Result<bool, LeaseStoreError>> {
         let state = self.state.clone();
         let handle = self.clone();
         Box::pin(async move {
@@ -442,7 +442,7 @@
         })
     }
 
-    fn end_lease(&self, lease: LeaseId) -> PortFuture<Result<(), StoreError>> {
+    fn end_lease(&self, lease: LeaseId) -> PortFuture<Result<(), LeaseStoreError>> {
         let state = self.state.clone();
         let handle = self.clone();
         Box::pin(async move {
--- a/crates/cell/tests/common/test_cell.rs
+++ b/crates/cell/tests/common/test_cell.rs
@@ -3,7 +3,7 @@
 use cell::{CellHost, CellOptions, CellPorts};
 use link::CallClient;
 use metrics_exporter_prometheus::PrometheusBuilder;
-use ports::{CallerAnswer, CallerRequest, CallerService, JobProgress};
+use ports::{CallerAction, CallerAnswer, CallerService, JobProgress};
 use tokio::time::sleep;
 
 use super::{KEY, MemoryStore, MemoryTargets, call, free_address, policy_text, ports_on, submit};
@@ -68,13 +68,13 @@
 
 /// Waits until a status call returns this progress of a job.
 pub async fn wait_for_progress(service: &Rc<dyn CallerService>, job: &str, progress: JobProgress) {
-    let request = CallerRequest::Status(job.into());
+    let request = CallerAction::Status(job.into());
     wait_for_answer(service, request, CallerAnswer::Found(progress)).await;
 }
 
 pub async fn wait_for_answer(
     service: &Rc<dyn CallerService>,
-    request: CallerRequest,
+    request: CallerAction,
     wanted: CallerAnswer,
 ) {
     let end = tokio::time::Instant::now() + LIMIT;
--- a/crates/cell/tests/succession.rs
+++ b/crates/cell/tests/succession.rs
@@ -6,7 +6,7 @@
 
 use cell::CellHost;
 use common::*;
-use ports::{CallerAnswer, CallerRequest, JobProgress};
+use ports::{CallerAction, CallerAnswer, JobProgress};
 use prost::Message;
 use tokio::time::{Instant, sleep};
 use wire::work::{LogEntry, LogPage, OwnerRecord, log_entry::Event};
@@ -288,7 +288,7 @@
         targets.wait_for_started(3).await;
         store.set_mode(StoreMode::Refuses);
         sleep(Duration::from_secs(1)).await;
-        let request = CallerRequest::Cancel("job1".into());
+        let request = CallerAction::Cancel("job1".into());
         let answer = service.answer(call(request)).await;
         assert_eq!(
             answer,
--- a/crates/decide/src/job.rs
+++ b/crates/decide/src/job.rs
@@ -7,6 +7,6 @@
 mod attempt_report;
 mod job_state;
 
-pub use attempt_report::{AttemptAction, AttemptReport, JobPolicy, ReportContext};
+pub use attempt_report::{AttemptAction, AttemptStatus, JobPolicy, ReportContext};
 pub use job_state::{JobSpec, JobState, PhaseKind};
 pub use wire::fleet::JobPhase;
--- a/crates/decide/src/job/attempt_report.rs
+++ b/crates/decide/src/job/attempt_report.rs
@@ -6,7 +6,7 @@
 
 /// A worker's report on an attempt, or the lack of one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AttemptReport {
+pub enum AttemptStatus {
     /// The worker runs the task.
     Running,
     /// The task succeeded.
@@ -89,25 +89,25 @@
     /// worse than reporting to the caller that there may have been one.
     pub fn after_report(
         &self,
-        report: &AttemptReport,
+        report: &AttemptStatus,
         context: &ReportContext,
         policy: &JobPolicy,
     ) -> (Self, AttemptAction) {
         match report {
-            AttemptReport::Running if self.cancelling => (self.clone(), AttemptAction::Stop),
-            AttemptReport::Running => (self.in_phase(JobPhase::Running), AttemptAction::Wait),
-            AttemptReport::Done => self.finish(JobPhase::Done, "", context),
-            AttemptReport::Failed(reason) => self.after_failure(reason, context, policy),
-            AttemptReport::Stopped if self.cancelling => {
+            AttemptStatus::Running if self.cancelling => (self.clone(), AttemptAction::Stop),
+            AttemptStatus::Running => (self.in_phase(JobPhase::Running), AttemptAction::Wait),
+            AttemptStatus::Done => self.finish(JobPhase::Done, "", context),
+            AttemptStatus::Failed(reason) => self.after_failure(reason, context, policy),
+            AttemptStatus::Stopped if self.cancelling => {
                 self.finish(JobPhase::Cancelled, "cancelled", context)
             }
-            AttemptReport::Stopped => {
+            AttemptStatus::Stopped => {
                 self.after_interruption("stopped by its worker", context, policy)
             }
-            AttemptReport::Unknown => self.after_unknown(context, policy),
-            AttemptReport::NotRun(reason) => self.after_refusal(reason, context, policy),
-            AttemptReport::Unresponsive => self.after_no_response(context, policy),
-            AttemptReport::WorkerGone => {
+            AttemptStatus::Unknown => self.after_unknown(context, policy),
+            AttemptStatus::NotRun(reason) => self.after_refusal(reason, context, policy),
+            AttemptStatus::Unresponsive => self.after_no_response(context, policy),
+            AttemptStatus::WorkerGone => {
                 self.after_interruption("its worker is gone", context, policy)
             }
         }
--- a/crates/decide/tests/job.rs
+++ b/crates/decide/tests/job.rs
@@ -5,7 +5,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use decide::job::{
-    AttemptAction, AttemptReport, JobPhase, JobPolicy, JobSpec, JobState, PhaseKind, ReportContext,
+    AttemptAction, AttemptStatus, JobPhase, JobPolicy, JobSpec, JobState, PhaseKind, ReportContext,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use rstest::rstest;
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, Default)]
 struct WorkerModel {
     boot: u64,
-    tasks: BTreeMap<String, AttemptReport>,
+    tasks: BTreeMap<String, AttemptStatus>,
 }
 
 #[derive(Clone, Debug)]
@@ -166,10 +166,10 @@
         let worker: usize = holder.state.worker.parse().expect("an index");
         let model = &self.workers[worker];
         let report = if self.random.random_bool(0.2) {
-            AttemptReport::Unresponsive
+            AttemptStatus::Unresponsive
         } else {
             let task = model.tasks.get(&holder.state.task_id());
-            task.cloned().unwrap_or(AttemptReport::Unknown)
+            task.cloned().unwrap_or(AttemptStatus::Unknown)
         };
         let facts = ReportContext {
             now: self.now,
@@ -230,7 +230,7 @@
         let worker = &mut self.workers[message.worker];
         let known = worker.tasks.contains_key(&message.task);
         if known && self.fault != GuardFault::RepeatsRun {
-            let refused = matches!(worker.tasks[&message.task], AttemptReport::NotRun(_));
+            let refused = matches!(worker.tasks[&message.task], AttemptStatus::NotRun(_));
             if !(refused && self.fault == GuardFault::RefusalForgotten) {
                 return;
             }
@@ -242,12 +242,12 @@
             return;
         }
         if (other_life && self.fault != GuardFault::BootIgnored) || refuses {
-            let refused = AttemptReport::NotRun("refused".to_owned());
+            let refused = AttemptStatus::NotRun("refused".to_owned());
             worker.tasks.insert(message.task, refused);
             return;
         }
         self.runs += 1;
-        worker.tasks.insert(message.task, AttemptReport::Done);
+        worker.tasks.insert(message.task, AttemptStatus::Done);
     }
 }
 
--- a/crates/fleet/examples/job_calls.rs
+++ b/crates/fleet/examples/job_calls.rs
@@ -20,7 +20,7 @@
 };
 
 use decide::{
-    job::{AttemptReport, JobSpec, JobState},
+    job::{AttemptStatus, JobSpec, JobState},
     placement::JobSize,
     wave::FleetLimits,
 };
@@ -97,8 +97,8 @@
 }
 
 impl WorkerPort for QuickWorkers {
-    fn start(&self, _address: &str, _job: &JobState, _lease: Duration, _: bool) -> AttemptReport {
-        AttemptReport::Done
+    fn start(&self, _address: &str, _job: &JobState, _lease: Duration, _: bool) -> AttemptStatus {
+        AttemptStatus::Done
     }
 
     fn renew(
@@ -107,7 +107,7 @@
         tasks: &[String],
         _lease: Duration,
     ) -> Result<WorkerReport, StepError> {
-        let done = |task: &String| (task.clone(), AttemptReport::Done);
+        let done = |task: &String| (task.clone(), AttemptStatus::Done);
         Ok(WorkerReport {
             boot: "b".to_owned(),
             tasks: tasks.iter().map(done).collect(),
@@ -118,8 +118,8 @@
         self.renew(address, tasks, Duration::ZERO)
     }
 
-    fn stop(&self, _address: &str, _task: &str) -> Result<AttemptReport, StepError> {
-        Ok(AttemptReport::Stopped)
+    fn stop(&self, _address: &str, _task: &str) -> Result<AttemptStatus, StepError> {
+        Ok(AttemptStatus::Stopped)
     }
 
     fn usage(&self, _address: &str) -> Result<(String, JobSize), StepError> {
--- a/crates/fleet/src/held_job.rs
+++ b/crates/fleet/src/held_job.rs
@@ -46,7 +46,7 @@
 }
 
 /// Recorded states of the jobs that this entry host holds, for lookups by callers.
-pub(crate) type JobTable = Arc<Mutex<BTreeMap<JobId, JobState>>>;
+pub(crate) type JobStates = Arc<Mutex<BTreeMap<JobId, JobState>>>;
 
 /// Returns the view of a job that callers get.
 pub(crate) fn view_of(state: &JobState) -> JobView {
--- a/crates/fleet/src/job_call.rs
+++ b/crates/fleet/src/job_call.rs
@@ -2,7 +2,7 @@
 
 use crossbeam_channel::{Receiver, Sender};
 use decide::{
-    job::{AttemptReport, JobState},
+    job::{AttemptStatus, JobState},
     placement::{JobSize, WorkerUsage},
 };
 use model::{BootTime, HostId};
@@ -38,7 +38,7 @@
     /// Response to a start or a stop.
     Task {
         task: String,
-        attempt_report: AttemptReport,
+        attempt_report: AttemptStatus,
     },
     /// Response to a renewal or a poll of these tasks; `None` if the worker did not respond.
     Renewed {
@@ -91,7 +91,7 @@
             task: task.clone(),
             attempt_report: port
                 .stop(&call.address, task)
-                .unwrap_or(AttemptReport::Unresponsive),
+                .unwrap_or(AttemptStatus::Unresponsive),
         },
         CallKind::Usage => {
             let usage = port.usage(&call.address).ok();
--- a/crates/fleet/src/job_holder.rs
+++ b/crates/fleet/src/job_holder.rs
@@ -15,7 +15,7 @@
 use crate::{
     JobLog,
     fleet_shared::FleetShared,
-    held_job::{HeldJob, JobTable},
+    held_job::{HeldJob, JobStates},
     holder_order::{JobOrder, ReplySender},
     job_call::{CallReply, WorkerCall},
     pending_flush::PendingFlush,
@@ -63,7 +63,7 @@
     pub(crate) timing: JobTiming,
     pub(crate) policy: JobPolicy,
     pub(crate) log: JobLog,
-    pub(crate) job_table: JobTable,
+    pub(crate) job_table: JobStates,
     pub(crate) jobs: BTreeMap<JobId, HeldJob>,
     /// Waiting jobs by team, ordered by the time of acceptance.
     pub(crate) queues: BTreeMap<TeamId, BTreeSet<(Duration, JobId)>>,
@@ -95,7 +95,7 @@
     pub(crate) fn new(
         shared: Arc<FleetShared>,
         log: JobLog,
-        job_table: JobTable,
+        job_table: JobStates,
         calls: Sender<WorkerCall>,
     ) -> Self {
         let (reply_sender, replies) = crossbeam_channel::bounded(REPLY_QUEUE);
--- a/crates/fleet/src/job_service.rs
+++ b/crates/fleet/src/job_service.rs
@@ -15,7 +15,7 @@
 use crate::{
     JobLog,
     fleet_shared::FleetShared,
-    held_job::{JobTable, view_of},
+    held_job::{JobStates, view_of},
     holder_order::{JobOrder, ReplySender},
 };
 
@@ -39,7 +39,7 @@
 pub(crate) struct JobService {
     pub(crate) shared: Arc<FleetShared>,
     pub(crate) routes: HolderRoutes,
-    pub(crate) job_table: JobTable,
+    pub(crate) job_table: JobStates,
     foreign: Mutex<BTreeMap<String, ForeignLog>>,
     cancels: Mutex<BTreeMap<String, CancelBatch>>,
 }
@@ -57,7 +57,7 @@
         Self {
             shared,
             routes: Mutex::default(),
-            job_table: JobTable::default(),
+            job_table: JobStates::default(),
             foreign: Mutex::default(),
             cancels: Mutex::default(),
         }
--- a/crates/fleet/src/job_settle.rs
+++ b/crates/fleet/src/job_settle.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeMap;
 
-use decide::job::{AttemptAction, AttemptReport, JobPhase, JobState, PhaseKind, ReportContext};
+use decide::job::{AttemptAction, AttemptStatus, JobPhase, JobState, PhaseKind, ReportContext};
 use model::{BootTime, HostId, JobId};
 
 use crate::{
@@ -54,7 +54,7 @@
     ) {
         let Some(report) = report else {
             for task in tasks {
-                self.apply_attempt_report(worker, task, &AttemptReport::Unresponsive, "", asked_at);
+                self.apply_attempt_report(worker, task, &AttemptStatus::Unresponsive, "", asked_at);
             }
             return;
         };
@@ -69,7 +69,7 @@
         &mut self,
         worker: &HostId,
         task: &str,
-        attempt_report: &AttemptReport,
+        attempt_report: &AttemptStatus,
         boot: &str,
         asked_at: BootTime,
     ) {
@@ -84,10 +84,10 @@
             && held.state.task_id() == task
             && held.state.worker == *worker;
         // A renewal sent before the start cannot show whether the start took effect.
-        if !current || asked_at < held.asked_at && *attempt_report == AttemptReport::Unknown {
+        if !current || asked_at < held.asked_at && *attempt_report == AttemptStatus::Unknown {
             return;
         }
-        if *attempt_report == AttemptReport::Unresponsive {
+        if *attempt_report == AttemptStatus::Unresponsive {
             held.unresponsive_since.get_or_insert(asked_at);
         } else {
             held.unresponsive_since = None;
@@ -97,17 +97,17 @@
     }
 
     /// Treats an unresponsive worker as gone if it is retired or no longer in the pool map.
-    fn check_host_retired(&self, worker: &HostId, attempt_report: &AttemptReport) -> AttemptReport {
-        if *attempt_report != AttemptReport::Unresponsive {
+    fn check_host_retired(&self, worker: &HostId, attempt_report: &AttemptStatus) -> AttemptStatus {
+        if *attempt_report != AttemptStatus::Unresponsive {
             return attempt_report.clone();
         }
         if self.shared.is_host_gone(worker) {
-            return AttemptReport::WorkerGone;
+            return AttemptStatus::WorkerGone;
         }
-        AttemptReport::Unresponsive
+        AttemptStatus::Unresponsive
     }
 
-    fn apply_to_job(&mut self, job: &JobId, attempt_report: &AttemptReport, boot: &str) {
+    fn apply_to_job(&mut self, job: &JobId, attempt_report: &AttemptStatus, boot: &str) {
         let Some(held) = self.jobs.get(job) else {
             return;
         };
@@ -165,15 +165,15 @@
         &mut self,
         before: &JobState,
         next: &JobState,
-        attempt_report: &AttemptReport,
+        attempt_report: &AttemptStatus,
     ) {
         let now = self.shared.clock.boot_now();
         let Some(worker_table) = self.worker_tables.get_mut(&before.spec.pool) else {
             return;
         };
         match attempt_report {
-            AttemptReport::Done => worker_table.record_success(&before.worker),
-            AttemptReport::Failed(_) => {
+            AttemptStatus::Done => worker_table.record_success(&before.worker),
+            AttemptStatus::Failed(_) => {
                 let was_suspect = worker_table.is_suspect(&before.worker);
                 let job = &before.spec.job;
                 worker_table.record_failure(&before.worker, job, &before.failed_on, now);
--- a/crates/fleet/src/worker_port.rs
+++ b/crates/fleet/src/worker_port.rs
@@ -1,7 +1,7 @@
 use std::{fmt::Write, io::ErrorKind, time::Duration};
 
 use decide::{
-    job::{AttemptReport, JobState},
+    job::{AttemptStatus, JobState},
     placement::JobSize,
 };
 use model::StepError;
@@ -16,14 +16,14 @@
     /// Identifies the incarnation of the worker that responded.
     pub boot: String,
     /// State of each task.
-    pub tasks: Vec<(String, AttemptReport)>,
+    pub tasks: Vec<(String, AttemptStatus)>,
 }
 
 /// Requests to workers about tasks.
 pub trait WorkerPort: Send + Sync {
     /// Sends the task of the current attempt. `first` is true if it was not sent before;
     /// only then does a refused connection prove that the worker does not have the task.
-    fn start(&self, address: &str, job: &JobState, lease: Duration, first: bool) -> AttemptReport;
+    fn start(&self, address: &str, job: &JobState, lease: Duration, first: bool) -> AttemptStatus;
     /// Renews the leases of tasks and returns their states.
     ///
     /// # Errors
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     /// As for [`WorkerPort::renew`].
-    fn stop(&self, address: &str, task: &str) -> Result<AttemptReport, StepError>;
+    fn stop(&self, address: &str, task: &str) -> Result<AttemptStatus, StepError>;
     /// Returns the worker's incarnation and the resources that its tasks use.
     ///
     /// # Errors
@@ -161,7 +161,7 @@
 }
 
 impl WorkerPort for HttpWorker {
-    fn start(&self, address: &str, job: &JobState, lease: Duration, first: bool) -> AttemptReport {
+    fn start(&self, address: &str, job: &JobState, lease: Duration, first: bool) -> AttemptStatus {
         let body = StartBody {
             task: job.task_id(),
             boot: &job.worker_boot,
@@ -175,18 +175,18 @@
         };
         match self.post(address, "/v1/tasks", &body) {
             Ok((200, _, text)) => serde_json::from_str::<TaskAnswer>(&text)
-                .map_or(AttemptReport::Unresponsive, |answer| {
+                .map_or(AttemptStatus::Unresponsive, |answer| {
                     answer.attempt_report()
                 }),
-            Ok((_, true, reason)) => AttemptReport::NotRun(reason),
+            Ok((_, true, reason)) => AttemptStatus::NotRun(reason),
             // Another incarnation responded. Only if the task was never sent before is it
             // certain that the intended incarnation did not run it either.
-            Ok((409, ..)) if first => AttemptReport::NotRun("its worker restarted".to_owned()),
-            Ok((409, ..)) => AttemptReport::Unknown,
+            Ok((409, ..)) if first => AttemptStatus::NotRun("its worker restarted".to_owned()),
+            Ok((409, ..)) => AttemptStatus::Unknown,
             Err(CallError::Refused) if first => {
-                AttemptReport::NotRun("connection refused".to_owned())
+                AttemptStatus::NotRun("connection refused".to_owned())
             }
-            _ => AttemptReport::Unresponsive,
+            _ => AttemptStatus::Unresponsive,
         }
     }
 
@@ -219,7 +219,7 @@
             serde_json::from_str(&text).map_err(|e| StepError::new("read tasks", address, e))?;
         let attempt_report = |task: &String| {
             let found = known.tasks.iter().find(|known| known.task == *task);
-            let attempt_report = found.map_or(AttemptReport::Unknown, TaskAnswer::attempt_report);
+            let attempt_report = found.map_or(AttemptStatus::Unknown, TaskAnswer::attempt_report);
             (task.clone(), attempt_report)
         };
         Ok(WorkerReport {
@@ -228,7 +228,7 @@
         })
     }
 
-    fn stop(&self, address: &str, task: &str) -> Result<AttemptReport, StepError> {
+    fn stop(&self, address: &str, task: &str) -> Result<AttemptStatus, StepError> {
         let body = TaskBody { task };
         let answer: TaskAnswer = self.post_json("stop task", address, "/v1/stop", &body)?;
         Ok(answer.attempt_report())
@@ -251,15 +251,15 @@
 }
 
 impl TaskAnswer {
-    fn attempt_report(&self) -> AttemptReport {
+    fn attempt_report(&self) -> AttemptStatus {
         match self.state.as_str() {
-            "running" => AttemptReport::Running,
-            "done" => AttemptReport::Done,
-            "failed" => AttemptReport::Failed(self.reason.clone()),
-            "stopped" => AttemptReport::Stopped,
-            "unknown" => AttemptReport::Unknown,
-            "refused" => AttemptReport::NotRun(self.reason.clone()),
-            _ => AttemptReport::Unresponsive,
+            "running" => AttemptStatus::Running,
+            "done" => AttemptStatus::Done,
+            "failed" => AttemptStatus::Failed(self.reason.clone()),
+            "stopped" => AttemptStatus::Stopped,
+            "unknown" => AttemptStatus::Unknown,
+            "refused" => AttemptStatus::NotRun(self.reason.clone()),
+            _ => AttemptStatus::Unresponsive,
         }
     }
 }
--- a/crates/link/src/call_client.rs
+++ b/crates/link/src/call_client.rs
@@ -18,7 +18,7 @@
 use model::StepError;
 use tokio::{net::TcpStream, time::timeout_at};
 
-use crate::{CallError, HttpCall, HttpReply};
+use crate::{HttpCall, HttpCallError, HttpReply};
 
 /// Timeout for opening a connection. Round trips between hosts take at most a few milliseconds.
 /// A lost SYN packet is retransmitted only after a second; opening a new connection is faster.
@@ -53,9 +53,9 @@
     /// Sends a call and waits for the complete response.
     ///
     /// # Errors
-    /// [`CallError::NotSent`] if the peer can't have received the call, otherwise
-    /// [`CallError::Unanswered`].
-    pub async fn call(&self, call: HttpCall) -> Result<HttpReply, CallError> {
+    /// [`HttpCallError::NotSent`] if the peer can't have received the call, otherwise
+    /// [`HttpCallError::Unanswered`].
+    pub async fn call(&self, call: HttpCall) -> Result<HttpReply, HttpCallError> {
         let deadline = tokio::time::Instant::now() + call.timeout;
         let mut request = build_request(&call)?;
         while let Some(mut sender) = self.take_idle(&call.address) {
@@ -103,7 +103,7 @@
         call: &HttpCall,
         sender: RequestSender,
         response: hyper::Response<Incoming>,
-    ) -> Result<HttpReply, CallError> {
+    ) -> Result<HttpReply, HttpCallError> {
         let status = response.status().as_u16();
         let retry_after = response
             .headers()
@@ -124,7 +124,7 @@
     /// A large response on a slow link takes longer than any fixed timeout that detects a dead
     /// connection early enough. With a fixed timeout a large list of keys would be cut off on every
     /// retry and never be read. So the timeout restarts with each received frame.
-    async fn read_body(&self, call: &HttpCall, body: Incoming) -> Result<Bytes, CallError> {
+    async fn read_body(&self, call: &HttpCall, body: Incoming) -> Result<Bytes, HttpCallError> {
         let limit = tokio::time::Instant::now() + MAX_BODY_TIME;
         let mut body = Limited::new(body, MAX_RESPONSE_BYTES);
         let mut bytes = BytesMut::new();
@@ -154,7 +154,7 @@
         idle.entry(address.clone()).or_default().push(connection);
     }
 
-    fn timeout_error(&self, call: &HttpCall) -> CallError {
+    fn timeout_error(&self, call: &HttpCall) -> HttpCallError {
         self.drop_idle(&call.address);
         unanswered_error(call, "timed out")
     }
@@ -163,7 +163,7 @@
 async fn connect(
     call: &HttpCall,
     deadline: tokio::time::Instant,
-) -> Result<RequestSender, CallError> {
+) -> Result<RequestSender, HttpCallError> {
     let limit = deadline.min(tokio::time::Instant::now() + CONNECT_TIMEOUT);
     let stream = match timeout_at(limit, TcpStream::connect(call.address.as_str())).await {
         Err(_) => return Err(not_sent_error(call, "timed out while connecting")),
@@ -190,14 +190,14 @@
 ///
 /// A process that was suspended finds its connections still open when it resumes. The order it was
 /// about to send is outdated by then, and the caller no longer waits for the response.
-fn check_deadline(call: &HttpCall, deadline: tokio::time::Instant) -> Result<(), CallError> {
+fn check_deadline(call: &HttpCall, deadline: tokio::time::Instant) -> Result<(), HttpCallError> {
     if tokio::time::Instant::now() >= deadline {
         return Err(not_sent_error(call, "held up until its time was over"));
     }
     Ok(())
 }
 
-fn build_request(call: &HttpCall) -> Result<Request<Full<Bytes>>, CallError> {
+fn build_request(call: &HttpCall) -> Result<Request<Full<Bytes>>, HttpCallError> {
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call
@@ -219,13 +219,13 @@
 fn not_sent_error(
     call: &HttpCall,
     cause: impl Into<Box<dyn std::error::Error + Send + Sync>>,
-) -> CallError {
-    CallError::NotSent(StepError::new(call.step, call.address.as_str(), cause))
+) -> HttpCallError {
+    HttpCallError::NotSent(StepError::new(call.step, call.address.as_str(), cause))
 }
 
 fn unanswered_error(
     call: &HttpCall,
     cause: impl Into<Box<dyn std::error::Error + Send + Sync>>,
-) -> CallError {
-    CallError::Unanswered(StepError::new(call.step, call.address.as_str(), cause))
+) -> HttpCallError {
+    HttpCallError::Unanswered(StepError::new(call.step, call.address.as_str(), cause))
 }
--- a/crates/link/src/http_call.rs
+++ b/crates/link/src/http_call.rs
@@ -85,7 +85,7 @@
 
 /// Why a call got no response.
 #[derive(Debug, thiserror::Error)]
-pub enum CallError {
+pub enum HttpCallError {
     /// The request can't have reached the peer, so it had no effect.
     #[error("not sent: {0}")]
     NotSent(#[source] StepError),
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -11,6 +11,6 @@
 mod shutdown;
 
 pub use call_client::CallClient;
-pub use http_call::{CallError, HttpCall, HttpReply};
+pub use http_call::{HttpCall, HttpCallError, HttpReply};
 pub use http_server::{HttpRequest, HttpService, ReplyFuture, ServerLimits, serve_http};
 pub use shutdown::ShutdownSignal;
--- a/crates/link/tests/calls.rs
+++ b/crates/link/tests/calls.rs
@@ -4,7 +4,7 @@
 
 use hyper::Method;
 use link::{
-    CallClient, CallError, HttpCall, HttpReply, HttpRequest, HttpService, ReplyFuture,
+    CallClient, HttpCall, HttpCallError, HttpReply, HttpRequest, HttpService, ReplyFuture,
     ServerLimits, ShutdownSignal, serve_http,
 };
 use tokio::{
@@ -88,7 +88,7 @@
 fn call_refused_is_not_sent() {
     run(async {
         let fault = CallClient::default().call(call(free_address(), b"")).await;
-        assert!(matches!(fault, Err(CallError::NotSent(_))));
+        assert!(matches!(fault, Err(HttpCallError::NotSent(_))));
     });
 }
 
@@ -106,7 +106,7 @@
         std::thread::sleep(Duration::from_millis(400));
         let outcome = pending_call.await;
         assert!(
-            matches!(outcome, Ok(Err(CallError::NotSent(_)))),
+            matches!(outcome, Ok(Err(HttpCallError::NotSent(_)))),
             "{outcome:?}"
         );
         sleep(Duration::from_millis(100)).await;
@@ -139,7 +139,7 @@
         let client = CallClient::default();
         assert!(client.call(call(address, b"")).await.is_ok());
         let unanswered = client.call(call(address, b"")).await;
-        assert!(matches!(unanswered, Err(CallError::Unanswered(_))));
+        assert!(matches!(unanswered, Err(HttpCallError::Unanswered(_))));
         let started = Instant::now();
         assert!(client.call(call(address, b"")).await.is_ok());
         assert!(started.elapsed() < Duration::from_millis(200));
@@ -191,7 +191,7 @@
         let address = serve_slowly(Duration::from_millis(100), 3).await;
         let started = Instant::now();
         let reply = CallClient::default().call(call(address, b"")).await;
-        assert!(matches!(reply, Err(CallError::Unanswered(_))));
+        assert!(matches!(reply, Err(HttpCallError::Unanswered(_))));
         assert!(started.elapsed() >= Duration::from_millis(600));
         assert!(started.elapsed() < Duration::from_millis(1000));
     });
@@ -215,6 +215,6 @@
         assert_eq!(answered.get(), 1);
         sleep(Duration::from_millis(100)).await;
         let after = client.call(call(address, b"")).await;
-        assert!(matches!(after, Err(CallError::NotSent(_))));
+        assert!(matches!(after, Err(HttpCallError::NotSent(_))));
     });
 }
--- a/crates/ports/src/caller_service.rs
+++ b/crates/ports/src/caller_service.rs
@@ -23,7 +23,7 @@
 
 /// Operation that a caller requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CallerRequest {
+pub enum CallerAction {
     /// Submit a job.
     Submit(JobId, JobPlan),
     /// Read the state of a job.
@@ -46,7 +46,7 @@
     /// How long the caller waits for the answer; zero if it did not say.
     pub timeout: Duration,
     /// Requested operation.
-    pub request: CallerRequest,
+    pub request: CallerAction,
 }
 
 /// Result of a caller's request.
--- a/crates/ports/src/lease_store.rs
+++ b/crates/ports/src/lease_store.rs
@@ -85,7 +85,7 @@
 
 /// Why a call to the store failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum StoreError {
+pub enum LeaseStoreError {
     /// The store refused the call, or the call was not sent. Nothing was changed.
     #[error("store refused the call: {0}")]
     Refused(String),
@@ -103,25 +103,25 @@
 /// Client of the platform's key-value store, with leases and watches.
 pub trait LeaseStore {
     /// Reads one key. The read is linearizable.
-    fn read(&self, key: &str) -> PortFuture<Result<Option<StoreItem>, StoreError>>;
+    fn read(&self, key: &str) -> PortFuture<Result<Option<StoreItem>, LeaseStoreError>>;
     /// Reads a page of the keys with `prefix` that follow the key `after`.
     ///
     /// Each page is linearizable, but the pages together are not a snapshot.
-    fn list(&self, prefix: &str, after: &str) -> PortFuture<Result<StorePage, StoreError>>;
+    fn list(&self, prefix: &str, after: &str) -> PortFuture<Result<StorePage, LeaseStoreError>>;
     /// Waits up to `timeout` for changes of keys with `prefix` after a revision.
     fn watch(
         &self,
         prefix: &str,
         after: StoreRevision,
         timeout: Duration,
-    ) -> PortFuture<Result<StoreChanges, StoreError>>;
+    ) -> PortFuture<Result<StoreChanges, LeaseStoreError>>;
     /// Commits a transaction if its conditions hold.
-    fn change(&self, change: StoreChange) -> PortFuture<Result<StoreOutcome, StoreError>>;
+    fn change(&self, change: StoreChange) -> PortFuture<Result<StoreOutcome, LeaseStoreError>>;
     /// Creates a lease that ends after `length` unless it is renewed.
-    fn take_lease(&self, length: Duration) -> PortFuture<Result<LeaseId, StoreError>>;
+    fn take_lease(&self, length: Duration) -> PortFuture<Result<LeaseId, LeaseStoreError>>;
     /// Renews a lease; false if it has ended. Its full length counts from the arrival of the call
     /// at the store.
-    fn renew_lease(&self, lease: LeaseId) -> PortFuture<Result<bool, StoreError>>;
+    fn renew_lease(&self, lease: LeaseId) -> PortFuture<Result<bool, LeaseStoreError>>;
     /// Ends a lease and removes the keys attached to it.
-    fn end_lease(&self, lease: LeaseId) -> PortFuture<Result<(), StoreError>>;
+    fn end_lease(&self, lease: LeaseId) -> PortFuture<Result<(), LeaseStoreError>>;
 }
--- a/crates/ports/src/lib.rs
+++ b/crates/ports/src/lib.rs
@@ -25,7 +25,7 @@
 
 pub use advice_port::{AdvicePort, AdviceTicket};
 pub use audit::{AuditRecord, AuditSink};
-pub use caller_service::{CallerAnswer, CallerCall, CallerRequest, CallerService, JobProgress};
+pub use caller_service::{CallerAction, CallerAnswer, CallerCall, CallerService, JobProgress};
 pub use change::{ChangeError, ChangeOutcome, ChangeRequest, ChangeSink};
 pub use claim::{ClaimSource, ClaimVerdict};
 pub use config::{ActiveConfig, ConfigSource};
@@ -34,8 +34,8 @@
 pub use host_control::HostControl;
 pub use job::{JobError, JobRequest, JobSink, JobView};
 pub use lease_store::{
-    LeaseId, LeaseStore, PortFuture, StoreChange, StoreChanges, StoreError, StoreEvent, StoreItem,
-    StoreOutcome, StorePage, StoreRevision, StoreWrite,
+    LeaseId, LeaseStore, LeaseStoreError, PortFuture, StoreChange, StoreChanges, StoreEvent,
+    StoreItem, StoreOutcome, StorePage, StoreRevision, StoreWrite,
 };
 pub use link::{InboundMessage, LinkError, PeerLink};
 pub use member::{MemberInfo, MemberSource};
